--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -46,8 +46,14 @@
             gevent.sleep(0.05)
 
     def sasp(self, port: int) -> None:
-        gw = Balancer(("127.0.0.1", port), self.uid, source=self.source, timeout=60,
-                      connect=socket.create_connection, heard=self.heard)
+        gw = Balancer(
+            ("127.0.0.1", port),
+            self.uid,
+            source=self.source,
+            timeout=60,
+            connect=socket.create_connection,
+            heard=self.heard,
+        )
         gw.start(METHODS)
         held = Held()
         try:
@@ -63,6 +69,7 @@
 
         def changed(_: CloneGateway) -> None:
             self.tasks = set(gateway.table_for(METHODS[0]))
+
         gateway.on_change(changed)
         gateway.run()
 
@@ -73,7 +80,9 @@
     def __init__(self, front: str, ports: tuple[int, int], first: int, count: int, slow: int) -> None:
         self.process = subprocess.Popen(
             [sys.executable, __file__, "--crowd", msgspec.json.encode([front, ports, first, count, slow]).decode()],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
 
     def ask(self, near: dict, gone: str) -> list:
         self.process.stdin.write(msgspec.json.encode([near, gone]) + b"\n")
@@ -87,10 +96,14 @@
     many = [Proxy(first + k, front, ports, context, k < slow) for k in range(count)]
     for line in FileObject(sys.stdin.buffer, "rb"):
         near, gone = msgspec.json.decode(line)
-        fine = all(p.tasks and gone not in p.tasks and set(near.get(p.source.split(".")[1], ())) <= p.tasks
-                   for p in many if not p.slow)
-        sys.stdout.buffer.write(msgspec.json.encode([fine, sum(p.bytes for p in many),
-                                                     sum(p.messages for p in many)]) + b"\n")
+        fine = all(
+            p.tasks and gone not in p.tasks and set(near.get(p.source.split(".")[1], ())) <= p.tasks
+            for p in many
+            if not p.slow
+        )
+        sys.stdout.buffer.write(
+            msgspec.json.encode([fine, sum(p.bytes for p in many), sum(p.messages for p in many)]) + b"\n"
+        )
         sys.stdout.buffer.flush()
 
 
@@ -110,8 +123,9 @@
         ports = free_port(), free_port()
         path, clone = settings(Path(folder), ports, lines_per_s), free_ports(3)
         path.write_text(path.read_text() + f"\n[clone]\nlisten = 127.0.0.1:{clone}\n")
-        service = subprocess.Popen([sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)],
-                                   stderr=subprocess.DEVNULL)
+        service = subprocess.Popen(
+            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=subprocess.DEVNULL
+        )
         crowds = []
         try:
             time.sleep(2)
@@ -121,16 +135,23 @@
             time.sleep(1)
             result = dict(front=front, proxies=proxies, tasks=tasks, slow=slow)
             begun = time.monotonic()
-            crowds = [Crowd(front, (ports[0], clone), first, min(125, proxies - first),
-                            round(slow * min(125, proxies - first))) for first in range(0, proxies, 125)]
+            crowds = [
+                Crowd(
+                    front, (ports[0], clone), first, min(125, proxies - first), round(slow * min(125, proxies - first))
+                )
+                for first in range(0, proxies, 125)
+            ]
 
             def until(near: dict, gone: str, seconds: float, since: float) -> tuple:
                 while True:
                     told = [crowd.ask(near, gone) for crowd in crowds]
                     fine = all(row[0] for row in told)
                     if fine or time.monotonic() - since > seconds:
-                        return (round(time.monotonic() - since, 3) if fine else -1.0, sum(r[1] for r in told),
-                                sum(r[2] for r in told))
+                        return (
+                            round(time.monotonic() - since, 3) if fine else -1.0,
+                            sum(r[1] for r in told),
+                            sum(r[2] for r in told),
+                        )
                     time.sleep(0.01)
 
             result["joined_s"], octets, messages = until({}, "", 60, begun)
@@ -145,6 +166,7 @@
                 result[f"{name}_bytes"] = octets_after - octets
                 result[f"{name}_messages"] = messages_after - messages
                 result[f"{name}_cpu_ms"] = round(1000 * (usage(service.pid)[0] - cpu), 1)
+
             gone = f"{members[0].host}:9000"
             measured("drain", lambda: agent.quiesce([members[0]]), {}, gone)
             new = [Member.at(f"127.{z}.1.{k}", 9000, "run=b up=100") for z in (1, 2, 3) for k in range(1, 11)]
--- a/benchmarks/seeds.py
+++ b/benchmarks/seeds.py
@@ -1,6 +1,6 @@
 """One script over many seeds and policies, several days at once; rules broken and service by policy.
 
-    .venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
+.venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
 """
 
 from __future__ import annotations
@@ -41,22 +41,31 @@
     for policy in names:
         mine = [row for row in rows if row["policy"] == policy]
         good = [row for row in mine if "failed" not in row]
-        broken = {rule: sum(not v["kept"] for row in good for v in row["rules"] if v["rule"] == rule)
-                  for rule in range(1, 6)}
-        nearest = {rule: max(v["nearest"] for row in good for v in row["rules"] if v["rule"] == rule)
-                   for rule in range(1, 6)}
+        broken = {
+            rule: sum(not v["kept"] for row in good for v in row["rules"] if v["rule"] == rule) for rule in range(1, 6)
+        }
+        nearest = {
+            rule: max(v["nearest"] for row in good for v in row["rules"] if v["rule"] == rule) for rule in range(1, 6)
+        }
         served = [row["served"] for row in good]
-        click.echo(f"{policy or 'module'}: {len(good)} days, {len(mine) - len(good)} not played; served "
-                   f"{statistics.mean(served):.4f} ({min(served):.4f} to {max(served):.4f}), worst 10 s "
-                   f"{statistics.mean(r['worst_10s'] for r in good):.4f}; decisions "
-                   f"{statistics.mean(r['decisions_sent'] for r in good):.0f}, lines "
-                   f"{statistics.mean(r['lines'] for r in good):.0f}; broken {broken}; nearest {nearest}")
+        click.echo(
+            f"{policy or 'module'}: {len(good)} days, {len(mine) - len(good)} not played; served "
+            f"{statistics.mean(served):.4f} ({min(served):.4f} to {max(served):.4f}), worst 10 s "
+            f"{statistics.mean(r['worst_10s'] for r in good):.4f}; decisions "
+            f"{statistics.mean(r['decisions_sent'] for r in good):.0f}, lines "
+            f"{statistics.mean(r['lines'] for r in good):.0f}; broken {broken}; nearest {nearest}"
+        )
     base = {row["seed"]: row["served"] for row in rows if row["policy"] == names[0] and "failed" not in row}
     for policy in names[1:]:
-        gaps = [base[row["seed"]] - row["served"] for row in rows
-                if row["policy"] == policy and "failed" not in row and row["seed"] in base]
-        click.echo(f"{names[0] or 'module'} better than {policy} on {sum(g > 0 for g in gaps)} of {len(gaps)} "
-                   f"seeds, by {statistics.mean(gaps):.4f} on average")
+        gaps = [
+            base[row["seed"]] - row["served"]
+            for row in rows
+            if row["policy"] == policy and "failed" not in row and row["seed"] in base
+        ]
+        click.echo(
+            f"{names[0] or 'module'} better than {policy} on {sum(g > 0 for g in gaps)} of {len(gaps)} "
+            f"seeds, by {statistics.mean(gaps):.4f} on average"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -46,8 +46,13 @@
         gevent.spawn(self.report)
 
     def listen(self) -> None:
-        gw = Balancer(("127.0.0.1", self.ports[0]), self.uid, source=f"127.{1 + self.zone}.9.{self.zone + 1}",
-                      timeout=60, connect=socket.create_connection)
+        gw = Balancer(
+            ("127.0.0.1", self.ports[0]),
+            self.uid,
+            source=f"127.{1 + self.zone}.9.{self.zone + 1}",
+            timeout=60,
+            connect=socket.create_connection,
+        )
         gw.start(("read-chapter", "unlock-chapter", "redeem-code"))
         try:
             while pushed := gw.receive():
@@ -65,14 +70,22 @@
             gevent.sleep(1)
             end, figures = time.time_ns(), []
             for task in self.rng.sample(range(len(self.tasks)), min(12, len(self.tasks))):
-                place = {"proxy": self.uid, "zone": ZONES[self.zone], "task": self.tasks[task],
-                         "method": "read-chapter"}
+                place = {
+                    "proxy": self.uid,
+                    "zone": ZONES[self.zone],
+                    "task": self.tasks[task],
+                    "method": "read-chapter",
+                }
                 tries = self.rng.randrange(1, 6)
-                for name, value in (("tries", tries), ("tries.failed", 0),
-                                    ("tries.time", tries * self.speeds[task] * self.rng.uniform(0.7, 1.4))):
+                for name, value in (
+                    ("tries", tries),
+                    ("tries.failed", 0),
+                    ("tries.time", tries * self.speeds[task] * self.rng.uniform(0.7, 1.4)),
+                ):
                     figures.append(Figure(f"hollyridge.{name}", value, place, end, begun))
-                figures.append(Figure("hollyridge.task.util", self.rng.uniform(0.4, 0.7),
-                                      {"task": self.tasks[task]}, end))
+                figures.append(
+                    Figure("hollyridge.task.util", self.rng.uniform(0.4, 0.7), {"task": self.tasks[task]}, end)
+                )
             figures.append(Figure("hollyridge.rpcs", 30, {"proxy": self.uid, "method": "read-chapter"}, end, begun))
             begun = end
             try:
@@ -90,8 +103,9 @@
     with tempfile.TemporaryDirectory() as folder:
         ports = free_port(), free_port()
         path = settings(Path(folder), ports, 9000)
-        service = subprocess.Popen([sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)],
-                                   stderr=subprocess.DEVNULL)
+        service = subprocess.Popen(
+            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=subprocess.DEVNULL
+        )
         try:
             gevent.sleep(1.5)
             rng, rows = Random(1), []
@@ -118,12 +132,20 @@
             service.terminate()
             service.wait()
     result = dict(
-        seconds=round(lasted), proxies=proxies, tasks=tasks, cpu_share=round((cpu - first_cpu) / lasted, 4),
-        worst_10s_cpu_share=round(max(row[0] for row in rows) / 10, 4), rss_first_mb=round(rows[0][1], 1),
-        rss_last_mb=round(rows[-1][1], 1), messages=sum(g.messages for g in gateways),
-        lines=sum(g.lines for g in gateways), points=status["otlp"]["points"],
-        decisions=status["core"]["decisions"], news_to_frame_us=status["core"]["news_to_frame_us"],
-        waiting_most=status["core"]["waiting_most"])
+        seconds=round(lasted),
+        proxies=proxies,
+        tasks=tasks,
+        cpu_share=round((cpu - first_cpu) / lasted, 4),
+        worst_10s_cpu_share=round(max(row[0] for row in rows) / 10, 4),
+        rss_first_mb=round(rows[0][1], 1),
+        rss_last_mb=round(rows[-1][1], 1),
+        messages=sum(g.messages for g in gateways),
+        lines=sum(g.lines for g in gateways),
+        points=status["otlp"]["points"],
+        decisions=status["core"]["decisions"],
+        news_to_frame_us=status["core"]["news_to_frame_us"],
+        waiting_most=status["core"]["waiting_most"],
+    )
     click.echo(msgspec.json.encode(result) if as_json else "\n".join(f"{k}: {v}" for k, v in result.items()))
 
 
--- a/hollyridge/benchlink/conf.py
+++ b/hollyridge/benchlink/conf.py
@@ -114,15 +114,17 @@
     for k in range(max(0, min(int(text.number("profiles.count")), 256))):
         row = f"profiles.{k}."
         deadline = text.span(row + "deadline")
-        methods.append(MethodTerms(
-            soft_deadline=text.span(row + "slo"),
-            deadline=deadline,
-            criticality=text.number(row + "worth", 1.0),
-            repeat=text.choice(row + "repeat", REPEAT),
-            group=text.choice(row + "group", GROUP, "cell"),
-            window=text.span(row + "window", 0.0),
-            own_zone=k < len(own_zone) and own_zone[k] == "true",
-        ))
+        methods.append(
+            MethodTerms(
+                soft_deadline=text.span(row + "slo"),
+                deadline=deadline,
+                criticality=text.number(row + "worth", 1.0),
+                repeat=text.choice(row + "repeat", REPEAT),
+                group=text.choice(row + "group", GROUP, "cell"),
+                window=text.span(row + "window", 0.0),
+                own_zone=k < len(own_zone) and own_zone[k] == "true",
+            )
+        )
     if not methods:
         text.faults.append("the settings name no method (profiles.count)")
     family = "family_info."
--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -31,8 +31,17 @@
         """One record of the wire as a typed event."""
         if code == 1:
             entries = tuple(
-                api.Listed(self.task(e[0]), in_range(e[1], self.zones, "zone"), e[2], e[3],
-                           in_range(e[4], 2, "task state"), e[5], moment(e[6])) for e in f[2])
+                api.Listed(
+                    self.task(e[0]),
+                    in_range(e[1], self.zones, "zone"),
+                    e[2],
+                    e[3],
+                    in_range(e[4], 2, "task state"),
+                    e[5],
+                    moment(e[6]),
+                )
+                for e in f[2]
+            )
             return api.RosterChange(f[0], in_range(f[1], 3, "list kind"), entries)
         if code == 2:
             return api.Woke(f[0])
@@ -47,8 +56,9 @@
         if code == 8:
             return api.Receipt(f[0], f[1], moment(f[2]))
         if code == 9:
-            return api.TrafficReport(in_range(f[0], self.zones, "zone"), self.task(f[1]), f[2], f[3],
-                                     moment(f[4]), moment(f[5]), f[6])
+            return api.TrafficReport(
+                in_range(f[0], self.zones, "zone"), self.task(f[1]), f[2], f[3], moment(f[4]), moment(f[5]), f[6]
+            )
         if code == 10:
             return api.OfferedLoad(f[0], moment(f[1]), f[2], in_range(f[3], self.methods, "method"), f[4])
         if code == 11:
--- a/hollyridge/benchlink/wire.py
+++ b/hollyridge/benchlink/wire.py
@@ -86,11 +86,11 @@
                 if at + size > end:
                     raise WireError(f"a {shape.name} record runs past its frame")
                 if shape.tail == "b":
-                    tail: object = body[at:at + size]
+                    tail: object = body[at : at + size]
                 elif shape.tail == "f":
                     tail = struct.unpack_from(f"<{count}f", body, at)
                 else:
-                    tail = tuple(ENTRY.iter_unpack(body[at:at + size]))
+                    tail = tuple(ENTRY.iter_unpack(body[at : at + size]))
                 at += size
                 fields += (tail,)
         except struct.error:
--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -17,8 +17,13 @@
 from hollyridge.lab.policies import POLICIES
 from hollyridge.settings.ini import FaultsError
 
-RULES = {1: "no proxy left without a line", 2: "no effect twice", 3: "drains kept", 4: "no cold task pushed over",
-         5: "short queue, few messages"}
+RULES = {
+    1: "no proxy left without a line",
+    2: "no effect twice",
+    3: "drains kept",
+    4: "no cold task pushed over",
+    5: "short queue, few messages",
+}
 
 
 def play(path: str, report: str | None, seed: int | None, policy: str, as_json: bool, fronts: str) -> int:
@@ -45,8 +50,7 @@
         return run(script, Path(folder), seed, policy, as_json, keep=False)
 
 
-def run(script: scripts.Script, folder: Path, seed: int | None, policy: str, as_json: bool,
-        keep: bool) -> int:
+def run(script: scripts.Script, folder: Path, seed: int | None, policy: str, as_json: bool, keep: bool) -> int:
     with click.progressbar(length=1000, label=f"{script.day.length_s:.0f} s", file=sys.stderr) as bar:
         told = 0
 
@@ -54,6 +58,7 @@
             nonlocal told
             bar.update(round(part * 1000) - told)
             told = round(part * 1000)
+
         main = gevent.getcurrent()
         gevent.signal_handler(signal.SIGTERM, lambda: main.throw(DayError("ended by a signal")))
         try:
@@ -67,6 +72,7 @@
     show(outcome, as_json, len(script.fleet.fronts) > 1)
     if keep:
         from hollyridge.lab.page import write
+
         (folder / "outcome.json").write_bytes(msgspec.json.encode(outcome))
         click.echo(f"report: {write(folder, script, outcome)}", err=True)
     return 0 if all(v.kept for v in outcome.verdicts) and not outcome.parity[1] else 1
@@ -76,17 +82,23 @@
     kept = sum(v.kept for v in outcome.verdicts)
     if as_json:
         rows = [v._asdict() for v in outcome.verdicts]
-        click.echo(msgspec.json.encode({"rules": rows, **outcome.figures, "broken": len(rows) - kept,
-                                        "parity": outcome.parity}))
+        click.echo(
+            msgspec.json.encode(
+                {"rules": rows, **outcome.figures, "broken": len(rows) - kept, "parity": outcome.parity}
+            )
+        )
         return
     f = outcome.figures
-    click.echo(f"RPCs {f['rpcs']}, ok {f['ok']}, tries {f['tries']}; criticality in time {f['served']:.3f}, "
-               f"worst 10 s {f['worst_10s']:.3f}; "
-               + ", ".join(f"{name} {part:.3f}" for name, part in f["by_method"].items()))
+    click.echo(
+        f"RPCs {f['rpcs']}, ok {f['ok']}, tries {f['tries']}; criticality in time {f['served']:.3f}, "
+        f"worst 10 s {f['worst_10s']:.3f}; " + ", ".join(f"{name} {part:.3f}" for name, part in f["by_method"].items())
+    )
     click.echo(f"orders: {f['decisions_sent']} decisions, {f['messages']} messages, {f['lines']} lines")
     for v in outcome.verdicts:
-        click.echo(f"rule {v.rule} {'kept  ' if v.kept else 'BROKEN'} {v.nearest:6.1%} of the limit  "
-                   f"{RULES[v.rule]}: {v.where}")
+        click.echo(
+            f"rule {v.rule} {'kept  ' if v.kept else 'BROKEN'} {v.nearest:6.1%} of the limit  "
+            f"{RULES[v.rule]}: {v.where}"
+        )
     if both:
         compared, differ, where = outcome.parity
         click.echo(f"parity: {compared} tables compared, {differ} differ{': ' + where if where else ''}")
--- a/hollyridge/cli/fleet.py
+++ b/hollyridge/cli/fleet.py
@@ -59,11 +59,15 @@
     for name, told in sorted(seen.items()):
         click.echo(f"{name} (run {told['run']}) owns {len(told['owns'])}" + (", hands over" if told["drains"] else ""))
         for other, row in told["members"].items():
-            click.echo(f"  sees {other:<12} {row['status']:<8} incarnation {row['incarnation']:<4} for "
-                       f"{row['since_s']:.0f} s, says it owns {row['claims']}" + (", drains" if row["drains"] else ""))
+            click.echo(
+                f"  sees {other:<12} {row['status']:<8} incarnation {row['incarnation']:<4} for "
+                f"{row['since_s']:.0f} s, says it owns {row['claims']}" + (", drains" if row["drains"] else "")
+            )
         for uid, row in told["owns"].items():
-            click.echo(f"  {uid:<24} number {row['fence']:<20} for {row['since_s']:>8.1f} s, heard "
-                       f"{row['heard_s']:.1f} s ago" + (", by a plea" if row["plea"] else ""))
+            click.echo(
+                f"  {uid:<24} number {row['fence']:<20} for {row['since_s']:>8.1f} s, heard "
+                f"{row['heard_s']:.1f} s ago" + (", by a plea" if row["plea"] else "")
+            )
         for uid, one, another in told["disagreements"]:
             click.echo(f"  disagreement: {one} and {another} both say they own {uid}")
     for uid, names in sorted(twice.items()):
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -18,6 +18,7 @@
 def load(path: str, settings: str = "", fronts: str = "", times: float = 1.0, assigners: int = 0):
     from hollyridge.lab import script
     from hollyridge.settings.ini import FaultsError
+
     try:
         return script.load(path, settings, tuple(word for word in fronts.split(",") if word), times, assigners)
     except FaultsError as trouble:
@@ -40,11 +41,25 @@
 @click.option("--ties", type=int, help="Shuffle what is due at the same moment, by this seed.")
 @click.option("--report", type=click.Path(file_okay=False), help="Write a page with the result here.")
 @click.option("--json", "as_json", is_flag=True)
-def run(scenario: str, seed: int | None, record: str | None, live: bool, policy: str, settings: str, fronts: str,
-        times: float, assigners: int, cost: bool, ties: int | None, report: str | None, as_json: bool) -> None:
+def run(
+    scenario: str,
+    seed: int | None,
+    record: str | None,
+    live: bool,
+    policy: str,
+    settings: str,
+    fronts: str,
+    times: float,
+    assigners: int,
+    cost: bool,
+    ties: int | None,
+    report: str | None,
+    as_json: bool,
+) -> None:
     """Play SCENARIO (a day's script) in the simulated world, or with --live on sockets."""
     if live:
         from gevent import monkey
+
         monkey.patch_all()
     from hollyridge.cli.day import show
     from hollyridge.lab.cost import Meter
@@ -52,12 +67,14 @@
     from hollyridge.lab.page import write
     from hollyridge.lab.policies import POLICIES
     from hollyridge.lab.virtual import VirtualStage
+
     script = load(scenario, settings, fronts, times, assigners)
     if policy and policy not in POLICIES:
         click.echo(f"--policy: one of {', '.join(POLICIES)}", err=True)
         sys.exit(2)
     if live:
         from hollyridge.cli.day import play
+
         sys.exit(play(scenario, report, seed, policy, as_json, fronts))
     seed = script.day.seed if seed is None else seed
     meter = Meter() if cost else None
@@ -69,8 +86,9 @@
         click.echo(f"the day could not be played: {trouble}", err=True)
         sys.exit(2)
     if meter is not None:
-        outcome.figures.update(cost=meter.stop(script.day.length_s), tasks=script.fleet.tasks,
-                               proxies=script.fleet.proxies)
+        outcome.figures.update(
+            cost=meter.stop(script.day.length_s), tasks=script.fleet.tasks, proxies=script.fleet.proxies
+        )
     show(outcome, as_json, len(script.fleet.fronts) > 1)
     if meter is not None and not as_json:
         click.echo(f"cost: {outcome.figures['cost']}")
@@ -89,20 +107,30 @@
 @click.option("--keep", type=click.Path(dir_okay=False), help="Results by day; an interrupted experiment goes on.")
 @click.option("--at-once", default=max(1, (os.cpu_count() or 2) - 1), show_default=True)
 @click.option("--json", "as_json", is_flag=True)
-def compare(a: str, b: str, days: tuple[str, ...], seeds: int, figure: str, keep: str | None, at_once: int,
-            as_json: bool) -> None:
+def compare(
+    a: str, b: str, days: tuple[str, ...], seeds: int, figure: str, keep: str | None, at_once: int, as_json: bool
+) -> None:
     """Play variants A and B on the same simulated days and seeds. A variant is `module`, another decision module of
     the laboratory, a settings file (.ini), or commit:REV."""
     from hollyridge.lab import experiment
     from hollyridge.lab.policies import POLICIES
+
     for name in (a, b):
         if not (name.startswith("commit:") or name.endswith(".ini") or name in ("module", *POLICIES)):
             click.echo(f"{name}: no such variant", err=True)
             sys.exit(2)
     with click.progressbar(length=2 * seeds * len(days), label="days", file=sys.stderr) as bar:
         try:
-            told = experiment.compare(experiment.Variant(a), experiment.Variant(b), list(days), seeds,
-                                      Path(keep) if keep else None, at_once, lambda done, whole: bar.update(1), figure)
+            told = experiment.compare(
+                experiment.Variant(a),
+                experiment.Variant(b),
+                list(days),
+                seeds,
+                Path(keep) if keep else None,
+                at_once,
+                lambda done, whole: bar.update(1),
+                figure,
+            )
         except (ValueError, KeyError) as trouble:
             click.echo(f"cannot compare: {trouble}", err=True)
             sys.exit(2)
@@ -112,9 +140,11 @@
     for row in told["variants"]:
         click.echo("  ".join(f"{key} {value}" for key, value in row.items() if value not in (None, [])))
     gap = told["gap"]
-    click.echo(f"{b} less {a}, {figure}: {gap['mean']:+.4f} ({gap['low']:+.4f} to {gap['high']:+.4f}, 95% by bootstrap "
-               f"over {gap['pairs']} pairs); better on {gap['better']}, worse on {gap['worse']}; chance by signs "
-               f"{gap['chance']:.3f}" + ("; stopped early" if told["stopped_early"] else ""))
+    click.echo(
+        f"{b} less {a}, {figure}: {gap['mean']:+.4f} ({gap['low']:+.4f} to {gap['high']:+.4f}, 95% by bootstrap "
+        f"over {gap['pairs']} pairs); better on {gap['better']}, worse on {gap['worse']}; chance by signs "
+        f"{gap['chance']:.3f}" + ("; stopped early" if told["stopped_early"] else "")
+    )
 
 
 @lab.command()
@@ -128,6 +158,7 @@
 def hunt(script: str, seeds: int, first: int, most: int, policy: str, out: str | None, as_json: bool) -> None:
     """Draw troubles by seed for the fleet and load of SCRIPT; keep the worst day, cut down to the fewest troubles."""
     from hollyridge.lab import hunt as hunting
+
     loaded = load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
         found = hunting.hunt(loaded, range(first, first + seeds), policy, most, lambda seed, worst: bar.update(1))
@@ -139,8 +170,14 @@
     if out:
         hunting.write(Path(out), seed, less, cut)
     broken = [v.rule for v in cut.verdicts if not v.kept]
-    told = {"seed": seed, "served": cut.figures["served"], "broken": broken, "drawn": list(worst.troubles),
-            "needed": list(less.troubles), "nearest": {v.rule: v.nearest for v in cut.verdicts}}
+    told = {
+        "seed": seed,
+        "served": cut.figures["served"],
+        "broken": broken,
+        "drawn": list(worst.troubles),
+        "needed": list(less.troubles),
+        "nearest": {v.rule: v.nearest for v in cut.verdicts},
+    }
     click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
     sys.exit(1 if broken else 0)
 
@@ -156,13 +193,15 @@
 def sweep(script: str, sizes: str, assigners: str, seed: int, timeout_s: float, out: str | None, as_json: bool) -> None:
     """Play SCRIPT at growing sizes: how cost, lines and nearness to the rules grow, and where the time goes."""
     from hollyridge.lab import sweep as sweeping
+
     try:
         many, counts = [float(word) for word in sizes.split(",")], [int(word) for word in assigners.split(",")]
     except ValueError:
         click.echo("--sizes and --assigners: numbers with commas between them", err=True)
         sys.exit(2)
-    rows = sweeping.sweep(script, many, counts, seed, timeout_s,
-                          lambda row: click.echo(msgspec.json.encode(row), err=True))
+    rows = sweeping.sweep(
+        script, many, counts, seed, timeout_s, lambda row: click.echo(msgspec.json.encode(row), err=True)
+    )
     try:
         page = str(sweeping.page(rows, Path(out), Path(script).stem)) if out else ""
     except ValueError as trouble:
@@ -186,10 +225,18 @@
     """Strike the assigners of a shared fleet, simulated, by seed; count proxies without an owner and such as were
     ordered by two. Exit code 0 only if none was, and all rules were kept."""
     from hollyridge.lab import takeover as taking
+
     load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        found = taking.many(script, range(first, first + seeds), tuple(fronts.split(",")), 0, not alone, assigners,
-                            lambda told: bar.update(1))
+        found = taking.many(
+            script,
+            range(first, first + seeds),
+            tuple(fronts.split(",")),
+            0,
+            not alone,
+            assigners,
+            lambda told: bar.update(1),
+        )
     told = taking.summary(found)
     click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
     sys.exit(1 if told["doubly_ordered"] or told["rules_broken"] else 0)
@@ -205,6 +252,7 @@
     """Flood a real assigner with load reports, half of them by one sender that does not listen, beside another that
     reads them all: what is kept, what it costs, how far their weights are apart."""
     from hollyridge.lab import flood as flooding
+
     try:
         told = flooding.flood(reports_per_s, seconds, budget, tasks=tasks)
     except OSError as trouble:
@@ -220,6 +268,7 @@
 def report(source: str, out: str, as_json: bool) -> None:
     """A page with plots of SOURCE: a recording, the folder of a day's recordings, or the kept file of a comparison."""
     from hollyridge.lab.plots import page_of
+
     try:
         page = page_of(Path(source), Path(out))
     except (ValueError, KeyError) as trouble:
--- a/hollyridge/cli/main.py
+++ b/hollyridge/cli/main.py
@@ -38,8 +38,10 @@
 def check(file: str) -> None:
     """Check the settings in FILE; names every fault by section and key."""
     terms = load(file)
-    click.echo(f"{file}: fine; {len(terms.methods)} methods in {len(terms.groups())} groups, "
-               f"{len(terms.zones)} zones, {len(terms.groups())} entries to a proxy for each line")
+    click.echo(
+        f"{file}: fine; {len(terms.methods)} methods in {len(terms.groups())} groups, "
+        f"{len(terms.zones)} zones, {len(terms.groups())} entries to a proxy for each line"
+    )
 
 
 @main.command()
@@ -72,6 +74,7 @@
             service.reload(assigner.load(path))
         except (FaultsError, OSError, ValueError) as trouble:
             log.error("keys not read again; what was in force stays", error=str(trouble))
+
     gevent.signal_handler(signal.SIGHUP, reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, service.stop)
@@ -95,8 +98,10 @@
     """Play the day in SCRIPT against a real assigner process on loopback, and check the five rules from what
     passed on the sockets. Exit code 0 only if all were kept."""
     from gevent import monkey
+
     monkey.patch_all()
     from hollyridge.cli.day import play
+
     sys.exit(play(script, report, seed, policy, as_json, fronts))
 
 
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -50,6 +50,7 @@
     from hollyridge.solving.fleet import NonsenseError
     from hollyridge.solving.program import LateError
     from hollyridge.solving.solver import solve as plan_of
+
     try:
         fleet, deadline, groups = read_text(fetch(file), file) if file.startswith("http://") else load(file)
         begun = time.monotonic()
@@ -71,23 +72,41 @@
         for name, tasks in groups.items():
             listed = [i for i in tasks if i in plan.tables[z]]
             if listed:
-                rows.append({"zone": zone.name, "tasks": name, "lines": len(listed),
-                             "weight": round(plan.tables[z][listed[0]], 4),
-                             "arrives": round(sum(plan.shares[z][i] for i in listed), 4),
-                             "fill": round(max(plan.fill[i] for i in listed), 4)})
-    served = {zone.name: {m.name: round(part, 4) for m, part in zip(fleet.methods, row)}
-              for zone, row in zip(fleet.zones, plan.served)}
-    told = {"tables": rows, "served": served, "moves": plan.moves._asdict(), "gain": round(plan.gain, 4),
-            "why": list(plan.why), "took_s": round(took, 4)}
+                rows.append(
+                    {
+                        "zone": zone.name,
+                        "tasks": name,
+                        "lines": len(listed),
+                        "weight": round(plan.tables[z][listed[0]], 4),
+                        "arrives": round(sum(plan.shares[z][i] for i in listed), 4),
+                        "fill": round(max(plan.fill[i] for i in listed), 4),
+                    }
+                )
+    served = {
+        zone.name: {m.name: round(part, 4) for m, part in zip(fleet.methods, row)}
+        for zone, row in zip(fleet.zones, plan.served)
+    }
+    told = {
+        "tables": rows,
+        "served": served,
+        "moves": plan.moves._asdict(),
+        "gain": round(plan.gain, 4),
+        "why": list(plan.why),
+        "took_s": round(took, 4),
+    }
     if as_json:
         click.echo(msgspec.json.encode(told))
         return
     click.echo(f"{'proxies in':<14}{'tasks':<20}{'lines':>6}{'weight':>9}{'arrives':>9}{'fill':>8}")
     for row in rows:
-        click.echo(f"{row['zone']:<14}{row['tasks']:<20}{row['lines']:>6}{row['weight']:>9.3f}{row['arrives']:>9.1%}"
-                   f"{row['fill']:>8.0%}")
+        click.echo(
+            f"{row['zone']:<14}{row['tasks']:<20}{row['lines']:>6}{row['weight']:>9.3f}{row['arrives']:>9.1%}"
+            f"{row['fill']:>8.0%}"
+        )
     for line in plan.why:
         click.echo(line)
     m = plan.moves
-    click.echo(f"moves: {m.opened} connections opened, {m.closed} closed, {m.lines} lines; handshakes take up to "
-               f"{m.handshakes:.0%} of a task's room; gain {plan.gain:.0%}; {took * 1e3:.0f} ms")
+    click.echo(
+        f"moves: {m.opened} connections opened, {m.closed} closed, {m.lines} lines; handshakes take up to "
+        f"{m.handshakes:.0%} of a task's room; gain {plan.gain:.0%}; {took * 1e3:.0f} ms"
+    )
--- a/hollyridge/client/clone.py
+++ b/hollyridge/client/clone.py
@@ -20,9 +20,16 @@
 
     silences = (SilenceError,)
 
-    def __init__(self, address: tuple[str, int] | list[tuple[str, int]], uid: str, methods: list[str],
-                 how: dict | None = None, silent_beats: float = 3.0, before: Callable[[int], None] = lambda lines: None,
-                 **terms) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int] | list[tuple[str, int]],
+        uid: str,
+        methods: list[str],
+        how: dict | None = None,
+        silent_beats: float = 3.0,
+        before: Callable[[int], None] = lambda lines: None,
+        **terms,
+    ) -> None:
         super().__init__(uid, methods, **terms)
         self.addresses, self.how, self.silent_beats, self.before = several(address), how or {}, silent_beats, before
         self.ways = len(self.addresses)
@@ -30,8 +37,15 @@
         self.versions: dict[str, int] = {}
 
     def session(self) -> None:
-        subscriber = Subscriber(self.addresses[self.way], self.uid, self.methods, client=self.client, clock=self.clock,
-                                plea=self.pleads, **self.how)
+        subscriber = Subscriber(
+            self.addresses[self.way],
+            self.uid,
+            self.methods,
+            client=self.client,
+            clock=self.clock,
+            plea=self.pleads,
+            **self.how,
+        )
         self.subscriber = subscriber
         try:
             while not self.stopped and self.subscriber is subscriber:
--- a/hollyridge/client/picking.py
+++ b/hollyridge/client/picking.py
@@ -33,8 +33,7 @@
                 return task
         return among[-1]
 
-    def choose(self, out: Callable[[str], int] = lambda task: 0,
-               avoid: frozenset | set = frozenset()) -> str | None:
+    def choose(self, out: Callable[[str], int] = lambda task: 0, avoid: frozenset | set = frozenset()) -> str | None:
         """A task, none to be avoided while another is left; None without lines. `out` tells of each task how many
         RPCs this proxy has out there."""
         among = [task for task in self.names if task not in avoid] if avoid else self.names
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -60,8 +60,13 @@
             out += [Figure(f"hollyridge.task.{name}", value, {"task": task}, end) for name, value in told.items()]
         return out
 
-    def send(self, address: tuple[str, int], figures: list[Figure], sleep: Callable[[float], None] = time.sleep,
-             connection: Callable = http.client.HTTPConnection) -> bool:
+    def send(
+        self,
+        address: tuple[str, int],
+        figures: list[Figure],
+        sleep: Callable[[float], None] = time.sleep,
+        connection: Callable = http.client.HTTPConnection,
+    ) -> bool:
         """Post a report; after a time-out the same again, which is counted once. False, and `lost` grows, if it
         could not be said."""
         request = request_of(self.uid, figures)
@@ -79,8 +84,14 @@
         self.lost += 1
         return False
 
-    def run(self, address: tuple[str, int], period: float, stopped: Callable[[], bool],
-            sleep: Callable[[float], None] = time.sleep, **how) -> None:
+    def run(
+        self,
+        address: tuple[str, int],
+        period: float,
+        stopped: Callable[[], bool],
+        sleep: Callable[[float], None] = time.sleep,
+        **how,
+    ) -> None:
         """Report each `period` seconds to an assigner's OTLP address until `stopped()`."""
         begun = time.time_ns()
         while not stopped():
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -39,8 +39,14 @@
         if not self.judge.obeys(self.own.fence):
             return
         self.held.take(message.groups)
-        self.lay({method: {f"{m.host}:{m.port}": float(e.weight) for m, e in self.held.lines(group).items()}
-                  for method, group in self.groups.items() if group in self.held.fresh}, {})
+        self.lay(
+            {
+                method: {f"{m.host}:{m.port}": float(e.weight) for m, e in self.held.lines(group).items()}
+                for method, group in self.groups.items()
+                if group in self.held.fresh
+            },
+            {},
+        )
 
 
 class SaspGateway(SaspTables):
@@ -48,9 +54,17 @@
     doesn't answer, the next is dialled. `how` goes to `Balancer` (source, connect, heard, said). `receive_s`: how often
     a stream without news is known to stand."""
 
-    def __init__(self, address: tuple[str, int] | list[tuple[str, int]], uid: str, methods: list[str],
-                 groups: dict[str, str] | None = None, how: dict | None = None, receive_s: float = 1.0,
-                 before: Callable[[tuple], None] = lambda groups: None, **terms) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int] | list[tuple[str, int]],
+        uid: str,
+        methods: list[str],
+        groups: dict[str, str] | None = None,
+        how: dict | None = None,
+        receive_s: float = 1.0,
+        before: Callable[[tuple], None] = lambda groups: None,
+        **terms,
+    ) -> None:
         super().__init__(uid, methods, **terms)
         self.addresses, self.how, self.receive_s, self.before = several(address), how or {}, receive_s, before
         self.groups = {method: (groups or {}).get(method, method) for method in methods}
--- a/hollyridge/client/surface.py
+++ b/hollyridge/client/surface.py
@@ -51,10 +51,18 @@
 
     silences: tuple[type[Exception], ...] = ()  # ends of a session whose other end stands still or can't be reached
 
-    def __init__(self, uid: str, methods: list[str], standing: Mapping[str, float] | None = None, pick: str = "p2c",
-                 rng: Random | None = None, cut_off_after: float = 30.0,
-                 sleep: Callable[[float], None] = time.sleep, clock: Callable[[], float] = time.monotonic,
-                 numbers_from: int | None = None) -> None:
+    def __init__(
+        self,
+        uid: str,
+        methods: list[str],
+        standing: Mapping[str, float] | None = None,
+        pick: str = "p2c",
+        rng: Random | None = None,
+        cut_off_after: float = 30.0,
+        sleep: Callable[[float], None] = time.sleep,
+        clock: Callable[[], float] = time.monotonic,
+        numbers_from: int | None = None,
+    ) -> None:
         self.clock = clock
         self.judge = Judge(int(time.time()) << 16 if numbers_from is None else numbers_from)
         self.addresses: list[tuple[str, int]] = []
@@ -81,8 +89,9 @@
         """Weight by `host:port`; what is held, however old. Never half a change."""
         return self.tables.get(method, NO_LINES)
 
-    def pick(self, method: str, out: Callable[[str], int] = lambda task: 0,
-             avoid: frozenset | set = frozenset()) -> str | None:
+    def pick(
+        self, method: str, out: Callable[[str], int] = lambda task: 0, avoid: frozenset | set = frozenset()
+    ) -> str | None:
         """A task for one RPC, None without lines."""
         return self.pickers[method].choose(out, avoid)
 
--- a/hollyridge/clone/client.py
+++ b/hollyridge/clone/client.py
@@ -16,10 +16,20 @@
     sees every message that comes in. A session that has heard nothing for `silence` seconds is over: begin
     another, with the same `Client` to keep what is held. `plea`: whom it was sent to could not be reached."""
 
-    def __init__(self, address: tuple[str, int], uid: str, methods: list[str], zmq=None, context=None,
-                 source: str = "", client: Client | None = None, heard: Callable | None = None,
-                 keys: Callable = lambda sock: None, clock: Callable[[], float] = time.monotonic,
-                 plea: bool = False) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        uid: str,
+        methods: list[str],
+        zmq=None,
+        context=None,
+        source: str = "",
+        client: Client | None = None,
+        heard: Callable | None = None,
+        keys: Callable = lambda sock: None,
+        clock: Callable[[], float] = time.monotonic,
+        plea: bool = False,
+    ) -> None:
         if zmq is None:
             import zmq
         self.zmq, self.uid, self.heard = zmq, uid, heard
@@ -63,8 +73,9 @@
         self.said_at = self.clock()
         home = self.client.replicas[self.client.home]
         word = codec.Ack(home.head.epoch, self.client.seqs(), self.client.judge.asked)
-        message = codec.Kvset(self.client.home + "ack", codec.uuid_of(self.identity.hex()), f"v={codec.LAYOUT}\n",
-                              codec.json(word))
+        message = codec.Kvset(
+            self.client.home + "ack", codec.uuid_of(self.identity.hex()), f"v={codec.LAYOUT}\n", codec.json(word)
+        )
         try:
             self.push.send_multipart(codec.encode(message), flags=self.zmq.NOBLOCK)
         except self.zmq.ZMQError:
--- a/hollyridge/clone/codec.py
+++ b/hollyridge/clone/codec.py
@@ -165,8 +165,13 @@
     if kind is Kthxbai:
         return [b"KTHXBAI", _SEQUENCE.pack(message.sequence), b"", b"", message.subtree.encode()]
     if kind is Kvpub:
-        return [message.key.encode(), _SEQUENCE.pack(message.sequence), message.uuid, message.properties.encode(),
-                message.value]
+        return [
+            message.key.encode(),
+            _SEQUENCE.pack(message.sequence),
+            message.uuid,
+            message.properties.encode(),
+            message.value,
+        ]
     if kind is Kvset:
         return [message.key.encode(), NO_SEQUENCE, message.uuid, message.properties.encode(), message.value]
     return [b"HUGZ", NO_SEQUENCE, b"", b"", b""]
--- a/hollyridge/clone/front.py
+++ b/hollyridge/clone/front.py
@@ -50,8 +50,21 @@
 class Reader:
     """One joined proxy."""
 
-    __slots__ = ("uid", "user", "number", "identity", "proxy", "home", "seqs", "marks", "asks", "credit",
-                 "waits_for_home", "owed", "fence")
+    __slots__ = (
+        "uid",
+        "user",
+        "number",
+        "identity",
+        "proxy",
+        "home",
+        "seqs",
+        "marks",
+        "asks",
+        "credit",
+        "waits_for_home",
+        "owed",
+        "fence",
+    )
 
     def __init__(self, uid: str, user: str, number: int, identity: bytes, asks: Bucket) -> None:
         self.user = user
@@ -69,10 +82,22 @@
     only holders of known keys get through, and `access` says who may go by which name. `epoch` names this run.
     `fleet`: the assigners that share the proxies with this one."""
 
-    def __init__(self, loop: Loop, terms: CloneTerms, presence: Presence, keeper: Doorkeeper,
-                 zone_of: Callable[[str], int], name_of: Callable[[int], str], log, context: zmq.Context,
-                 curve: Curve | None = None, access: Access = OPEN, epoch: str = "",
-                 fleet: Fleet | None = None, zone_name: Callable[[int], str] = str) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: CloneTerms,
+        presence: Presence,
+        keeper: Doorkeeper,
+        zone_of: Callable[[str], int],
+        name_of: Callable[[int], str],
+        log,
+        context: zmq.Context,
+        curve: Curve | None = None,
+        access: Access = OPEN,
+        epoch: str = "",
+        fleet: Fleet | None = None,
+        zone_name: Callable[[int], str] = str,
+    ) -> None:
         self.fleet, self.zone_name = fleet, zone_name
         self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
         self.terms, self.presence, self.keeper = terms, presence, keeper
@@ -86,8 +111,22 @@
         self.by_identity: dict[bytes, Reader] = {}
         self.published: dict[int, Table] = {}
         self.number = 0
-        self.counts = dict.fromkeys(("asked", "snapshots", "published", "bytes_out", "bad", "refused", "cut", "sent_on",
-                                     "acks", "waited", "unreachable"), 0)
+        self.counts = dict.fromkeys(
+            (
+                "asked",
+                "snapshots",
+                "published",
+                "bytes_out",
+                "bad",
+                "refused",
+                "cut",
+                "sent_on",
+                "acks",
+                "waited",
+                "unreachable",
+            ),
+            0,
+        )
         self.sockets = {}
         for name, kind in (("snapshot", zmq.ROUTER), ("publisher", zmq.PUB), ("collector", zmq.PULL)):
             sock = self.sockets[name] = context.socket(kind)
@@ -252,8 +291,11 @@
         reader = self.by_proxy.get(proxy)
         if reader is not None:
             if to:
-                self.publish(self.ledger.set(reader.home, 0, {
-                    **self.ledger.held.get(reader.home, {}), reader.home + "go": self.go(to)}))
+                self.publish(
+                    self.ledger.set(
+                        reader.home, 0, {**self.ledger.held.get(reader.home, {}), reader.home + "go": self.go(to)}
+                    )
+                )
             self.leave(self.clock(), reader, why, ours=True)
 
     def leave(self, now: int, reader: Reader, why: str, ours: bool = False) -> None:
@@ -379,23 +421,30 @@
 
     def lines(self, proxy: int, parcel: Parcel) -> tuple[int, int]:
         tables = set(self.machine.desk.bound.get(proxy, {}).values())
-        return (sum(lines for _, lines in parcel.counts),
-                sum(1 + len(self.machine.desk.store.latest(table)) for table in tables))
+        return (
+            sum(lines for _, lines in parcel.counts),
+            sum(1 + len(self.machine.desk.store.latest(table)) for table in tables),
+        )
 
     def write(self, proxy: int, parcel: Parcel) -> None:
         reader = self.by_proxy.get(proxy)
         if parcel.out:
             out = sorted(self.machine.desk.out)
-            self.publish(self.ledger.set(codec.OUT, parcel.number, {
-                codec.OUT + self.name_of(task): codec.json(codec.Out()) for task in out}))
+            self.publish(
+                self.ledger.set(
+                    codec.OUT, parcel.number, {codec.OUT + self.name_of(task): codec.json(codec.Out()) for task in out}
+                )
+            )
         for table, value in parcel.tables:
             self.say(table, value)
         if reader is None:
             return
         if parcel.binds:
             bound = self.machine.desk.bound.get(proxy, {})
-            keys = {f"{reader.home}bind/{self.terms.methods[k]}": codec.json(codec.Bind(table))
-                    for k, table in sorted(bound.items())}
+            keys = {
+                f"{reader.home}bind/{self.terms.methods[k]}": codec.json(codec.Bind(table))
+                for k, table in sorted(bound.items())
+            }
             for table in set(bound.values()):
                 if f"/table/{table}/" not in self.ledger.heads:
                     self.say(table, self.machine.desk.store.latest(table))
@@ -420,10 +469,15 @@
             return
         self.published[table] = value
         start = f"/table/{table}/"
-        keys = {f"{start}line/{self.name_of(task)}": codec.json(codec.Line(round(weight, 6)))
-                for task, weight in value.lines.items() if not self.machine.closed(task)}
-        keys.update((f"{start}level/{mask}", codec.json(codec.Level(round(amount, 4), retry)))
-                    for mask, (amount, retry) in value.levels.items())
+        keys = {
+            f"{start}line/{self.name_of(task)}": codec.json(codec.Line(round(weight, 6)))
+            for task, weight in value.lines.items()
+            if not self.machine.closed(task)
+        }
+        keys.update(
+            (f"{start}level/{mask}", codec.json(codec.Level(round(amount, 4), retry)))
+            for mask, (amount, retry) in value.levels.items()
+        )
         self.publish(self.ledger.set(start, value.version, keys))
 
     def detach(self, proxy: int, why: str) -> None:
--- a/hollyridge/clone/ledger.py
+++ b/hollyridge/clone/ledger.py
@@ -36,8 +36,9 @@
         messages = [self.publish(key, value) for key, value in sorted(changed)]
         before = self.heads.get(subtree)
         self.sequence += 1
-        head = self.heads[subtree] = Head(self.epoch, version, self.sequence, before.seq if before else 0,
-                                          len(messages), len(target), self.beat_ms)
+        head = self.heads[subtree] = Head(
+            self.epoch, version, self.sequence, before.seq if before else 0, len(messages), len(target), self.beat_ms
+        )
         self.held[subtree] = dict(target)
         return [*messages, self.head(subtree, head)]
 
--- a/hollyridge/clone/replica.py
+++ b/hollyridge/clone/replica.py
@@ -117,8 +117,11 @@
     {'127.0.0.1:80': 0.5}
     """
     start = replica.subtree + "line/"
-    found = {key[len(start):]: codec.value_of(codec.Line, raw).w for key, raw in replica.held.items()
-             if key.startswith(start)}
+    found = {
+        key[len(start) :]: codec.value_of(codec.Line, raw).w
+        for key, raw in replica.held.items()
+        if key.startswith(start)
+    }
     return {task: weight for task, weight in found.items() if weight > 0}
 
 
@@ -127,7 +130,7 @@
     start, amount, retry = replica.subtree + "level/", 1.0, 0
     for key, raw in sorted(replica.held.items()):
         if key.startswith(start):
-            mask = int(key[len(start):] or 0)
+            mask = int(key[len(start) :] or 0)
             if not mask or mask >> method & 1:
                 level = codec.value_of(codec.Level, raw)
                 amount, retry = min(amount, level.amount), level.retry
@@ -159,8 +162,8 @@
         """Subtree by method, as the bindings say now."""
         start, found = self.home + "bind/", {}
         for key, raw in self.replicas[self.home].held.items():
-            if key.startswith(start) and key[len(start):] in self.methods:
-                found[key[len(start):]] = f"/table/{codec.value_of(codec.Bind, raw).table}/"
+            if key.startswith(start) and key[len(start) :] in self.methods:
+                found[key[len(start) :]] = f"/table/{codec.value_of(codec.Bind, raw).table}/"
         return found
 
     def take(self, message: codec.Message) -> tuple[list[str], list[str], bool]:
@@ -194,14 +197,20 @@
             return False
         if not self.judge.obeys(self.own().fence):
             return False
-        out = {key[len(codec.OUT):] for key in self.replicas[codec.OUT].held}
-        lines = {table: {task: weight for task, weight in lines_of(self.replicas[table]).items() if task not in out}
-                 for table in set(wanted.values())}
+        out = {key[len(codec.OUT) :] for key in self.replicas[codec.OUT].held}
+        lines = {
+            table: {task: weight for task, weight in lines_of(self.replicas[table]).items() if task not in out}
+            for table in set(wanted.values())
+        }
         self.tables = Tables(
             {method: lines[table] for method, table in wanted.items()},
-            {method: level_of(self.replicas[table], k) for k, method in enumerate(self.methods)
-             if (table := wanted.get(method))},
-            {method: self.replicas[table].head.version for method, table in wanted.items()})
+            {
+                method: level_of(self.replicas[table], k)
+                for k, method in enumerate(self.methods)
+                if (table := wanted.get(method))
+            },
+            {method: self.replicas[table].head.version for method, table in wanted.items()},
+        )
         self.applied += 1
         return True
 
--- a/hollyridge/core/keeping.py
+++ b/hollyridge/core/keeping.py
@@ -27,9 +27,16 @@
     """`apply(call, words)` runs a call elsewhere and waits for what it returns; `name_of` and `index_of` are a task's
     names and indices; `wall_ms` is the time of day."""
 
-    def __init__(self, loop: Loop, terms: KeepingTerms, log, name_of: Callable[[int], str],
-                 index_of: Callable[[str], int | None], apply: Callable,
-                 wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: KeepingTerms,
+        log,
+        name_of: Callable[[int], str],
+        index_of: Callable[[str], int | None],
+        apply: Callable,
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
         self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
         self.name_of, self.index_of, self.apply, self.wall_ms = name_of, index_of, apply, wall_ms
         self.write, self.read = durable.write, durable.read
@@ -53,8 +60,9 @@
         except FileNotFoundError:
             self.log.info("nothing kept yet", file=str(self.terms.path))
         except (OSError, DurableError) as trouble:
-            self.log.warning("what was kept can't be read; it is learnt again", file=str(self.terms.path),
-                             why=str(trouble))
+            self.log.warning(
+                "what was kept can't be read; it is learnt again", file=str(self.terms.path), why=str(trouble)
+            )
         return None
 
     def recall(self, state: durable.State) -> None:
@@ -64,8 +72,12 @@
             self.counts["recalled"] += len(told.event.rows)
             self.machine.tell(self.loop.clock(), told.event)
             self.loop.nudge()
-        self.log.info("recalled", tasks=len(told.event.rows) if told.event else 0, left_out=told.left_out or None,
-                      age_s=round((self.wall_ms() - state.saved) / 1e3, 1))
+        self.log.info(
+            "recalled",
+            tasks=len(told.event.rows) if told.event else 0,
+            left_out=told.left_out or None,
+            age_s=round((self.wall_ms() - state.saved) / 1e3, 1),
+        )
 
     def save(self) -> None:
         learnt = getattr(self.machine.module, "learnt", None)
--- a/hollyridge/core/logs.py
+++ b/hollyridge/core/logs.py
@@ -36,7 +36,7 @@
             try:
                 if not any(what & select.POLLOUT for _, what in self.poll.poll(0)):
                     raise BlockingIOError
-                write(self.descriptor, raw[at:at + PIECE])
+                write(self.descriptor, raw[at : at + PIECE])
             except OSError:  # full, or its reader has gone
                 self.torn = self.torn or at > 0
                 return False
@@ -46,11 +46,19 @@
 
 def start(form: str, level: str, **bound) -> structlog.BoundLogger:
     """`form`: console or json. What is bound stands in every line."""
-    shape = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(
-        colors=sys.stderr.isatty())
+    shape = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info, shape],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            shape,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(Sink(sys.stderr.fileno())))
+        logger_factory=structlog.PrintLoggerFactory(Sink(sys.stderr.fileno())),
+    )
     return structlog.get_logger(**bound)
--- a/hollyridge/core/machine.py
+++ b/hollyridge/core/machine.py
@@ -62,8 +62,11 @@
 
 def spread(figures: HdrHistogram) -> dict[str, int]:
     """For the status: median, 99th percentile and the most."""
-    return {"p50": figures.get_value_at_percentile(50), "p99": figures.get_value_at_percentile(99),
-            "max": figures.get_max_value()}
+    return {
+        "p50": figures.get_value_at_percentile(50),
+        "p99": figures.get_value_at_percentile(99),
+        "max": figures.get_max_value(),
+    }
 
 
 class ModuleError(Exception):
@@ -80,16 +83,29 @@
     """`make(bootstrap, seed)` builds the decision module: `rules.Assigner`, or a baseline of the laboratory. `source`:
     where the list of tasks comes from. `detail`: a log line for each decision."""
 
-    def __init__(self, boot: api.Bootstrap, seed: int, limits: Limits, source: Source, now: int, log,
-                 make: Callable = Assigner, detail: bool = True) -> None:
+    def __init__(
+        self,
+        boot: api.Bootstrap,
+        seed: int,
+        limits: Limits,
+        source: Source,
+        now: int,
+        log,
+        make: Callable = Assigner,
+        detail: bool = True,
+    ) -> None:
         self.boot, self.seed, self.limits, self.log, self.make = boot, seed, limits, log, make
         self.module = make(boot, seed)
-        self.tasks = IndexAllocator(max(boot.warm_up, boot.drain_grace) * 2, limits.most_tasks,
-                          lambda task: self.desk.names(task) or self.holds(task))
+        self.tasks = IndexAllocator(
+            max(boot.warm_up, boot.drain_grace) * 2,
+            limits.most_tasks,
+            lambda task: self.desk.names(task) or self.holds(task),
+        )
         self.proxies = IndexAllocator(boot.drain_grace * 2, min(limits.most_proxies, 65535))
         self.members, self.detail = source, detail
-        self.news = News(limits.most_series, limits.most_series_each, limits.most_rate, limits.news_lines,
-                         60 * boot.period)
+        self.news = News(
+            limits.most_series, limits.most_series_each, limits.most_rate, limits.news_lines, 60 * boot.period
+        )
         self.desk = Desk(len(boot.methods), Store(HISTORY))
         self.channel = Channel(limits.lines_per_s, limits.head, limits.most_waiting)
         self.fronts: dict[int, Front] = {}
@@ -106,8 +122,21 @@
         self.started, self.ran_at = False, now
         self.gather_at = now + boot.period
         self.refused: dict[str, int] = {}
-        self.counts = dict.fromkeys(("decisions", "orders", "messages", "events", "events_dropped", "wakes_dropped",
-                                     "module_failures", "puts", "joins", "withheld"), 0)
+        self.counts = dict.fromkeys(
+            (
+                "decisions",
+                "orders",
+                "messages",
+                "events",
+                "events_dropped",
+                "wakes_dropped",
+                "module_failures",
+                "puts",
+                "joins",
+                "withheld",
+            ),
+            0,
+        )
         self.latency = HdrHistogram(1, 60_000_000, 3)
 
     # What the fronts and the intake say.
@@ -119,8 +148,9 @@
             return
         self.inbox.append((now, event))
 
-    def join(self, now: int, front: Front, name: Hashable, zone: int, rate: float,
-             standing_only: bool = False) -> int | None:
+    def join(
+        self, now: int, front: Front, name: Hashable, zone: int, rate: float, standing_only: bool = False
+    ) -> int | None:
         """A proxy's stream stands; its index, or None where no more are taken. `standing_only`: it holds no table that
         was ever ordered."""
         proxy = self.proxies.enter(now, name)
@@ -167,8 +197,12 @@
             self.heard.pop(task, None)
             self.tasks.leave(now, key)
         if outcome.change is not None:
-            self.log.info("list", version=outcome.change.version, entries=len(outcome.change.entries),
-                          states=[(e.task, int(e.state)) for e in outcome.change.entries[:20]])
+            self.log.info(
+                "list",
+                version=outcome.change.version,
+                entries=len(outcome.change.entries),
+                states=[(e.task, int(e.state)) for e in outcome.change.entries[:20]],
+            )
             self.tell(now, outcome.change)
         return outcome.refusal
 
@@ -274,16 +308,20 @@
         causes: dict[str, list] = {}
         for order in orders:
             if type(order) is api.PutLine:
-                causes.setdefault(self.cause(now, order), []).append(
-                    (order.table, order.task, round(order.weight, 4)))
+                causes.setdefault(self.cause(now, order), []).append((order.table, order.task, round(order.weight, 4)))
             elif type(order) is api.Attach:
                 causes.setdefault("joins", []).append((order.proxy, order.table))
             elif type(order) is api.SetLevel:
                 causes.setdefault("levels", []).append((order.table, order.methods, order.amount))
         if causes or refused:
-            self.log.info("decided", version=self.number, messages=len(parcels),
-                          waiting=round(self.channel.waiting), refused=refused or None,
-                          **{cause: rows[:40] for cause, rows in causes.items()})
+            self.log.info(
+                "decided",
+                version=self.number,
+                messages=len(parcels),
+                waiting=round(self.channel.waiting),
+                refused=refused or None,
+                **{cause: rows[:40] for cause, rows in causes.items()},
+            )
 
     def cause(self, now: int, order: api.PutLine) -> str:
         if self.closed(order.task):
@@ -294,8 +332,13 @@
 
     def fail(self, now: int, trouble: Exception) -> None:
         self.counts["module_failures"] += 1
-        self.log.error("module failed", version=self.number, error=f"{type(trouble).__name__}: {trouble}",
-                       where=traceback.format_exception(trouble)[-3:], events=[repr(row) for row in self.trail])
+        self.log.error(
+            "module failed",
+            version=self.number,
+            error=f"{type(trouble).__name__}: {trouble}",
+            where=traceback.format_exception(trouble)[-3:],
+            events=[repr(row) for row in self.trail],
+        )
         self.failures.append(now)
         while self.failures[0] < now - 60_000_000:
             self.failures.popleft()
@@ -313,9 +356,19 @@
     def status(self) -> dict:
         """Counts and levels for logs and the status page."""
         figures = getattr(self.module, "figures", dict)()
-        return {"at": self.ran_at, "module": figures, **self.counts, "refused": self.refused,
-                "waiting": round(self.channel.waiting), "waiting_most": self.channel.highest,
-                "merged": self.channel.merged, "over_limit": self.channel.over, "lost_lines": self.channel.lost_lines,
-                "proxies": len(self.fronts), "tasks": len(self.members.rows),
-                **self.members.figures(), "turned_down": self.news.turned_down,
-                "news_to_frame_us": spread(self.latency)}
+        return {
+            "at": self.ran_at,
+            "module": figures,
+            **self.counts,
+            "refused": self.refused,
+            "waiting": round(self.channel.waiting),
+            "waiting_most": self.channel.highest,
+            "merged": self.channel.merged,
+            "over_limit": self.channel.over,
+            "lost_lines": self.channel.lost_lines,
+            "proxies": len(self.fronts),
+            "tasks": len(self.members.rows),
+            **self.members.figures(),
+            "turned_down": self.news.turned_down,
+            "news_to_frame_us": spread(self.latency),
+        }
--- a/hollyridge/interface.py
+++ b/hollyridge/interface.py
@@ -223,8 +223,21 @@
 
 
 Event = Union[
-    RosterChange, Woke, ProbeResult, PeerMessage, Joined, Left, Receipt, Waits, TrafficReport, OfferedLoad,
-    SliceLoad, SliceCharge, SliceLine, Proposal, Recalled,
+    RosterChange,
+    Woke,
+    ProbeResult,
+    PeerMessage,
+    Joined,
+    Left,
+    Receipt,
+    Waits,
+    TrafficReport,
+    OfferedLoad,
+    SliceLoad,
+    SliceCharge,
+    SliceLine,
+    Proposal,
+    Recalled,
 ]
 
 
@@ -290,6 +303,16 @@
 
 
 Order = Union[
-    Reload, Withdraw, Note, Probe, TellPeer, Watch, SetLevel, AskReceipt, Attach, WakeAt, PutLine,
+    Reload,
+    Withdraw,
+    Note,
+    Probe,
+    TellPeer,
+    Watch,
+    SetLevel,
+    AskReceipt,
+    Attach,
+    WakeAt,
+    PutLine,
     DropTable,
 ]
--- a/hollyridge/keys/curve.py
+++ b/hollyridge/keys/curve.py
@@ -31,8 +31,9 @@
     """`known(key)` says whether a client's public key (Z85) is let in, `name_of(key)` who that is. OSError or
     ValueError for a key file that is none."""
 
-    def __init__(self, context: zmq.Context, path: str, known: Callable[[str], bool],
-                 name_of: Callable[[str], str]) -> None:
+    def __init__(
+        self, context: zmq.Context, path: str, known: Callable[[str], bool], name_of: Callable[[str], str]
+    ) -> None:
         self.known = known
         self.load(path)
         self.authenticator = GreenAuthenticator(context=context)
@@ -73,6 +74,8 @@
 
 def client_keys(public: bytes, secret: bytes, server: bytes) -> Callable:
     """What `Subscriber` wants as `keys`."""
+
     def secure(sock) -> None:
         sock.curve_publickey, sock.curve_secretkey, sock.curve_serverkey = public, secret, server
+
     return secure
--- a/hollyridge/lab/agent.py
+++ b/hollyridge/lab/agent.py
@@ -24,8 +24,9 @@
 class Agent:
     """Its list is kept through breaks and said again on every new stream. Whoever calls it hears late itself."""
 
-    def __init__(self, address: tuple[str, int], fleet: str, record: Recorder,
-                 spawn: Callable = gevent.spawn, number: int = 0) -> None:
+    def __init__(
+        self, address: tuple[str, int], fleet: str, record: Recorder, spawn: Callable = gevent.spawn, number: int = 0
+    ) -> None:
         self.who = f"agent-{number}"
         self.address, self.fleet, self.record = address, fleet, record
         self.known: dict[str, Known] = {}
@@ -65,9 +66,12 @@
             self.stream += 1
             stream = self.stream
             try:
-                client = Registrar(self.address, self.fleet,
-                                   heard=partial(self.record.frame, "heard", self.who, stream),
-                                   said=partial(self.record.frame, "said", self.who, stream))
+                client = Registrar(
+                    self.address,
+                    self.fleet,
+                    heard=partial(self.record.frame, "heard", self.who, stream),
+                    said=partial(self.record.frame, "said", self.who, stream),
+                )
                 self.told = {}
                 self.due.set()
                 while True:
@@ -93,12 +97,12 @@
         """Say what differs from what this stream has said."""
         known = dict(self.known)
         gone = [key for key in {**self.told, **self.left} if key not in known]
-        new = [key for key, row in known.items()
-               if key not in self.told or self.told[key].run != row.run]
+        new = [key for key, row in known.items() if key not in self.told or self.told[key].run != row.run]
         if new:
             client.register([self.member(key, known[key]) for key in new])
-        drains = [key for key, row in known.items()
-                  if row.draining and not (key in self.told and self.told[key] == row)]
+        drains = [
+            key for key, row in known.items() if row.draining and not (key in self.told and self.told[key] == row)
+        ]
         if drains:
             client.quiesce([self.member(key) for key in drains])
         for key in gone:
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -191,8 +191,16 @@
                     lines = sum(len(g.weights) for g in message.groups)
                     self.messages[who].append((row["t"], number, lines))
                     for group, _ in message.groups if self.keep else ():
-                        self.tables.append(Seen(row["t"], who, group.name, "", number, {
-                            name_of(m): float(e.weight) for m, e in held[who].lines(group.name).items()}))
+                        self.tables.append(
+                            Seen(
+                                row["t"],
+                                who,
+                                group.name,
+                                "",
+                                number,
+                                {name_of(m): float(e.weight) for m, e in held[who].lines(group.name).items()},
+                            )
+                        )
                     for group in held[who].fresh:
                         self.gap(who, group, not held[who].lines(group), row["t"])
         for gaps in self.empty.values():
@@ -223,8 +231,16 @@
             tables = listener.client.tables
             for method, some in tables.lines.items():
                 if self.keep:
-                    self.tables.append(Seen(row["t"], who, method, listener.client.wanted().get(method, "?"),
-                                            tables.versions[method], some))
+                    self.tables.append(
+                        Seen(
+                            row["t"],
+                            who,
+                            method,
+                            listener.client.wanted().get(method, "?"),
+                            tables.versions[method],
+                            some,
+                        )
+                    )
                 self.gap(who, method, not some, row["t"])
 
     @staticmethod
@@ -234,8 +250,7 @@
                 for member in members:
                     words = read_label(member.label)
                     up = figure(words, "up", 0, 1e9) or 0.0
-                    told[name_of(member)].append(
-                        Told(at, "ready", words.get("run", ""), at - round(up * 1e6)))
+                    told[name_of(member)].append(Told(at, "ready", words.get("run", ""), at - round(up * 1e6)))
         elif isinstance(message, codec.SetMembers):
             for _, states in message.groups:
                 for state in states:
@@ -319,9 +334,12 @@
     again = [rows for rows in effects.values() if len(rows) > 1]
     if again:
         rows = again[0]
-        return Verdict(2, False, float(len(rows)),
-                       f"{rows[0]['token']} took effect at {' and '.join(r['task'] for r in rows)}"
-                       f" ({len(again)} such tokens)")
+        return Verdict(
+            2,
+            False,
+            float(len(rows)),
+            f"{rows[0]['token']} took effect at {' and '.join(r['task'] for r in rows)} ({len(again)} such tokens)",
+        )
     return Verdict(2, True, 0.0, f"{len(effects)} effects, none twice")
 
 
@@ -346,14 +364,19 @@
                 if not told.at < row["t"] < until:
                     continue
                 joined = seen.joined_at(row["proxy"], row["t"])
-                if joined is None or joined.assigner != assigner or \
-                        seen.began(assigner, row["t"]) != seen.began(assigner, told.at):
+                if (
+                    joined is None
+                    or joined.assigner != assigner
+                    or seen.began(assigner, row["t"]) != seen.began(assigner, told.at)
+                ):
                     continue
                 used = (row["t"] - max(closed, joined.since)) / figures.grace
                 if used > worst:
                     worst = used
-                    where = (f"{row['proxy']} sent to {task} {(row['t'] - max(closed, joined.since)) / 1e6:.2f} s after"
-                             f" it was told {told.state}")
+                    where = (
+                        f"{row['proxy']} sent to {task} {(row['t'] - max(closed, joined.since)) / 1e6:.2f} s after"
+                        f" it was told {told.state}"
+                    )
     return verdict(3, worst, where)
 
 
@@ -377,8 +400,12 @@
             part = up["cold_from"] + (1 - up["cold_from"]) * age / up["cold_us"]
             allowed = figures.fall_multiple * up["cores"] * up["speed"] * part * figures.fall
             whole = sum(work for _, work, _ in window)
-            known = {k: t.at for k, tasks in seen.told.items()
-                     for t in reversed(tasks.get(row["task"], ())) if t.run == row["run"]}
+            known = {
+                k: t.at
+                for k, tasks in seen.told.items()
+                for t in reversed(tasks.get(row["task"], ()))
+                if t.run == row["run"]
+            }
             if not known:
                 continue
             aware = sum(work for at, work, proxy in window if knew(seen, figures, proxy, known, at))
--- a/hollyridge/lab/cost.py
+++ b/hollyridge/lab/cost.py
@@ -22,8 +22,21 @@
             frame = frame.f_back
             continue
         if steps[0] == "lab":
-            return "lab/" + ("stand-ins" if steps[1] in ("proxy.py", "task.py", "world.py", "virtual.py", "streams.py",
-                                                         "sockets.py", "physics.py", "record.py") else "checker")
+            return "lab/" + (
+                "stand-ins"
+                if steps[1]
+                in (
+                    "proxy.py",
+                    "task.py",
+                    "world.py",
+                    "virtual.py",
+                    "streams.py",
+                    "sockets.py",
+                    "physics.py",
+                    "record.py",
+                )
+                else "checker"
+            )
         return steps[0].removesuffix(".py")
     return "elsewhere"
 
@@ -49,7 +62,11 @@
         self.over.set()
         self.join()
         cpu, whole = time.process_time() - self.cpu, max(1, sum(self.seen.values()))
-        return {"simulated_s": simulated_s, "wall_s": round(time.monotonic() - self.begun, 2), "cpu_s": round(cpu, 2),
-                "cpu_per_s": round(cpu / simulated_s, 4),
-                "rss_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
-                "parts": {part: round(count / whole, 3) for part, count in self.seen.most_common()}}
+        return {
+            "simulated_s": simulated_s,
+            "wall_s": round(time.monotonic() - self.begun, 2),
+            "cpu_s": round(cpu, 2),
+            "cpu_per_s": round(cpu / simulated_s, 4),
+            "rss_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
+            "parts": {part: round(count / whole, 3) for part, count in self.seen.most_common()},
+        }
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -42,8 +42,9 @@
     """The story of a day, on whichever stage: `stage` brings the world, the houses of stand-ins, the assigner and
     the agent's line to it. `tick(part)` is told how far the day is."""
 
-    def __init__(self, script: Script, stage, seed: int | None = None,
-                 tick: Callable[[float], None] = lambda part: None) -> None:
+    def __init__(
+        self, script: Script, stage, seed: int | None = None, tick: Callable[[float], None] = lambda part: None
+    ) -> None:
         self.script, self.stage, self.tick = script, stage, tick
         self.world = stage.world
         self.terms = script.terms
@@ -104,16 +105,33 @@
         unit.run = f"r{self.runs}"
         waiter = self.started[unit.run] = self.world.result()
         promises = self.terms.promises
-        build = dict(cores=fleet.cores, speed=fleet.speed * (1 + fleet.speed_spread * (2 * self.rng.random() - 1)),
-                     slots=fleet.slots, queue=fleet.queue, cold_from=fleet.cold_from,
-                     cold_us=round(fleet.cold_s * 1e6), fall_multiple=promises.fall_multiple,
-                     fall_us=round(promises.fall_s * 1e6), handshake_us=round(fleet.handshake_ms * 1e3),
-                     connections=fleet.connections, cache_us=round(fleet.cache_s * 1e6),
-                     cache_keys=fleet.cache_keys, cache_gain=fleet.cache_gain)
+        build = dict(
+            cores=fleet.cores,
+            speed=fleet.speed * (1 + fleet.speed_spread * (2 * self.rng.random() - 1)),
+            slots=fleet.slots,
+            queue=fleet.queue,
+            cold_from=fleet.cold_from,
+            cold_us=round(fleet.cold_s * 1e6),
+            fall_multiple=promises.fall_multiple,
+            fall_us=round(promises.fall_s * 1e6),
+            handshake_us=round(fleet.handshake_ms * 1e3),
+            connections=fleet.connections,
+            cache_us=round(fleet.cache_s * 1e6),
+            cache_keys=fleet.cache_keys,
+            cache_gain=fleet.cache_gain,
+        )
         self.task_houses[unit.zone].do(
-            "task", name=unit.name, host=unit.host, port=unit.port, run=unit.run, build=build, cold=cold,
-            kinds=[m.repeats for m in methods], window=[round(m.window_ms * 1e3) for m in methods],
-            seed=self.rng.randrange(1 << 30))
+            "task",
+            name=unit.name,
+            host=unit.host,
+            port=unit.port,
+            run=unit.run,
+            build=build,
+            cold=cold,
+            kinds=[m.repeats for m in methods],
+            window=[round(m.window_ms * 1e3) for m in methods],
+            seed=self.rng.randrange(1 << 30),
+        )
         try:
             unit.port = int(waiter.get(timeout=15).rpartition(":")[2])
         except TimeoutError:
@@ -147,11 +165,15 @@
             standing = self.rng.sample(home, min(len(home), self.terms.proxies.first_table or 1))
             self.proxies[uid] = zone
             self.proxy_terms[uid] = dict(
-                uid=uid, host=self.address(zone, 0x8000 + k), zone=self.zones[zone],
-                rate=self.script.load.rpcs_per_s * weight / sum(weights), standing=standing,
+                uid=uid,
+                host=self.address(zone, 0x8000 + k),
+                zone=self.zones[zone],
+                rate=self.script.load.rpcs_per_s * weight / sum(weights),
+                standing=standing,
                 home=self.rng.randrange(self.assigners) if self.assigners > 1 else 0,
                 plan=self.plan(self.fronts[k // names % len(self.fronts)]),
-                seed=self.rng.randrange(1 << 30))
+                seed=self.rng.randrange(1 << 30),
+            )
             self.proxy_houses[zone].do("proxy", **self.proxy_terms[uid])
 
     def new_unit(self, zone: int, cold: bool) -> Unit:
@@ -163,14 +185,32 @@
 
     def plan(self, front: str) -> dict:
         load, terms = self.script.load, self.terms
-        methods = [dict(name=name, group=m.group or name, repeats=m.repeats, share=load.shares[k],
-                        work_us=load.work_ms[k] * 1e3, deadline_us=m.deadline_ms * 1e3)
-                   for k, (name, m) in enumerate(terms.methods.items())]
-        return dict(methods=methods, front=front, **self.stage.addresses,
-                    pick=terms.proxies.pick, outlier_after=terms.proxies.outlier_after,
-                    apply_us=self.script.net.apply_us, lost=self.script.net.lost, client_retries=load.client_retries,
-                    reckless=load.reckless, try_share=load.try_share, keys=load.keys, zipf=load.zipf,
-                    period_us=terms.assigner.report_period_s * 1e6)
+        methods = [
+            dict(
+                name=name,
+                group=m.group or name,
+                repeats=m.repeats,
+                share=load.shares[k],
+                work_us=load.work_ms[k] * 1e3,
+                deadline_us=m.deadline_ms * 1e3,
+            )
+            for k, (name, m) in enumerate(terms.methods.items())
+        ]
+        return dict(
+            methods=methods,
+            front=front,
+            **self.stage.addresses,
+            pick=terms.proxies.pick,
+            outlier_after=terms.proxies.outlier_after,
+            apply_us=self.script.net.apply_us,
+            lost=self.script.net.lost,
+            client_retries=load.client_retries,
+            reckless=load.reckless,
+            try_share=load.try_share,
+            keys=load.keys,
+            zipf=load.zipf,
+            period_us=terms.assigner.report_period_s * 1e6,
+        )
 
     # The troubles.
 
@@ -285,8 +325,10 @@
 
     def links(self, zone: int, others: list[int]) -> list[tuple[object, list[str]]]:
         """Houses of proxies with what is at the far end of their links, between a zone and others."""
-        return [(self.proxy_houses[zone], [self.octet(z) for z in others]),
-                *((self.proxy_houses[z], [self.octet(zone)]) for z in others)]
+        return [
+            (self.proxy_houses[zone], [self.octet(z) for z in others]),
+            *((self.proxy_houses[z], [self.octet(zone)]) for z in others),
+        ]
 
     def zone_cut(self, trouble: TroubleSection) -> None:
         """Tasks of one zone can't be reached from the others; `all`: nor the other way round, and streams and reports
@@ -339,6 +381,7 @@
             except Exception as failure:  # told below, where the trouble is told
                 result.set(failure)
             result.set(None)
+
         for call, *words in jobs:
             done.append(self.world.result())
             self.world.spawn(work, call, tuple(words), done[-1])
@@ -350,8 +393,12 @@
                 raise failure
 
     def at_tasks(self, trouble: TroubleSection, after: dict, **what) -> None:
-        self.together([(partial(self.for_a_while, **what), trouble, [self.task_houses[u.zone]], u.name, after)
-                       for u in self.some(self.standing_units(trouble.zone), trouble.part)])
+        self.together(
+            [
+                (partial(self.for_a_while, **what), trouble, [self.task_houses[u.zone]], u.name, after)
+                for u in self.some(self.standing_units(trouble.zone), trouble.part)
+            ]
+        )
 
     def hang(self, trouble: TroubleSection) -> None:
         self.at_tasks(trouble, {"hung": False}, hung=True)
@@ -397,8 +444,18 @@
 
     def unread(self, trouble: TroubleSection) -> None:
         """Some proxies read nothing from their streams, which stay open."""
-        self.together([(partial(self.for_a_while, deaf=True), trouble, [self.proxy_houses[self.proxies[uid]]], uid,
-                        {"deaf": False}) for uid in self.some(list(self.proxies), trouble.part)])
+        self.together(
+            [
+                (
+                    partial(self.for_a_while, deaf=True),
+                    trouble,
+                    [self.proxy_houses[self.proxies[uid]]],
+                    uid,
+                    {"deaf": False},
+                )
+                for uid in self.some(list(self.proxies), trouble.part)
+            ]
+        )
 
     def slow_orders(self, trouble: TroubleSection) -> None:
         """Each message of orders takes `size` seconds to be read."""
@@ -510,15 +567,25 @@
         return Outcome(check(seen, self.figures()), figures, self.troubles, compared)
 
     def methods(self) -> list[dict]:
-        return [dict(name=name, criticality=m.criticality, soft_us=m.soft_deadline_ms * 1e3,
-                     deadline_us=m.deadline_ms * 1e3) for name, m in self.terms.methods.items()]
+        return [
+            dict(
+                name=name, criticality=m.criticality, soft_us=m.soft_deadline_ms * 1e3, deadline_us=m.deadline_ms * 1e3
+            )
+            for name, m in self.terms.methods.items()
+        ]
 
     def figures(self) -> Figures:
         promises, channel = self.terms.promises, self.terms.channel
         return Figures(
-            bare=round(promises.bare_s * 1e6), grace=round(promises.drain_grace_s * 1e6),
-            warm_up=round(promises.warm_up_s * 1e6), fall=round(promises.fall_s * 1e6),
-            fall_multiple=promises.fall_multiple, most_waiting=channel.most_waiting,
-            messages_most=channel.messages_most, messages_over=round(channel.messages_over_s * 1e6),
-            lines_per_s=channel.lines_per_s, head=channel.head_lines,
-            repeats=tuple(m.repeats for m in self.terms.methods.values()))
+            bare=round(promises.bare_s * 1e6),
+            grace=round(promises.drain_grace_s * 1e6),
+            warm_up=round(promises.warm_up_s * 1e6),
+            fall=round(promises.fall_s * 1e6),
+            fall_multiple=promises.fall_multiple,
+            most_waiting=channel.most_waiting,
+            messages_most=channel.messages_most,
+            messages_over=round(channel.messages_over_s * 1e6),
+            lines_per_s=channel.lines_per_s,
+            head=channel.head_lines,
+            repeats=tuple(m.repeats for m in self.terms.methods.values()),
+        )
--- a/hollyridge/lab/experiment.py
+++ b/hollyridge/lab/experiment.py
@@ -56,8 +56,18 @@
 
 def play(variant: Variant, script: str, seed: int, folder: str | None) -> dict:
     """One simulated day in a process of its own."""
-    words = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", str(Path(script).resolve()), "--seed",
-             str(seed), "--json", *variant.words()]
+    words = [
+        sys.executable,
+        "-m",
+        "hollyridge.cli.main",
+        "lab",
+        "run",
+        str(Path(script).resolve()),
+        "--seed",
+        str(seed),
+        "--json",
+        *variant.words(),
+    ]
     ran = subprocess.run(words, capture_output=True, cwd=folder, timeout=3600)
     key = {"variant": variant.name, "script": script, "seed": seed}
     if ran.returncode not in (0, 1):
@@ -96,13 +106,28 @@
     means = sorted(sum(rng.choices(gaps, k=len(gaps))) / len(gaps) for _ in range(DRAWS))
     better, worse = sum(g > 0 for g in gaps), sum(g < 0 for g in gaps)
     told = better + worse
-    tail = sum(math.comb(told, k) for k in range(min(better, worse) + 1)) / 2 ** told if told else 0.5
-    return Gap(len(gaps), round(sum(gaps) / len(gaps), 5), round(means[DRAWS // 40], 5),
-               round(means[-DRAWS // 40 - 1], 5), better, worse, min(1.0, 2 * tail))
-
-
-def compare(a: Variant, b: Variant, scripts: list[str], seeds: int, kept: Path | None, at_once: int,
-            told: Callable[[int, int], None] = lambda done, whole: None, figure: str = "served") -> dict:
+    tail = sum(math.comb(told, k) for k in range(min(better, worse) + 1)) / 2**told if told else 0.5
+    return Gap(
+        len(gaps),
+        round(sum(gaps) / len(gaps), 5),
+        round(means[DRAWS // 40], 5),
+        round(means[-DRAWS // 40 - 1], 5),
+        better,
+        worse,
+        min(1.0, 2 * tail),
+    )
+
+
+def compare(
+    a: Variant,
+    b: Variant,
+    scripts: list[str],
+    seeds: int,
+    kept: Path | None,
+    at_once: int,
+    told: Callable[[int, int], None] = lambda done, whole: None,
+    figure: str = "served",
+) -> dict:
     """Play both on the same days and seeds until the answer is clear or the seeds are used up. ValueError for a
     variant that can't be played."""
     rows = read(kept) if kept else []
@@ -117,7 +142,7 @@
     stopped = False
     with ThreadPoolExecutor(at_once) as pool:
         for first in range(0, len(wanted), 4 * at_once):  # in batches, so that a clear answer ends it
-            batch = wanted[first:first + 4 * at_once]
+            batch = wanted[first : first + 4 * at_once]
             for done in as_completed([pool.submit(play, *job, folders[job[0]]) for job in batch]):
                 row = done.result()
                 rows.append(row)
@@ -129,23 +154,39 @@
                 stopped = first + 4 * at_once < len(wanted)
                 break
     rows.sort(key=lambda row: (row["seed"], row["script"], row["variant"]))
-    return {"a": a.name, "b": b.name, "figure": figure, "stopped_early": stopped,
-            "gap": gap_of(gaps_of(rows, a, b, figure))._asdict(), "variants": [summary(rows, v) for v in (a, b)]}
+    return {
+        "a": a.name,
+        "b": b.name,
+        "figure": figure,
+        "stopped_early": stopped,
+        "gap": gap_of(gaps_of(rows, a, b, figure))._asdict(),
+        "variants": [summary(rows, v) for v in (a, b)],
+    }
 
 
 def gaps_of(rows: list[dict], a: Variant, b: Variant, figure: str) -> list[float]:
     found = {(row["variant"], row["script"], row["seed"]): row[figure] for row in rows if "failed" not in row}
-    return [found[b.name, script, seed] - value for (name, script, seed), value in sorted(found.items())
-            if name == a.name and (b.name, script, seed) in found]
+    return [
+        found[b.name, script, seed] - value
+        for (name, script, seed), value in sorted(found.items())
+        if name == a.name and (b.name, script, seed) in found
+    ]
 
 
 def summary(rows: Iterable[dict], variant: Variant) -> dict:
     mine = [row for row in rows if row["variant"] == variant.name]
     good = [row for row in mine if "failed" not in row]
-    means = {key: round(sum(row[key] for row in good) / len(good), 4) if good else None
-             for key in ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")}
-    return {"variant": variant.name, "days": len(good), **means, "days_with_a_broken_rule": sum(
-        row["broken"] > 0 for row in good), "not_played": [row["failed"][-120:] for row in mine if "failed" in row]}
+    means = {
+        key: round(sum(row[key] for row in good) / len(good), 4) if good else None
+        for key in ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")
+    }
+    return {
+        "variant": variant.name,
+        "days": len(good),
+        **means,
+        "days_with_a_broken_rule": sum(row["broken"] > 0 for row in good),
+        "not_played": [row["failed"][-120:] for row in mine if "failed" in row],
+    }
 
 
 def read(path: Path) -> list[dict]:
--- a/hollyridge/lab/explore.py
+++ b/hollyridge/lab/explore.py
@@ -155,11 +155,21 @@
 
     def key(self) -> tuple:
         replica = self.replica
-        return (self.run, self.version, self.mischief, self.seen, replica.asking, replica.synced,
-                replica.head.epoch, replica.head.seq, tuple(sorted(replica.held.items())),
-                tuple(sorted(replica.gathered)), tuple(replica.incoming),
-                tuple((m.uuid, m.sequence, m.key) for m in self.published),
-                tuple(str(m) for m in self.snapshots))
+        return (
+            self.run,
+            self.version,
+            self.mischief,
+            self.seen,
+            replica.asking,
+            replica.synced,
+            replica.head.epoch,
+            replica.head.seq,
+            tuple(sorted(replica.held.items())),
+            tuple(sorted(replica.gathered)),
+            tuple(replica.incoming),
+            tuple((m.uuid, m.sequence, m.key) for m in self.published),
+            tuple(str(m) for m in self.snapshots),
+        )
 
     def settled(self) -> World:
         """What comes of it when all that is on its way arrives and heartbeats get through."""
--- a/hollyridge/lab/fences.py
+++ b/hollyridge/lab/fences.py
@@ -86,8 +86,9 @@
                 self.flying.append(Order(move[1], self.run[move[1]], owners.fence(UID)))
         elif kind == "hear":
             owners = self.owners[self.stream]
-            if UID not in owners.mine or any(isinstance(do, Drop) for do in owners.take(
-                    self.now, Acked(UID, self.judge.asked))):
+            if UID not in owners.mine or any(
+                isinstance(do, Drop) for do in owners.take(self.now, Acked(UID, self.judge.asked))
+            ):
                 self.stream = ""
         elif kind == "tick":
             for do in self.owners[move[1]].take(self.now, Tick()):
@@ -117,10 +118,29 @@
                     self.applied.append(who)
 
     def key(self) -> tuple:
-        mine = tuple((name, self.run[name], o.fence(UID), o.mine[UID].heard if UID in o.mine else -1,
-                      o.mine[UID].pleaded if UID in o.mine else -1) for name, o in self.owners.items())
-        return (mine, self.now, self.cut, self.stream, tuple(sorted(self.flying)), tuple(self.applied),
-                self.judge.asked, self.asks, self.orders, self.restarts, self.steps)
+        mine = tuple(
+            (
+                name,
+                self.run[name],
+                o.fence(UID),
+                o.mine[UID].heard if UID in o.mine else -1,
+                o.mine[UID].pleaded if UID in o.mine else -1,
+            )
+            for name, o in self.owners.items()
+        )
+        return (
+            mine,
+            self.now,
+            self.cut,
+            self.stream,
+            tuple(sorted(self.flying)),
+            tuple(self.applied),
+            self.judge.asked,
+            self.asks,
+            self.orders,
+            self.restarts,
+            self.steps,
+        )
 
 
 def can_go_on(world: World) -> bool:
--- a/hollyridge/lab/figures.py
+++ b/hollyridge/lab/figures.py
@@ -31,11 +31,13 @@
         tries += row["tries"]
         ok += row["ok"]
     seconds = sorted(by_time)
-    runs = [[by_time[s] for s in seconds[i:i + 10]] for i in range(max(1, len(seconds) - 9))]
+    runs = [[by_time[s] for s in seconds[i : i + 10]] for i in range(max(1, len(seconds) - 9))]
     windows = [sum(got for got, _ in run) / max(sum(worth for _, worth in run), 1e-9) for run in runs]
     numbers = {(seen.run_of(who, at), number) for who, some in seen.messages.items() for at, number, _ in some}
     return {
-        "rpcs": sum(1 for row in rows if row["k"] == "done"), "ok": ok, "tries": tries,
+        "rpcs": sum(1 for row in rows if row["k"] == "done"),
+        "ok": ok,
+        "tries": tries,
         "served": round(sum(earned.values()) / max(sum(asked.values()), 1e-9), 4),
         "worst_10s": round(min(windows), 4),
         "by_method": {methods[k]["name"]: round(earned[k] / asked[k], 4) for k in sorted(asked)},
@@ -77,9 +79,15 @@
             def part(first: int, count: int) -> float:
                 some = [by_time[s] for s in range(first, first + count) if s in by_time]
                 return sum(got for got, _ in some) / max(sum(worth for _, worth in some), 1e-9)
+
             before = part(second - 10, 10) or 1.0
-            low = [s for s in range(second, min(second + 30, max(by_time, default=0) - 2))
-                   if part(s, 3) < 0.9 * before]
+            low = [s for s in range(second, min(second + 30, max(by_time, default=0) - 2)) if part(s, 3) < 0.9 * before]
             recovered[row["name"]] = low[-1] - second + 1 if low else 0
-    return {"drains": {"closings": len(spans), "median_s": round(spans[len(spans) // 2], 3) if spans else None,
-                       "worst_s": round(spans[-1], 3) if spans else None}, "recovered_s": recovered}
+    return {
+        "drains": {
+            "closings": len(spans),
+            "median_s": round(spans[len(spans) // 2], 3) if spans else None,
+            "worst_s": round(spans[-1], 3) if spans else None,
+        },
+        "recovered_s": recovered,
+    }
--- a/hollyridge/lab/flood.py
+++ b/hollyridge/lab/flood.py
@@ -39,8 +39,9 @@
         path = folder / f"{name}.ini"
         with open(path, "w") as out:
             parser.write(out)
-        self.process = subprocess.Popen([sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)],
-                                        stderr=open(folder / f"{name}.log", "wb"))
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=open(folder / f"{name}.log", "wb")
+        )
         for _ in range(200):
             if self.process.poll() is not None:
                 raise OSError(f"the assigner ended with {self.process.returncode}")
@@ -92,14 +93,17 @@
             tries = 1 + self.rng.randrange(4)
             spent = sum(self.rng.expovariate(1 / (0.08 * self.slow[task])) for _ in range(tries))
             place = {"proxy": source, "zone": zone, "task": task, "method": method}
-            found += [Figure("hollyridge.tries", tries, place, end, begun),
-                      Figure("hollyridge.tries.time", spent, place, end, begun)]
+            found += [
+                Figure("hollyridge.tries", tries, place, end, begun),
+                Figure("hollyridge.tries.time", spent, place, end, begun),
+            ]
             found.append(Figure("hollyridge.task.util", min(0.95, 0.35 * self.slow[task]), {"task": task}, end))
         return found
 
 
-def flood(reports_per_s: float, seconds: float, budget: float, settings: Path = SETTINGS, tasks: int = 30,
-          seed: int = 1) -> dict:
+def flood(
+    reports_per_s: float, seconds: float, budget: float, settings: Path = SETTINGS, tasks: int = 30, seed: int = 1
+) -> dict:
     """`reports_per_s` points in all, half of them by one sender that does not listen; `budget`: points a second that
     the assigner reads. OSError where it does not start."""
     with tempfile.TemporaryDirectory(prefix="hollyridge-flood-") as folder:
@@ -113,8 +117,7 @@
 
 def against(tight: Assigner, whole: Assigner, reports_per_s: float, seconds: float, tasks: int, seed: int) -> dict:
     octets = list(tight.zones.values())
-    members = [Member.at(f"127.{octets[k % len(octets)]}.1.{k + 1}", 9000, f"t{k} run=a up=100")
-               for k in range(tasks)]
+    members = [Member.at(f"127.{octets[k % len(octets)]}.1.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(tasks)]
     names = [f"{member.host}:9000" for member in members]
     clients = []
     for one in (tight, whole):
@@ -125,8 +128,9 @@
     held = {}
     for one in (tight, whole):
         for zone, octet in one.zones.items():
-            reader = Balancer(("127.0.0.1", one.sasp), f"gw-{zone}", source=f"127.{octet}.0.200",
-                              connect=socket.create_connection)
+            reader = Balancer(
+                ("127.0.0.1", one.sasp), f"gw-{zone}", source=f"127.{octet}.0.200", connect=socket.create_connection
+            )
             reader.start(one.methods[:1])
             clients.append(reader)
             held[one, zone] = Held()
@@ -161,20 +165,28 @@
             gevent.sleep(max(0.0, len(figures) / rate - (time.monotonic() - begun)))
         for line in lines:
             line.close()
+
     jobs = [gevent.spawn(say, f"src-{k}", f"127.0.1.{k + 1}", quiet, truth.pairs[k::SOURCES]) for k in range(SOURCES)]
     jobs += [gevent.spawn(say, f"flood-{k}", "127.0.0.2", reports_per_s / 8, truth.pairs) for k in range(4)]
     gevent.joinall(jobs, raise_error=True)
     gevent.sleep(1.5)
     status = tight.status()
-    gaps = [distance(held[tight, zone].lines(tight.methods[0]), held[whole, zone].lines(whole.methods[0]))
-            for zone in tight.zones]
+    gaps = [
+        distance(held[tight, zone].lines(tight.methods[0]), held[whole, zone].lines(whole.methods[0]))
+        for zone in tight.zones
+    ]
     for client in clients:
         client.close()
-    return {**counts, "offered_per_s": round(counts["sent"] / seconds), "kept_per_s": round(counts["kept"] / seconds),
-            "quiet_kept_part": round(counts["quiet_kept"] / max(1, counts["quiet_sent"]), 4),
-            "rss_growth_mb": round(tight.rss_mb() - before, 1),
-            "decision_p99_ms": round(status["core"]["turn_us"]["p99"] / 1e3, 2),
-            "weight_distance": round(sum(gaps) / len(gaps), 4), "waiting_most": status["core"]["waiting_most"]}
+    return {
+        **counts,
+        "offered_per_s": round(counts["sent"] / seconds),
+        "kept_per_s": round(counts["kept"] / seconds),
+        "quiet_kept_part": round(counts["quiet_kept"] / max(1, counts["quiet_sent"]), 4),
+        "rss_growth_mb": round(tight.rss_mb() - before, 1),
+        "decision_p99_ms": round(status["core"]["turn_us"]["p99"] / 1e3, 2),
+        "weight_distance": round(sum(gaps) / len(gaps), 4),
+        "waiting_most": status["core"]["waiting_most"],
+    }
 
 
 def follow(reader: Balancer, held: Held) -> None:
--- a/hollyridge/lab/house.py
+++ b/hollyridge/lab/house.py
@@ -35,11 +35,24 @@
     def bodies(self) -> list[Task]:
         return [server.task for server in self.tasks.values()]
 
-    def do_task(self, name: str, host: str, port: int, run: str, build: dict, cold: bool, kinds: list, window: list,
-                seed: int) -> None:
-        task = TaskServer(self.world, name, host, port, run=run, build=Build(**build), cold=cold, kinds=kinds,
-                          window=window, effects=self.effects, record=self.record, seed=seed,
-                          fell=lambda task: self.say(fell=task.name))
+    def do_task(
+        self, name: str, host: str, port: int, run: str, build: dict, cold: bool, kinds: list, window: list, seed: int
+    ) -> None:
+        task = TaskServer(
+            self.world,
+            name,
+            host,
+            port,
+            run=run,
+            build=Build(**build),
+            cold=cold,
+            kinds=kinds,
+            window=window,
+            effects=self.effects,
+            record=self.record,
+            seed=seed,
+            fell=lambda task: self.say(fell=task.name),
+        )
         self.tasks[name] = task
         self.say(started=name, key=task.task.key, run=run)
 
--- a/hollyridge/lab/hunt.py
+++ b/hollyridge/lab/hunt.py
@@ -13,31 +13,48 @@
 
 RANGES = {
     # kind: for_s, part, size, extra; each from and to
-    "release": ((6, 20), (0.3, 0.99), (1, 1), (1, 1)), "restart_in_place": ((0, 0), (0.1, 0.4), (1, 1), (1, 1)),
-    "vanish": ((5, 20), (0.05, 0.2), (1, 1), (1, 1)), "hang": ((5, 20), (0.05, 0.25), (1, 1), (1, 1)),
-    "errors": ((5, 20), (0.05, 0.25), (0.35, 0.99), (1, 1)), "pauses": ((8, 25), (0.1, 0.45), (0.1, 0.45), (1, 1)),
-    "ageing": ((10, 25), (0.1, 0.4), (5, 16), (2, 6)), "method_fails": ((8, 25), (0.2, 0.55), (0.6, 1), (1, 1)),
-    "handshake_slow": ((8, 25), (0.5, 1), (0.08, 0.4), (2, 10)), "grow": ((5, 20), (1, 1), (1.5, 2.5), (0.5, 1)),
-    "surge": ((4, 10), (1, 1), (1.2, 1.9), (1, 1)), "shift": ((1, 8), (1, 1), (0.35, 0.75), (1, 1)),
-    "false_loads": ((8, 25), (0.1, 0.3), (0.05, 0.4), (1.5, 2.5)), "late_sums": ((8, 20), (1, 1), (2, 5), (1, 1)),
-    "zone_lost": ((5, 20), (1, 1), (1, 1), (1, 1)), "zone_cut": ((5, 15), (1, 1), (1, 1), (1, 1)),
-    "slow_link": ((8, 25), (1, 1), (0.1, 0.4), (0.05, 0.3)), "streams_broken": ((0, 0), (0.2, 1), (1, 1), (1, 1)),
-    "slow_orders": ((5, 20), (1, 1), (0.1, 0.6), (1, 1)), "proxies_killed": ((1, 5), (0.1, 0.6), (1, 1), (1, 1)),
-    "proxies_stalled": ((8, 25), (0.3, 0.9), (0.3, 2), (2, 4)), "assigner_killed": ((1, 6), (1, 1), (1, 1), (1, 1)),
+    "release": ((6, 20), (0.3, 0.99), (1, 1), (1, 1)),
+    "restart_in_place": ((0, 0), (0.1, 0.4), (1, 1), (1, 1)),
+    "vanish": ((5, 20), (0.05, 0.2), (1, 1), (1, 1)),
+    "hang": ((5, 20), (0.05, 0.25), (1, 1), (1, 1)),
+    "errors": ((5, 20), (0.05, 0.25), (0.35, 0.99), (1, 1)),
+    "pauses": ((8, 25), (0.1, 0.45), (0.1, 0.45), (1, 1)),
+    "ageing": ((10, 25), (0.1, 0.4), (5, 16), (2, 6)),
+    "method_fails": ((8, 25), (0.2, 0.55), (0.6, 1), (1, 1)),
+    "handshake_slow": ((8, 25), (0.5, 1), (0.08, 0.4), (2, 10)),
+    "grow": ((5, 20), (1, 1), (1.5, 2.5), (0.5, 1)),
+    "surge": ((4, 10), (1, 1), (1.2, 1.9), (1, 1)),
+    "shift": ((1, 8), (1, 1), (0.35, 0.75), (1, 1)),
+    "false_loads": ((8, 25), (0.1, 0.3), (0.05, 0.4), (1.5, 2.5)),
+    "late_sums": ((8, 20), (1, 1), (2, 5), (1, 1)),
+    "zone_lost": ((5, 20), (1, 1), (1, 1), (1, 1)),
+    "zone_cut": ((5, 15), (1, 1), (1, 1), (1, 1)),
+    "slow_link": ((8, 25), (1, 1), (0.1, 0.4), (0.05, 0.3)),
+    "streams_broken": ((0, 0), (0.2, 1), (1, 1), (1, 1)),
+    "slow_orders": ((5, 20), (1, 1), (0.1, 0.6), (1, 1)),
+    "proxies_killed": ((1, 5), (0.1, 0.6), (1, 1), (1, 1)),
+    "proxies_stalled": ((8, 25), (0.3, 0.9), (0.3, 2), (2, 4)),
+    "assigner_killed": ((1, 6), (1, 1), (1, 1), (1, 1)),
     "assigner_stalled": ((8, 25), (1, 1), (0.3, 2), (2, 4)),
 }
 
 
-def drawn(rng: Random, kinds: list[str], ranges: dict[str, tuple], first: float,
-          last: float) -> dict[str, TroubleSection]:
+def drawn(
+    rng: Random, kinds: list[str], ranges: dict[str, tuple], first: float, last: float
+) -> dict[str, TroubleSection]:
     """Troubles of these kinds that begin between two moments (s), their figures drawn from the ranges."""
     troubles = {}
     for at, kind in enumerate(kinds):
         spans, parts, sizes, extras = ranges[kind]
         troubles[f"{kind}-{at}"] = TroubleSection(
-            kind=kind, at_s=round(rng.uniform(first, last), 2), for_s=round(rng.uniform(*spans), 2),
-            part=round(rng.uniform(*parts), 3), size=round(rng.uniform(*sizes), 3),
-            extra=round(rng.uniform(*extras), 3), how=rng.choice(KINDS[kind] or ("",)))
+            kind=kind,
+            at_s=round(rng.uniform(first, last), 2),
+            for_s=round(rng.uniform(*spans), 2),
+            part=round(rng.uniform(*parts), 3),
+            size=round(rng.uniform(*sizes), 3),
+            extra=round(rng.uniform(*extras), 3),
+            how=rng.choice(KINDS[kind] or ("",)),
+        )
     return troubles
 
 
@@ -47,8 +64,9 @@
 
 
 def with_troubles(script: Script, troubles: dict[str, TroubleSection]) -> Script:
-    return Script(script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides,
-                  script.terms)
+    return Script(
+        script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.terms
+    )
 
 
 def play(script: Script, seed: int, policy: str) -> Outcome | None:
@@ -64,8 +82,13 @@
     return 10.0 * sum(not v.kept for v in outcome.verdicts) + min(nearest, 1.0) + 1 - outcome.figures["served"]
 
 
-def hunt(script: Script, seeds: range, policy: str = "", most: int = 5,
-         told: Callable[[int, float], None] = lambda seed, worst: None) -> tuple[int, Script, Outcome] | None:
+def hunt(
+    script: Script,
+    seeds: range,
+    policy: str = "",
+    most: int = 5,
+    told: Callable[[int, float], None] = lambda seed, worst: None,
+) -> tuple[int, Script, Outcome] | None:
     """The seed, the script and the outcome of the worst day; None if none could be played."""
     found = None
     for seed in seeds:
@@ -87,6 +110,7 @@
         if broken:
             return broken <= {v.rule for v in tried.verdicts if not v.kept}
         return badness(tried) >= 0.9 * badness(outcome)
+
     going = True
     while going:
         going = False
@@ -103,9 +127,15 @@
     """As a script that `hollyridge lab run` and `hollyridge day` read."""
     lines = [f"; Found by a hunt from {script.path.name}, seed {seed}: served {outcome.figures['served']}."]
     lines += [f"; rule {v.rule} broken: {v.where}" for v in outcome.verdicts if not v.kept]
-    sections = {"day": script.day.model_copy(update={
-        "seed": seed, "settings": str((script.path.parent / script.day.settings).resolve())}), "fleet": script.fleet,
-        "load": script.load, "net": script.net, **{f"trouble {k}": t for k, t in script.troubles.items()}}
+    sections = {
+        "day": script.day.model_copy(
+            update={"seed": seed, "settings": str((script.path.parent / script.day.settings).resolve())}
+        ),
+        "fleet": script.fleet,
+        "load": script.load,
+        "net": script.net,
+        **{f"trouble {k}": t for k, t in script.troubles.items()},
+    }
     for name, section in sections.items():
         lines.append(f"\n[{name}]")
         for key, value in section.model_dump().items():
--- a/hollyridge/lab/live.py
+++ b/hollyridge/lab/live.py
@@ -29,7 +29,10 @@
     def __init__(self, folder: Path, name: str, heard: Callable[[dict], None]) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-m", "hollyridge.lab.house", str(folder / f"{name}.jsonl")],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=open(folder / f"{name}.log", "wb"))
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=open(folder / f"{name}.log", "wb"),
+        )
         self.reader = gevent.spawn(self.read, heard)
 
     def read(self, heard: Callable[[dict], None]) -> None:
@@ -85,8 +88,10 @@
         self.record = Recorder(folder / "day.jsonl")
         count = script.terms.assigner.assigners
         self.ports = [(free_port(), free_port(), free_ports(3)) for _ in range(count)]
-        self.addresses = {name: [["127.0.0.1", ports[at]] for ports in self.ports]
-                          for at, name in enumerate(("sasp", "otlp", "clone"))}
+        self.addresses = {
+            name: [["127.0.0.1", ports[at]] for ports in self.ports]
+            for at, name in enumerate(("sasp", "otlp", "clone"))
+        }
         self.houses: list[House] = []
         self.failures: list[str] = []
         self.assigners: list = [None] * count
@@ -115,10 +120,14 @@
         sasp, otlp, clone = self.ports[number]
         clone = f"127.0.0.1:{clone}" if "clone" in self.script.fleet.fronts else ""
         changes = [(*place, value) for place, value in self.script.overrides.items()]
-        for section, key, value in (*changes, ("sasp", "listen", f"127.0.0.1:{sasp}"),
-                                    ("otlp", "listen", f"127.0.0.1:{otlp}"),
-                                    ("clone", "listen", clone), ("log", "format", "json"),
-                                    ("log", "status_every_s", "1")):
+        for section, key, value in (
+            *changes,
+            ("sasp", "listen", f"127.0.0.1:{sasp}"),
+            ("otlp", "listen", f"127.0.0.1:{otlp}"),
+            ("clone", "listen", clone),
+            ("log", "format", "json"),
+            ("log", "status_every_s", "1"),
+        ):
             if not parser.has_section(section):
                 parser.add_section(section)
             parser.set(section, key, value)
@@ -127,9 +136,14 @@
             zones = self.script.terms.zone_names
             if not parser.has_section("peers"):
                 parser.add_section("peers")
-            parser["peers"].update(listen=f"127.0.0.1:{self.peers[number]}", known_as=known[number], name=f"a{number}",
-                                   seeds=", ".join(known), key=str((self.folder / "fleet.key").resolve()),
-                                   zone=zones[number % len(zones)])
+            parser["peers"].update(
+                listen=f"127.0.0.1:{self.peers[number]}",
+                known_as=known[number],
+                name=f"a{number}",
+                seeds=", ".join(known),
+                key=str((self.folder / "fleet.key").resolve()),
+                zone=zones[number % len(zones)],
+            )
         path = self.folder / f"assigner-{number}.ini"
         with open(path, "w") as out:
             parser.write(out)
@@ -137,11 +151,13 @@
 
     def start_assigner(self, number: int) -> None:
         self.starts += 1
-        program = ["-m", "hollyridge.lab.assigner", self.policy] if self.policy else \
-            ["-m", "hollyridge.cli.main", "serve"]
+        program = (
+            ["-m", "hollyridge.lab.assigner", self.policy] if self.policy else ["-m", "hollyridge.cli.main", "serve"]
+        )
         log = open(self.folder / f"assigner-{number}-{self.starts}.log", "wb")
         assigner = self.assigners[number] = subprocess.Popen(
-            [sys.executable, *program, str(self.folder / f"assigner-{number}.ini")], stderr=log)
+            [sys.executable, *program, str(self.folder / f"assigner-{number}.ini")], stderr=log
+        )
         for _ in range(200):
             if assigner.poll() is not None:
                 raise DayError(f"the assigner ended with {assigner.returncode}")
@@ -195,8 +211,15 @@
                     core = msgspec.json.decode(line).get("core", {})
                     if "at" in core:
                         number = int(path.stem.split("-")[1])
-                        rows.append({"k": "state", "t": core["at"] - CLOCK_ABOVE, "assigner": number,
-                                     **{key: core[key] for key in STATE}, **core["module"]})
+                        rows.append(
+                            {
+                                "k": "state",
+                                "t": core["at"] - CLOCK_ABOVE,
+                                "assigner": number,
+                                **{key: core[key] for key in STATE},
+                                **core["module"],
+                            }
+                        )
         return rows
 
     def end(self) -> None:
--- a/hollyridge/lab/ownership.py
+++ b/hollyridge/lab/ownership.py
@@ -82,6 +82,11 @@
 def of_day(seen: Evidence) -> dict:
     """For the figures of a day."""
     seconds = sorted(gap.seconds for gap in gaps(seen))
-    return {"orphaned": len(seconds), "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
-            "orphaned_max_s": seconds[-1] if seconds else 0.0, "doubly_ordered": doubles(seen.rows),
-            "believed_by_two_s": believed(seen.rows), "moves": moves(seen)}
+    return {
+        "orphaned": len(seconds),
+        "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
+        "orphaned_max_s": seconds[-1] if seconds else 0.0,
+        "doubly_ordered": doubles(seen.rows),
+        "believed_by_two_s": believed(seen.rows),
+        "moves": moves(seen),
+    }
--- a/hollyridge/lab/page.py
+++ b/hollyridge/lab/page.py
@@ -35,10 +35,21 @@
 def write(folder: Path, script, outcome) -> Path:
     """Write `index.html` into the folder; returns its path."""
     length, width = script.day.length_s, 1000
-    page = Environment(autoescape=True).from_string(PAGE).render(
-        name=script.path.stem, length=length, tasks=script.fleet.tasks, proxies=script.fleet.proxies, width=width,
-        verdicts=outcome.verdicts, f=outcome.figures, troubles=outcome.troubles,
-        x=lambda seconds: round(seconds / length * width, 1))
+    page = (
+        Environment(autoescape=True)
+        .from_string(PAGE)
+        .render(
+            name=script.path.stem,
+            length=length,
+            tasks=script.fleet.tasks,
+            proxies=script.fleet.proxies,
+            width=width,
+            verdicts=outcome.verdicts,
+            f=outcome.figures,
+            troubles=outcome.troubles,
+            x=lambda seconds: round(seconds / length * width, 1),
+        )
+    )
     path = folder / "index.html"
     path.write_text(page)
     return path
--- a/hollyridge/lab/parity.py
+++ b/hollyridge/lab/parity.py
@@ -52,8 +52,10 @@
         compared += 1
         if best[0] > CLOSE:
             differ += 1
-            where = where or (f"{row.group} at version {row.version}: {row.proxy} and {rival.proxy} differ by "
-                              f"{best[0]:.4f} at {best[1]}")
+            where = where or (
+                f"{row.group} at version {row.version}: {row.proxy} and {rival.proxy} differ by "
+                f"{best[0]:.4f} at {best[1]}"
+            )
     return compared, differ, where
 
 
--- a/hollyridge/lab/plots.py
+++ b/hollyridge/lab/plots.py
@@ -41,8 +41,9 @@
 def write(path: Path, name: str, lead: list[str], rows: list[dict], images: list[tuple[str, str]]) -> Path:
     path.mkdir(parents=True, exist_ok=True)
     target = path / "index.html"
-    target.write_text(Environment(autoescape=True).from_string(PAGE).render(
-        name=name, lead=lead, rows=rows, images=images))
+    target.write_text(
+        Environment(autoescape=True).from_string(PAGE).render(name=name, lead=lead, rows=rows, images=images)
+    )
     return target
 
 
@@ -65,16 +66,25 @@
         for row in done:
             (ok if row["ok"] else bad)[(row["t"] - row["took"] - start) // 1_000_000] += 1
         seconds = range(max([*ok, *bad], default=0) + 1)
-        axes.stackplot(seconds, [ok[s] for s in seconds], [bad[s] for s in seconds], labels=["ok", "not ok"],
-                       colors=["#7bb274", "#c0392b"])
+        axes.stackplot(
+            seconds,
+            [ok[s] for s in seconds],
+            [bad[s] for s in seconds],
+            labels=["ok", "not ok"],
+            colors=["#7bb274", "#c0392b"],
+        )
         axes.set_xlabel("second")
         axes.legend(loc="upper left")
         marked(axes)
 
     def latency(axes) -> None:
         for method in sorted({row["method"] for row in done}):
-            axes.hist([row["took"] / 1e3 for row in done if row["method"] == method and row["ok"]], bins=60,
-                      histtype="step", label=f"method {method}")
+            axes.hist(
+                [row["took"] / 1e3 for row in done if row["method"] == method and row["ok"]],
+                bins=60,
+                histtype="step",
+                label=f"method {method}",
+            )
         axes.set_xlabel("ms till a good answer, client's own retries included")
         axes.legend()
 
@@ -104,6 +114,7 @@
         axes.bar(list(lines), list(lines.values()), color="#069")
         axes.set_xlabel("second")
         marked(axes)
+
     states: dict[int, list[dict]] = defaultdict(list)
     for row in rows:
         if row["k"] == "state":
@@ -111,8 +122,12 @@
 
     def waiting(axes) -> None:
         for number, some in sorted(states.items()):
-            axes.plot([(row["t"] - start) / 1e6 for row in some], [row["waiting"] for row in some], lw=0.9,
-                      label=f"assigner {number}")
+            axes.plot(
+                [(row["t"] - start) / 1e6 for row in some],
+                [row["waiting"] for row in some],
+                lw=0.9,
+                label=f"assigner {number}",
+            )
         axes.legend(fontsize=7, loc="upper left")
         marked(axes)
 
@@ -120,8 +135,14 @@
         for number, some in sorted(states.items()):
             times = [(row["t"] - start) / 1e6 for row in some]
             for key, style, title in (("price", "-", "U"), ("gain", "--", "gain")):
-                axes.step(times, [row.get(key) or 0.0 for row in some], where="post", lw=0.9, ls=style,
-                          label=f"{title}, assigner {number}")
+                axes.step(
+                    times,
+                    [row.get(key) or 0.0 for row in some],
+                    where="post",
+                    lw=0.9,
+                    ls=style,
+                    label=f"{title}, assigner {number}",
+                )
         axes.legend(fontsize=7, loc="upper left")
         marked(axes)
 
@@ -133,15 +154,33 @@
         axes.set_ylim(0, 1.05)
         axes.legend(fontsize=7, loc="lower left")
         marked(axes)
-    more = [("Lines that wait in an assigner's channel", picture(waiting)),
+
+    more = (
+        [
+            ("Lines that wait in an assigner's channel", picture(waiting)),
             ("The gate: price U of a push, and the gain that it is held against", picture(gate)),
-            ("Levels: what part is let in", picture(levels))] if states else []
-    lead = [f"{len(done)} RPCs, {sum(row['ok'] for row in done)} ok, {len(seen.messages)} proxies; orange lines mark "
-            "where a trouble begins."]
-    return write(out, name, lead, [], [
-        ("RPCs by the second they came in", picture(outcomes)), ("Time till a good answer", picture(latency)),
-        ("Shares of the table that changed most, as one proxy held it", picture(weights)),
-        ("Lines that proxies received, by second", picture(orders)), *more])
+            ("Levels: what part is let in", picture(levels)),
+        ]
+        if states
+        else []
+    )
+    lead = [
+        f"{len(done)} RPCs, {sum(row['ok'] for row in done)} ok, {len(seen.messages)} proxies; orange lines mark "
+        "where a trouble begins."
+    ]
+    return write(
+        out,
+        name,
+        lead,
+        [],
+        [
+            ("RPCs by the second they came in", picture(outcomes)),
+            ("Time till a good answer", picture(latency)),
+            ("Shares of the table that changed most, as one proxy held it", picture(weights)),
+            ("Lines that proxies received, by second", picture(orders)),
+            *more,
+        ],
+    )
 
 
 def comparison_page(rows: list[dict], out: Path, name: str) -> Path:
@@ -156,6 +195,7 @@
             figures = [[row[figure] for row in good if row["variant"] == v] for v in variants]
             axes.boxplot(figures, orientation="horizontal")
             axes.set_yticks(range(1, len(variants) + 1), variants)
+
         return draw
 
     def pairs(axes) -> None:
@@ -165,18 +205,29 @@
             axes.plot([have.get(key) for key in seeds], "o-", lw=0.6, label=variant)
         axes.set_xlabel("day and seed")
         axes.legend()
+
     from hollyridge.lab.experiment import Variant, summary
+
     table = [summary(rows, Variant(variant)) for variant in variants]
-    return write(out, name, [f"{len(good)} days played."], table, [
-        ("Criticality answered in time, day by day", picture(pairs)),
-        ("Criticality answered in time", picture(boxes("served"))), ("Worst ten seconds", picture(boxes("worst_10s"))),
-        ("Lines sent", picture(boxes("lines")))])
+    return write(
+        out,
+        name,
+        [f"{len(good)} days played."],
+        table,
+        [
+            ("Criticality answered in time, day by day", picture(pairs)),
+            ("Criticality answered in time", picture(boxes("served"))),
+            ("Worst ten seconds", picture(boxes("worst_10s"))),
+            ("Lines sent", picture(boxes("lines"))),
+        ],
+    )
 
 
 def page_of(source: Path, out: Path) -> Path:
     """Of a recording, a folder with recordings, or the kept file of a comparison. ValueError for what is neither."""
     if source.is_dir():
         from hollyridge.lab.record import read_all
+
         return day_page(read_all(source), out, source.name)
     rows = []
     for line in source.read_bytes().splitlines():
--- a/hollyridge/lab/policies.py
+++ b/hollyridge/lab/policies.py
@@ -120,8 +120,10 @@
     def decide(self, now: int, events: list) -> list:
         orders = super().decide(now, events)
         cold = [i for i, part in self.parts(now).items() if part < 1]
-        return [o._replace(weight=o.weight * 1000) if isinstance(o, api.PutLine) and o.task == min(cold, default=-1)
-                else o for o in orders]
+        return [
+            o._replace(weight=o.weight * 1000) if isinstance(o, api.PutLine) and o.task == min(cold, default=-1) else o
+            for o in orders
+        ]
 
 
 class Chatty(Assigner):
@@ -134,5 +136,14 @@
         return [*orders, api.WakeAt(9, 100_000)] if any(isinstance(e, api.Woke) for e in events) else orders
 
 
-POLICIES = {"even": Even, "static": Static, "zone": ZoneOnly, "latency": LeastLatency, "always": Always, "bare": Bare,
-            "deaf": Deaf, "bold": Bold, "chatty": Chatty}
+POLICIES = {
+    "even": Even,
+    "static": Static,
+    "zone": ZoneOnly,
+    "latency": LeastLatency,
+    "always": Always,
+    "bare": Bare,
+    "deaf": Deaf,
+    "bold": Bold,
+    "chatty": Chatty,
+}
--- a/hollyridge/lab/proxy.py
+++ b/hollyridge/lab/proxy.py
@@ -22,7 +22,7 @@
 @lru_cache(maxsize=8)
 def popularity(keys: int, zipf: float) -> list[float]:
     """Cumulative shares of keys by rank."""
-    return list(accumulate(rank ** -zipf for rank in range(1, keys + 1)))
+    return list(accumulate(rank**-zipf for rank in range(1, keys + 1)))
 
 
 class Pipe:
@@ -68,8 +68,9 @@
         if sock is not None:
             sock.close()
 
-    def call(self, proxy: str, method: int, token: str, work: float,
-             timeout: float, key: int = -1) -> tuple[int, rpc.Answer | None]:
+    def call(
+        self, proxy: str, method: int, token: str, work: float, timeout: float, key: int = -1
+    ) -> tuple[int, rpc.Answer | None]:
         """Outcome and answer. NOT_SENT proves that it never ran."""
         if not self.dial(min(timeout, 0.25)):
             return rpc.NOT_SENT, None
@@ -93,16 +94,28 @@
 class Proxy:
     """`plan` holds what the day says of proxies and clients (see `house`), `rate` its RPCs a second."""
 
-    def __init__(self, world, uid: str, host: str, zone: str, rate: float, plan: dict, standing: list[str],
-                 seed: int, record: Recorder, home: int = 0) -> None:
+    def __init__(
+        self,
+        world,
+        uid: str,
+        host: str,
+        zone: str,
+        rate: float,
+        plan: dict,
+        standing: list[str],
+        seed: int,
+        record: Recorder,
+        home: int = 0,
+    ) -> None:
         self.world = world
         self.uid, self.host, self.zone, self.rate, self.plan, self.record = uid, host, zone, rate, plan, record
         self.rng = Random(seed)
         self.methods = plan["methods"]
         self.groups = list(dict.fromkeys(m["group"] for m in self.methods))
         self.names = [m["name"] for m in self.methods]
-        record("standing", proxy=uid, zone=zone, tasks=standing, groups=self.groups, names=self.names,
-               front=plan["front"])
+        record(
+            "standing", proxy=uid, zone=zone, tasks=standing, groups=self.groups, names=self.names, front=plan["front"]
+        )
         self.stream, self.deaf, self.pipes = 0, False, {}
         self.gateway = self.open(plan["front"], standing)
         self.gateway.way = home % self.gateway.ways
@@ -120,32 +133,44 @@
         self.away: set[int] = set()  # assigners that no stream of its reaches
         self.slow_orders = 0.0  # seconds to read a message of orders
         self.gateway.on_change(self.tidy)
-        self.gateway.on_change(lambda gateway: record("applied", proxy=uid, assigner=gateway.way,
-                                                      asked=gateway.judge.held))
+        self.gateway.on_change(
+            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.held)
+        )
         self.gateway.watch = self.watch
         self.jobs = [world.spawn(job) for job in (self.gateway.run, self.live, self.report)]
 
     # Orders.
 
     def open(self, front: str, standing: list[str]) -> Gateway:
-        terms = dict(standing=dict.fromkeys(standing, 1.0), pick=self.plan["pick"], rng=self.rng,
-                     sleep=gevent.sleep)
+        terms = dict(standing=dict.fromkeys(standing, 1.0), pick=self.plan["pick"], rng=self.rng, sleep=gevent.sleep)
         if front == "sasp":
-            how = dict(source=self.host, heard=lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
-                       said=lambda raw: self.record.frame("said", self.uid, self.stream, raw))
-            return SaspGateway(self.plan["sasp"], self.uid, self.names,
-                               {m["name"]: m["group"] for m in self.methods}, how, receive_s=0.5,
-                               before=lambda groups: self.apply(sum(len(g.weights) for g in groups)), **terms)
-        how = dict(source=self.host, zmq=zmq,
-                   heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts))
+            how = dict(
+                source=self.host,
+                heard=lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
+                said=lambda raw: self.record.frame("said", self.uid, self.stream, raw),
+            )
+            return SaspGateway(
+                self.plan["sasp"],
+                self.uid,
+                self.names,
+                {m["name"]: m["group"] for m in self.methods},
+                how,
+                receive_s=0.5,
+                before=lambda groups: self.apply(sum(len(g.weights) for g in groups)),
+                **terms,
+            )
+        how = dict(
+            source=self.host, zmq=zmq, heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts)
+        )
         return CloneGateway(self.plan["clone"], self.uid, self.names, how, before=self.apply, **terms)
 
     def watch(self, begins: bool) -> None:
         if begins and self.gateway.way in self.away:
             raise ConnectionError("no way to the assigner")
         self.stream += begins
-        self.record("stream", who=self.uid, stream=self.stream, up=begins, why=self.gateway.trouble,
-                    assigner=self.gateway.way)
+        self.record(
+            "stream", who=self.uid, stream=self.stream, up=begins, why=self.gateway.trouble, assigner=self.gateway.way
+        )
 
     def apply(self, lines: int) -> None:
         """Applying takes time; one that is deaf reads no further."""
@@ -227,7 +252,7 @@
             safe = terms["repeats"] == "idempotent" or outcome in (rpc.NOT_SENT, rpc.PUSHED_BACK)
             if outcome == rpc.OK or tries > self.plan["client_retries"] or not (safe or self.plan["reckless"]):
                 break
-            pause = self.rng.uniform(0.5, 1.5) * 0.05 * 2 ** tries
+            pause = self.rng.uniform(0.5, 1.5) * 0.05 * 2**tries
             if self.seconds() + pause >= deadline:
                 break
             self.world.sleep(pause)
--- a/hollyridge/lab/rpc.py
+++ b/hollyridge/lab/rpc.py
@@ -47,5 +47,5 @@
                 raise ValueError(f"a message of {size} bytes")
             if len(held) < 4 + size:
                 break
-            yield decode(held[4:4 + size])
-            held = held[4 + size:]
+            yield decode(held[4 : 4 + size])
+            held = held[4 + size :]
--- a/hollyridge/lab/script.py
+++ b/hollyridge/lab/script.py
@@ -12,12 +12,32 @@
 
 KINDS = {
     # kind: the forms it has, the first where none is named
-    "release": (), "restart_in_place": (), "vanish": (), "hang": (), "errors": (), "pauses": (), "ageing": (),
-    "method_fails": ("error", "silence"), "handshake_slow": (), "grow": (), "surge": (), "shift": (),
-    "false_loads": ("low", "zero", "stuck", "busy"), "late_sums": (), "zone_lost": ("tasks", "all"),
-    "zone_cut": ("tasks", "all"), "slow_link": ("zone", "pair"), "streams_broken": (), "slow_orders": (), "unread": (),
-    "proxies_killed": (), "proxies_stalled": ("apart", "zone"), "assigner_killed": (), "assigner_stalled": (),
-    "peers_cut": ("halves", "one_way", "lossy")}
+    "release": (),
+    "restart_in_place": (),
+    "vanish": (),
+    "hang": (),
+    "errors": (),
+    "pauses": (),
+    "ageing": (),
+    "method_fails": ("error", "silence"),
+    "handshake_slow": (),
+    "grow": (),
+    "surge": (),
+    "shift": (),
+    "false_loads": ("low", "zero", "stuck", "busy"),
+    "late_sums": (),
+    "zone_lost": ("tasks", "all"),
+    "zone_cut": ("tasks", "all"),
+    "slow_link": ("zone", "pair"),
+    "streams_broken": (),
+    "slow_orders": (),
+    "unread": (),
+    "proxies_killed": (),
+    "proxies_stalled": ("apart", "zone"),
+    "assigner_killed": (),
+    "assigner_stalled": (),
+    "peers_cut": ("halves", "one_way", "lossy"),
+}
 Part = Annotated[float, Field(gt=0, le=1)]
 Two = Annotated[list[float], Field(min_length=2, max_length=2), SEVERAL]
 
@@ -50,6 +70,7 @@
     shared: bool = False
     cache_gain: Annotated[float, Field(ge=0, lt=1)] = 0.2
 
+
 class NetSection(Section):
     """One way, in the simulated world; a frame of orders takes `orders_ms`."""
 
@@ -73,6 +94,7 @@
     keys: Annotated[int, Field(ge=0, le=1_000_000)] = 0
     zipf: Annotated[float, Field(ge=0, le=3)] = 0.8
 
+
 class TroubleSection(Section):
     """What `size` and `extra` mean hangs on the kind; `docs/lab.md` has the table."""
 
@@ -92,15 +114,24 @@
 
 
 class Script:
-    def __init__(self, path: Path, day: DaySection, fleet: FleetSection, load: LoadSection, net: NetSection,
-                 troubles: dict[str, TroubleSection], overrides: dict[tuple[str, str], str],
-                 terms: assigner.AssignerTerms) -> None:
+    def __init__(
+        self,
+        path: Path,
+        day: DaySection,
+        fleet: FleetSection,
+        load: LoadSection,
+        net: NetSection,
+        troubles: dict[str, TroubleSection],
+        overrides: dict[tuple[str, str], str],
+        terms: assigner.AssignerTerms,
+    ) -> None:
         self.path, self.day, self.fleet, self.load, self.net = path, day, fleet, load, net
         self.troubles, self.overrides, self.terms = troubles, overrides, terms
 
 
-def load(path: Path | str, settings: str = "", fronts: tuple[str, ...] = (), times: float = 1.0,
-         assigners: int = 0) -> Script:
+def load(
+    path: Path | str, settings: str = "", fronts: tuple[str, ...] = (), times: float = 1.0, assigners: int = 0
+) -> Script:
     """Read and check a script and the settings it names, or `settings` in their place; `fronts` and `assigners` take
     the place of the script's. Fleet and load are `times` as large, and the channel as a push to all of it needs.
     Raises FaultsError with all that is wrong."""
@@ -127,21 +158,28 @@
     if found["fleet"] is not None and found["load"] is not None and times != 1.0:
         fleet, rate = found["fleet"], found["load"].rpcs_per_s * times
         found["load"] = found["load"].model_copy(update={"rpcs_per_s": rate})
-        found["fleet"] = fleet.model_copy(update={key: max(1, round(getattr(fleet, key) * times))
-                                                  for key in ("tasks", "proxies")})
+        found["fleet"] = fleet.model_copy(
+            update={key: max(1, round(getattr(fleet, key) * times)) for key in ("tasks", "proxies")}
+        )
     if assigners:
         overrides["assigner", "assigners"] = str(assigners)
     listen = "127.0.0.1:3870" if found["fleet"] is not None and "clone" in found["fleet"].fronts else ""
 
     def assigner_terms() -> assigner.AssignerTerms:
-        return assigner.load(settings or path.parent / found["day"].settings,
-                             {**overrides, ("clone", "listen"): listen})
+        return assigner.load(
+            settings or path.parent / found["day"].settings, {**overrides, ("clone", "listen"): listen}
+        )
+
     if found["day"] is not None:
         try:
             terms = assigner_terms()
             if times != 1.0:
-                overrides.update({("channel", key): str(getattr(terms.channel, key) * times * times)
-                                  for key in ("lines_per_s", "most_waiting")})
+                overrides.update(
+                    {
+                        ("channel", key): str(getattr(terms.channel, key) * times * times)
+                        for key in ("lines_per_s", "most_waiting")
+                    }
+                )
                 terms = assigner_terms()
         except FaultsError as trouble:
             faults += [f"{found['day'].settings}: {fault}" for fault in trouble.faults]
--- a/hollyridge/lab/sockets.py
+++ b/hollyridge/lab/sockets.py
@@ -35,8 +35,12 @@
 class Context:
     """`cut(endpoint)`: whether nothing passes there now; `idle()`: let time pass while its owner has no turn."""
 
-    def __init__(self, network: Network, cut: Callable[[str], bool] = lambda endpoint: False,
-                 idle: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        network: Network,
+        cut: Callable[[str], bool] = lambda endpoint: False,
+        idle: Callable[[], None] = lambda: None,
+    ) -> None:
         self.network, self.cut, self.idle = network, cut, idle
         self.open: list[Socket] = []
 
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -157,8 +157,9 @@
         groups = tuple(codec.MembersOf(Group(self.uid, name), ()) for name in dict.fromkeys(self.groups.values()))
         hello = codec.SetBalancer(self.uid, 0x7F, int(Wants.PUSH | Wants.NO_CHANGE))
         registration = 3
-        for number, message in enumerate((hello, owner.question(self.uid, asked, self.pleads),
-                                          codec.Register(True, groups)), 1):
+        for number, message in enumerate(
+            (hello, owner.question(self.uid, asked, self.pleads), codec.Register(True, groups)), 1
+        ):
             self.say(line, number, message)
         number, beat, answered, hello_s = registration, self.clock(), False, self.patience(5.0)
         while not self.stopped:
--- a/hollyridge/lab/sweep.py
+++ b/hollyridge/lab/sweep.py
@@ -15,8 +15,22 @@
 
 def play(path: str, times: float, assigners: int, seed: int, timeout_s: float) -> dict:
     """One day's figures, or why there are none."""
-    words = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", path, "--seed", str(seed), "--times",
-             str(times), "--assigners", str(assigners), "--cost", "--json"]
+    words = [
+        sys.executable,
+        "-m",
+        "hollyridge.cli.main",
+        "lab",
+        "run",
+        path,
+        "--seed",
+        str(seed),
+        "--times",
+        str(times),
+        "--assigners",
+        str(assigners),
+        "--cost",
+        "--json",
+    ]
     key = {"times": times, "assigners": assigners}
     try:
         ran = subprocess.run(words, capture_output=True, timeout=timeout_s)
@@ -26,13 +40,23 @@
         return {**key, "failed": ran.stderr.decode(errors="replace")[-300:]}
     told = msgspec.json.decode(ran.stdout)
     cost = told["cost"]
-    return {**key, "tasks": told["tasks"], "proxies": told["proxies"], "served": told["served"],
-            "broken": told["broken"], "nearest": {row["rule"]: row["nearest"] for row in told["rules"]},
-            "messages": told["messages"], "lines": told["lines"], "drains_worst_s": told["drains"]["worst_s"], **cost}
+    return {
+        **key,
+        "tasks": told["tasks"],
+        "proxies": told["proxies"],
+        "served": told["served"],
+        "broken": told["broken"],
+        "nearest": {row["rule"]: row["nearest"] for row in told["rules"]},
+        "messages": told["messages"],
+        "lines": told["lines"],
+        "drains_worst_s": told["drains"]["worst_s"],
+        **cost,
+    }
 
 
-def sweep(path: str, sizes: list[float], assigners: list[int], seed: int, timeout_s: float,
-          told: Callable[[dict], None]) -> list[dict]:
+def sweep(
+    path: str, sizes: list[float], assigners: list[int], seed: int, timeout_s: float, told: Callable[[dict], None]
+) -> list[dict]:
     rows = []
     for count in assigners:
         for times in sizes:
@@ -58,6 +82,7 @@
             axes.set_xlabel("tasks")
             axes.set_ylabel(title)
             axes.legend()
+
         return draw
 
     def nearest(axes) -> None:
@@ -78,9 +103,19 @@
             axes.bar(labels, shares, bottom=base, label=part)
             base = [a + b for a, b in zip(base, shares)]
         axes.legend(fontsize=6, ncols=3)
+
     table = [{key: value for key, value in row.items() if key not in ("parts", "nearest")} for row in good]
     failed = [f"{row['times']} times, {row['assigners']} assigners: {row['failed']}" for row in rows if "failed" in row]
-    return write(out, name, ["One simulated day at growing size.", *failed], table, [
-        ("CPU seconds for a simulated second", picture(curve("cpu_per_s", "s"))),
-        ("Memory", picture(curve("rss_mb", "MB"))), ("Lines sent", picture(curve("lines", "lines"))),
-        ("How near the rules came to their limits", picture(nearest)), ("Where the time goes", picture(parts))])
+    return write(
+        out,
+        name,
+        ["One simulated day at growing size.", *failed],
+        table,
+        [
+            ("CPU seconds for a simulated second", picture(curve("cpu_per_s", "s"))),
+            ("Memory", picture(curve("rss_mb", "MB"))),
+            ("Lines sent", picture(curve("lines", "lines"))),
+            ("How near the rules came to their limits", picture(nearest)),
+            ("Where the time goes", picture(parts)),
+        ],
+    )
--- a/hollyridge/lab/takeover.py
+++ b/hollyridge/lab/takeover.py
@@ -56,8 +56,9 @@
     return drawn(rng, kinds, RANGES, 4, 0.5 * length)
 
 
-def play(path: str, seed: int, front: str, shared: bool = True, assigners: int = 0, times: float = 1.0,
-         own: bool = False) -> Told:
+def play(
+    path: str, seed: int, front: str, shared: bool = True, assigners: int = 0, times: float = 1.0, own: bool = False
+) -> Told:
     """One day of the script with troubles drawn by seed, or with its `own`."""
     loaded = scripts.load(path, fronts=(front,), assigners=assigners, times=times)
     loaded.fleet = loaded.fleet.model_copy(update={"shared": shared})
@@ -68,15 +69,32 @@
     rows = stage.record.rows
     seen = Evidence(rows)
     gone = sum(status["peers"]["counts"]["gone"] for status in stage.status if "peers" in status)
-    dying = any(t.kind in ("assigner_killed", "assigner_stalled") or t.form in ("halves", "one_way")
-                for t in loaded.troubles.values())  # whom nobody hears is rightly held for gone
-    return Told(seed, tuple(loaded.troubles), tuple(gaps(seen)), doubles(rows), believed(rows), moves(seen),
-                tuple(v.rule for v in outcome.verdicts if not v.kept), outcome.figures["served"],
-                0 if dying else gone)
+    dying = any(
+        t.kind in ("assigner_killed", "assigner_stalled") or t.form in ("halves", "one_way")
+        for t in loaded.troubles.values()
+    )  # whom nobody hears is rightly held for gone
+    return Told(
+        seed,
+        tuple(loaded.troubles),
+        tuple(gaps(seen)),
+        doubles(rows),
+        believed(rows),
+        moves(seen),
+        tuple(v.rule for v in outcome.verdicts if not v.kept),
+        outcome.figures["served"],
+        0 if dying else gone,
+    )
 
 
-def many(path: Path | str, seeds: range, fronts: tuple[str, ...], at_once: int = 0, shared: bool = True,
-         assigners: int = 0, done: Callable[[Told], None] = lambda told: None) -> list[Told]:
+def many(
+    path: Path | str,
+    seeds: range,
+    fronts: tuple[str, ...],
+    at_once: int = 0,
+    shared: bool = True,
+    assigners: int = 0,
+    done: Callable[[Told], None] = lambda told: None,
+) -> list[Told]:
     """In processes beside each other; each day the same whoever plays it."""
     found = []
     with ProcessPoolExecutor(at_once or max(1, (os.cpu_count() or 2) - 1)) as pool:
@@ -90,15 +108,19 @@
 def summary(found: list[Told]) -> dict:
     seconds = sorted(gap.seconds for told in found for gap in told.gaps)
     worst = max(found, key=lambda told: max([0.0, *(gap.seconds for gap in told.gaps)]))
-    return {"seeds": len(found), "orphaned": len(seconds),
-            "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
-            "orphaned_p99_s": seconds[min(len(seconds) - 1, int(0.99 * len(seconds)))] if seconds else 0.0,
-            "orphaned_max_s": seconds[-1] if seconds else 0.0, "worst_seed": worst.seed,
-            "worst_troubles": list(worst.troubles),
-            "doubly_ordered": sum(told.double for told in found),
-            "believed_by_two_max_s": max(told.believed_s for told in found),
-            "moves": sum(told.moves for told in found),
-            "rules_broken": sum(len(told.broken) for told in found),
-            "broken_on": [[told.seed, *told.broken] for told in found if told.broken],
-            "served": round(sum(told.served for told in found) / len(found), 4),
-            "wrongly_gone": sum(told.wrongly_gone for told in found)}
+    return {
+        "seeds": len(found),
+        "orphaned": len(seconds),
+        "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
+        "orphaned_p99_s": seconds[min(len(seconds) - 1, int(0.99 * len(seconds)))] if seconds else 0.0,
+        "orphaned_max_s": seconds[-1] if seconds else 0.0,
+        "worst_seed": worst.seed,
+        "worst_troubles": list(worst.troubles),
+        "doubly_ordered": sum(told.double for told in found),
+        "believed_by_two_max_s": max(told.believed_s for told in found),
+        "moves": sum(told.moves for told in found),
+        "rules_broken": sum(len(told.broken) for told in found),
+        "broken_on": [[told.seed, *told.broken] for told in found if told.broken],
+        "served": round(sum(told.served for told in found) / len(found), 4),
+        "wrongly_gone": sum(told.wrongly_gone for told in found),
+    }
--- a/hollyridge/lab/task.py
+++ b/hollyridge/lab/task.py
@@ -22,8 +22,21 @@
     token to when its first try came. `kinds` tells of each method whether it is tokened or non-idempotent, `window`
     (us) how long repeats drop. `fell` is called when it falls over."""
 
-    def __init__(self, world, name: str, key: str, run: str, build: Build, cold: bool, kinds: list[str],
-                 window: list[int], effects: dict[str, int], record: Recorder, seed: int, fell: Callable) -> None:
+    def __init__(
+        self,
+        world,
+        name: str,
+        key: str,
+        run: str,
+        build: Build,
+        cold: bool,
+        kinds: list[str],
+        window: list[int],
+        effects: dict[str, int],
+        record: Recorder,
+        seed: int,
+        fell: Callable,
+    ) -> None:
         self.world, self.name, self.key, self.run = world, name, key, run
         self.build, self.record, self.on_fall = build, record, fell
         self.warmth = Warmth(build, world.now() if cold else None)
@@ -44,8 +57,17 @@
         self.paused_until = 0
         self.util, self.queue = 0.0, 0
         world.spawn(self.look)
-        record("task_up", task=self.key, run=run, cold=cold, born=self.warmth.born or 0, cores=build.cores,
-               speed=build.speed, cold_from=build.cold_from, cold_us=build.cold_us)
+        record(
+            "task_up",
+            task=self.key,
+            run=run,
+            cold=cold,
+            born=self.warmth.born or 0,
+            cores=build.cores,
+            speed=build.speed,
+            cold_from=build.cold_from,
+            cold_us=build.cold_us,
+        )
 
     def look(self) -> None:
         while not self.down:
@@ -75,8 +97,16 @@
         if self.down or self.silent:
             return
         used = self.budget.came(now, call.work)
-        self.record("rpc", task=self.key, run=self.run, proxy=call.proxy, method=call.method, token=call.token,
-                    work=round(call.work), used=round(used, 4))
+        self.record(
+            "rpc",
+            task=self.key,
+            run=self.run,
+            proxy=call.proxy,
+            method=call.method,
+            token=call.token,
+            work=round(call.work),
+            used=round(used, 4),
+        )
         if used > 1:
             self.record("fell", task=self.key, run=self.run)
             self.stop("fell")
@@ -159,6 +189,7 @@
                 rpc.send(sock, message)
             except OSError:
                 pass
+
         try:
             self.task.world.sleep(self.task.dial_s)
             for call in rpc.receive(sock, calls=True):
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -78,8 +78,12 @@
         self.number += 1
         result = world.result()
         call = rpc.Call(self.number, proxy, method, token, work, key)
-        world.later(stage.delay(self.way), task.take, call,
-                    lambda answer: world.later(stage.delay(self.way), result.set, answer))
+        world.later(
+            stage.delay(self.way),
+            task.take,
+            call,
+            lambda answer: world.later(stage.delay(self.way), result.set, answer),
+        )
         try:
             answer = result.get(timeout=timeout)
         except TimeoutError:
@@ -99,13 +103,23 @@
 
     def open(self, front: str, standing: list[str]) -> Gateway:
         stage = self.stage
-        terms = dict(standing=dict.fromkeys(standing, 1.0), pick=self.plan["pick"], rng=self.rng,
-                     sleep=self.world.sleep, clock=self.seconds, numbers_from=self.wall() >> 16)
+        terms = dict(
+            standing=dict.fromkeys(standing, 1.0),
+            pick=self.plan["pick"],
+            rng=self.rng,
+            sleep=self.world.sleep,
+            clock=self.seconds,
+            numbers_from=self.wall() >> 16,
+        )
         if front == "sasp":
             return VirtualSaspGateway(stage, self, **terms)
         context = Context(stage.network, cut=lambda _endpoint: self.gateway.way in self.away)
-        how = dict(source=self.host, zmq=Library(self.world), context=context,
-                   heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts))
+        how = dict(
+            source=self.host,
+            zmq=Library(self.world),
+            context=context,
+            heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts),
+        )
         return VirtualCloneGateway(stage.addresses["clone"], self.uid, self.names, how, before=self.apply, **terms)
 
     def wall(self) -> int:
@@ -130,8 +144,17 @@
     def do_task(self, name: str, host: str, port: int, run: str, build: dict, **terms) -> None:
         self.stage.port += not port
         key = f"{host}:{port or self.stage.port}"
-        task = Task(self.stage.world, name, key, run, Build(**build), effects=self.effects,
-                    record=self.stage.record, fell=lambda task: self.heard({"fell": task.name}), **terms)
+        task = Task(
+            self.stage.world,
+            name,
+            key,
+            run,
+            Build(**build),
+            effects=self.effects,
+            record=self.stage.record,
+            fell=lambda task: self.heard({"fell": task.name}),
+            **terms,
+        )
         self.tasks[name] = self.stage.at[key] = task
         self.heard({"started": name, "key": key, "run": run})
 
@@ -142,8 +165,9 @@
 class VirtualAgent(Agent):
     def __init__(self, seat: Seat) -> None:
         self.seat = seat
-        super().__init__(("", 0), seat.stage.script.terms.sasp.fleet, seat.stage.record, seat.stage.world.spawn,
-                         seat.number)
+        super().__init__(
+            ("", 0), seat.stage.script.terms.sasp.fleet, seat.stage.record, seat.stage.world.spawn, seat.number
+        )
 
     def run(self) -> None:
         seat, world = self.seat, self.seat.stage.world
@@ -188,8 +212,16 @@
             terms.clone = terms.clone.model_copy(update={"listen": f"127.0.0.1:{port}"})
         terms.sasp = terms.sasp.model_copy(update={"listen": f"127.0.0.1:{port + 4}"})
         terms.otlp = terms.otlp.model_copy(update={"listen": f"127.0.0.1:{port + 5}"})
-        service = Service(terms, stage.log, POLICIES.get(stage.policy, Assigner), self.world.now,
-                          self.open_context, epoch, Random(f"{stage.seed} {epoch}").randbytes, self.peers(terms))
+        service = Service(
+            terms,
+            stage.log,
+            POLICIES.get(stage.policy, Assigner),
+            self.world.now,
+            self.open_context,
+            epoch,
+            Random(f"{stage.seed} {epoch}").randbytes,
+            self.peers(terms),
+        )
         if service.fleet is not None:
             service.fleet.send = self.send
         service.loop.nudge, service.loop.spawn = self.nudge, self.world.spawn
@@ -213,8 +245,13 @@
             return None
         zones = terms.zone_names
         at = [self.stage.peer_at(number) for number in range(len(self.stage.seats))]
-        return terms.fleet_terms_of(f"a{self.number}", ("127.0.0.1", int(at[self.number].rpartition(":")[2])),
-                                    tuple(at), b"simulated" * 4, zones[self.number % len(zones)])
+        return terms.fleet_terms_of(
+            f"a{self.number}",
+            ("127.0.0.1", int(at[self.number].rpartition(":")[2])),
+            tuple(at),
+            b"simulated" * 4,
+            zones[self.number % len(zones)],
+        )
 
     def send(self, address: str, raw: bytes) -> None:
         """A datagram to a peer."""
@@ -287,13 +324,18 @@
             if now >= told:
                 told = now + STATE_EVERY
                 status = service.machine.status()
-                self.stage.record("state", assigner=self.number, **{key: status[key] for key in STATE},
-                                  **status["module"])
+                self.stage.record(
+                    "state", assigner=self.number, **{key: status[key] for key in STATE}, **status["module"]
+                )
                 if service.fleet is not None:
                     self.stage.record("claims", assigner=self.number, uids=list(service.fleet.owners.mine))
             for number, stream in list(front.streams.items()):
-                front.presence.unread(now, number, stream.sock.consumed, stream.sent - stream.sock.consumed >
-                                      self.stage.script.terms.sasp.send_buffer_bytes)
+                front.presence.unread(
+                    now,
+                    number,
+                    stream.sock.consumed,
+                    stream.sent - stream.sock.consumed > self.stage.script.terms.sasp.send_buffer_bytes,
+                )
             for number, why in front.presence.overdue(now):
                 if number in front.streams:
                     front.close(front.streams[number], why)
@@ -310,15 +352,26 @@
             else:
                 place = names.zone(told.get("zone", "")) or 0, names.task(told["task"])
             if None not in place:
-                self.service.machine.report(now, Point(source, kind, place, 0 if kind in LOADS else method,
-                                                       figure.value, figure.start or figure.end, figure.end))
+                self.service.machine.report(
+                    now,
+                    Point(
+                        source,
+                        kind,
+                        place,
+                        0 if kind in LOADS else method,
+                        figure.value,
+                        figure.start or figure.end,
+                        figure.end,
+                    ),
+                )
 
 
 class VirtualStage:
     """`ties` shuffles what is due at the same moment (see `VirtualWorld`)."""
 
-    def __init__(self, script: Script, policy: str = "", seed: int = 1, ties: int | None = None,
-                 record: str | None = None) -> None:
+    def __init__(
+        self, script: Script, policy: str = "", seed: int = 1, ties: int | None = None, record: str | None = None
+    ) -> None:
         self.script, self.policy, self.seed = script, policy, seed
         self.peers_cut: set[tuple[int, int]] = set()  # pairs of assigners, from and to
         self.peers_lost = 0.0
@@ -334,8 +387,10 @@
         self.failures: list[str] = []
         self.status: list[dict] = []
         count = script.terms.assigner.assigners
-        self.addresses = {name: [["127.0.0.1", self.port_of(k) + at] for k in range(count)]
-                          for name, at in (("sasp", 4), ("otlp", 5), ("clone", 0))}
+        self.addresses = {
+            name: [["127.0.0.1", self.port_of(k) + at] for k in range(count)]
+            for name, at in (("sasp", 4), ("otlp", 5), ("clone", 0))
+        }
         self.seats = [Seat(self, number) for number in range(count)]
         self.peers = {self.peer_at(seat.number): seat for seat in self.seats}
 
@@ -382,6 +437,7 @@
             begun.append(self.world.now())
             for name, trouble in self.script.troubles.items():
                 self.world.spawn(day.cause, name, trouble)
+
         self.world.spawn(story)
         passed, length = 0.0, self.script.day.length_s
         while not begun or (self.world.now() - begun[0]) / 1e6 < length:
--- a/hollyridge/membership/owners.py
+++ b/hollyridge/membership/owners.py
@@ -132,7 +132,7 @@
     """
     if weight <= 0:
         return 0.0
-    return -weight / log(((xxh64_intdigest(f"{name}\0{uid}".encode()) >> 12) + 0.5) / 2.0 ** 52)
+    return -weight / log(((xxh64_intdigest(f"{name}\0{uid}".encode()) >> 12) + 0.5) / 2.0**52)
 
 
 def rightful(uid: str, zone: str, standing: Mapping[str, Standing]) -> str:
@@ -144,8 +144,14 @@
     >>> sum(rightful(uid, "", three) != name for uid, name in before.items()) == list(before.values()).count("b")
     True
     """
-    best = max(((score(uid, name, one.weight * (NEAR if zone and one.zone == zone else 1.0)), name)
-                for name, one in standing.items() if one.takes), default=(0.0, ""))
+    best = max(
+        (
+            (score(uid, name, one.weight * (NEAR if zone and one.zone == zone else 1.0)), name)
+            for name, one in standing.items()
+            if one.takes
+        ),
+        default=(0.0, ""),
+    )
     return best[1] if best[0] > 0 else ""
 
 
@@ -181,7 +187,7 @@
             rows = self.others.setdefault(what.name, {})
             if what.first:
                 rows.clear()
-            rows.update(what.rows[:max(0, KNOWN - len(rows))])
+            rows.update(what.rows[: max(0, KNOWN - len(rows))])
         elif isinstance(what, Tick):
             return self.tick(now)
         return []
@@ -229,8 +235,11 @@
     def moves(self, now: int) -> list[Do]:
         """Some of those that others should have, the longest held first; a new claim rests for the time that a member
         has to stand, so that a member that flaps moves nobody to and fro."""
-        settled = {name: one for name, one in self.standing.items()
-                   if name == self.name or now - one.since >= self.lease.settle}
+        settled = {
+            name: one
+            for name, one in self.standing.items()
+            if name == self.name or now - one.since >= self.lease.settle
+        }
         there = settled if any(one.takes for one in settled.values()) else self.standing
         due = []
         for uid, claim in self.mine.items():
@@ -242,7 +251,7 @@
                 due.append((claim.since, uid, to))
         due.sort()
         out = []
-        for _, uid, to in due[:ceil(PART * len(self.mine))]:
+        for _, uid, to in due[: ceil(PART * len(self.mine))]:
             self.counts["handed_over"] += 1
             del self.mine[uid]
             out.append(Drop(uid, "handed over", to))
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -214,8 +214,12 @@
         elif kind is Relay and message.target in self.members:
             self.number += 1
             self.relayed[self.number] = address, message.number, now
-            out.append(Send(self.members[message.target].facts.address,
-                            Ping(self.number, message.target, self.words(message.target))))
+            out.append(
+                Send(
+                    self.members[message.target].facts.address,
+                    Ping(self.number, message.target, self.words(message.target)),
+                )
+            )
         elif kind is Ack:
             if message.number in self.relayed:
                 back, number, _ = self.relayed.pop(message.number)
@@ -245,9 +249,10 @@
         one = self.members.get(to)
         if one is not None and (one.status != Status.ALIVE or one.disputed):
             found.append(self.word_of(to))
-        fresh = sorted((other.told, name) for name, other in self.members.items()
-                       if other.told < self.times() and name != to)
-        for _, name in fresh[:WORDS - len(found)]:
+        fresh = sorted(
+            (other.told, name) for name, other in self.members.items() if other.told < self.times() and name != to
+        )
+        for _, name in fresh[: WORDS - len(found)]:
             self.members[name].told += 1
             found.append(self.word_of(name))
         return tuple(found)
--- a/hollyridge/node/__main__.py
+++ b/hollyridge/node/__main__.py
@@ -45,8 +45,13 @@
         program.reload()
     gc.collect()
     gc.freeze()
-    program.log.info("serves", listen=f"{terms.listen[0]}:{terms.listen[1]}", cores=terms.limits.cores,
-                     memory_mb=terms.limits.memory_mb, sockets=terms.limits.sockets)
+    program.log.info(
+        "serves",
+        listen=f"{terms.listen[0]}:{terms.listen[1]}",
+        cores=terms.limits.cores,
+        memory_mb=terms.limits.memory_mb,
+        sockets=terms.limits.sockets,
+    )
     try:
         program.run()
     except ModuleError as trouble:
--- a/hollyridge/node/program.py
+++ b/hollyridge/node/program.py
@@ -34,11 +34,22 @@
         self.terms, self.log, self.read = terms, log, read
         self.reloads = 0
         boot = terms.boot
-        limits = Limits(boot.lines_per_s, boot.overhead, boot.most_waiting, TASKS_MOST, terms.names.proxies,
-                        0, 0, 0.0, 0, EVENTS_MOST)
+        limits = Limits(
+            boot.lines_per_s,
+            boot.overhead,
+            boot.most_waiting,
+            TASKS_MOST,
+            terms.names.proxies,
+            0,
+            0,
+            0.0,
+            0,
+            EVENTS_MOST,
+        )
         now = clock()
-        listing = Listing(lambda name: self.machine.tasks.enter(self.machine.ran_at, name),
-                          now - time.time_ns() // 1000)
+        listing = Listing(
+            lambda name: self.machine.tasks.enter(self.machine.ran_at, name), now - time.time_ns() // 1000
+        )
         self.machine = Machine(boot, terms.seed, limits, listing, now, log, detail=False)
         self.loop = Loop(self.machine, clock, terms.round_s)
         self.machine.happened(now, Heard(terms.known, stale=True))
@@ -83,8 +94,9 @@
         if terms.discovery != held.discovery:
             self.watch.moved(terms.discovery)
         self.terms = held._replace(discovery=terms.discovery)
-        self.log.info("configuration read again", discovery=f"{terms.discovery[0]}:{terms.discovery[1]}",
-                      need_a_restart=waits)
+        self.log.info(
+            "configuration read again", discovery=f"{terms.discovery[0]}:{terms.discovery[1]}", need_a_restart=waits
+        )
 
     def tell(self) -> None:
         while True:
@@ -92,9 +104,14 @@
             self.log.info("status", **self.status())
 
     def status(self) -> dict:
-        return {"core": self.machine.status(), "front": self.front.status(), "discovery": self.watch.status(),
-                "turn_us": list(spread(self.loop.turns).values()),
-                "cpu_s": round(time.process_time(), 2), "rss_mb": resident_mb()}
+        return {
+            "core": self.machine.status(),
+            "front": self.front.status(),
+            "discovery": self.watch.status(),
+            "turn_us": list(spread(self.loop.turns).values()),
+            "cpu_s": round(time.process_time(), 2),
+            "rss_mb": resident_mb(),
+        }
 
 
 def resident_mb() -> float:
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -18,7 +18,8 @@
 from google.protobuf.message import DecodeError
 from google.rpc.status_pb2 import Status
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import (
-    ExportMetricsServiceRequest, ExportMetricsServiceResponse,
+    ExportMetricsServiceRequest,
+    ExportMetricsServiceResponse,
 )
 
 from hollyridge.core.loop import Loop
@@ -27,9 +28,19 @@
 from hollyridge.steering.access import Access
 from hollyridge.trust.fair import Fair
 
-REASONS = {200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 411: "Length Required", 413: "Content Too Large", 415: "Unsupported Media Type",
-           429: "Too Many Requests", 503: "Service Unavailable"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    411: "Length Required",
+    413: "Content Too Large",
+    415: "Unsupported Media Type",
+    429: "Too Many Requests",
+    503: "Service Unavailable",
+}
 THREADED = 64 * 1024  # bytes of body from which it is unpacked off the hub's thread
 
 
@@ -70,8 +81,9 @@
     body = inflate(raw, most) if gzipped else raw
     try:
         if as_json:
-            return json_format.Parse(body, ExportMetricsServiceRequest(), ignore_unknown_fields=True,
-                                     max_recursion_depth=32)
+            return json_format.Parse(
+                body, ExportMetricsServiceRequest(), ignore_unknown_fields=True, max_recursion_depth=32
+            )
         return ExportMetricsServiceRequest.FromString(body)
     except (DecodeError, json_format.ParseError, UnicodeDecodeError, RecursionError, ValueError):
         raise BadError(400, "the body is no metrics request") from None
@@ -83,6 +95,7 @@
 
 def secured(secure: Callable) -> type[WSGIServer]:
     """A server whose connections are made TLS ones by `secure`, with the bearer in each request's environment."""
+
     class Handler(WSGIHandler):
         def get_environ(self) -> dict:
             return {**super().get_environ(), BEARER: bearer_of(self.socket)}
@@ -97,6 +110,7 @@
                 sock.close()
                 return
             super().handle(sock, address)
+
     return Server
 
 
@@ -104,9 +118,17 @@
     """`pages`: what `GET` of a path answers, its type and the call that writes it (None: nothing there yet). `deeds`:
     what `POST` of a path does, for known bearers, or from the same machine where there are no keys."""
 
-    def __init__(self, loop: Loop, terms: OtlpTerms, names: Names, pages: dict[str, tuple[str, Callable]], log,
-                 access: Access = OPEN, secure: Callable | None = None,
-                 deeds: dict[str, Callable[[], None]] | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: OtlpTerms,
+        names: Names,
+        pages: dict[str, tuple[str, Callable]],
+        log,
+        access: Access = OPEN,
+        secure: Callable | None = None,
+        deeds: dict[str, Callable[[], None]] | None = None,
+    ) -> None:
         self.access, self.deeds = access, deeds or {}
         self.loop, self.terms, self.names, self.pages, self.log = loop, terms, names, pages, log
         self.running = Running(loop.machine.limits.most_series)
@@ -114,8 +136,9 @@
         self.counts = dict.fromkeys(("requests", "points", "rejected", "bad", "slowed"), 0)
         self.why: dict[str, int] = {}
         kind = WSGIServer if secure is None else secured(secure)
-        self.server = kind((terms.host, terms.port), self.serve, log=None, error_log=None,
-                           spawn=Pool(terms.connections_most))
+        self.server = kind(
+            (terms.host, terms.port), self.serve, log=None, error_log=None, spawn=Pool(terms.connections_most)
+        )
 
     def start(self) -> int:
         self.server.start()
@@ -156,8 +179,10 @@
             self.log.warning("report refused", peer=environ.get("REMOTE_ADDR"), status=status, why=str(trouble))
         if status not in (200, 429):  # what is left of the body is not worth reading
             extra.append(("Connection", "close"))
-        start_response(f"{status} {REASONS[status]}", [("Content-Type", kind or "application/x-protobuf"),
-                                                       ("Content-Length", str(len(body))), *extra])
+        start_response(
+            f"{status} {REASONS[status]}",
+            [("Content-Type", kind or "application/x-protobuf"), ("Content-Length", str(len(body))), *extra],
+        )
         return [body]
 
     def body(self, environ: dict) -> bytes:
@@ -210,10 +235,10 @@
         zone, proxy = self.names.zone, self.names.proxy
         return self.names._replace(
             zone=lambda name: -1 if self.access.may_report(bearer, name) else zone(name),
-            proxy=lambda name: -1 if self.access.may_be(bearer, name) else proxy(name))
+            proxy=lambda name: -1 if self.access.may_be(bearer, name) else proxy(name),
+        )
 
-    def count(self, request: ExportMetricsServiceRequest, peer: str, bearer: str, as_json: bool,
-              sender: str) -> bytes:
+    def count(self, request: ExportMetricsServiceRequest, peer: str, bearer: str, as_json: bool, sender: str) -> bytes:
         now, rejected, total = self.loop.clock(), {}, 0
         for point in read(request, peer, self.names_for(bearer), self.running):
             total += 1
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -24,9 +24,13 @@
 from hollyridge.steering.news import LOADS, Kind, Point
 
 METRICS = {
-    "hollyridge.tries": Kind.TRIES, "hollyridge.tries.failed": Kind.FAILED, "hollyridge.tries.time": Kind.TIME,
-    "hollyridge.rpcs": Kind.RPCS, "hollyridge.rpcs.unanswered": Kind.UNANSWERED,
-    "hollyridge.task.util": Kind.UTIL, "hollyridge.task.queue": Kind.QUEUE,
+    "hollyridge.tries": Kind.TRIES,
+    "hollyridge.tries.failed": Kind.FAILED,
+    "hollyridge.tries.time": Kind.TIME,
+    "hollyridge.rpcs": Kind.RPCS,
+    "hollyridge.rpcs.unanswered": Kind.UNANSWERED,
+    "hollyridge.task.util": Kind.UTIL,
+    "hollyridge.task.queue": Kind.QUEUE,
 }
 CUMULATIVE = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
--- a/hollyridge/otlp/sender.py
+++ b/hollyridge/otlp/sender.py
@@ -8,7 +8,8 @@
 from typing import NamedTuple
 
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import (
-    ExportMetricsServiceRequest, ExportMetricsServiceResponse,
+    ExportMetricsServiceRequest,
+    ExportMetricsServiceResponse,
 )
 
 from hollyridge.otlp.reading import DELTA
@@ -37,15 +38,17 @@
             if figure.start is not None:
                 metric.sum.aggregation_temporality = DELTA
         data = metric.gauge if figure.start is None else metric.sum
-        point = data.data_points.add(as_double=figure.value, time_unix_nano=figure.end,
-                                     start_time_unix_nano=figure.start or 0)
+        point = data.data_points.add(
+            as_double=figure.value, time_unix_nano=figure.end, start_time_unix_nano=figure.start or 0
+        )
         for key, value in figure.attributes.items():
             point.attributes.add(key=key).value.string_value = value
     return request
 
 
-def post(connection: http.client.HTTPConnection, request: ExportMetricsServiceRequest,
-         packed: bool = True) -> tuple[int, ExportMetricsServiceResponse | None]:
+def post(
+    connection: http.client.HTTPConnection, request: ExportMetricsServiceRequest, packed: bool = True
+) -> tuple[int, ExportMetricsServiceResponse | None]:
     """The HTTP status and, for 200, the answer. OSError or http.client.HTTPException where the way breaks."""
     body = request.SerializeToString()
     headers = {"Content-Type": "application/x-protobuf"}
--- a/hollyridge/peers/codec.py
+++ b/hollyridge/peers/codec.py
@@ -142,7 +142,7 @@
         if magic != MAGIC or run == self.run:
             raise struct.error
         box = self.boxes.get(run)
-        plain = (box or self.box_of(run)).decrypt(self.nonce(number), raw[HEAD.size:], raw[:HEAD.size])
+        plain = (box or self.box_of(run)).decrypt(self.nonce(number), raw[HEAD.size :], raw[: HEAD.size])
         if box is None:
             keep(self.boxes, run, self.box_of(run))
         kind, name, body = _FRAME.decode(plain)
--- a/hollyridge/peers/fleet.py
+++ b/hollyridge/peers/fleet.py
@@ -38,15 +38,23 @@
     `serves` has the addresses of this assigner's fronts by name; `task_name` and `task_of` go between tasks' indices
     and names."""
 
-    def __init__(self, loop: Loop, terms: FleetTerms, log, fresh: Callable[[int], bytes],
-                 serves: dict[str, str], task_name: Callable[[int], str],
-                 task_of: Callable[[str], int | None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: FleetTerms,
+        log,
+        fresh: Callable[[int], bytes],
+        serves: dict[str, str],
+        task_name: Callable[[int], str],
+        task_of: Callable[[str], int | None],
+    ) -> None:
         self.task_name, self.task_of = task_name, task_of
         self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
         self.guard = Guard(terms.secret, terms.name, fresh)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
-        facts = Facts(terms.known_as, self.guard.run.hex(), terms.zone, terms.weight, False,
-                      tuple(sorted(serves.items())))
+        facts = Facts(
+            terms.known_as, self.guard.run.hex(), terms.zone, terms.weight, False, tuple(sorted(serves.items()))
+        )
         rng = Random(f"{terms.name} {facts.run}")
         self.swim = Swim(terms.name, facts, terms.pace, rng, terms.seeds)
         self.owners = Owners(terms.name, terms.lease)
@@ -78,7 +86,7 @@
             some = self.swim.alive()
             for at in range(0, max(1, len(rows)), ROWS):
                 for name in sorted(some):
-                    self.put(some[name].facts.address, Claimed(tuple(rows[at:at + ROWS]), at == 0))
+                    self.put(some[name].facts.address, Claimed(tuple(rows[at : at + ROWS]), at == 0))
 
     def lend(self, now: int) -> None:
         """What was learnt of tasks goes to the others: an heir knows the sizes of what it begins to use."""
@@ -86,8 +94,9 @@
         rows, price = learnt() if learnt is not None else ([], 0.0)
         some = self.swim.alive()
         for at in range(0, len(rows), ROWS // 2):
-            named = tuple((self.task_name(row.task), *(round(x, 4) for x in row[1:]))
-                          for row in rows[at:at + ROWS // 2])
+            named = tuple(
+                (self.task_name(row.task), *(round(x, 4) for x in row[1:])) for row in rows[at : at + ROWS // 2]
+            )
             for name in sorted(some):
                 self.put(some[name].facts.address, Learnt(named, round(price, 4), 0))
 
@@ -154,9 +163,12 @@
         there = self.swim.alive()
         self.since = {name: self.since.get(name, now) for name in there}
         mine = self.swim.facts
-        standing = {name: Standing(one.facts.zone, one.facts.weight, self.since[name], not one.facts.drains,
-                                  one.status == Status.SUSPECT)
-                    for name, one in there.items()}
+        standing = {
+            name: Standing(
+                one.facts.zone, one.facts.weight, self.since[name], not one.facts.drains, one.status == Status.SUSPECT
+            )
+            for name, one in there.items()
+        }
         standing[self.terms.name] = Standing(mine.zone, mine.weight, -1 << 60, not mine.drains)
         self.owners.take(now, owners.Members(standing))
 
@@ -197,14 +209,35 @@
 
     def status(self) -> dict:
         now = self.loop.clock()
-        members = {name: {"status": one.status.name.lower(), "incarnation": one.incarnation, "zone": one.facts.zone,
-                          "weight": one.facts.weight, "drains": one.facts.drains, "run": one.facts.run[:8],
-                          "since_s": round((now - one.since) / 1e6, 1), "serves": dict(one.facts.serves),
-                          "claims": len(self.owners.others.get(name, ()))}
-                   for name, one in sorted(self.swim.members.items())}
-        mine = {uid: {"fence": claim.fence, "since_s": round((now - claim.since) / 1e6, 1),
-                      "heard_s": round((now - claim.heard) / 1e6, 1), "plea": claim.pleaded >= 0}
-                for uid, claim in sorted(self.owners.mine.items())}
-        return {"name": self.terms.name, "run": self.swim.facts.run[:8], "drains": self.owners.draining,
-                "members": members, "owns": mine, "disagreements": self.owners.disagreements()[:100],
-                "counts": {**self.counts, **self.swim.counts, **self.owners.counts, **self.guard.counts}}
+        members = {
+            name: {
+                "status": one.status.name.lower(),
+                "incarnation": one.incarnation,
+                "zone": one.facts.zone,
+                "weight": one.facts.weight,
+                "drains": one.facts.drains,
+                "run": one.facts.run[:8],
+                "since_s": round((now - one.since) / 1e6, 1),
+                "serves": dict(one.facts.serves),
+                "claims": len(self.owners.others.get(name, ())),
+            }
+            for name, one in sorted(self.swim.members.items())
+        }
+        mine = {
+            uid: {
+                "fence": claim.fence,
+                "since_s": round((now - claim.since) / 1e6, 1),
+                "heard_s": round((now - claim.heard) / 1e6, 1),
+                "plea": claim.pleaded >= 0,
+            }
+            for uid, claim in sorted(self.owners.mine.items())
+        }
+        return {
+            "name": self.terms.name,
+            "run": self.swim.facts.run[:8],
+            "drains": self.owners.draining,
+            "members": members,
+            "owns": mine,
+            "disagreements": self.owners.disagreements()[:100],
+            "counts": {**self.counts, **self.swim.counts, **self.owners.counts, **self.guard.counts},
+        }
--- a/hollyridge/resp/codec.py
+++ b/hollyridge/resp/codec.py
@@ -67,7 +67,7 @@
                 stop = at + self.length
                 if end < stop + 2:
                     break
-                if held[stop:stop + 2] != b"\r\n":
+                if held[stop : stop + 2] != b"\r\n":
                     raise RespError("a part does not end where it should")
                 self.parts.append(bytes(held[at:stop]))
                 at, self.length = stop + 2, -1
@@ -80,7 +80,7 @@
             if held[at] != sign:
                 raise RespError("no array of bulk strings")
             stop = held.find(b"\r\n", at + 1, at + DIGITS + 3)
-            digits = held[at + 1:end if stop < 0 else stop]
+            digits = held[at + 1 : end if stop < 0 else stop]
             if digits and digits[-1:] == b"\r" and stop < 0:
                 digits = digits[:-1]
             if len(digits) > DIGITS or digits and not digits.isdigit() or stop >= 0 and not digits:
--- a/hollyridge/resp/front.py
+++ b/hollyridge/resp/front.py
@@ -46,8 +46,21 @@
 class Stream:
     """One connection, whoever is at its other end."""
 
-    __slots__ = ("number", "sock", "address", "zone", "node", "proxy", "sheet", "planned", "unsent", "owed", "closed",
-                 "heard", "marks")
+    __slots__ = (
+        "number",
+        "sock",
+        "address",
+        "zone",
+        "node",
+        "proxy",
+        "sheet",
+        "planned",
+        "unsent",
+        "owed",
+        "closed",
+        "heard",
+        "marks",
+    )
 
     def __init__(self, number: int, sock, address: tuple, now: int) -> None:
         self.number, self.sock, self.address, self.heard = number, sock, address, now
@@ -79,8 +92,21 @@
         self.collectors: dict[int, list[Stream]] = {}
         self.came = Event()
         self.named: set[int] | None = None  # tasks that some stream was told of last; None once that may have changed
-        self.counts = dict.fromkeys(("connections", "messages_in", "bytes_out", "spoilt", "unreadable", "refused",
-                                     "overdue", "merged", "slow", "stray_receipts"), 0)
+        self.counts = dict.fromkeys(
+            (
+                "connections",
+                "messages_in",
+                "bytes_out",
+                "spoilt",
+                "unreadable",
+                "refused",
+                "overdue",
+                "merged",
+                "slow",
+                "stray_receipts",
+            ),
+            0,
+        )
         self.why: dict[str, int] = {}
 
     # Life.
@@ -238,8 +264,9 @@
             task = machine.tasks.find(word.endpoint)  # also one that has just gone: its last tries are news of then
             if task is None:
                 raise words.Spoilt("names no task that was listed")
-            machine.tell(now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over,
-                                                word.load))
+            machine.tell(
+                now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over, word.load)
+            )
         else:
             proxy = machine.proxies.index.get(word.node)
             if stream.proxy >= 0 and stream.node != word.node:
@@ -331,5 +358,9 @@
         self.detach(proxy, why)  # the protocol names nobody to go to
 
     def status(self) -> dict:
-        return {**self.counts, "streams": len(self.streams), "proxies": len(self.by_proxy),
-                "waiting": len(self.pending.waiting)}
+        return {
+            **self.counts,
+            "streams": len(self.streams),
+            "proxies": len(self.by_proxy),
+            "waiting": len(self.pending.waiting),
+        }
--- a/hollyridge/resp/sheet.py
+++ b/hollyridge/resp/sheet.py
@@ -65,8 +65,12 @@
                 sheet.told[table] = value
         out = dict(parcel.out)
         if out:
-            parts += (Part(out=tuple(self.name_of(task) for task, shut in out.items() if shut),
-                           back=tuple(self.name_of(task) for task, shut in out.items() if not shut)),)
+            parts += (
+                Part(
+                    out=tuple(self.name_of(task) for task, shut in out.items() if shut),
+                    back=tuple(self.name_of(task) for task, shut in out.items() if not shut),
+                ),
+            )
         return parts
 
     def known(self, table: int, old: Table | None, new: Table, users: tuple[int, ...]) -> tuple[Part, ...]:
--- a/hollyridge/resp/words.py
+++ b/hollyridge/resp/words.py
@@ -110,8 +110,14 @@
         self.methods = {name.encode(): k for k, name in enumerate(names.methods)}
         self.proxies, self.loads = names.proxies, boot.load_names
         self.longest = LATE * max(m.deadline for m in boot.methods) / 1000
-        self.kinds = {b"hb": self.beat, b"telemetry": self.collector, b"attach": self.hello,
-                      b"upstream_stats": self.met, b"client_stats": self.offered, b"done": self.applied}
+        self.kinds = {
+            b"hb": self.beat,
+            b"telemetry": self.collector,
+            b"attach": self.hello,
+            b"upstream_stats": self.met,
+            b"client_stats": self.offered,
+            b"done": self.applied,
+        }
 
     def read(self, parts: Sequence[bytes]) -> Word:
         """One message. Spoilt says why it can't be used."""
@@ -130,8 +136,12 @@
         return Collector(self.one_of(self.zones, fields, b"locality"))
 
     def hello(self, fields: dict) -> Hello:
-        return Hello(self.node(fields), self.one_of(self.zones, fields, b"locality"),
-                     number(fields, b"w", RATE_MOST), self.flag(fields, b"cold"))
+        return Hello(
+            self.node(fields),
+            self.one_of(self.zones, fields, b"locality"),
+            number(fields, b"w", RATE_MOST),
+            self.flag(fields, b"cold"),
+        )
 
     def met(self, fields: dict) -> Met:
         span = number(fields, b"interval", SPAN_MOST, 0.001)
@@ -142,8 +152,15 @@
         endpoint = fields.get(b"endpoint", b"")
         if not 0 < len(endpoint) <= 256:
             raise Spoilt("lacks endpoint")
-        return Met(self.one_of(self.zones, fields, b"locality"), endpoint.decode("utf-8", "replace"), tries, bad,
-                   micros(took), micros(span), self.load(fields.get(b"metrics")))
+        return Met(
+            self.one_of(self.zones, fields, b"locality"),
+            endpoint.decode("utf-8", "replace"),
+            tries,
+            bad,
+            micros(took),
+            micros(span),
+            self.load(fields.get(b"metrics")),
+        )
 
     def load(self, raw: bytes | None) -> tuple[float, ...]:
         """A load report in the order of the settings; empty where there is none, -1 for a figure it lacks."""
@@ -162,12 +179,16 @@
         span = number(fields, b"interval", SPAN_MOST, 0.001)
         most = most_in(span)
         # Those that could not be served may have come in an earlier interval: there can be more of them than came.
-        return Offered(self.node(fields), self.one_of(self.methods, fields, b"route"), count(fields, b"total", most),
-                       count(fields, b"errors", most), micros(span))
+        return Offered(
+            self.node(fields),
+            self.one_of(self.methods, fields, b"route"),
+            count(fields, b"total", most),
+            count(fields, b"errors", most),
+            micros(span),
+        )
 
     def applied(self, fields: dict) -> Applied:
-        return Applied(self.node(fields), count(fields, b"nonce", 65535),
-                       micros(number(fields, b"latency", SPAN_MOST)))
+        return Applied(self.node(fields), count(fields, b"nonce", 65535), micros(number(fields, b"latency", SPAN_MOST)))
 
     def node(self, fields: dict) -> int:
         return count(fields, b"node", self.proxies - 1)
--- a/hollyridge/roster/listing.py
+++ b/hollyridge/roster/listing.py
@@ -134,5 +134,11 @@
         return None if self.older_list is None else self.older_since + TOLD
 
     def figures(self) -> dict[str, int]:
-        return {"list_version": self.version, "list_calls_failed": self.failed, "older_lists": self.older,
-                "counted_anew": self.counted_anew, "restarts": self.starts, "tasks_refused": self.too_many}
+        return {
+            "list_version": self.version,
+            "list_calls_failed": self.failed,
+            "older_lists": self.older,
+            "counted_anew": self.counted_anew,
+            "restarts": self.starts,
+            "tasks_refused": self.too_many,
+        }
--- a/hollyridge/roster/watch.py
+++ b/hollyridge/roster/watch.py
@@ -25,8 +25,9 @@
 class Watch:
     """Keeps `listing` (the machine's source) up to date from `host:port`. `zones`: indices by name."""
 
-    def __init__(self, loop: Loop, listing: Listing, caller: Caller, address: tuple[str, int],
-                 zones: dict[str, int], log) -> None:
+    def __init__(
+        self, loop: Loop, listing: Listing, caller: Caller, address: tuple[str, int], zones: dict[str, int], log
+    ) -> None:
         self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
         self.listing, self.caller, self.address, self.zones, self.log = listing, caller, address, zones, log
         self.stirred = Event()
@@ -83,8 +84,13 @@
         self.counts["ended"] += 1
         self.caller.take(now, Happened.ENDED)
         if worth_saying(self.caller.failures):
-            self.log.warning("discovery call ended", address=f"{self.address[0]}:{self.address[1]}", why=self.why,
-                             version=self.listing.version, failures=self.caller.failures)
+            self.log.warning(
+                "discovery call ended",
+                address=f"{self.address[0]}:{self.address[1]}",
+                why=self.why,
+                version=self.listing.version,
+                failures=self.caller.failures,
+            )
         self.machine.happened(now, CallFailed())
         self.loop.nudge()
         self.stirred.set()
@@ -93,8 +99,11 @@
         host, port = self.address
         speaker = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
         known = f"&index={self.listing.version}" if self.listing.version >= 0 else ""
-        request = h11.Request(method="GET", target=f"/v1/servers?stream=1{known}",
-                              headers=[("Host", f"{host}:{port}"), ("Accept", "application/json")])
+        request = h11.Request(
+            method="GET",
+            target=f"/v1/servers?stream=1{known}",
+            headers=[("Host", f"{host}:{port}"), ("Accept", "application/json")],
+        )
         sock.sendall(speaker.send(request) + speaker.send(h11.EndOfMessage()))
         line = bytearray()
         while True:
@@ -111,7 +120,7 @@
                 line += event.data
                 while (stop := line.find(b"\n")) >= 0:
                     self.hear(bytes(line[:stop]).strip())
-                    del line[:stop + 1]
+                    del line[: stop + 1]
                 if len(line) > LINE_MOST:
                     raise CallError("a line without end")
             elif type(event) is h11.EndOfMessage:
