--- a/hollyridge/rules.py
+++ b/hollyridge/rules.py
@@ -13,9 +13,29 @@
 from random import Random
 
 from hollyridge.interface import (
-    Admission, AskReceipt, Attach, Bootstrap, Event, Joined, Learnt, Left, ListKind, OfferedLoad, Order,
-    Proposal, PutLine, Recalled, Receipt, RosterChange, SetLevel, TaskState, TrafficReport, Waits, WakeAt,
-    Watch, Woke,
+    Admission,
+    AskReceipt,
+    Attach,
+    Bootstrap,
+    Event,
+    Joined,
+    Learnt,
+    Left,
+    ListKind,
+    OfferedLoad,
+    Order,
+    Proposal,
+    PutLine,
+    Recalled,
+    Receipt,
+    RosterChange,
+    SetLevel,
+    TaskState,
+    TrafficReport,
+    Waits,
+    WakeAt,
+    Watch,
+    Woke,
 )
 
 HMAX = 0.2  # pushes a period in the long run
@@ -55,15 +75,20 @@
         if change.kind == ListKind.FAILED:
             if self.ask_at is None or self.ask_at > now:  # ask again after a growing, jittered wait
                 self.failures += 1
-                wait = self.boot.period * min(2 ** self.failures, 16) / 2
+                wait = self.boot.period * min(2**self.failures, 16) / 2
                 self.ask_at = now + round(wait * (0.5 + self.chance()))
             return []
         if change.kind != ListKind.CACHED:
             self.failures = 0  # the watch holds; renew it before silence could mean that it was lost
             self.ask_at = now + self.boot.ask_within if self.boot.subscribe else None
         more = max([entry.task + 1 for entry in change.entries], default=0) - len(self.state)
-        for row, start in ((self.state, TaskState.GONE), (self.zone, 0), (self.hint, 1.0), (self.started, 0),
-                           (self.rank, -1)):
+        for row, start in (
+            (self.state, TaskState.GONE),
+            (self.zone, 0),
+            (self.hint, 1.0),
+            (self.started, 0),
+            (self.rank, -1),
+        ):
             row.extend([start] * more)
         fresh = []
         for task, zone, _sku, _cell, state, weight, started_at in change.entries:
@@ -278,8 +303,11 @@
         warm = [w for i, w in lines.items() if part[i] >= 1.0]
         excess = BUSY * len(lines) - sum(part[i] for i in lines if part[i] < 1.0)
         even = sum(warm) / max(len(warm), excess) if warm else 1e9
-        return {i: max(w if part[i] >= 1.0 else part[i] * min(w, even * factor[i]), 1e-4)
-                for i, w in lines.items() if part[i] >= 1.0 or self.listed or not warm}
+        return {
+            i: max(w if part[i] >= 1.0 else part[i] * min(w, even * factor[i]), 1e-4)
+            for i, w in lines.items()
+            if part[i] >= 1.0 or self.listed or not warm
+        }
 
 
 class Solver:
@@ -293,12 +321,13 @@
         self.proposed: list[tuple[int, dict[int, float]]] = [(0, {}) for _ in self.zones]  # and until when
         self.skill: list[float] = []
         self.weight: list[float] = []
-        self.reach, self.extra = ([[float(a == b and own) for b in self.zones] for a in self.zones]
-                                  for own in (True, False))
+        self.reach, self.extra = (
+            [[float(a == b and own) for b in self.zones] for a in self.zones] for own in (True, False)
+        )
 
     def restart(self, task: int, hint: list[float]) -> None:
         self.skill.extend([1.0] * (len(hint) - len(self.skill)))
-        self.weight.extend(hint[len(self.weight):])
+        self.weight.extend(hint[len(self.weight) :])
         self.skill[task], self.weight[task] = 1.0, hint[task]
 
     def cost(self, heard: float, load: float, away: bool) -> float:  # what one more RPC adds, and the toll
@@ -318,14 +347,16 @@
         """What a zone lacks to twice a standing table it borrows: few tasks can't even out bursts."""
         return max(FEEL, min(LEAST_REACH, (2 * self.standing - kin) / max(1, tasks - kin)))
 
-    def stretch(self, heard: list, zones: list[list[int]], part: dict[int, float], factor: list,
-                demand: list[float]) -> None:
+    def stretch(
+        self, heard: list, zones: list[list[int]], part: dict[int, float], factor: list, demand: list[float]
+    ) -> None:
         """How far each zone reaches into the others, by the means of whole zones, which are calm."""
         mass = [sum(self.weight[i] for i in kin) for kin in zones]
         able = [sum(self.weight[i] * part[i] * row[i] for i in kin) for kin, row in zip(zones, factor)]
 
         def mean(row: list[float]) -> list[float]:
             return [sum(self.weight[i] * row[i] for i in kin) / (m or 1.0) for kin, m in zip(zones, mass)]
+
         load, met = mean(self.est.load), [mean(row) for row in heard]
         even = self.spill(able, demand, sum(load) / len(load))
         for z, reach in enumerate(self.reach):
@@ -360,7 +391,7 @@
         for to, kin in enumerate(zones):
             reach = self.reach[zone][to] or self.least(len(zones[zone]), sum(map(len, zones)))
             start = zone * len(kin) // len(zones)
-            some = (kin[start:] + kin[:start])[:max(1, self.standing, round(len(kin) * reach / WORTH))]
+            some = (kin[start:] + kin[:start])[: max(1, self.standing, round(len(kin) * reach / WORTH))]
             lines.update((i, self.weight[i] * reach * len(kin) / len(some)) for i in some)
         return lines
 
@@ -656,9 +687,11 @@
     def learnt(self) -> tuple[list[Learnt], float]:
         """What `recall` takes, of open tasks that were heard of, and the gate's price, for watchers."""
         est, solver = self.est, self.solver
-        return [Learnt(i, est.served[i] / est.busy[i], est.busy[i], solver.skill[i],
-                       solver.weight[i] / self.roster.hint[i])
-                for i in self.roster.open() if est.busy[i] > 0], self.gate.price
+        return [
+            Learnt(i, est.served[i] / est.busy[i], est.busy[i], solver.skill[i], solver.weight[i] / self.roster.hint[i])
+            for i in self.roster.open()
+            if est.busy[i] > 0
+        ], self.gate.price
 
     def recall(self, now: int, told: Recalled) -> None:
         """Where it outweighs what is known, less the older it is. An old price can only hold pushes back."""
@@ -699,8 +732,7 @@
         tables.part_methods(4 * len(warm) > len(tasks) and est.everywhere(warm), self.levels.lean, *rest)
         size = est.sizes(self.roster.hint, tasks, warm)
         est.age(now)
-        costs = [{i: self.solver.cost(row[i], est.load[i], home[i] != z) for i in tasks}
-                 for z, row in enumerate(heard)]
+        costs = [{i: self.solver.cost(row[i], est.load[i], home[i] != z) for i in tasks} for z, row in enumerate(heard)]
         demand = [0.0] * self.boot.zones
         for proxy, zone in tables.zone.items():
             demand[zone] += est.offered(proxy) or tables.rate[proxy] * self.boot.period / 1e6
@@ -728,7 +760,7 @@
         tables, sinks = self.tables, []
         if tables.parted or tables.bound[tables.excess]:
             able = [(self.solver.weight[i], i) for i in part if part[i] >= 1.0]
-            sinks = [i for _, i in sorted(able)[:max(1, round(len(able) * LEAST_PART))]]
+            sinks = [i for _, i in sorted(able)[: max(1, round(len(able) * LEAST_PART))]]
         if table == tables.excess:
             return dict.fromkeys(sinks, 1.0), dict.fromkeys(sinks, 1.0)
         if tables.excess < table < tables.homes:
@@ -767,15 +799,26 @@
             small = STEP * sum(lines.values()) / max(len(lines), 1)  # moves of smaller lines hardly count
             # What can't wait: closed tasks, and such as started again while they were listed as warm.
             gone = [i for i in before if i not in part or i in cold and cap_before[i] >= 1.0]
-            if gone and wait and (long or box.scarce(proxies)) and len(gone) < len(before) and (
-                    proxies or table <= tables.excess):
+            if (
+                gone
+                and wait
+                and (long or box.scarce(proxies))
+                and len(gone) < len(before)
+                and (proxies or table <= tables.excess)
+            ):
                 self.owed = True
                 continue
             # A table that loses half its weight brings the rest along: what they were left says nothing now.
             torn = sum(before[i] for i in gone) > WORTH * sum(before.values())
             # New tasks and moved caps go beside the gate. Warm ones leave like the rest, while others stay.
-            moved = [i for i in lines if i not in before or cap_before.get(i) != caps[i]
-                     or (push or torn) and abs(lines[i] - before[i]) > STEP * max(before[i], small)]
+            moved = [
+                i
+                for i in lines
+                if i not in before
+                or cap_before.get(i) != caps[i]
+                or (push or torn)
+                and abs(lines[i] - before[i]) > STEP * max(before[i], small)
+            ]
             if not lines or any(i in before for i in lines):
                 moved += [i for i in away if i in part and i not in cold]
             moved = [i for i in moved if i not in gone]
@@ -790,7 +833,7 @@
             levels = levels if len(levels) <= spare else {}
             moved.sort(key=lambda i: (-abs(lines.get(i, 0.0) - before.get(i, 0.0)), i))
             spare = max(spare - len(levels), len(gone) == len(before) and room - len(gone))
-            moved = moved[:max(spare, 0)]
+            moved = moved[: max(spare, 0)]
             if len(gone) + len(moved) + len(levels) > room:
                 gone, moved, levels, self.owed = gone[:room], [], {}, True
             orders += [PutLine(lines.get(i, 0.0), i, table) for i in moved + gone]
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -39,9 +39,15 @@
 
     MOST = 1 << 20  # bytes of the longest message that is read
 
-    def __init__(self, address: tuple[str, int], source: str = "", timeout: float = 5.0,
-                 connect: Callable = socket.create_connection, heard: Callable | None = None,
-                 said: Callable | None = None) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        source: str = "",
+        timeout: float = 5.0,
+        connect: Callable = socket.create_connection,
+        heard: Callable | None = None,
+        said: Callable | None = None,
+    ) -> None:
         self.sock = connect(address, timeout=timeout, **({"source_address": (source, 0)} if source else {}))
         self.timeout = timeout
         self.framer, self.heard, self.said = codec.Framer(self.MOST), heard, said
@@ -168,7 +174,7 @@
         """As many as a component holds, whatever their labels: its size is told in 16 bits."""
         members = tuple(members)
         for first in range(0, max(len(members), 1), BATCH):
-            yield members[first:first + BATCH]
+            yield members[first : first + BATCH]
 
 
 class Entry(NamedTuple):
--- a/hollyridge/sasp/codec.py
+++ b/hollyridge/sasp/codec.py
@@ -198,8 +198,17 @@
 
 
 Message = Union[
-    Register, RegisterReply, Deregister, DeregisterReply, GetWeights, GetWeightsReply, SendWeights,
-    SetBalancer, SetBalancerReply, SetMembers, SetMembersReply,
+    Register,
+    RegisterReply,
+    Deregister,
+    DeregisterReply,
+    GetWeights,
+    GetWeightsReply,
+    SendWeights,
+    SetBalancer,
+    SetBalancerReply,
+    SetMembers,
+    SetMembersReply,
 ]
 
 
@@ -219,7 +228,7 @@
     def text(self, size: int) -> str:
         if self.at + size > self.end:
             raise SaspError("a text runs past its component")
-        raw = self.raw[self.at:self.at + size]
+        raw = self.raw[self.at : self.at + size]
         self.at += size
         try:
             return raw.decode("utf-8")
@@ -291,6 +300,7 @@
         rows = part.many(count, read)
         part.done()
         return build(group, rows)
+
     return read_all
 
 
@@ -383,27 +393,45 @@
 
 
 _MESSAGES: dict[int, tuple[type, Callable, Callable]] = {
-    0x1010: (Register, _read_register,
-             lambda m: _FLAG_COUNT.pack(m.by_balancer, len(m.groups)) + _members_of(m.groups)),
+    0x1010: (
+        Register,
+        _read_register,
+        lambda m: _FLAG_COUNT.pack(m.by_balancer, len(m.groups)) + _members_of(m.groups),
+    ),
     0x1015: (RegisterReply, *_coded(RegisterReply)),
-    0x1020: (Deregister, _read_deregister,
-             lambda m: _FLAG_REASON_COUNT.pack(m.by_balancer, m.reason, len(m.groups))
-             + _members_of(m.groups)),
+    0x1020: (
+        Deregister,
+        _read_deregister,
+        lambda m: _FLAG_REASON_COUNT.pack(m.by_balancer, m.reason, len(m.groups)) + _members_of(m.groups),
+    ),
     0x1025: (DeregisterReply, *_coded(DeregisterReply)),
     0x1030: (GetWeights, _read_get, lambda m: _U16.pack(len(m.groups)) + b"".join(map(_group, m.groups))),
-    0x1035: (GetWeightsReply, _read_get_reply,
-             lambda m: _REPLY.pack(m.code, m.interval, len(m.groups)) + _weights_of(m.groups)),
+    0x1035: (
+        GetWeightsReply,
+        _read_get_reply,
+        lambda m: _REPLY.pack(m.code, m.interval, len(m.groups)) + _weights_of(m.groups),
+    ),
     0x1040: (SendWeights, _read_send, lambda m: _U16.pack(len(m.groups)) + _weights_of(m.groups)),
     0x1050: (SetBalancer, _read_set_balancer, lambda m: _short(m.uid) + _TWO.pack(m.health, m.flags)),
     0x1055: (SetBalancerReply, *_coded(SetBalancerReply)),
-    0x1060: (SetMembers, _read_set_members,
-             lambda m: _FLAG_COUNT.pack(m.by_balancer, len(m.groups))
-             + b"".join(_all_of(STATES_OF_TYPE, _state, row) for row in m.groups)),
+    0x1060: (
+        SetMembers,
+        _read_set_members,
+        lambda m: (
+            _FLAG_COUNT.pack(m.by_balancer, len(m.groups))
+            + b"".join(_all_of(STATES_OF_TYPE, _state, row) for row in m.groups)
+        ),
+    ),
     0x1065: (SetMembersReply, *_coded(SetMembersReply)),
 }
 _TYPE_OF = {build: kind for kind, (build, _, _) in _MESSAGES.items()}
-_REPLY_TO = {0x1010: RegisterReply, 0x1020: DeregisterReply, 0x1030: lambda code: GetWeightsReply(code, 0, ()),
-             0x1050: SetBalancerReply, 0x1060: SetMembersReply}
+_REPLY_TO = {
+    0x1010: RegisterReply,
+    0x1020: DeregisterReply,
+    0x1030: lambda code: GetWeightsReply(code, 0, ()),
+    0x1050: SetBalancerReply,
+    0x1060: SetMembersReply,
+}
 
 
 def encode(number: int, message: Message) -> bytes:
@@ -469,7 +497,7 @@
     def feed(self, chunk: bytes) -> Iterator[bytes]:
         self.held += chunk
         while len(self.held) >= HEADER.size:
-            size = frame_size(bytes(self.held[:HEADER.size]), self.most)
+            size = frame_size(bytes(self.held[: HEADER.size]), self.most)
             if len(self.held) < size:
                 return
             frame = bytes(self.held[:size])
--- a/hollyridge/sasp/front.py
+++ b/hollyridge/sasp/front.py
@@ -103,21 +103,33 @@
     REPLIES = 64  # answers that may wait for a reader before its requests are read no more
     LOOK = 0.02  # s between two looks at what the other side has acknowledged
 
-    def __init__(self, loop: Loop, terms: SaspTerms, presence: Presence, keeper: Doorkeeper,
-                 zone_of: Callable[[str], int], log, access: Access = OPEN, secure: Callable | None = None,
-                 fleet: Fleet | None = None, zone_name: Callable[[int], str] = str) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: SaspTerms,
+        presence: Presence,
+        keeper: Doorkeeper,
+        zone_of: Callable[[str], int],
+        log,
+        access: Access = OPEN,
+        secure: Callable | None = None,
+        fleet: Fleet | None = None,
+        zone_name: Callable[[int], str] = str,
+    ) -> None:
         self.fleet, self.zone_name = fleet, zone_name
         self.access, self.secure = access, secure
         super().__init__(loop, terms.host, terms.port)
         self.terms, self.presence, self.keeper, self.zone_of = terms, presence, keeper, zone_of
         self.log = log
-        self.abilities = Abilities(levels=False, further_tries=False, withdrawals=False, receipts=True,
-                                   groups=len(terms.groups))
+        self.abilities = Abilities(
+            levels=False, further_tries=False, withdrawals=False, receipts=True, groups=len(terms.groups)
+        )
         self.bearers: dict[int, codec.Member] = {}  # task: its member
         self.agents: dict[tuple, bool] = {}
         self.unsettled: dict[int, Stream] = {}
         self.counts = dict.fromkeys(
-            ("connections", "refused", "frames_in", "frames_out", "bad_frames", "closed", "asked_too_often"), 0)
+            ("connections", "refused", "frames_in", "frames_out", "bad_frames", "closed", "asked_too_often"), 0
+        )
 
     # Life.
 
@@ -249,8 +261,13 @@
         else:
             raise codec.SaspError(f"{kind.__name__} is not for the service to hear")
         if getattr(reply, "code", 0):
-            self.log.info("request refused", peer=stream.address[0], uid=stream.uid or None,
-                          request=kind.__name__, code=int(reply.code))
+            self.log.info(
+                "request refused",
+                peer=stream.address[0],
+                uid=stream.uid or None,
+                request=kind.__name__,
+                code=int(reply.code),
+            )
         try:
             self.answer(stream, codec.encode(number, reply))
         except ValueError as trouble:
@@ -411,9 +428,14 @@
             return Code.NOT_FROM_YOU if known else Code.NOT_CONTACTED_YET
         return Code.OK if group.name == self.terms.members_group else Code.INVALID_GROUP
 
-    CODES = {None: Code.OK, members.Refusal.ALREADY_REGISTERED: Code.ALREADY_REGISTERED,
-             members.Refusal.NOT_REGISTERED: Code.NOT_REGISTERED, members.Refusal.FULL: Code.NOT_FROM_YOU,
-             members.Refusal.NO_ZONE: Code.NOT_FROM_YOU, members.Refusal.TWICE: Code.DUPLICATE_MEMBER}
+    CODES = {
+        None: Code.OK,
+        members.Refusal.ALREADY_REGISTERED: Code.ALREADY_REGISTERED,
+        members.Refusal.NOT_REGISTERED: Code.NOT_REGISTERED,
+        members.Refusal.FULL: Code.NOT_FROM_YOU,
+        members.Refusal.NO_ZONE: Code.NOT_FROM_YOU,
+        members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
+    }
 
     def register(self, stream: Stream, message: codec.Register) -> int:
         if message.by_balancer:
@@ -444,8 +466,9 @@
             if task >= 0:
                 entered += [member.key] * new
                 self.bearers[task] = member._replace(label="")
-            applicants.append(members.Applicant(member.key, max(task, 0) if zone < 0 else task, zone, member.label,
-                                                own))
+            applicants.append(
+                members.Applicant(member.key, max(task, 0) if zone < 0 else task, zone, member.label, own)
+            )
         refusal = self.machine.happened(now, members.Registered(stream.number, tuple(applicants)))
         if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
             for key in entered:
@@ -538,8 +561,13 @@
         now, machine = self.clock(), self.machine
         whole = whole or sheet.whole or not stream.flags & Wants.NO_CHANGE
         changed = () if whole else machine.desk.store.change(sheet.table, sheet.told, sheet.value).lines
-        told = sheet.advice.advise(sheet.value.lines, [task for task, _ in changed], whole,
-                                   lambda task: machine.cold(now, task), machine.closed)
+        told = sheet.advice.advise(
+            sheet.value.lines,
+            [task for task, _ in changed],
+            whole,
+            lambda task: machine.cold(now, task),
+            machine.closed,
+        )
         sheet.told, sheet.whole = sheet.value, False
         entries = []
         for task, figure in told.figures.items():
@@ -563,7 +591,7 @@
             group = codec.Group(stream.uid, name)
             entries = self.entries(stream, sheet, whole=False)  # none where only levels changed
             for at in range(0, len(entries), 900):
-                part = codec.WeightsOf(group, entries[at:at + 900])
+                part = codec.WeightsOf(group, entries[at : at + 900])
                 if rows and size + len(part.weights) > 1500:
                     frames.append(self.frame(stream, rows))
                     rows, size = [], 0
@@ -629,12 +657,14 @@
                 for number, why in self.presence.overdue(now):
                     if number in self.streams:
                         self.close(self.streams[number], why)
-                for task in [t for t in self.bearers if len(self.bearers) > 4 * len(self.machine.tasks) + 1024
-                             and self.machine.tasks.names[t] not in self.machine.tasks.index
-                             and not self.machine.desk.names(t)]:
+                for task in [
+                    t
+                    for t in self.bearers
+                    if len(self.bearers) > 4 * len(self.machine.tasks) + 1024
+                    and self.machine.tasks.names[t] not in self.machine.tasks.index
+                    and not self.machine.desk.names(t)
+                ]:
                     self.agents.pop(self.bearers.pop(task).key, None)
 
     def status(self) -> dict:
         return {**self.counts, "streams": len(self.streams), "refused_why": self.keeper.refused}
-
-
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -39,9 +39,17 @@
     `start` listens (OSError if an address is taken), `run` blocks until `stop` and raises what the machine raises when
     it gives up."""
 
-    def __init__(self, terms: AssignerTerms, log, make: Callable = Assigner,
-                 clock: Callable = monotonic_us, context: Callable = zmq.Context, epoch: str = "",
-                 fresh: Callable[[int], bytes] = os.urandom, fleet: FleetTerms | None = None) -> None:
+    def __init__(
+        self,
+        terms: AssignerTerms,
+        log,
+        make: Callable = Assigner,
+        clock: Callable = monotonic_us,
+        context: Callable = zmq.Context,
+        epoch: str = "",
+        fresh: Callable[[int], bytes] = os.urandom,
+        fleet: FleetTerms | None = None,
+    ) -> None:
         self.terms, self.log = terms, log
         boot = terms.bootstrap()
         now = clock()
@@ -53,41 +61,78 @@
         fleet = fleet or terms.fleet_terms()
         if fleet is not None:
             fronts = {"sasp": sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
-            self.fleet = Fleet(self.loop, fleet, log, fresh, {name: at for name, at in fronts.items() if at},
-                               self.task_name, names.task)
+            self.fleet = Fleet(
+                self.loop,
+                fleet,
+                log,
+                fresh,
+                {name: at for name, at in fronts.items() if at},
+                self.task_name,
+                names.task,
+            )
         zone_name = dict(enumerate(terms.zone_names)).get
-        keeper = Doorkeeper(sasp.connections_most, sasp.connections_each, sasp.connects_per_s, sasp.requests_per_s,
-                            channel.messages_most / channel.messages_over_s)
+        keeper = Doorkeeper(
+            sasp.connections_most,
+            sasp.connections_each,
+            sasp.connects_per_s,
+            sasp.requests_per_s,
+            channel.messages_most / channel.messages_over_s,
+        )
         presence = Presence(boot.drain_grace, boot.bare)
         self.access = Access(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
         self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
         secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
-        self.front = SaspFront(self.loop, terms.sasp_terms(), presence, keeper, terms.zone_finder(), log,
-                               self.access, secure, self.fleet, zone_name)
+        self.front = SaspFront(
+            self.loop,
+            terms.sasp_terms(),
+            presence,
+            keeper,
+            terms.zone_finder(),
+            log,
+            self.access,
+            secure,
+            self.fleet,
+            zone_name,
+        )
         self.clone = self.curve = None
         if terms.clone.listen:
             context = context()
             if terms.curve_file():
-                self.curve = Curve(context, terms.curve_file(), self.access.curve_known,
-                                   lambda key: self.access.by_curve.get(key, key))
-            self.clone = CloneFront(self.loop, terms.clone_terms(), Presence(boot.drain_grace, boot.bare), keeper,
-                                    terms.zone_finder(), self.task_name, log, context, self.curve, self.access,
-                                    epoch, self.fleet, zone_name)
+                self.curve = Curve(
+                    context, terms.curve_file(), self.access.curve_known, lambda key: self.access.by_curve.get(key, key)
+                )
+            self.clone = CloneFront(
+                self.loop,
+                terms.clone_terms(),
+                Presence(boot.drain_grace, boot.bare),
+                keeper,
+                terms.zone_finder(),
+                self.task_name,
+                log,
+                context,
+                self.curve,
+                self.access,
+                epoch,
+                self.fleet,
+                zone_name,
+            )
         self.solving = None
         if terms.solver_terms() is not None:
             self.solving = Solving(self.loop, terms.solver_terms(), log, gevent.get_hub().threadpool.apply)
         self.keeping = None
         if terms.keeping_terms() is not None:
-            self.keeping = Keeping(self.loop, terms.keeping_terms(), log, self.task_name, names.task,
-                                   gevent.get_hub().threadpool.apply)
-        pages = {"/status": ("application/json", lambda: msgspec.json.encode(self.status())),
-                 "/fleet": ("text/plain; charset=utf-8", self.described)}
+            self.keeping = Keeping(
+                self.loop, terms.keeping_terms(), log, self.task_name, names.task, gevent.get_hub().threadpool.apply
+            )
+        pages = {
+            "/status": ("application/json", lambda: msgspec.json.encode(self.status())),
+            "/fleet": ("text/plain; charset=utf-8", self.described),
+        }
         deeds = {}
         if self.fleet is not None:
             pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
             deeds = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        self.intake = Intake(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure,
-                             deeds)
+        self.intake = Intake(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
 
     def task_name(self, task: int) -> str:
         address, port, _ = self.machine.tasks.names[task]
@@ -121,6 +166,7 @@
                 if len(known) < 100_000:
                     known[name] = key
             return self.machine.tasks.index.get(key)
+
         return Names(zones.get, task, self.machine.proxies.index.get, methods.get)
 
     def start(self) -> tuple[int, int]:
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -28,6 +28,7 @@
 from hollyridge.steering.members import Terms
 from hollyridge.steering.memory import fleet_of
 
+
 def listens(value: str) -> str:
     split(value)
     return value
@@ -200,12 +201,26 @@
     members_most: Annotated[int, Field(ge=1, le=64)] = 64
 
 
-SECTIONS = {"assigner": AssignerSection, "channel": ChannelSection, "promises": PromisesSection,
-            "proxies": ProxiesSection, "sasp": SaspSection, "clone": CloneSection, "otlp": OtlpSection,
-            "keys": KeysSection, "roster": RosterSection, "log": LogSection, "solver": SolverSection,
-            "peers": PeersSection, "kept": KeptSection}
-REPEATS = {"idempotent": api.Repeat.IDEMPOTENT, "tokened": api.Repeat.TOKENED,
-           "non-idempotent": api.Repeat.NON_IDEMPOTENT}
+SECTIONS = {
+    "assigner": AssignerSection,
+    "channel": ChannelSection,
+    "promises": PromisesSection,
+    "proxies": ProxiesSection,
+    "sasp": SaspSection,
+    "clone": CloneSection,
+    "otlp": OtlpSection,
+    "keys": KeysSection,
+    "roster": RosterSection,
+    "log": LogSection,
+    "solver": SolverSection,
+    "peers": PeersSection,
+    "kept": KeptSection,
+}
+REPEATS = {
+    "idempotent": api.Repeat.IDEMPOTENT,
+    "tokened": api.Repeat.TOKENED,
+    "non-idempotent": api.Repeat.NON_IDEMPOTENT,
+}
 DROPPED_BY = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
 PICKS = {"random": api.Pick.RANDOM, "rotate": api.Pick.ROTATE, "p2c": api.Pick.P2C}
 
@@ -229,8 +244,14 @@
     `methods` (name to section, in file order), `zones` (name to networks, in file order).
     """
 
-    def __init__(self, sections: dict[str, Section], methods: dict[str, MethodSection], zones: dict[str, list],
-                 bearers: list[Bearer], folder: Path) -> None:
+    def __init__(
+        self,
+        sections: dict[str, Section],
+        methods: dict[str, MethodSection],
+        zones: dict[str, list],
+        bearers: list[Bearer],
+        folder: Path,
+    ) -> None:
         self.__dict__.update(sections)
         self.bearers, self.folder = bearers, folder
         self.methods, self.zones = methods, zones
@@ -248,35 +269,74 @@
         copies, channel, promises, proxies = len(self.groups()), self.channel, self.promises, self.proxies
         methods = tuple(
             api.MethodTerms(
-                soft_deadline=micros(m.soft_deadline_ms / 1e3), deadline=micros(m.deadline_ms / 1e3),
-                criticality=m.criticality, repeat=REPEATS[m.repeats], group=DROPPED_BY[m.dropped_by],
-                window=micros(m.window_ms / 1e3), own_zone=False)
-            for m in self.methods.values())
+                soft_deadline=micros(m.soft_deadline_ms / 1e3),
+                deadline=micros(m.deadline_ms / 1e3),
+                criticality=m.criticality,
+                repeat=REPEATS[m.repeats],
+                group=DROPPED_BY[m.dropped_by],
+                window=micros(m.window_ms / 1e3),
+                own_zone=False,
+            )
+            for m in self.methods.values()
+        )
         return api.Bootstrap(
-            methods=methods, zones=len(self.zones), assigners=self.assigner.assigners, subscribe=False,
-            ask_within=micros(10), period=micros(self.assigner.report_period_s),
-            lines_per_s=channel.lines_per_s / copies, overhead=channel.head_lines / copies,
-            most_waiting=channel.most_waiting / copies, messages_most=channel.messages_most,
-            counted_over=micros(channel.messages_over_s), transit=micros(channel.transit_s),
-            worst_transit=micros(channel.worst_transit_s), bare=micros(promises.bare_s),
-            drain_grace=micros(promises.drain_grace_s), gone_is_advice=False, cold_from=promises.cold_from,
-            warm_up=micros(promises.warm_up_s), fall=micros(promises.fall_s),
-            fall_multiple=promises.fall_multiple, pick=PICKS[proxies.pick],
-            outlier_after=proxies.outlier_after, initial_set=proxies.first_table,
+            methods=methods,
+            zones=len(self.zones),
+            assigners=self.assigner.assigners,
+            subscribe=False,
+            ask_within=micros(10),
+            period=micros(self.assigner.report_period_s),
+            lines_per_s=channel.lines_per_s / copies,
+            overhead=channel.head_lines / copies,
+            most_waiting=channel.most_waiting / copies,
+            messages_most=channel.messages_most,
+            counted_over=micros(channel.messages_over_s),
+            transit=micros(channel.transit_s),
+            worst_transit=micros(channel.worst_transit_s),
+            bare=micros(promises.bare_s),
+            drain_grace=micros(promises.drain_grace_s),
+            gone_is_advice=False,
+            cold_from=promises.cold_from,
+            warm_up=micros(promises.warm_up_s),
+            fall=micros(promises.fall_s),
+            fall_multiple=promises.fall_multiple,
+            pick=PICKS[proxies.pick],
+            outlier_after=proxies.outlier_after,
+            initial_set=proxies.first_table,
             admission=api.Admission.FRACTION if self.clone.listen else api.Admission.SILENT,
-            retry_default=0, per_try=1.0, partitions=0, one_owner=False,
-            load_names=("util", "queue"), cross_zone_price=proxies.cross_zone_price)
+            retry_default=0,
+            per_try=1.0,
+            partitions=0,
+            one_owner=False,
+            load_names=("util", "queue"),
+            cross_zone_price=proxies.cross_zone_price,
+        )
 
     def members_terms(self) -> Terms:
         roster = self.roster
-        return Terms(micros(self.promises.warm_up_s), micros(roster.hold_own_s), micros(roster.hold_agent_s),
-                     micros(roster.settle_s), micros(roster.settle_most_s), self.proxies.tasks_most)
+        return Terms(
+            micros(self.promises.warm_up_s),
+            micros(roster.hold_own_s),
+            micros(roster.hold_agent_s),
+            micros(roster.settle_s),
+            micros(roster.settle_most_s),
+            self.proxies.tasks_most,
+        )
 
     def limits(self) -> Limits:
         channel, otlp = self.channel, self.otlp
-        return Limits(channel.lines_per_s, channel.head_lines, channel.most_waiting,
-                      2 * self.proxies.tasks_most, self.proxies.most, otlp.series_most, otlp.series_each,
-                      otlp.rate_most, otlp.lines_per_period, 8 * otlp.lines_per_period)
+        return Limits(
+            channel.lines_per_s,
+            channel.head_lines,
+            channel.most_waiting,
+            2 * self.proxies.tasks_most,
+            self.proxies.most,
+            otlp.series_most,
+            otlp.series_each,
+            otlp.rate_most,
+            otlp.lines_per_period,
+            8 * otlp.lines_per_period,
+        )
 
     def solver_terms(self) -> SolverTerms | None:
         solver = self.solver
@@ -284,25 +344,44 @@
 
     def keeping_terms(self) -> KeepingTerms | None:
         kept = self.kept
-        return KeepingTerms(self.folder / kept.file, kept.every_s,
-                            fleet_of(self.zone_names, self.method_names)) if kept.file else None
+        return (
+            KeepingTerms(self.folder / kept.file, kept.every_s, fleet_of(self.zone_names, self.method_names))
+            if kept.file
+            else None
+        )
 
     def fleet_terms(self) -> FleetTerms | None:
         """Probes and suspicion as ratios to the stated round trip: an answer within three, a probe every ten."""
         peers = self.peers
         if not peers.listen:
             return None
-        return self.fleet_terms_of(peers.name or self.assigner.name, split(peers.listen), tuple(peers.seeds),
-                                   fleet_key(self.folder / peers.key), peers.zone, peers.known_as)
-
-    def fleet_terms_of(self, name: str, listen: tuple[str, int], seeds: tuple[str, ...], secret: bytes,
-                       zone: str, known_as: str = "") -> FleetTerms:
+        return self.fleet_terms_of(
+            peers.name or self.assigner.name,
+            split(peers.listen),
+            tuple(peers.seeds),
+            fleet_key(self.folder / peers.key),
+            peers.zone,
+            peers.known_as,
+        )
+
+    def fleet_terms_of(
+        self, name: str, listen: tuple[str, int], seeds: tuple[str, ...], secret: bytes, zone: str, known_as: str = ""
+    ) -> FleetTerms:
         """The paces of the settings for a member that goes by this name."""
         peers = self.peers
         trip, lease = micros(peers.round_trip_ms / 1e3), micros(peers.lease_s)
         pace = Pace(10 * trip, 3 * trip, peers.members_most)
-        return FleetTerms(name, listen, known_as or "{}:{}".format(*listen), seeds, secret, zone, peers.weight, pace,
-                          Lease(lease, micros(peers.settle_s), micros(self.assigner.report_period_s)))
+        return FleetTerms(
+            name,
+            listen,
+            known_as or "{}:{}".format(*listen),
+            seeds,
+            secret,
+            zone,
+            peers.weight,
+            pace,
+            Lease(lease, micros(peers.settle_s), micros(self.assigner.report_period_s)),
+        )
 
     def tls_files(self) -> TlsFiles | None:
         names = self.keys.tls_certificate, self.keys.tls_key, self.keys.tls_clients
@@ -313,13 +392,29 @@
 
     def sasp_terms(self) -> SaspTerms:
         s = self.sasp
-        return SaspTerms(*split(s.listen), s.fleet, s.members_group, self.groups(), s.balancers_register,
-                         s.message_most_bytes, s.send_buffer_bytes, s.frame_s, s.hello_s, s.members_each,
-                         self.proxies.usual_rate)
+        return SaspTerms(
+            *split(s.listen),
+            s.fleet,
+            s.members_group,
+            self.groups(),
+            s.balancers_register,
+            s.message_most_bytes,
+            s.send_buffer_bytes,
+            s.frame_s,
+            s.hello_s,
+            s.members_each,
+            self.proxies.usual_rate,
+        )
 
     def clone_terms(self) -> CloneTerms:
-        return CloneTerms(*split(self.clone.listen), self.clone.waiting_most, self.clone.beat_ms, self.proxies.most,
-                          self.proxies.usual_rate, tuple(self.method_names))
+        return CloneTerms(
+            *split(self.clone.listen),
+            self.clone.waiting_most,
+            self.clone.beat_ms,
+            self.proxies.most,
+            self.proxies.usual_rate,
+            tuple(self.method_names),
+        )
 
     def otlp_terms(self) -> OtlpTerms:
         o = self.otlp
@@ -327,8 +422,9 @@
 
     def zone_finder(self) -> Callable[[str], int]:
         """Zone of an address by the most particular network that holds it; -1 for none."""
-        nets = sorted(((net, z) for z, some in enumerate(self.zones.values()) for net in some),
-                      key=lambda row: -row[0].prefixlen)
+        nets = sorted(
+            ((net, z) for z, some in enumerate(self.zones.values()) for net in some), key=lambda row: -row[0].prefixlen
+        )
         known: dict[str, int] = {}
 
         def find(host: str) -> int:
@@ -340,6 +436,7 @@
                 if len(known) < 100_000:
                     known[host] = zone
             return zone
+
         return find
 
 
@@ -366,8 +463,9 @@
             access = check(name, AccessSection, dict(parser[name]), faults)
             if access is not None:
                 nets = networks_of(f"[{name}] members", access.members, faults)
-                bearers.append(Bearer(rest.strip(), access.curve, words(access.proxies), tuple(nets),
-                                      words(access.reports)))
+                bearers.append(
+                    Bearer(rest.strip(), access.curve, words(access.proxies), tuple(nets), words(access.reports))
+                )
         elif name == "zones":
             for zone, networks in parser[name].items():
                 zones[zone] = networks_of(f"[zones] {zone}", networks, faults)
@@ -417,13 +515,17 @@
     for bearer in terms.bearers:
         if not any(tls) and not keys.curve:
             faults.append(f"[access {bearer.name}]: needs [keys]; without them nobody can be told apart")
-        faults.extend(f"[access {bearer.name}] reports: no zone {zone}" for zone in bearer.zones
-                      if zone not in terms.zones)
+        faults.extend(
+            f"[access {bearer.name}] reports: no zone {zone}" for zone in bearer.zones if zone not in terms.zones
+        )
     if terms.kept.file and not (terms.folder / terms.kept.file).parent.is_dir():
         faults.append(f"[kept] file: no folder {(terms.folder / terms.kept.file).parent}")
     peers = terms.peers
-    for key, addresses in (("listen", [peers.listen] if peers.listen else []), ("seeds", peers.seeds),
-                           ("known_as", [peers.known_as] if peers.known_as else [])):
+    for key, addresses in (
+        ("listen", [peers.listen] if peers.listen else []),
+        ("seeds", peers.seeds),
+        ("known_as", [peers.known_as] if peers.known_as else []),
+    ):
         for address in addresses:
             try:
                 split(address)
--- a/hollyridge/settings/ini.py
+++ b/hollyridge/settings/ini.py
@@ -50,8 +50,9 @@
 
 def read_bytes(raw: bytes, source: str) -> configparser.ConfigParser:
     """Raises FaultsError for what is no INI."""
-    parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",), strict=True,
-                                       default_section="\0")
+    parser = configparser.ConfigParser(
+        interpolation=None, inline_comment_prefixes=(";",), strict=True, default_section="\0"
+    )
     if len(raw) > MOST_BYTES:
         raise FaultsError([f"{source}: {len(raw)} bytes, {MOST_BYTES} at most"])
     try:
--- a/hollyridge/settings/solve.py
+++ b/hollyridge/settings/solve.py
@@ -36,6 +36,7 @@
     demand: Annotated[list[NonNegativeFloat], SEVERAL]
     out: NonNegativeFloat = 1.0
 
+
 class TasksSection(Section):
     """So many tasks that are alike."""
 
@@ -59,22 +60,45 @@
     True
     """
     names = [task.name.replace(":", "-").lower() for task in fleet.tasks]
-    sections = [("solve", {"crossing": fleet.crossing, "handshake": fleet.handshake, "settle_s": fleet.settle_s,
-                           "busy": fleet.busy, "least_lines": fleet.least_lines, "most_lines": fleet.most_lines,
-                           "pick": fleet.pick})]
+    sections = [
+        (
+            "solve",
+            {
+                "crossing": fleet.crossing,
+                "handshake": fleet.handshake,
+                "settle_s": fleet.settle_s,
+                "busy": fleet.busy,
+                "least_lines": fleet.least_lines,
+                "most_lines": fleet.most_lines,
+                "pick": fleet.pick,
+            },
+        )
+    ]
     sections += [(f"method {m.name}", {"criticality": m.criticality, "work": m.work}) for m in fleet.methods]
-    sections += [(f"zone {z.name}", {"proxies": z.proxies, "demand": ", ".join(map(str, z.demand)), "out": z.out})
-                 for z in fleet.zones]
+    sections += [
+        (f"zone {z.name}", {"proxies": z.proxies, "demand": ", ".join(map(str, z.demand)), "out": z.out})
+        for z in fleet.zones
+    ]
     for name, task in zip(names, fleet.tasks):
-        sections.append((f"tasks {name}", {
-            "zone": fleet.zones[task.zone].name, "rate": task.rate, "doubt": task.doubt, "part": task.part,
-            "connections": 0 if math.isinf(task.connections) else int(task.connections),
-            "open": "yes" if task.open else "no"}))
+        sections.append(
+            (
+                f"tasks {name}",
+                {
+                    "zone": fleet.zones[task.zone].name,
+                    "rate": task.rate,
+                    "doubt": task.doubt,
+                    "part": task.part,
+                    "connections": 0 if math.isinf(task.connections) else int(task.connections),
+                    "open": "yes" if task.open else "no",
+                },
+            )
+        )
     for zone, table in zip(fleet.zones, fleet.held):
         if table:
             sections.append((f"held {zone.name}", {names[i]: weight for i, weight in table.items()}))
-    return "\n".join(f"[{name}]\n" + "".join(f"{key} = {value}\n" for key, value in rows.items())
-                     for name, rows in sections)
+    return "\n".join(
+        f"[{name}]\n" + "".join(f"{key} = {value}\n" for key, value in rows.items()) for name, rows in sections
+    )
 
 
 def load(path: Path | str) -> tuple[Fleet, float, dict[str, range]]:
@@ -115,8 +139,18 @@
             faults.append(f"[tasks {name}] zone: no such zone")
             continue
         groups[name] = range(len(tasks), len(tasks) + group.count)
-        tasks += [Task(f"{name}-{k + 1}", names.index(group.zone), group.rate, group.doubt, group.part,
-                       group.connections or math.inf, group.open) for k in range(group.count)]
+        tasks += [
+            Task(
+                f"{name}-{k + 1}",
+                names.index(group.zone),
+                group.rate,
+                group.doubt,
+                group.part,
+                group.connections or math.inf,
+                group.open,
+            )
+            for k in range(group.count)
+        ]
     held: list[dict[int, float]] = [{} for _ in names]
     for name, lines in found["held"].items():
         if name not in zones:
@@ -133,8 +167,17 @@
                 held[names.index(name)].update(dict.fromkeys(groups[group], value))
     if faults:
         raise FaultsError(faults)
-    fleet = Fleet(tuple(Method(name, m.criticality, m.work) for name, m in methods.items()),
-                  tuple(Zone(name, z.proxies, tuple(z.demand), z.out) for name, z in zones.items()), tuple(tasks),
-                  tuple(held) if found["held"] else (), solve.crossing, solve.handshake, solve.settle_s, solve.busy,
-                  solve.least_lines, solve.most_lines, solve.pick)
+    fleet = Fleet(
+        tuple(Method(name, m.criticality, m.work) for name, m in methods.items()),
+        tuple(Zone(name, z.proxies, tuple(z.demand), z.out) for name, z in zones.items()),
+        tuple(tasks),
+        tuple(held) if found["held"] else (),
+        solve.crossing,
+        solve.handshake,
+        solve.settle_s,
+        solve.busy,
+        solve.least_lines,
+        solve.most_lines,
+        solve.pick,
+    )
     return fleet, solve.deadline_s, groups
--- a/hollyridge/solving/choices.py
+++ b/hollyridge/solving/choices.py
@@ -29,8 +29,9 @@
     return rows
 
 
-def arrivals(weights: Sequence[float], out: float, times: Sequence[float] | None = None,
-             pick: str = "p2c") -> list[float]:
+def arrivals(
+    weights: Sequence[float], out: float, times: Sequence[float] | None = None, pick: str = "p2c"
+) -> list[float]:
     """Shares of the RPCs that arrive at each line. `out`: RPCs that one proxy has under way in all; `times`: how long
     one takes at each line, relative to each other.
 
@@ -60,8 +61,9 @@
     return shares.tolist()
 
 
-def weights_for(shares: Sequence[float], out: float, times: Sequence[float] | None = None,
-                pick: str = "p2c") -> list[float]:
+def weights_for(
+    shares: Sequence[float], out: float, times: Sequence[float] | None = None, pick: str = "p2c"
+) -> list[float]:
     """Weights under which these shares arrive, as near as two choices let them: the largest is 1.
 
     >>> wanted = [0.5, 0.3, 0.2]
--- a/hollyridge/solving/feed.py
+++ b/hollyridge/solving/feed.py
@@ -26,9 +26,17 @@
         others = max(0.0, est.load[i] - mine) if i < len(est.load) and boot.assigners > 1 else 0.0
         heard = est.busy[i] if i < len(est.busy) else 0.0
         health = max((row[i] for row in module.health.factor if i < len(row)), default=1.0)
-        tasks.append(Task(str(i), max(0, roster.zone[i]), does * health * max(0.05, 1 - others) / period,
-                          DOUBT / (1 + heard), stated_part(boot, now, roster.started[i]), connections,
-                          state == api.TaskState.READY))
+        tasks.append(
+            Task(
+                str(i),
+                max(0, roster.zone[i]),
+                does * health * max(0.05, 1 - others) / period,
+                DOUBT / (1 + heard),
+                stated_part(boot, now, roster.started[i]),
+                connections,
+                state == api.TaskState.READY,
+            )
+        )
     zones = []
     for z in range(boot.zones):
         proxies = [p for p, zone in tables.zone.items() if zone == z]
@@ -38,8 +46,16 @@
         zones.append(Zone(str(z), len(proxies), (comes,), comes * stays / max(len(proxies), 1)))
     held = tuple(dict(tables.lines[z]) if tables.bound[z] else {} for z in range(boot.zones))
     pick = "p2c" if boot.pick == api.Pick.P2C else "random"
-    return Fleet((Method("all", 1.0),), tuple(zones), tuple(tasks), held, boot.cross_zone_price, handshake,
-                 pick=pick, least_lines=max(2, 2 * boot.initial_set))
+    return Fleet(
+        (Method("all", 1.0),),
+        tuple(zones),
+        tuple(tasks),
+        held,
+        boot.cross_zone_price,
+        handshake,
+        pick=pick,
+        least_lines=max(2, 2 * boot.initial_set),
+    )
 
 
 def without_the_gone(fleet: Fleet) -> Fleet:
--- a/hollyridge/solving/fleet.py
+++ b/hollyridge/solving/fleet.py
@@ -82,8 +82,12 @@
     for task in fleet.tasks:
         if not 0 <= task.zone < len(fleet.zones):
             faults.append(f"task {task.name}: zone")
-        if wrong(task.rate) or wrong(task.doubt, 0, 1) or wrong(task.part, 0, 1) or \
-                wrong(task.connections, 0, math.inf):
+        if (
+            wrong(task.rate)
+            or wrong(task.doubt, 0, 1)
+            or wrong(task.part, 0, 1)
+            or wrong(task.connections, 0, math.inf)
+        ):
             faults.append(f"task {task.name}: rate, doubt, part or connections")
     if fleet.held and len(fleet.held) != len(fleet.zones):
         faults.append("tables held: one a zone")
--- a/hollyridge/solving/program.py
+++ b/hollyridge/solving/program.py
@@ -115,8 +115,14 @@
         highs = library()
         highs.clear()
         until = highs.getRunTime() + self.deadline_s  # its clock goes on from answer to answer
-        for name, value in (("output_flag", False), ("threads", 1), ("parallel", "off"), ("random_seed", 0),
-                            ("solver", "simplex"), ("time_limit", until)):
+        for name, value in (
+            ("output_flag", False),
+            ("threads", 1),
+            ("parallel", "off"),
+            ("random_seed", 0),
+            ("solver", "simplex"),
+            ("time_limit", until),
+        ):
             highs.setOptionValue(name, value)
         lp = highspy.HighsLp()
         lp.num_col_, lp.num_row_ = len(self.cost), len(self.rows)
@@ -135,8 +141,9 @@
         for column in range(len(self.cost)):
             self.cost[column] = costs.get(column, 0.0)
         if self.highs is not None:
-            self.highs.changeColsCost(len(self.cost), numpy.arange(len(self.cost), dtype=numpy.int32),
-                                      numpy.array(self.cost))
+            self.highs.changeColsCost(
+                len(self.cost), numpy.arange(len(self.cost), dtype=numpy.int32), numpy.array(self.cost)
+            )
 
     def floor(self, column: int, low: float, high: float) -> None:
         if self.highs is None:
@@ -190,23 +197,32 @@
                         shakes = fleet.zones[z].proxies * len(group.tasks) * fleet.handshake / fleet.settle_s
                         self.opens[z, g] = lp.column(), shakes / self.whole
         self.parts = [[lp.column(0.0, 0.0, 1.0) for _ in fleet.methods] for _ in zones]
-        self.fills = [[lp.column(0.0, 0.0, part * group.room / self.whole) for part, _ in self.slopes]
-                      for group in groups]
+        self.fills = [
+            [lp.column(0.0, 0.0, part * group.room / self.whole) for part, _ in self.slopes] for group in groups
+        ]
         for z, zone in enumerate(fleet.zones):
-            work = [(self.parts[z][k], -zone.demand[k] * method.work / self.whole)
-                    for k, method in enumerate(fleet.methods)]
+            work = [
+                (self.parts[z][k], -zone.demand[k] * method.work / self.whole) for k, method in enumerate(fleet.methods)
+            ]
             lp.row(0.0, 0.0, [*((self.flows[z, g], 1.0) for g in range(len(groups)) if (z, g) in self.flows), *work])
         for g, group in enumerate(groups):
             here = [z for z in zones if (z, g) in self.opens]
-            lp.row(-highspy.kHighsInf, 0.0, [
-                *((self.flows[z, g], 1.0) for z in zones if (z, g) in self.flows),
-                *(self.opens[z, g] for z in here), *((fill, -1.0) for fill in self.fills[g])])
+            lp.row(
+                -highspy.kHighsInf,
+                0.0,
+                [
+                    *((self.flows[z, g], 1.0) for z in zones if (z, g) in self.flows),
+                    *(self.opens[z, g] for z in here),
+                    *((fill, -1.0) for fill in self.fills[g]),
+                ],
+            )
             if here and group.links < 1e9:
                 links = [(self.opens[z, g][0], float(fleet.zones[z].proxies * len(group.tasks))) for z in here]
                 lp.row(-highspy.kHighsInf, group.links, links)
             for z in here:  # lines that are filled open the fewest connections
-                lp.row(-highspy.kHighsInf, 0.0, [(self.flows[z, g], 1.0),
-                                                 (self.opens[z, g][0], -group.room / self.whole)])
+                lp.row(
+                    -highspy.kHighsInf, 0.0, [(self.flows[z, g], 1.0), (self.opens[z, g][0], -group.room / self.whole)]
+                )
         self.levels = [lp.column(0.0, 0.0, 1.0) for _ in ranks(fleet)]
         for level, rank in zip(self.levels, ranks(fleet)):
             for z, zone in enumerate(fleet.zones):
@@ -221,8 +237,11 @@
         for level, rank in zip(self.levels, ranks(fleet)):
             lp.price({level: -1.0})
             lp.floor(level, max(0.0, float(lp.solve()[level]) - TOUCH), 1.0)
-            mine = {self.parts[z][k]: zone.demand[k] * fleet.methods[k].work / self.whole
-                    for z, zone in enumerate(fleet.zones) for k in rank}
+            mine = {
+                self.parts[z][k]: zone.demand[k] * fleet.methods[k].work / self.whole
+                for z, zone in enumerate(fleet.zones)
+                for k in rank
+            }
             lp.price({column: -work for column, work in mine.items()})
             values = lp.solve()
             for column in mine:
@@ -243,8 +262,14 @@
     return Model(fleet, deadline_s).serve()
 
 
-def deal(fleet: Fleet, group: Class, amounts: dict[int, float], shakes: dict[int, float],
-         work: list[dict[int, float]], load: dict[int, float]) -> None:
+def deal(
+    fleet: Fleet,
+    group: Class,
+    amounts: dict[int, float],
+    shakes: dict[int, float],
+    work: list[dict[int, float]],
+    load: dict[int, float],
+) -> None:
     """What zones that do not hold a class send there, onto its tasks. They open as many lines as their work would
     fill, and for bursts and rates that are wrong the more the less is left of the class (twice as many at half, all
     when it is full), as far as handshakes leave room for it, on the tasks that have least so far."""
@@ -268,8 +293,9 @@
             load[i] += work[z][i]
 
 
-def spread(groups: Sequence[Class], held: dict[int, dict[Class, float]], work: list[dict[int, float]],
-           load: dict[int, float]) -> None:
+def spread(
+    groups: Sequence[Class], held: dict[int, dict[Class, float]], work: list[dict[int, float]], load: dict[int, float]
+) -> None:
     """What zones send to lines that they hold, class by class, over all of these in one zone of tasks alike, by what
     each has left. The program's own split between classes of one zone is arbitrary where they are equally full; if
     each zone of proxies kept to its own few tasks there, what comes unevenly within a second would overfill these."""
@@ -311,11 +337,22 @@
         groups = [g for g, group in enumerate(model.groups) if group.zone == there]
         for g in groups:
             shakes = {z: model.opens[z, g][1] * model.whole for z in zones if (z, g) in model.opens}
-            deal(fleet, model.groups[g], {z: amounts[z, g] for z in zones if amounts.get((z, g), 0.0) > 1e-6 *
-                                          model.whole}, shakes, work, load)
-        held = {z: {model.groups[g]: amounts[z, g] for g in groups if (z, g) in amounts and (z, g) not in model.opens}
-                for z in zones}
+            deal(
+                fleet,
+                model.groups[g],
+                {z: amounts[z, g] for z in zones if amounts.get((z, g), 0.0) > 1e-6 * model.whole},
+                shakes,
+                work,
+                load,
+            )
+        held = {
+            z: {model.groups[g]: amounts[z, g] for g in groups if (z, g) in amounts and (z, g) not in model.opens}
+            for z in zones
+        }
         spread([model.groups[g] for g in groups], held, work, load)
-    full = tuple(group for g, group in enumerate(model.groups)
-                 if sum(values[fill] for fill in model.fills[g]) * model.whole > 0.999 * group.room)
+    full = tuple(
+        group
+        for g, group in enumerate(model.groups)
+        if sum(values[fill] for fill in model.fills[g]) * model.whole > 0.999 * group.room
+    )
     return Answer(tuple(map(tuple, parts)), tuple(work), full)
--- a/hollyridge/solving/solver.py
+++ b/hollyridge/solving/solver.py
@@ -70,9 +70,10 @@
                 load[i] += amount
         held = fleet.held[z] if fleet.held else {}
         start = z * len(rooms) // len(work)  # zones begin at different ones of those that are alike
-        others = sorted((i for i in rooms if i not in mine and (z, fleet.tasks[i].zone) not in fleet.cut),
-                        key=lambda i: (i not in held, fleet.tasks[i].zone != z, load[i] / rooms[i],
-                                       (i - start) % len(rooms)))
+        others = sorted(
+            (i for i in rooms if i not in mine and (z, fleet.tasks[i].zone) not in fleet.cut),
+            key=lambda i: (i not in held, fleet.tasks[i].zone != z, load[i] / rooms[i], (i - start) % len(rooms)),
+        )
         some = [*mine, *others[:lacking]]
         work[z] = program.poured({i: load[i] for i in some}, {i: rooms[i] for i in some}, sum(mine.values()))
     return tuple(work)
@@ -80,8 +81,10 @@
 
 def demand(fleet: Fleet, parts: tuple[tuple[float, ...], ...]) -> list[float]:
     """Work a second that is let in, by zone."""
-    return [sum(d * m.work * part for d, m, part in zip(zone.demand, fleet.methods, row))
-            for zone, row in zip(fleet.zones, parts)]
+    return [
+        sum(d * m.work * part for d, m, part in zip(zone.demand, fleet.methods, row))
+        for zone, row in zip(fleet.zones, parts)
+    ]
 
 
 def times_of(fleet: Fleet, lines: Iterable[int]) -> list[float]:
@@ -111,8 +114,12 @@
 def cost_of(fleet: Fleet, shares: tuple[dict[int, float], ...], work: list[float]) -> float:
     """What the program minimises, for any tables: how full tasks are, and crossings; without what changes cost."""
     whole = sum(work) or 1.0
-    cost = sum(fleet.crossing * share * work[z] / whole
-               for z, table in enumerate(shares) for i, share in table.items() if fleet.tasks[i].zone != z)
+    cost = sum(
+        fleet.crossing * share * work[z] / whole
+        for z, table in enumerate(shares)
+        for i, share in table.items()
+        if fleet.tasks[i].zone != z
+    )
     for i, amount in loads(shares, work).items():
         left, room = amount, program.room_of(fleet, i)
         for part, slope in program.segments(fleet.busy):
@@ -143,8 +150,11 @@
 def worth(fleet: Fleet, parts: list[list[float]] | tuple) -> float:
     """The part of the criticality asked for that is served."""
     asked = sum(d * m.criticality for zone in fleet.zones for d, m in zip(zone.demand, fleet.methods))
-    got = sum(d * m.criticality * part for zone, row in zip(fleet.zones, parts)
-              for d, m, part in zip(zone.demand, fleet.methods, row))
+    got = sum(
+        d * m.criticality * part
+        for zone, row in zip(fleet.zones, parts)
+        for d, m, part in zip(zone.demand, fleet.methods, row)
+    )
     return got / asked if asked else 1.0
 
 
@@ -195,12 +205,24 @@
         if not whole:
             tables.append(dict(fleet.held[z]) if fleet.held else {})  # nothing comes there: as it is
             continue
-        tables.append(dict(zip(work, weights_for([amount / whole for amount in work.values()], fleet.zones[z].out,
-                                                 times_of(fleet, work), fleet.pick))))
+        tables.append(
+            dict(
+                zip(
+                    work,
+                    weights_for(
+                        [amount / whole for amount in work.values()],
+                        fleet.zones[z].out,
+                        times_of(fleet, work),
+                        fleet.pick,
+                    ),
+                )
+            )
+        )
     plan = tuple(tables)
     shares, work = arriving(fleet, plan), demand(fleet, answer.served)
-    fill = {i: amount / max(fleet.tasks[i].rate * fleet.tasks[i].part, 1e-9)
-            for i, amount in loads(shares, work).items()}
+    fill = {
+        i: amount / max(fleet.tasks[i].rate * fleet.tasks[i].part, 1e-9) for i, amount in loads(shares, work).items()
+    }
     before = cost_of(fleet, arriving(fleet, fleet.held), work) if fleet.held and any(fleet.held) else 0.0
     gain = (before - cost_of(fleet, shares, work)) / before if before > 0 else 1.0
     why = reasons(fleet, answer, fill, deadline_s) if explain else []
--- a/hollyridge/steering/advice.py
+++ b/hollyridge/steering/advice.py
@@ -54,8 +54,14 @@
         self.said: dict[int, int] = {}
         self.withheld: set[int] = set()  # told 0 because they were closed, whatever the table says
 
-    def advise(self, lines: Mapping[int, float], changed: Iterable[int], whole: bool,
-               cold: Callable[[int], bool], closed: Callable[[int], bool]) -> Advised:
+    def advise(
+        self,
+        lines: Mapping[int, float],
+        changed: Iterable[int],
+        whole: bool,
+        cold: Callable[[int], bool],
+        closed: Callable[[int], bool],
+    ) -> Advised:
         """Figures for the tasks in `changed`, or for all if `whole`; `lines` is the table after the change.
 
         A closed task is told 0 whatever an older order says: an order overtaken by a drain on its way must not
--- a/hollyridge/steering/desk.py
+++ b/hollyridge/steering/desk.py
@@ -40,8 +40,16 @@
     counts = dict(old.counts)
     for table, lines in new.counts:
         counts[table] = min(counts.get(table, 0) + lines, 1 + len(tables[table]))
-    return Parcel(new.proxy, new.number, old.at, (*old.binds, *new.binds), tuple(tables.items()),
-                  tuple(counts.items()), new.mark if new.mark >= 0 else old.mark, (*old.out, *new.out))
+    return Parcel(
+        new.proxy,
+        new.number,
+        old.at,
+        (*old.binds, *new.binds),
+        tuple(tables.items()),
+        tuple(counts.items()),
+        new.mark if new.mark >= 0 else old.mark,
+        (*old.out, *new.out),
+    )
 
 
 class Owed:
--- a/hollyridge/steering/doorkeeper.py
+++ b/hollyridge/steering/doorkeeper.py
@@ -45,8 +45,9 @@
 
     ADDRESSES = 4096  # paces kept by address; the longest unused goes first
 
-    def __init__(self, most: int, most_each: int, per_s: float, requests_per_s: float,
-                 answers_per_s: float = 0.0) -> None:
+    def __init__(
+        self, most: int, most_each: int, per_s: float, requests_per_s: float, answers_per_s: float = 0.0
+    ) -> None:
         self.answers_per_s = answers_per_s
         self.most, self.most_each = most, most_each
         self.whole = Bucket(per_s, max(1.0, per_s / 4))
--- a/hollyridge/steering/memory.py
+++ b/hollyridge/steering/memory.py
@@ -35,14 +35,20 @@
 
 
 def noted(fleet: str, saved_ms: int, rows: Iterable[Learnt], price: float, name_of: Callable[[int], str]) -> State:
-    return State(fleet, saved_ms, [Row(name_of(row.task), *(round(x, 6) for x in row[1:])) for row in rows],
-                 round(price, 6))
+    return State(
+        fleet, saved_ms, [Row(name_of(row.task), *(round(x, 6) for x in row[1:])) for row in rows], round(price, 6)
+    )
 
 
 def sane(row: Row) -> bool:
     figures = (row.does, row.heard, row.skill, row.weight)
-    return all(map(isfinite, figures)) and 0 < row.does < 1e9 and row.heard > 0 and \
-        SKILLS[0] <= row.skill <= SKILLS[1] and WEIGHTS[0] <= row.weight <= WEIGHTS[1]
+    return (
+        all(map(isfinite, figures))
+        and 0 < row.does < 1e9
+        and row.heard > 0
+        and SKILLS[0] <= row.skill <= SKILLS[1]
+        and WEIGHTS[0] <= row.weight <= WEIGHTS[1]
+    )
 
 
 def recalled(state: State, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> Believed:
@@ -54,8 +60,9 @@
     return believed(state.rows, state.price, age_ms * 1000, index_of, LONGEST)
 
 
-def lent(rows: Iterable[tuple], price: float, age: int, index_of: Callable[[str], int | None],
-         own: Iterable[Learnt]) -> Believed:
+def lent(
+    rows: Iterable[tuple], price: float, age: int, index_of: Callable[[str], int | None], own: Iterable[Learnt]
+) -> Believed:
     """A peer's. It may be wrong or lie: each figure is taken within twice of one's own median task, for no longer than
     a busy period of one's own news, only once there is some of that; and its price not at all."""
     usual = median([row.does for row in own] or [0.0])
@@ -68,8 +75,9 @@
     return believed(near, 0.0, age, index_of, LENT)
 
 
-def believed(rows: Iterable[Row], price: float, age: int, index_of: Callable[[str], int | None],
-             longest: float) -> Believed:
+def believed(
+    rows: Iterable[Row], price: float, age: int, index_of: Callable[[str], int | None], longest: float
+) -> Believed:
     found: list[Learnt] = []
     left_out: dict[str, int] = {}
     for row in rows:
--- a/hollyridge/steering/news.py
+++ b/hollyridge/steering/news.py
@@ -135,8 +135,9 @@
                 start = spans[before][0]
             if after >= 0:
                 end = spans[after][1]
-            spans[:] = sorted([span for at, span in enumerate(spans) if at not in (before, after)]
-                              + [(start, end)])[-SPANS:]
+            spans[:] = sorted([span for at, span in enumerate(spans) if at not in (before, after)] + [(start, end)])[
+                -SPANS:
+            ]
         self.used[key] = now
         return True
 
@@ -169,8 +170,9 @@
     def gather(self, now: int) -> list[Event]:
         """All that came since, as the module reads it: most tries first where there are too many lines."""
         self.sweep(now) if now - self.swept > self.forget else None
-        tried = sorted(((-self.rate(Kind.TRIES, place)[0], place) for kind, place in self.sums
-                        if kind == Kind.TRIES))[:self.lines]
+        tried = sorted(((-self.rate(Kind.TRIES, place)[0], place) for kind, place in self.sums if kind == Kind.TRIES))[
+            : self.lines
+        ]
         offered = sorted({place for kind, place in self.sums if kind == Kind.RPCS})
         events: list[Event] = []
         for _, place in tried:
@@ -178,10 +180,17 @@
             bad, took = (self.rate(kind, place)[0] for kind in (Kind.FAILED, Kind.TIME))
             good = round(tries) - round(min(bad, tries))
             load = self.loads.get(place[1], {})  # in the report of each zone that met it: the last one counts
-            events.append(TrafficReport(
-                place[0], place[1], round(tries), round(min(bad, tries)),
-                round(took * 1e6 / good) if good > 0 else 0, self.over(tries, pace),
-                tuple(load.get(kind, -1.0) for kind in LOADS)))
+            events.append(
+                TrafficReport(
+                    place[0],
+                    place[1],
+                    round(tries),
+                    round(min(bad, tries)),
+                    round(took * 1e6 / good) if good > 0 else 0,
+                    self.over(tries, pace),
+                    tuple(load.get(kind, -1.0) for kind in LOADS),
+                )
+            )
             for kind in (Kind.TRIES, Kind.FAILED, Kind.TIME):
                 self.sums.pop((kind, place), None)
         for _, place in tried:
@@ -189,8 +198,9 @@
         for place in offered:
             rpcs, pace = self.rate(Kind.RPCS, place)
             unanswered = self.rate(Kind.UNANSWERED, place)[0]
-            events.append(OfferedLoad(round(rpcs), self.over(rpcs, pace, (Kind.RPCS, place)), *place,
-                                      round(unanswered)))
+            events.append(
+                OfferedLoad(round(rpcs), self.over(rpcs, pace, (Kind.RPCS, place)), *place, round(unanswered))
+            )
             for kind in (Kind.RPCS, Kind.UNANSWERED):
                 self.sums.pop((kind, place), None)
         return events
--- a/hollyridge/store/durable.py
+++ b/hollyridge/store/durable.py
@@ -64,7 +64,7 @@
         magic, length, check = HEAD.unpack_from(raw)
     except struct.error:
         raise DurableError("cut off in its head") from None
-    body = raw[HEAD.size:]
+    body = raw[HEAD.size :]
     if magic != MAGIC:
         raise DurableError("not a file of this kind")
     if len(body) != length or xxh64_intdigest(body) != check:
--- a/hollyridge/store/versions.py
+++ b/hollyridge/store/versions.py
@@ -76,8 +76,14 @@
         history = self.history.get(table)
         return history[-1] if history else EMPTY
 
-    def put(self, version: int, table: int, lines: dict[int, float],
-            levels: dict[int, tuple[float, int] | None] | None = None, clear: bool = False) -> Table:
+    def put(
+        self,
+        version: int,
+        table: int,
+        lines: dict[int, float],
+        levels: dict[int, tuple[float, int] | None] | None = None,
+        clear: bool = False,
+    ) -> Table:
         """A new version with these lines and levels set (weight 0, level None: taken out); after `clear` with
         nothing else. ValueError for a version that does not grow."""
         before = self.latest(table)
--- a/hollyridge/trust/fair.py
+++ b/hollyridge/trust/fair.py
@@ -97,7 +97,7 @@
         wants = []
         for name, one in list(self.senders.items()):
             want = (one.now + one.refused * one.usual) / passed
-            one.wanted += (want - one.wanted) * (1 - MEMORY ** passed)
+            one.wanted += (want - one.wanted) * (1 - MEMORY**passed)
             wants.append(max(want, one.wanted))
             one.now, one.refused = 0.0, 0
             if now - one.heard > 64 * self.period and one.balance >= 0:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,20 +8,51 @@
 
 
 def method(repeat=api.Repeat.IDEMPOTENT, group=api.Group.ALL, **terms):
-    row = dict(soft_deadline=SECOND // 2, deadline=3 * SECOND // 2, criticality=1.0, repeat=repeat,
-               group=group, window=2 * SECOND, own_zone=False)
+    row = dict(
+        soft_deadline=SECOND // 2,
+        deadline=3 * SECOND // 2,
+        criticality=1.0,
+        repeat=repeat,
+        group=group,
+        window=2 * SECOND,
+        own_zone=False,
+    )
     return api.MethodTerms(**{**row, **terms})
 
 
 def bootstrap(**terms):
     row = dict(
-        methods=(method(), method(api.Repeat.NON_IDEMPOTENT, criticality=2.0)), zones=2, assigners=1,
-        subscribe=False, ask_within=10 * SECOND, period=SECOND, lines_per_s=1000.0, overhead=3.0,
-        most_waiting=2000.0, messages_most=0, counted_over=10 * SECOND, transit=SECOND // 5,
-        worst_transit=SECOND // 2, bare=5 * SECOND, drain_grace=3 * SECOND, gone_is_advice=False,
-        cold_from=0.2, warm_up=16 * SECOND, fall=2 * SECOND, fall_multiple=4.0, pick=api.Pick.P2C,
-        admission=api.Admission.FRACTION, retry_default=0, per_try=1.2, partitions=0, one_owner=False,
-        load_names=("util", "queue"), outlier_after=3, initial_set=5, cross_zone_price=0.1)
+        methods=(method(), method(api.Repeat.NON_IDEMPOTENT, criticality=2.0)),
+        zones=2,
+        assigners=1,
+        subscribe=False,
+        ask_within=10 * SECOND,
+        period=SECOND,
+        lines_per_s=1000.0,
+        overhead=3.0,
+        most_waiting=2000.0,
+        messages_most=0,
+        counted_over=10 * SECOND,
+        transit=SECOND // 5,
+        worst_transit=SECOND // 2,
+        bare=5 * SECOND,
+        drain_grace=3 * SECOND,
+        gone_is_advice=False,
+        cold_from=0.2,
+        warm_up=16 * SECOND,
+        fall=2 * SECOND,
+        fall_multiple=4.0,
+        pick=api.Pick.P2C,
+        admission=api.Admission.FRACTION,
+        retry_default=0,
+        per_try=1.2,
+        partitions=0,
+        one_owner=False,
+        load_names=("util", "queue"),
+        outlier_after=3,
+        initial_set=5,
+        cross_zone_price=0.1,
+    )
     return api.Bootstrap(**{**row, **terms})
 
 
@@ -44,8 +75,10 @@
         self.bound: dict[int, int] = {}
         self.levels: dict[tuple, tuple] = {}
         self.orders: list = []
-        self.feed(roster([entry(i) for i in range(tasks)], api.ListKind.CACHED),
-                  *[api.Joined(5.0, True, p, p % 2) for p in range(proxies)])
+        self.feed(
+            roster([entry(i) for i in range(tasks)], api.ListKind.CACHED),
+            *[api.Joined(5.0, True, p, p % 2) for p in range(proxies)],
+        )
 
     def feed(self, *events, after=0.0):
         self.now += round(after * SECOND)
@@ -65,8 +98,7 @@
         """Let a report period pass, with reports at its end."""
         events = [api.Woke(0), *reports]
         if receipts:
-            events += [api.Receipt(0, o.mark, SECOND // 5) for o in self.orders
-                       if isinstance(o, api.AskReceipt)]
+            events += [api.Receipt(0, o.mark, SECOND // 5) for o in self.orders if isinstance(o, api.AskReceipt)]
         return self.feed(*events, after=self.boot.period / SECOND)
 
     def met(self, zone, task, latency=0.1, tries=10, bad=0):
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -50,8 +50,9 @@
         self.machine = Machine(boot, 7, limits, listing, START, structlog.get_logger(), make)
         self.tell(1, [f"s-{k}" for k in range(tasks)])
         self.loop = Loop(self.machine, clock=lambda: self.now)
-        self.front = RespFront(self.loop, RespTerms("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), boot,
-                               structlog.get_logger())
+        self.front = RespFront(
+            self.loop, RespTerms("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), boot, structlog.get_logger()
+        )
         self.machine.holds = self.front.holds
         self.port = self.front.start()
 
@@ -116,10 +117,17 @@
 
         def nudge(self):
             pass
+
     loop = Loop()
     loop.machine = machine
-    watch = Watch(loop, desk.listing, Caller(beat, Random(3)), ("127.0.0.1", script.server.server_port), ZONES,
-                  structlog.get_logger())
+    watch = Watch(
+        loop,
+        desk.listing,
+        Caller(beat, Random(3)),
+        ("127.0.0.1", script.server.server_port),
+        ZONES,
+        structlog.get_logger(),
+    )
     return watch, machine
 
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -15,26 +15,79 @@
 ROOT = Path(__file__).parents[1]
 ZONES, CLASSES = ["khalda", "sahab"], ["read-chapter", "redeem-code"]
 SETTINGS = {
-    "balancers": 1, "discovery": "subscribe", "zones": ZONES, "round": 0.005, "weights": "rough",
+    "balancers": 1,
+    "discovery": "subscribe",
+    "zones": ZONES,
+    "round": 0.005,
+    "weights": "rough",
     "profiles": [
-        {"name": CLASSES[0], "slo": 0.5, "deadline": 1.5, "worth": 3.0, "repeat": "repeatable", "group": "all",
-         "window": 5.0, "late_share": 0.2},
-        {"name": CLASSES[1], "slo": 0.6, "deadline": 1.5, "worth": 2.0, "repeat": "once", "group": "all",
-         "window": 5.0, "late_share": 0.1}],
+        {
+            "name": CLASSES[0],
+            "slo": 0.5,
+            "deadline": 1.5,
+            "worth": 3.0,
+            "repeat": "repeatable",
+            "group": "all",
+            "window": 5.0,
+            "late_share": 0.2,
+        },
+        {
+            "name": CLASSES[1],
+            "slo": 0.6,
+            "deadline": 1.5,
+            "worth": 2.0,
+            "repeat": "once",
+            "group": "all",
+            "window": 5.0,
+            "late_share": 0.1,
+        },
+    ],
     "family_info": {
-        "admit": "fraction", "agents": 400, "bare": 5.0, "counted_over": 10.0, "initial_set": 5,
-        "lines_per_s": 2900.0, "messages_most": 30, "most_waiting": 5800.0, "one_owner": False,
-        "outlier_after": 3, "overhead": 10.0, "partitions_n": 0, "per_try": 1.2, "period": 0.4, "pick": "p2c",
-        "retry_default": 0, "transit": 0.1, "worst_transit": 0.3, "class_own_zone": [False, False]},
+        "admit": "fraction",
+        "agents": 400,
+        "bare": 5.0,
+        "counted_over": 10.0,
+        "initial_set": 5,
+        "lines_per_s": 2900.0,
+        "messages_most": 30,
+        "most_waiting": 5800.0,
+        "one_owner": False,
+        "outlier_after": 3,
+        "overhead": 10.0,
+        "partitions_n": 0,
+        "per_try": 1.2,
+        "period": 0.4,
+        "pick": "p2c",
+        "retry_default": 0,
+        "transit": 0.1,
+        "worst_transit": 0.3,
+        "class_own_zone": [False, False],
+    },
     "report": {"how": "inline", "names": ["util", "queue"]},
-    "rules": {"ask_within": 10.0, "cold_from": 0.2, "drain_grace": 3.0, "fall": 2.0, "fall_multiple": 4.0,
-              "warm_up": 10.0},
-    "tariffs": {"cross_zone": 0.12}}
+    "rules": {
+        "ask_within": 10.0,
+        "cold_from": 0.2,
+        "drain_grace": 3.0,
+        "fall": 2.0,
+        "fall_multiple": 4.0,
+        "warm_up": 10.0,
+    },
+    "tariffs": {"cross_zone": 0.12},
+}
 
 
 def server(name, zone=0, state="in_service", started_ms=0, **more):
-    return {"id": name, "addr": "10.1.0.18:8081", "zone": ZONES[zone], "kind": "m2", "cell": 3, "state": state,
-            "weight": 1.0, "started_ms": started_ms, **more}
+    return {
+        "id": name,
+        "addr": "10.1.0.18:8081",
+        "zone": ZONES[zone],
+        "kind": "m2",
+        "cell": 3,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": started_ms,
+        **more,
+    }
 
 
 def page(version, servers, full=True):
@@ -199,8 +252,14 @@
             self.port = probe.getsockname()[1]
         self.path = folder / "config.json"
         self.document = {
-            "name": "n3", "listen": f"127.0.0.1:{self.port}", "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": settings, **more}
+            "name": "n3",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": discovery,
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+            "settings": settings,
+            **more,
+        }
         if known is not None:
             self.document["known"] = known
         self.write(json.dumps(self.document))
@@ -209,8 +268,13 @@
 
     def start(self):
         """The process, from what the configuration file holds now."""
-        self.process = subprocess.Popen([sys.executable, "-m", "hollyridge.node"], cwd=ROOT, stderr=self.log,
-                                        stdout=self.log, env={**os.environ, "BALANCER_CONFIG": str(self.path)})
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "hollyridge.node"],
+            cwd=ROOT,
+            stderr=self.log,
+            stdout=self.log,
+            env={**os.environ, "BALANCER_CONFIG": str(self.path)},
+        )
         return self.process
 
     def write(self, text):
@@ -225,6 +289,7 @@
                 return False
             peer.say("hb")
             return wait_for(peer.hear) == [[b"hb_ok"]]
+
         wait_for(answers)
         return self
 
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -23,16 +23,34 @@
 STREAMS = Path(__file__).parent / "streams"
 
 
-@pytest.mark.parametrize("message", [
-    codec.Icanhaz("/table/0/"), codec.Kvsync("/table/0/line/a:1", 7, b"{}"), codec.Kthxbai(9, "/table/0/"),
-    codec.Kvpub("/table/0/head", 9, b"u" * 16, "v=1\n", b""), codec.Hugz()])
+@pytest.mark.parametrize(
+    "message",
+    [
+        codec.Icanhaz("/table/0/"),
+        codec.Kvsync("/table/0/line/a:1", 7, b"{}"),
+        codec.Kthxbai(9, "/table/0/"),
+        codec.Kvpub("/table/0/head", 9, b"u" * 16, "v=1\n", b""),
+        codec.Hugz(),
+    ],
+)
 def test_what_goes_out_comes_back(message):
     assert codec.decode(codec.encode(message)) == message
 
 
-@pytest.mark.parametrize("parts", [
-    [], [b"x"], [b"HUGZ"], [b"a"] * 5, [b"/k", b"1", b"", b"", b""], [b"\xff", b"\0" * 8, b"", b"", b""],
-    [b"/k", b"\0" * 8, b"", b"", b"x" * 5000], [b"/k"] * 9, [b"KTHXBAI", b"\0" * 8, b"", b"", b"\xff"]])
+@pytest.mark.parametrize(
+    "parts",
+    [
+        [],
+        [b"x"],
+        [b"HUGZ"],
+        [b"a"] * 5,
+        [b"/k", b"1", b"", b"", b""],
+        [b"\xff", b"\0" * 8, b"", b"", b""],
+        [b"/k", b"\0" * 8, b"", b"", b"x" * 5000],
+        [b"/k"] * 9,
+        [b"KTHXBAI", b"\0" * 8, b"", b"", b"\xff"],
+    ],
+)
 def test_what_is_no_message_is_refused(parts):
     with pytest.raises(codec.CloneError):
         codec.decode(parts)
@@ -45,9 +63,14 @@
         assert found.states > 5000 and not found.broken
 
 
-@pytest.mark.parametrize("fault, begin", [
-    ("no count", ("snapshot", "snapshot")), ("no run", ("change", "restart", "snapshot", "snapshot")),
-    ("no order", ("change", "change", "deliver"))])
+@pytest.mark.parametrize(
+    "fault, begin",
+    [
+        ("no count", ("snapshot", "snapshot")),
+        ("no run", ("change", "restart", "snapshot", "snapshot")),
+        ("no order", ("change", "change", "deliver")),
+    ],
+)
 def test_the_model_catches_a_careless_replica(fault, begin):
     assert explore(depth=7, fault=fault, begin=begin).broken
 
@@ -109,8 +132,12 @@
     told = ledger.set("/proxy/gw/", 1, {"/proxy/gw/bind/m": codec.json(codec.Bind(0))})
     lines = {f"/table/0/line/127.0.0.1:{k}": codec.json(codec.Line(k / 2)) for k in range(1, 4)}
     ledger.set("/table/0/", 1, lines)
-    feed = [*ledger.snapshot("/proxy/gw/"), *ledger.snapshot("/table/0/"),
-            *ledger.set("/table/0/", 2, {**lines, "/table/0/level/0": codec.json(codec.Level(0.5, 1))}), *told]
+    feed = [
+        *ledger.snapshot("/proxy/gw/"),
+        *ledger.snapshot("/table/0/"),
+        *ledger.set("/table/0/", 2, {**lines, "/table/0/level/0": codec.json(codec.Level(0.5, 1))}),
+        *told,
+    ]
     for message in feed:
         client.take(codec.decode(skewed(codec.encode(message), story)))
     assert client.tables.lines["m"] == {f"127.0.0.1:{k}": k / 2 for k in range(1, 4)}
@@ -128,16 +155,23 @@
 
 # On real sockets.
 
+
 def clone_rig(rig, **overrides):  # noqa: F811
     from hollyridge.lab.live import free_ports
+
     r = rig(**{"clone__listen": f"127.0.0.1:{free_ports(3)}", "clone__beat_ms": 100, **overrides})
     r.clone, r.context = r.service.clone, zmq.Context()
     return r
 
 
 def open_gateway(r, uid="gw-c", zone=1, **how):
-    gateway = CloneGateway(("127.0.0.1", r.clone.terms.port), uid, list(GROUPS), sleep=gevent.sleep,
-                           how=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **how))
+    gateway = CloneGateway(
+        ("127.0.0.1", r.clone.terms.port),
+        uid,
+        list(GROUPS),
+        sleep=gevent.sleep,
+        how=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **how),
+    )
     gateway.job = gevent.spawn(gateway.run)
     gateway.close = gateway.stop
     r.clients.append(gateway)
@@ -151,15 +185,23 @@
 def test_both_libraries_hold_the_same_and_see_a_drain(rig):  # noqa: F811
     r = clone_rig(rig)
     agent, other = r.agent(), open_gateway(r)
-    one = SaspGateway(("127.0.0.1", r.sasp), "gw-s", list(GROUPS), sleep=gevent.sleep, receive_s=0.2,
-                      how=dict(source="127.1.0.78", connect=gevent.socket.create_connection))
+    one = SaspGateway(
+        ("127.0.0.1", r.sasp),
+        "gw-s",
+        list(GROUPS),
+        sleep=gevent.sleep,
+        receive_s=0.2,
+        how=dict(source="127.1.0.78", connect=gevent.socket.create_connection),
+    )
     one.job, one.close = gevent.spawn(one.run), one.stop
     r.clients.append(one)
     assert wait_for(lambda: hosts(one) == hosts(other) == {1, 2, 3, 4})
     for gateway in (one, other):
         assert gateway.state == State.FRESH and gateway.pick("read-chapter") in gateway.table_for("read-chapter")
-    shares = [{t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
-              for g in (one, other)]
+    shares = [
+        {t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
+        for g in (one, other)
+    ]
     assert shares[0] == pytest.approx(shares[1], abs=1e-3)
     held = other.table_for("read-chapter")
     agent.quiesce([r.members()[0]])
@@ -176,6 +218,7 @@
     tell = r.machine.receipt
     r.machine.receipt = lambda now, proxy, mark, took: (receipts.append(mark), tell(now, proxy, mark, took))
     from hollyridge import interface as api
+
     r.machine.carry(r.machine.number, r.service.loop.clock(), [])
     r.machine.number += 1
     now = r.service.loop.clock()
@@ -189,6 +232,7 @@
 
 def test_a_withdrawn_task_leaves_all_tables_till_it_is_allowed_again(rig):  # noqa: F811
     from hollyridge import interface as api
+
     r = clone_rig(rig)
     r.agent()
     gateway = open_gateway(r)
@@ -236,6 +280,7 @@
     def settled():  # removals may wait a little for more of them
         newest = {r.service.task_name(task) for task in r.machine.desk.store.latest(1).lines}
         return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
+
     assert wait_for(settled, 8)
     assert wait_for(lambda: "stuck" not in r.clone.readers, 4) and "quick" in r.clone.readers
 
@@ -255,12 +300,14 @@
     def newest():
         lines = r.machine.desk.store.latest(0).lines
         return {r.service.task_name(task) for task in lines if not r.machine.closed(task)}
+
     assert wait_for(lambda: len(newest()) > 101 and set(gateway.table_for("read-chapter")) == newest(), 8)
 
 
 def test_a_hundred_join_in_a_second_while_a_task_drains(rig):  # noqa: F811
-    r = clone_rig(rig, channel__lines_per_s=1500, channel__most_waiting=3000, promises__drain_grace_s=3,
-                  clone__beat_ms=500)
+    r = clone_rig(
+        rig, channel__lines_per_s=1500, channel__most_waiting=3000, promises__drain_grace_s=3, clone__beat_ms=500
+    )
     agent, first = r.agent(), open_gateway(r)
     assert wait_for(lambda: hosts(first) == {1, 2, 3, 4})
     many = [open_gateway(r, f"gw-{k}", zone=1 + k % 3) for k in range(100)]
@@ -279,8 +326,14 @@
     for offset, sock in ((0, dealer), (2, push)):
         sock.linger = 0
         sock.connect(f"tcp://127.0.0.1:{r.clone.terms.port + offset}")
-    for parts in ([b"ICANHAZ?", b"/"], [b"ICANHAZ?", b"/table/0/"], [b"what"], [b"ICANHAZ?", b"/proxy//"],
-                  [b"ICANHAZ?", b"/proxy/" + b"x" * 100 + b"/"], [b"\xff"] * 5):
+    for parts in (
+        [b"ICANHAZ?", b"/"],
+        [b"ICANHAZ?", b"/table/0/"],
+        [b"what"],
+        [b"ICANHAZ?", b"/proxy//"],
+        [b"ICANHAZ?", b"/proxy/" + b"x" * 100 + b"/"],
+        [b"\xff"] * 5,
+    ):
         dealer.send_multipart(parts)
         push.send_multipart(parts)
     push.send_multipart(codec.encode(codec.Kvset("/table/0/line/127.9.9.9:1", b"u" * 16, "", b'{"w":9}')))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -82,6 +82,7 @@
         assigner = Assigner(tmp_path, discovery.address, **more)
         started.append((assigner, discovery))
         return assigner, discovery
+
     yield start
     for assigner, discovery in started:
         if assigner.process.poll() is None:
@@ -199,8 +200,16 @@
     hall.front.stop()
 
 
-BAD = [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$99999999\r\n", b"*2\r\n$2\r\nhb\r\n", b"", message("assign", lines="s-1:1"),
-       message("attach", node=400, **ATTACH), message("telemetry", locality="mars"), b"*3\r\n$6\r\nattach\r\n$4\r\nno"]
+BAD = [
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"*1\r\n$99999999\r\n",
+    b"*2\r\n$2\r\nhb\r\n",
+    b"",
+    message("assign", lines="s-1:1"),
+    message("attach", node=400, **ATTACH),
+    message("telemetry", locality="mars"),
+    b"*3\r\n$6\r\nattach\r\n$4\r\nno",
+]
 
 
 def test_bad_input_in_any_pieces_leaves_no_descriptor_greenlet_or_index_behind():
@@ -218,6 +227,7 @@
             except OSError:  # the one that lists them
                 pass
         return found, {one for one in gc.get_objects() if isinstance(one, gevent.Greenlet) and not one.dead}
+
     before = None
     for _ in range(3):
         for raw in BAD:
@@ -247,6 +257,7 @@
         hall.until(lambda: hall.front.counts["messages_in"] == before + 1)
         hall.now += 1
         return sock
+
     socks = [collector() for _ in range(3)]
     assert socks[0].recv(10) == b""  # the one that was silent longest made room
     hall.until(lambda: len(hall.front.streams) == 2)
@@ -311,6 +322,7 @@
         for node, sock in socks.items():
             for one in orders(sock) or ():
                 apply_lines(held[node], one)
+
     obey()
     assert all(len(rows) == 6 for rows in held.values())
     hall.tell(2, TASKS[:4])
@@ -356,7 +368,7 @@
 
 def test_a_first_list_that_comes_slowly_is_heard_out():
     whole = chunked(line(4, *[(f"s-{k}",) for k in range(40)]))
-    script = Script([whole[at:at + len(whole) // 20] for at in range(0, len(whole), len(whole) // 20)])
+    script = Script([whole[at : at + len(whole) // 20] for at in range(0, len(whole), len(whole) // 20)])
     watch, machine = watch_of(script, beat=200_000)
     assert 0.3 < (len(script.acts[0]) - 1) * Script.PAUSE < 0.6  # longer than an answer may take that does not move
     job = gevent.spawn(watch.run)
@@ -381,6 +393,7 @@
         def ended(call):
             end(call)
             stood.wait()  # the old call is not dead before the new one stands
+
         watch.ended = ended
         moves = [gevent.spawn(watch.moved, ("127.0.0.1", script.server.server_port)) for script in (here, there)]
         while not there.asked:
@@ -443,8 +456,10 @@
 
 
 def test_a_copy_that_lags_and_comes_up_in_time_brings_back_nothing_that_left():
-    script = Script([chunked(line(50, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))],
-                    [chunked(line(49, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))])
+    script = Script(
+        [chunked(line(50, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))],
+        [chunked(line(49, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))],
+    )
     watch, machine = watch_of(script, beat=2_000_000)
     seen = []
     machine.happened = lambda now, what: seen.append((watch.listing.take(now, what).change, set(watch.listing.rows)))
@@ -488,7 +503,7 @@
     assigner.ready()
     other = Discovery(page(9, [server("s-9")]))
     text = json.dumps({**assigner.document, "discovery": other.address})
-    assigner.write(text[:len(text) // 2])
+    assigner.write(text[: len(text) // 2])
     assigner.signal(signal.SIGHUP)
     assigner.says("configuration not taken")
     assigner.write(text)
@@ -573,7 +588,9 @@
     os.read(reader, 65536)
     print("and on", file=sink, flush=True)
     assert os.read(reader, 65536).decode().splitlines() == [
-        f"{dropped} lines of this log were dropped: nobody read them", "and on"]
+        f"{dropped} lines of this log were dropped: nobody read them",
+        "and on",
+    ]
     assert sink.dropped == 0
     print("y" * 9000, file=sink, flush=True)  # longer than there is room: torn, and the next one on a line of its own
     os.read(reader, 65536)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -35,8 +35,9 @@
     running = {}
     for name, (script, policy, _) in DAYS.items():
         words = [sys.executable, "-m", "hollyridge.cli.main", "day", str(script), "--json"]
-        running[name] = subprocess.Popen(words + ["--policy", policy] * bool(policy), stdout=subprocess.PIPE,
-                                         stderr=subprocess.PIPE)
+        running[name] = subprocess.Popen(
+            words + ["--policy", policy] * bool(policy), stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        )
     yield running
     for process in running.values():
         process.kill()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,6 +37,7 @@
 
 # Packets.
 
+
 def acquainted():
     a, b = (Guard(KEY, name, Random(name).randbytes) for name in "ab")
     for one, other in ((a, b), (b, a)):
@@ -71,10 +72,18 @@
     assert later.counts["opened"] == 0
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda raw: raw[:-1], lambda raw: raw[:HEAD.size], lambda raw: b"", lambda raw: b"HRP9" + raw[4:],
-    lambda raw: raw[:30] + bytes([raw[30] ^ 1]) + raw[31:], lambda raw: raw + b"x" * MOST,
-    lambda raw: raw[:20] + b"\xff" * 8 + raw[28:]])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda raw: raw[:-1],
+        lambda raw: raw[: HEAD.size],
+        lambda raw: b"",
+        lambda raw: b"HRP9" + raw[4:],
+        lambda raw: raw[:30] + bytes([raw[30] ^ 1]) + raw[31:],
+        lambda raw: raw + b"x" * MOST,
+        lambda raw: raw[:20] + b"\xff" * 8 + raw[28:],
+    ],
+)
 def test_spoilt_packets_are_refused(spoil):
     a, b = acquainted()
     with pytest.raises(PeerError):
@@ -93,6 +102,7 @@
 
 # Three assigners on sockets.
 
+
 class Three:
     def __init__(self, folder, count=3):
         self.folder, self.count = folder, count
@@ -105,15 +115,25 @@
 
     def start(self, number):
         sasp, otlp, pub, udp = self.ports[number]
-        quick = {("sasp", "listen"): f"127.0.0.1:{sasp}", ("otlp", "listen"): f"127.0.0.1:{otlp}",
-                 ("clone", "listen"): f"127.0.0.1:{pub}", ("clone", "beat_ms"): "200",
-                 ("assigner", "name"): f"a{number}", ("assigner", "report_period_s"): "0.2",
-                 ("assigner", "assigners"): str(self.count),
-                 ("roster", "settle_s"): "0.1", ("peers", "listen"): f"127.0.0.1:{udp}",
-                 ("peers", "seeds"): self.seeds, ("peers", "key"): str(self.folder / "fleet.key"),
-                 ("peers", "round_trip_ms"): "10", ("peers", "lease_s"): "1.5", ("peers", "settle_s"): "0.5"}
-        service = self.services[number] = Service(assigner.load(EXAMPLES / "loopback.ini", quick),
-                                                  structlog.get_logger())
+        quick = {
+            ("sasp", "listen"): f"127.0.0.1:{sasp}",
+            ("otlp", "listen"): f"127.0.0.1:{otlp}",
+            ("clone", "listen"): f"127.0.0.1:{pub}",
+            ("clone", "beat_ms"): "200",
+            ("assigner", "name"): f"a{number}",
+            ("assigner", "report_period_s"): "0.2",
+            ("assigner", "assigners"): str(self.count),
+            ("roster", "settle_s"): "0.1",
+            ("peers", "listen"): f"127.0.0.1:{udp}",
+            ("peers", "seeds"): self.seeds,
+            ("peers", "key"): str(self.folder / "fleet.key"),
+            ("peers", "round_trip_ms"): "10",
+            ("peers", "lease_s"): "1.5",
+            ("peers", "settle_s"): "0.5",
+        }
+        service = self.services[number] = Service(
+            assigner.load(EXAMPLES / "loopback.ini", quick), structlog.get_logger()
+        )
         service.start()
         self.jobs[number] = gevent.spawn(service.run)
         agent = self.agents[number] = Registrar(("127.0.0.1", sasp), "shelf", connect=socket.create_connection)
@@ -137,8 +157,9 @@
         return one
 
     def owners(self, uid):
-        return [k for k, service in enumerate(self.services) if service is not None
-                and uid in service.fleet.owners.mine]
+        return [
+            k for k, service in enumerate(self.services) if service is not None and uid in service.fleet.owners.mine
+        ]
 
     def owned_once(self, uids):
         return all(len(self.owners(uid)) == 1 for uid in uids)
@@ -178,7 +199,8 @@
     assert all(dict(g.table_for("read-chapter")) == held[uid] for uid, g in gateways.items())
     assert wait_for(lambda: three.owned_once(gateways), 8)
     assert {uid for uid, k in before.items() if k != dead} == {
-        uid for uid, k in before.items() if three.owners(uid) == [k]}  # nobody else moved
+        uid for uid, k in before.items() if three.owners(uid) == [k]
+    }  # nobody else moved
     assert all(g.judge.held for g in gateways.values())
     three.start(dead)  # and under the same name it gets its own back, in steps
     assert wait_for(lambda: three.owned_once(gateways) and {u: three.owners(u)[0] for u in gateways} == before, 12)
@@ -198,13 +220,18 @@
 
 def test_clients_that_know_no_owners_are_taken_by_whoever_they_ask(three):
     three.meet()
-    old = Balancer(("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200",
-                   connect=socket.create_connection)
+    old = Balancer(("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200", connect=socket.create_connection)
     old.start(METHODS)
     got = old.receive(3)
     assert got and all(group.name != owner.NAME for group, _ in got[1].groups)
-    listener = Subscriber(("127.0.0.1", three.ports[2][2]), "old-clone", METHODS, zmq=zmq, source="127.1.0.201",
-                          client=Client("old-clone", METHODS))
+    listener = Subscriber(
+        ("127.0.0.1", three.ports[2][2]),
+        "old-clone",
+        METHODS,
+        zmq=zmq,
+        source="127.1.0.201",
+        client=Client("old-clone", METHODS),
+    )
     listener.close()
     listener.identity = b"\x01" + os.urandom(12)
     dealer = zmq.Context.instance().socket(zmq.DEALER)
@@ -220,17 +247,32 @@
 def test_a_new_client_and_an_assigner_that_shares_nothing(tmp_path):
     """The question's group is refused, and what comes then has no number: it is obeyed by who never had one."""
     ports = free_port(), free_port(), free_ports(3)
-    service = Service(assigner.load(EXAMPLES / "loopback.ini", {
-        ("sasp", "listen"): f"127.0.0.1:{ports[0]}", ("otlp", "listen"): f"127.0.0.1:{ports[1]}",
-        ("clone", "listen"): f"127.0.0.1:{ports[2]}", ("roster", "settle_s"): "0.1"}), structlog.get_logger())
+    service = Service(
+        assigner.load(
+            EXAMPLES / "loopback.ini",
+            {
+                ("sasp", "listen"): f"127.0.0.1:{ports[0]}",
+                ("otlp", "listen"): f"127.0.0.1:{ports[1]}",
+                ("clone", "listen"): f"127.0.0.1:{ports[2]}",
+                ("roster", "settle_s"): "0.1",
+            },
+        ),
+        structlog.get_logger(),
+    )
     service.start()
     job = gevent.spawn(service.run)
     agent = Registrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
     agent.register([Member.at("127.1.0.1", 9000, "t run=a up=100")])
-    one = SaspGateway(("127.0.0.1", ports[0]), "gw", METHODS, sleep=gevent.sleep,
-                      how=dict(source="127.1.0.9", connect=socket.create_connection))
-    two = CloneGateway(("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep,
-                       how=dict(source="127.1.0.9", zmq=zmq))
+    one = SaspGateway(
+        ("127.0.0.1", ports[0]),
+        "gw",
+        METHODS,
+        sleep=gevent.sleep,
+        how=dict(source="127.1.0.9", connect=socket.create_connection),
+    )
+    two = CloneGateway(
+        ("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq)
+    )
     jobs = [gevent.spawn(g.run) for g in (one, two)]
     assert wait_for(lambda: one.table_for("read-chapter") and two.table_for("read-chapter"))
     assert one.judge.held == two.judge.held == 0
@@ -270,8 +312,7 @@
     told = owner.word_in(asking.pushed[0][1].groups)
     assert told == owner.SentOn(f"127.0.0.1:{three.ports[2][0]}")
     asking.close()
-    pleading = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200",
-                        connect=socket.create_connection)
+    pleading = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection)
     pleading.start(METHODS, asked=6, plea=True)
     first = pleading.receive(3)[1].groups
     assert owner.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
@@ -283,7 +324,7 @@
     return int(rightful(uid, "abdali", three.services[0].fleet.owners.standing)[1:])
 
 
-@pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10 ** 20}/0"])
+@pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
 def test_questions_that_are_none(name):
     assert owner.question_in(name) is None
 
@@ -304,7 +345,8 @@
 
 
 FAULTY = [
-    ({"listen": "nowhere"}, "listen: address:port"), ({"seeds": "127.0.0.1:1"}, "listen: missing"),
+    ({"listen": "nowhere"}, "listen: address:port"),
+    ({"seeds": "127.0.0.1:1"}, "listen: missing"),
     ({"listen": "127.0.0.1:5", "key": "none"}, "key: No such file"),
     ({"listen": "127.0.0.1:5", "key": "short"}, "key: 32 bytes"),
     ({"listen": "127.0.0.1:5", "key": "good", "zone": "x"}, "zone: no such zone"),
@@ -325,9 +367,12 @@
 
 # Takeovers, simulated.
 
+
 def test_struck_assigners_leave_nobody_alone_for_long_nor_ordered_by_two():
-    found = [takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), seed, front)
-             for seed, front in ((1, "clone"), (2, "sasp"), (5, "sasp"))]
+    found = [
+        takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), seed, front)
+        for seed, front in ((1, "clone"), (2, "sasp"), (5, "sasp"))
+    ]
     told = takeover.summary(found)
     assert told["orphaned"] > 0 and told["doubly_ordered"] == told["rules_broken"] == 0
     assert told["orphaned_max_s"] < 5
@@ -336,9 +381,13 @@
 
 
 def test_orders_by_two_are_seen():
-    rows = [{"k": "applied", "proxy": "gw", "assigner": a, "asked": n}
-            for a, n in ((0, 5), (0, 5), (1, 6), (0, 5), (1, 6), (2, 6), (0, 7))]
+    rows = [
+        {"k": "applied", "proxy": "gw", "assigner": a, "asked": n}
+        for a, n in ((0, 5), (0, 5), (1, 6), (0, 5), (1, 6), (2, 6), (0, 7))
+    ]
     assert ownership.doubles(rows) == 2
-    rows = [{"k": "claims", "t": t * 500_000, "assigner": a, "uids": uids} for t, a, uids in (
-        (0, 0, ["x", "y"]), (0, 1, ["z"]), (1, 1, ["x"]), (2, 0, ["x"]), (4, 0, []))]
+    rows = [
+        {"k": "claims", "t": t * 500_000, "assigner": a, "uids": uids}
+        for t, a, uids in ((0, 0, ["x", "y"]), (0, 1, ["z"]), (1, 1, ["x"]), (2, 0, ["x"]), (4, 0, []))
+    ]
     assert ownership.believed(rows) == 0.5
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -31,7 +31,7 @@
 def test_a_file_with_any_byte_turned_over_is_refused():
     for at in range(len(WHOLE)):
         with pytest.raises(DurableError):
-            durable.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1:])
+            durable.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
 
 
 def test_layouts_older_and_newer():
@@ -58,14 +58,17 @@
 INDEX = {"127.1.0.1:9000": 0, "127.1.0.2:9000": 1}.get
 
 
-@pytest.mark.parametrize("state, now, rows, age_s", [
-    (State("f", 1000, ROWS, 0.6), 3000, 2, 2),
-    (State("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
-    (State("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
-    (State("f", 1000, [*ROWS, Row("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
-    (State("f", 1000, [ROWS[0], Row("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
-    (State("f", 1000, [Row("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
-])
+@pytest.mark.parametrize(
+    "state, now, rows, age_s",
+    [
+        (State("f", 1000, ROWS, 0.6), 3000, 2, 2),
+        (State("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
+        (State("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
+        (State("f", 1000, [*ROWS, Row("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
+        (State("f", 1000, [ROWS[0], Row("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
+        (State("f", 1000, [Row("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
+    ],
+)
 def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
     told = memory.recalled(state, "f", now, INDEX)
     assert (len(told.event.rows), told.event.age) == (rows, age_s * SECOND) if rows else told.event is None
@@ -75,8 +78,10 @@
     own = [api.Learnt(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
     told = memory.lent(lies, 1e9, 0, INDEX, own)
-    assert [(r.does, r.heard, r.skill, r.weight) for r in told.event.rows] == [(24.0, 1.0, 1.0, 1.0),
-                                                                               (6.0, 1.0, 1.0, 1.0)]
+    assert [(r.does, r.heard, r.skill, r.weight) for r in told.event.rows] == [
+        (24.0, 1.0, 1.0, 1.0),
+        (6.0, 1.0, 1.0, 1.0),
+    ]
     assert told.event.price == 0.0 and told.left_out == {"not listed": 1}
     assert memory.lent(lies, 0.0, 0, INDEX, []).event is None
 
@@ -137,9 +142,12 @@
 
 def test_a_day_with_restarts_keeps_state_and_is_the_same_again(tmp_path):
     from test_solving import SOLVE
+
     text = (SOLVE.parent / "lab" / "small.ini").read_text()
     path = tmp_path / "kept.ini"
-    path.write_text(text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini")) + f"""
+    path.write_text(
+        text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini"))
+        + f"""
 [set kept]
 file = {tmp_path}/x.state
 every_s = 1
@@ -147,7 +155,8 @@
 kind = assigner_killed
 at_s = 8
 for_s = 1
-""")
+"""
+    )
     loaded, told = script.load(path), []
     for _ in range(2):
         stage = VirtualStage(loaded, "", 3)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -42,11 +42,17 @@
 
     def overrides(self, **access):
         z85 = {name: public.decode() for name, (public, _) in self.bearers.items()}
-        rows = {"keys__tls_certificate": self.folder / "service.pem", "keys__tls_key": self.folder / "service.key",
-                "keys__tls_clients": self.folder / "clients.pem", "keys__curve": self.folder / "pubsub.key_secret",
-                "access gate__curve": z85["gate"], "access gate__proxies": "gw-*",
-                "access gate__reports": "abdali", "access agent__curve": z85["agent"],
-                "access agent__members": "127.1.0.0/16 127.2.0.0/16 127.3.0.0/16"}
+        rows = {
+            "keys__tls_certificate": self.folder / "service.pem",
+            "keys__tls_key": self.folder / "service.key",
+            "keys__tls_clients": self.folder / "clients.pem",
+            "keys__curve": self.folder / "pubsub.key_secret",
+            "access gate__curve": z85["gate"],
+            "access gate__proxies": "gw-*",
+            "access gate__reports": "abdali",
+            "access agent__curve": z85["agent"],
+            "access agent__members": "127.1.0.0/16 127.2.0.0/16 127.3.0.0/16",
+        }
         return {**rows, **access}
 
     def connect(self, name, authority=None):
@@ -58,6 +64,7 @@
         def connect(address, timeout, **how):
             raw = socket.create_connection(address, timeout=timeout, **how)
             return context.wrap_socket(raw, server_hostname="localhost")
+
         return connect
 
     def clone(self, name, server=None):
@@ -97,8 +104,11 @@
     for connect in (keys.connect(""), keys.connect("gate", other), socket.create_connection):
         with pytest.raises((OSError, LostError)):
             r.balancer("gw-1", connect=connect)
-    for connect, uid in ((keys.connect("stranger"), "gw-1"), (keys.connect("gate"), "other"),
-                         (keys.connect("agent"), "gw-1")):
+    for connect, uid in (
+        (keys.connect("stranger"), "gw-1"),
+        (keys.connect("gate"), "other"),
+        (keys.connect("agent"), "gw-1"),
+    ):
         with pytest.raises(RefusedError):
             r.balancer(uid, connect=connect)
     far = r.open(Registrar, "shelf", connect=keys.connect("gate"))
@@ -127,6 +137,7 @@
             return status, answer.partial_success.rejected_data_points
         finally:
             connection.close()
+
     both = [tries(r), tries(r, zone="khalda")]
     assert report("gate", both) == (200, 1) and report("stranger", both) == (200, 2)
     assert r.service.intake.why["not for this sender"] == 3
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -31,8 +31,23 @@
     """Mean time (in mean services) of RPCs with exponential work at tasks of so many cores, no crowding."""
     world, rng, times = VirtualWorld(), Random(seed), []
     build = Build(cores=servers, slots=servers, queue=1 << 30, thrash=0.0, handshake_us=0)
-    many = {str(k): Task(world, str(k), str(k), "r", build, False, ["idempotent"], [0], {}, lambda *a, **k: None, k,
-                         lambda task: None) for k in range(tasks)}
+    many = {
+        str(k): Task(
+            world,
+            str(k),
+            str(k),
+            "r",
+            build,
+            False,
+            ["idempotent"],
+            [0],
+            {},
+            lambda *a, **k: None,
+            k,
+            lambda task: None,
+        )
+        for k in range(tasks)
+    }
     out, picker = dict.fromkeys(many, 0), Picker(pick, rng)
     picker.set(dict.fromkeys(many, 1.0))
 
@@ -46,9 +61,11 @@
                 out[name] -= 1
                 if number > calls / 10:
                     times.append((world.now() - begun) / SECOND)
+
             many[name].take(rpc.Call(number, "", 0, "", rng.expovariate(1.0) * SECOND), done)
         for task in many.values():
             task.down = True
+
     world.spawn(client)
     world.run(2 * calls / (load * servers * tasks))
     return sum(times) / len(times)
@@ -57,8 +74,8 @@
 def erlang_wait(servers, load):
     """Mean time in an M/M/c, in mean services (Erlang C)."""
     offered = servers * load
-    top = offered ** servers / math.factorial(servers) / (1 - load)
-    chance = top / (sum(offered ** k / math.factorial(k) for k in range(servers)) + top)
+    top = offered**servers / math.factorial(servers) / (1 - load)
+    chance = top / (sum(offered**k / math.factorial(k) for k in range(servers)) + top)
     return 1 + chance / (servers * (1 - load))
 
 
@@ -149,8 +166,13 @@
 
 
 def done(rows, within, **like):
-    return [r for r in rows if r["k"] == "done" and within[0] <= r["t"] - r["took"] < within[1]
-            and all(r[key] == value for key, value in like.items())]
+    return [
+        r
+        for r in rows
+        if r["k"] == "done"
+        and within[0] <= r["t"] - r["took"] < within[1]
+        and all(r[key] == value for key, value in like.items())
+    ]
 
 
 def ok_part(rows, within, **like):
@@ -163,15 +185,19 @@
 
 
 def slower(rows, span, by=1.25):
-    before, during = (sum(r["took"] for r in some) / len(some) for some in (
-        done(rows, (0, span[0]), ok=True), done(rows, span, ok=True)))
+    before, during = (
+        sum(r["took"] for r in some) / len(some)
+        for some in (done(rows, (0, span[0]), ok=True), done(rows, span, ok=True))
+    )
     return during > by * before
 
 
 def returns_cold(rows, span, gap=0):
     downs = [r for r in rows if r["k"] == "task_down" and span[0] <= r["t"] <= span[1]]
-    return downs and all(any(u["k"] == "task_up" and u["cold"] and u["task"] == d["task"] and u["t"] >= d["t"] + gap
-                             for u in rows) for d in downs)
+    return downs and all(
+        any(u["k"] == "task_up" and u["cold"] and u["task"] == d["task"] and u["t"] >= d["t"] + gap for u in rows)
+        for d in downs
+    )
 
 
 def rate_of(rows, within, zone=""):
@@ -196,33 +222,66 @@
     "hang": ("for_s=4 part=0.4", fewer_ok),
     "errors": ("for_s=4 part=0.4 size=0.9", fewer_ok),
     "pauses": ("for_s=4 part=0.8 size=0.4", slower),
-    "ageing": ("for_s=4 part=0.4 size=12 extra=1",
-               lambda rows, span: slower(rows, span, 1.1) and returns_cold(rows, span, SECOND)),
-    "method_fails": ("for_s=4 part=0.6 size=0.9 method=redeem-code", lambda rows, span:
-                     ok_part(rows, span, method=2) < 0.7 < ok_part(rows, span, method=0)),
-    "method_fails ": ("for_s=4 part=0.6 size=0.9 method=redeem-code how=silence", lambda rows, span:
-                      ok_part(rows, span, method=2) < 0.7 < ok_part(rows, span, method=0)),
-    "handshake_slow": ("at_s=0 for_s=2 part=1 size=0.3 extra=8", lambda rows, span:  # all connections are new then
-                       min(r["took"] for r in done(rows, (0, span[1]), ok=True)[:5]) > 300_000),
-    "grow": ("for_s=4 size=1.5 extra=1", lambda rows, span:
-             sum(r["k"] == "task_up" and r["cold"] for r in rows) == 3 and rates(rows, span) > 1.15),
-    "surge": ("for_s=4 size=1.8", lambda rows, span: rate_of(rows, span) > 1.3 * rate_of(rows, (0, span[0])) * span[0]
-              / max(span[0] - VirtualWorld.START, 1)),
-    "shift": ("for_s=2 size=0.7 zone=khalda", lambda rows, span:
-              rates(rows, span, "khalda") > 1.3 and rates(rows, span, "abdali") < 0.6),
+    "ageing": (
+        "for_s=4 part=0.4 size=12 extra=1",
+        lambda rows, span: slower(rows, span, 1.1) and returns_cold(rows, span, SECOND),
+    ),
+    "method_fails": (
+        "for_s=4 part=0.6 size=0.9 method=redeem-code",
+        lambda rows, span: ok_part(rows, span, method=2) < 0.7 < ok_part(rows, span, method=0),
+    ),
+    "method_fails ": (
+        "for_s=4 part=0.6 size=0.9 method=redeem-code how=silence",
+        lambda rows, span: ok_part(rows, span, method=2) < 0.7 < ok_part(rows, span, method=0),
+    ),
+    "handshake_slow": (
+        "at_s=0 for_s=2 part=1 size=0.3 extra=8",
+        lambda rows, span: (  # all connections are new then
+            min(r["took"] for r in done(rows, (0, span[1]), ok=True)[:5]) > 300_000
+        ),
+    ),
+    "grow": (
+        "for_s=4 size=1.5 extra=1",
+        lambda rows, span: sum(r["k"] == "task_up" and r["cold"] for r in rows) == 3 and rates(rows, span) > 1.15,
+    ),
+    "surge": (
+        "for_s=4 size=1.8",
+        lambda rows, span: (
+            rate_of(rows, span) > 1.3 * rate_of(rows, (0, span[0])) * span[0] / max(span[0] - VirtualWorld.START, 1)
+        ),
+    ),
+    "shift": (
+        "for_s=2 size=0.7 zone=khalda",
+        lambda rows, span: rates(rows, span, "khalda") > 1.3 and rates(rows, span, "abdali") < 0.6,
+    ),
     "false_loads": ("for_s=4 part=0.5 size=0.1 extra=2.5", slower),
-    "late_sums": ("for_s=5 size=3", lambda rows, span: events_in(rows, (span[0] + SECOND, span[0] + 5 * SECOND)) <
-                  events_in(rows, (span[0] - 3 * SECOND, span[0] + SECOND))),
-    "zone_lost": ("for_s=4 zone=khalda how=all", lambda rows, span:
-                  sum(r["k"] == "proxy_down" for r in rows) == 1 and returns_cold(rows, (span[0], span[1] + 1))),
-    "zone_cut": ("for_s=4 zone=khalda how=all",
-                 lambda rows, span: rows_of_streams(rows, span) and fewer_ok(rows, span)),
+    "late_sums": (
+        "for_s=5 size=3",
+        lambda rows, span: (
+            events_in(rows, (span[0] + SECOND, span[0] + 5 * SECOND))
+            < events_in(rows, (span[0] - 3 * SECOND, span[0] + SECOND))
+        ),
+    ),
+    "zone_lost": (
+        "for_s=4 zone=khalda how=all",
+        lambda rows, span: (
+            sum(r["k"] == "proxy_down" for r in rows) == 1 and returns_cold(rows, (span[0], span[1] + 1))
+        ),
+    ),
+    "zone_cut": (
+        "for_s=4 zone=khalda how=all",
+        lambda rows, span: rows_of_streams(rows, span) and fewer_ok(rows, span),
+    ),
     "slow_link": ("for_s=4 zone=khalda size=0.15 extra=0.2", lambda rows, span: slower(rows, span, 1.1)),
     "slow_orders": ("for_s=4 size=0.5", lambda rows, span: most_between(rows, span, "heard") >= SECOND // 2),
-    "proxies_stalled": ("for_s=4 part=1 size=0.8 extra=2",
-                        lambda rows, span: most_between(rows, span, "try") > SECOND // 2),
-    "assigner_stalled": ("for_s=3 size=2 extra=4", lambda rows, span:
-                         most_between(rows, (span[0], span[0] + 4 * SECOND), "state") > 3 * SECOND // 2),
+    "proxies_stalled": (
+        "for_s=4 part=1 size=0.8 extra=2",
+        lambda rows, span: most_between(rows, span, "try") > SECOND // 2,
+    ),
+    "assigner_stalled": (
+        "for_s=3 size=2 extra=4",
+        lambda rows, span: most_between(rows, (span[0], span[0] + 4 * SECOND), "state") > 3 * SECOND // 2,
+    ),
 }
 
 
@@ -241,10 +300,13 @@
 def test_each_trouble_does_what_it_says(name, tmp_path):
     words, known = TROUBLES[name]
     kind, terms = name.strip(), {"at_s": 6} | dict(word.split("=") for word in words.split())
-    lines = [f"[day]\nsettings = {ROOT / 'examples' / 'loopback.ini'}\nlength_s = 18\nseed = 3\nnotice_ms = 200, 600",
-             "[fleet]\ntasks = 6\nproxies = 4\ncold_s = 4",
-             "[load]\nrpcs_per_s = 60\nwork_ms = 60, 60, 60\nshares = 0.5, 0.2, 0.3",
-             f"[trouble x]\nkind = {kind}", *(f"{key} = {value}" for key, value in terms.items())]
+    lines = [
+        f"[day]\nsettings = {ROOT / 'examples' / 'loopback.ini'}\nlength_s = 18\nseed = 3\nnotice_ms = 200, 600",
+        "[fleet]\ntasks = 6\nproxies = 4\ncold_s = 4",
+        "[load]\nrpcs_per_s = 60\nwork_ms = 60, 60, 60\nshares = 0.5, 0.2, 0.3",
+        f"[trouble x]\nkind = {kind}",
+        *(f"{key} = {value}" for key, value in terms.items()),
+    ]
     path = tmp_path / "one.ini"
     path.write_text("\n".join(lines) + "\n")
     loaded = script.load(path)
@@ -256,8 +318,20 @@
 
 def test_new_connections_wait_where_handshakes_are_slow():
     world, seen = VirtualWorld(), []
-    task = Task(world, "t", "t", "r", Build(handshake_us=10_000, cores=1), False, ["idempotent"], [0], {},
-                lambda *a, **k: None, 1, lambda task: None)
+    task = Task(
+        world,
+        "t",
+        "t",
+        "r",
+        Build(handshake_us=10_000, cores=1),
+        False,
+        ["idempotent"],
+        [0],
+        {},
+        lambda *a, **k: None,
+        1,
+        lambda task: None,
+    )
     task.handshake = 8.0
 
     def look():
@@ -267,6 +341,7 @@
         world.sleep(0.05)
         seen.append(task.held)
         task.down = True
+
     world.spawn(look)
     world.run(1.0)
     assert seen == [1, 0]  # 80 ms of work
@@ -323,8 +398,22 @@
     record, kept = tmp_path / "day.jsonl", tmp_path / "kept.jsonl"
     loaded = script.load(SMALL)
     Day(loaded, VirtualStage(loaded, "", 3, None, str(record)), 3).play()
-    rows = [{"variant": v, "script": "s", "seed": s, "served": 0.9, "worst_10s": 0.8, "lines": 10, "messages": 5,
-             "decisions_sent": 3, "tries": 9, "broken": 0} for v in ("a", "b") for s in (1, 2)]
+    rows = [
+        {
+            "variant": v,
+            "script": "s",
+            "seed": s,
+            "served": 0.9,
+            "worst_10s": 0.8,
+            "lines": 10,
+            "messages": 5,
+            "decisions_sent": 3,
+            "tries": 9,
+            "broken": 0,
+        }
+        for v in ("a", "b")
+        for s in (1, 2)
+    ]
     kept.write_bytes(b"\n".join(map(msgspec.json.encode, rows)))
     for source, pictures in ((record, 7), (kept, 4)):
         ran = CliRunner().invoke(main, ["lab", "report", str(source), "--out", str(tmp_path / source.stem)])
@@ -412,6 +501,7 @@
         got.append((len(router.queue), len(dealer.queue)))
         ours.end()
         assert not net.bound
+
     world.spawn(talk)
     world.run(1.0)
     assert got == [([b"me", b"hello"], "127.1.0.9"), 4, (0, 0)]
@@ -425,8 +515,9 @@
     trouble = script.TroubleSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
     terms = [m.model_copy(update={"repeats": "idempotent"}) for m in loaded.terms.methods.values()]
     loaded.terms.methods.update(zip(list(loaded.terms.methods), terms))
-    day = script.Script(loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble},
-                        loaded.overrides, loaded.terms)
+    day = script.Script(
+        loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.terms
+    )
     tries = [Day(day, VirtualStage(day, "even", seed), seed).play().figures for seed in range(1, 9)]
     found = sum(told["tries"] for told in tries) / sum(told["rpcs"] for told in tries)
     assert found == pytest.approx((1 - part ** (more + 1)) / (1 - part), rel=0.03)
@@ -467,7 +558,11 @@
     assert ran.exit_code == 0, ran.output
     rows = msgspec.json.decode(ran.stdout.splitlines()[-1])["rows"]
     assert [(row["tasks"], row["proxies"], row["assigners"]) for row in rows] == [
-        (6, 4, 1), (12, 8, 1), (6, 4, 2), (12, 8, 2)]
+        (6, 4, 1),
+        (12, 8, 1),
+        (6, 4, 2),
+        (12, 8, 2),
+    ]
     assert rows[1]["lines"] > 2 * rows[0]["lines"] and all(row["broken"] == 0 and row["cpu_per_s"] > 0 for row in rows)
     assert (tmp_path / "index.html").read_text().count("data:image/png") == 5
     assert CliRunner().invoke(main, ["lab", "sweep", str(SMALL), "--sizes", "x"]).exit_code == 2
@@ -476,8 +571,10 @@
 def test_pub_sub_days_go_on_with_slow_orders(tmp_path):
     """A remainder of time too small for the clock once let a simulated reader look again for ever."""
     path = tmp_path / "slow.ini"
-    path.write_text(SMALL.read_text().replace("loopback.ini", str(ROOT / "examples" / "loopback.ini"))
-                    + "\n[net]\norders_ms = 250\n")
+    path.write_text(
+        SMALL.read_text().replace("loopback.ini", str(ROOT / "examples" / "loopback.ini"))
+        + "\n[net]\norders_ms = 250\n"
+    )
     loaded = script.load(path, fronts=("clone",))
     told = Day(loaded, VirtualStage(loaded, "", 2), 2).play()
     assert all(v.kept for v in told.verdicts)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -48,8 +48,10 @@
         self.run(5)
 
     def register(self, rows, stream=1):
-        found = tuple(Applicant((name,), self.machine.tasks.enter(self.now, (name,)), zone, label, False)
-                      for name, (label, zone) in rows.items())
+        found = tuple(
+            Applicant((name,), self.machine.tasks.enter(self.now, (name,)), zone, label, False)
+            for name, (label, zone) in rows.items()
+        )
         return self.machine.happened(self.now, Registered(stream, found))
 
     def task(self, name):
@@ -200,8 +202,9 @@
         for k in range(6):
             house.met(k, bad=20 if k == 3 and second < 4 else 0, zone=k % 2)
         house.run(1)
-    return [(p.proxy, p.number, p.at, p.binds, [(t, sorted(v.lines.items())) for t, v in p.tables])
-            for p in house.front.log]
+    return [
+        (p.proxy, p.number, p.at, p.binds, [(t, sorted(v.lines.items())) for t, v in p.tables]) for p in house.front.log
+    ]
 
 
 def test_same_events_same_orders():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,8 +7,21 @@
 
 from hollyridge.lab.fences import explore
 from hollyridge.membership import owners, swim
-from hollyridge.membership.owners import Acked, Came, Claims, Drop, Ended, Lease, Members, Owners, SendTo, Stale, \
-    Standing, Take, rightful
+from hollyridge.membership.owners import (
+    Acked,
+    Came,
+    Claims,
+    Drop,
+    Ended,
+    Lease,
+    Members,
+    Owners,
+    SendTo,
+    Stale,
+    Standing,
+    Take,
+    rightful,
+)
 from hollyridge.membership.swim import Changed, Heard, Leaving, Pace, Send, Swim, Told
 from hollyridge.membership.words import Facts, Join, Ping, Status, Word
 
@@ -117,8 +130,9 @@
 def test_halves_of_a_cut_fleet_meet_again():
     wire = Wire(4)
     wire.run(5)
-    wire.cut = {(a, b) for a in ("m0", "m1") for b in ("m2", "m3")} | {(b, a) for a in ("m0", "m1")
-                                                                       for b in ("m2", "m3")}
+    wire.cut = {(a, b) for a in ("m0", "m1") for b in ("m2", "m3")} | {
+        (b, a) for a in ("m0", "m1") for b in ("m2", "m3")
+    }
     wire.run(15)
     assert wire.sees("m0")["m2"] == wire.sees("m2")["m0"] == "GONE" and wire.sees("m0")["m1"] == "ALIVE"
     wire.cut = set()
@@ -132,8 +146,7 @@
     wire.start("m0", "r1")
     wire.start("m1", "r1")
     wire.run(6)
-    assert all(wire.sees(name) == {other: "ALIVE" for other in wire.members if other != name}
-               for name in wire.members)
+    assert all(wire.sees(name) == {other: "ALIVE" for other in wire.members if other != name} for name in wire.members)
     assert wire.members["m2"].members["m0"].facts.run == "r1"
     assert any(do.restarted for _, who, do in wire.news if who == "m2" and do.name == "m0")
 
@@ -151,8 +164,12 @@
     assert wire.sees("m0")["m1"] == "LEFT" and not wire.lost_ones()
 
 
-LIES = [Word("m1", Status.GONE, 1 << 40, Facts("m1", "r0")), Word("m0", Status.GONE, 1 << 40, Facts("m0", "r0")),
-        Word("x", 0, -1, Facts("x", "r")), Word("m1", 0, 5, Facts("m1", "r0", weight=float("nan")))]
+LIES = [
+    Word("m1", Status.GONE, 1 << 40, Facts("m1", "r0")),
+    Word("m0", Status.GONE, 1 << 40, Facts("m0", "r0")),
+    Word("x", 0, -1, Facts("x", "r")),
+    Word("m1", 0, 5, Facts("m1", "r0", weight=float("nan"))),
+]
 
 
 @pytest.mark.parametrize("lie", LIES)
@@ -255,6 +272,7 @@
             for uid in list(one.mine):
                 one.take(now, Acked(uid, 1))
             moved.append([do for do in one.take(now, owners.Tick()) if isinstance(do, Drop)])
+
     for _ in range(5):  # it comes and goes
         one.take(now, Members({**two, "c": Standing("", 1.0, now)}))
         pass_time(4)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -27,8 +27,16 @@
 
 
 def report(collector, name, zone=0, util=0.4, rtt=90.0, total=40, errors=0):
-    collector.say("upstream_stats", locality=ZONES[zone], endpoint=name, total=total, errors=errors, rtt=rtt,
-                  interval=400.0, metrics=f"util:{util},queue:1")
+    collector.say(
+        "upstream_stats",
+        locality=ZONES[zone],
+        endpoint=name,
+        total=total,
+        errors=errors,
+        rtt=rtt,
+        interval=400.0,
+        metrics=f"util:{util},queue:1",
+    )
 
 
 def test_a_life(house):
@@ -95,14 +103,22 @@
 
 
 REFUSED = {
-    "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "bytes": b"\x16\x03\x01\x02\x00", "announced too long":
-    b"*1\r\n$99999999\r\n", "over 1 MiB": b"*1\r\n$1048600\r\n", "an unknown kind": message("hello", x=1),
-    "an order": message("assign", lines="s-1:1"), "a report first":
-    message("upstream_stats", locality=ZONES[0], endpoint="s-1", total=1, errors=0, rtt=1, interval=1000),
+    "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    "bytes": b"\x16\x03\x01\x02\x00",
+    "announced too long": b"*1\r\n$99999999\r\n",
+    "over 1 MiB": b"*1\r\n$1048600\r\n",
+    "an unknown kind": message("hello", x=1),
+    "an order": message("assign", lines="s-1:1"),
+    "a report first": message(
+        "upstream_stats", locality=ZONES[0], endpoint="s-1", total=1, errors=0, rtt=1, interval=1000
+    ),
     "no such proxy": message("attach", node=400, locality=ZONES[0], w=1, cold=1),
     "no such zone": message("attach", node=4, locality="mars", w=1, cold=1),
-    "no such collector": message("telemetry", locality="mars"), "nothing": b"", "half a message": b"*3\r\n$2\r\nhb",
-    "hb": message("hb")}
+    "no such collector": message("telemetry", locality="mars"),
+    "nothing": b"",
+    "half a message": b"*3\r\n$2\r\nhb",
+    "hb": message("hb"),
+}
 
 
 def test_strangers_are_shown_out_and_take_nothing_from_others(house):
@@ -147,9 +163,15 @@
 
 
 FAULTY = [
-    (b"", "cannot be read"), (b"{", "cannot be read"), (b"[]", "cannot be read"), (b"{}", "name"),
-    ({"listen": "nowhere"}, "listen is not"), ({"discovery": 5}, "discovery"), ({"seed": "xyz"}, "seed is not"),
-    ({"limits": {"sockets": 3}}, "sockets"), ({"known": page(1, [server("a", state="up")])}, "known: a has no known"),
+    (b"", "cannot be read"),
+    (b"{", "cannot be read"),
+    (b"[]", "cannot be read"),
+    (b"{}", "name"),
+    ({"listen": "nowhere"}, "listen is not"),
+    ({"discovery": 5}, "discovery"),
+    ({"seed": "xyz"}, "seed is not"),
+    ({"limits": {"sockets": 3}}, "sockets"),
+    ({"known": page(1, [server("a", state="up")])}, "known: a has no known"),
     ({"settings": {}}, "profiles.count"),
     ({"settings": {**SETTINGS, "rules": {}}}, "the settings lack rules.drain_grace\nthe settings lack rules.cold_from"),
     ({"settings": {**SETTINGS, "zones": []}}, "no sensible zones"),
@@ -175,14 +197,22 @@
 
 @pytest.mark.parametrize("path", ["", "/nowhere/config.json"])
 def test_no_configuration_ends_with_2(path):
-    done = subprocess.run([sys.executable, "-m", "hollyridge.node"], cwd=ROOT, capture_output=True, text=True,
-                          env={"BALANCER_CONFIG": path, "PATH": ""}, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "hollyridge.node"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env={"BALANCER_CONFIG": path, "PATH": ""},
+        timeout=30,
+    )
     assert done.returncode == 2 and "hollyridge: " in done.stderr
 
 
 def test_what_run_starts_imports_nothing_that_is_switched_off():
-    code = ("import sys, hollyridge.node.program;"
-            "print([name for name in ('zmq', 'numpy', 'highspy', 'matplotlib', 'pydantic', 'cryptography') "
-            "if name in sys.modules])")
+    code = (
+        "import sys, hollyridge.node.program;"
+        "print([name for name in ('zmq', 'numpy', 'highspy', 'matplotlib', 'pydantic', 'cryptography') "
+        "if name in sys.modules])"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30)
     assert done.stdout.strip() == "[]"
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,6 +1,5 @@
 """The platform's protocol: codec, words, what proxies are told, who is kept waiting."""
 
-
 import gevent
 import pytest
 from gevent import socket as green
@@ -20,14 +19,16 @@
 READING = words.Reading(NAMES, bootstrap())
 
 
-@given(some.lists(some.lists(some.binary(max_size=40), min_size=1, max_size=8), max_size=5),
-       some.lists(some.integers(1, 9), min_size=1, max_size=30))
+@given(
+    some.lists(some.lists(some.binary(max_size=40), min_size=1, max_size=8), max_size=5),
+    some.lists(some.integers(1, 9), min_size=1, max_size=30),
+)
 def test_any_split_of_the_bytes_reads_alike(messages, sizes):
     raw = b"".join(map(encode, messages))
     reader, found, at, k = Reader(), [], 0, 0
     while at < len(raw):
         step = sizes[k % len(sizes)]
-        found += reader.feed(raw[at:at + step])
+        found += reader.feed(raw[at : at + step])
         at, k = at + step, k + 1
     assert found == messages and not reader.partial
 
@@ -37,19 +38,29 @@
     reader = Reader(most=128)
     try:
         for at in range(0, len(raw), step):
-            reader.feed(raw[at:at + step])
+            reader.feed(raw[at : at + step])
             assert len(reader.held) + sum(map(len, reader.parts)) <= 128 + step + 32
     except RespError:
         pass
 
 
 UNREADABLE = {
-    "http": b"GET / HTTP/1.1\r\n\r\n", "inline": b"PING\r\n", "a length below 0": b"*-1\r\n",
-    "none at all": b"*0\r\n", "too many parts": b"*66\r\n", "no digits": b"*\r\n", "words": b"*x\r\n",
-    "endless digits": b"*1111111111111", "spaced": b"* 1\r\n", "null part": b"*1\r\n$-1\r\n",
-    "nested": b"*1\r\n*1\r\n", "integer": b"*1\r\n:5\r\n", "announced too long": b"*1\r\n$1048577\r\n",
+    "http": b"GET / HTTP/1.1\r\n\r\n",
+    "inline": b"PING\r\n",
+    "a length below 0": b"*-1\r\n",
+    "none at all": b"*0\r\n",
+    "too many parts": b"*66\r\n",
+    "no digits": b"*\r\n",
+    "words": b"*x\r\n",
+    "endless digits": b"*1111111111111",
+    "spaced": b"* 1\r\n",
+    "null part": b"*1\r\n$-1\r\n",
+    "nested": b"*1\r\n*1\r\n",
+    "integer": b"*1\r\n:5\r\n",
+    "announced too long": b"*1\r\n$1048577\r\n",
     "too long together": b"*3\r\n$524288\r\n" + b"x" * 524288 + b"\r\n$524288\r\n",
-    "a part that does not end": b"*1\r\n$2\r\nabcd"}
+    "a part that does not end": b"*1\r\n$2\r\nabcd",
+}
 
 
 @pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE)
@@ -59,7 +70,7 @@
     reader = Reader()
     with pytest.raises(RespError):
         for at in range(len(raw)):
-            reader.feed(raw[at:at + 1])
+            reader.feed(raw[at : at + 1])
 
 
 def test_what_comes_before_the_unreadable_counts():
@@ -81,10 +92,14 @@
     (said("telemetry", locality="sahab"), words.Collector(1)),
     (said("attach", node=17, locality="khalda", w=21.5, cold=1), words.Hello(17, 0, 21.5, True)),
     (said("done", node=17, nonce=905, latency=310.4), words.Applied(17, 905, 310_400)),
-    (said("upstream_stats", **MET, metrics="queue:7,util:0.61"),
-     words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0))),
-    (said("upstream_stats", **MET, metrics="util:0.61,other:3"),
-     words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0))),
+    (
+        said("upstream_stats", **MET, metrics="queue:7,util:0.61"),
+        words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0)),
+    ),
+    (
+        said("upstream_stats", **MET, metrics="util:0.61,other:3"),
+        words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0)),
+    ),
     (said("upstream_stats", **MET), words.Met(0, "s-1", 212, 3, 41_700, SECOND, ())),
     (said("upstream_stats", **{**MET, "total": 3, "rtt": 0}), words.Met(0, "s-1", 3, 3, 0, SECOND, ())),
     (said("client_stats", **USED), words.Offered(17, 1, 19, 0, SECOND)),
@@ -99,20 +114,53 @@
 
 
 SPOILT = [
-    ("bogus", {}), ("assign", dict(lines="s-1:1")), ("hb_ok", {}),
+    ("bogus", {}),
+    ("assign", dict(lines="s-1:1")),
+    ("hb_ok", {}),
     *[("upstream_stats", {k: v for k, v in MET.items() if k != name}) for name in MET],
-    *[("upstream_stats", {**MET, name: value}) for name, value in [
-        ("locality", "nowhere"), ("total", -1), ("total", 1e30), ("total", "x"), ("total", 2.5), ("errors", 213),
-        ("errors", -3), ("rtt", -1), ("rtt", "nan"), ("rtt", 1e9), ("interval", 0), ("interval", "inf"),
-        ("metrics", "util"), ("metrics", "util:x"), ("metrics", "util:-1"), ("metrics", "util:99"), ("endpoint", "")]],
+    *[
+        ("upstream_stats", {**MET, name: value})
+        for name, value in [
+            ("locality", "nowhere"),
+            ("total", -1),
+            ("total", 1e30),
+            ("total", "x"),
+            ("total", 2.5),
+            ("errors", 213),
+            ("errors", -3),
+            ("rtt", -1),
+            ("rtt", "nan"),
+            ("rtt", 1e9),
+            ("interval", 0),
+            ("interval", "inf"),
+            ("metrics", "util"),
+            ("metrics", "util:x"),
+            ("metrics", "util:-1"),
+            ("metrics", "util:99"),
+            ("endpoint", ""),
+        ]
+    ],
     *[("client_stats", {k: v for k, v in USED.items() if k != name}) for name in USED],
-    *[("client_stats", {**USED, name: value}) for name, value in [
-        ("node", 150), ("node", -1), ("node", "x"), ("route", "lookup"), ("total", -1), ("errors", "nan"),
-        ("interval", -5)]],
-    *[("attach", {**dict(node=1, locality="khalda", w=1, cold=0), name: value}) for name, value in [
-        ("node", 150), ("locality", "x"), ("w", -1), ("w", "x"), ("cold", 2), ("cold", "yes")]],
-    *[("done", {**dict(node=1, nonce=4, latency=3), name: value}) for name, value in [
-        ("nonce", 65536), ("nonce", -1), ("nonce", "x"), ("latency", -1), ("node", "")]],
+    *[
+        ("client_stats", {**USED, name: value})
+        for name, value in [
+            ("node", 150),
+            ("node", -1),
+            ("node", "x"),
+            ("route", "lookup"),
+            ("total", -1),
+            ("errors", "nan"),
+            ("interval", -5),
+        ]
+    ],
+    *[
+        ("attach", {**dict(node=1, locality="khalda", w=1, cold=0), name: value})
+        for name, value in [("node", 150), ("locality", "x"), ("w", -1), ("w", "x"), ("cold", 2), ("cold", "yes")]
+    ],
+    *[
+        ("done", {**dict(node=1, nonce=4, latency=3), name: value})
+        for name, value in [("nonce", 65536), ("nonce", -1), ("nonce", "x"), ("latency", -1), ("node", "")]
+    ],
 ]
 
 
@@ -152,7 +200,9 @@
     desk = Desk()
     first = desk.put(1, lines={1: 1.5, 2: 0.2}, levels={1: (1.0, 1), 2: (1.0, 1)})
     assert desk.told((0, first), binds=ALL, mark=9) == (
-        [["assign", "whole", "1", "lines", "s-1:1.5,s-2:0.2", "level", "1", "retry", "1", "ticket", "9"]], 4)
+        [["assign", "whole", "1", "lines", "s-1:1.5,s-2:0.2", "level", "1", "retry", "1", "ticket", "9"]],
+        4,
+    )
     then = desk.put(2, lines={2: 0.0, 4: 1 / 3})
     assert desk.told((0, then)) == ([["assign", "lines", "s-2:0,s-4:0.333333"]], 2)
     last = desk.put(3, levels={1: (0.4, 0), 2: (0.4, 0)})
@@ -163,10 +213,14 @@
 def test_levels_that_differ_come_as_parts_of_one_message():
     desk = Desk()
     first = desk.put(1, lines={1: 1.0}, levels={1: (1.0, 1), 2: (0.5, 0)})
-    assert desk.told((0, first), binds=ALL, mark=1) == ([
-        ["assign", "whole", "1", "lines", "s-1:1", "more", "1"],
-        ["assign", "classes", "read-chapter", "level", "1", "retry", "1", "more", "1"],
-        ["assign", "classes", "redeem-code", "level", "0.5", "retry", "0", "ticket", "1"]], 4)
+    assert desk.told((0, first), binds=ALL, mark=1) == (
+        [
+            ["assign", "whole", "1", "lines", "s-1:1", "more", "1"],
+            ["assign", "classes", "read-chapter", "level", "1", "retry", "1", "more", "1"],
+            ["assign", "classes", "redeem-code", "level", "0.5", "retry", "0", "ticket", "1"],
+        ],
+        4,
+    )
 
 
 def test_a_level_that_left_takes_the_whole_table_along():
@@ -181,10 +235,14 @@
     main, other = desk.put(1, lines={1: 1.0, 2: 1.0}), desk.put(1, table=5, lines={2: 1.0})
     desk.told((0, main), binds=ALL)
     assert desk.told((5, other), binds=((5, 0b10),)) == (
-        [["assign", "classes", "redeem-code", "whole", "1", "lines", "s-2:1"]], 2)
+        [["assign", "classes", "redeem-code", "whole", "1", "lines", "s-2:1"]],
+        2,
+    )
     assert desk.told((0, desk.put(2, lines={1: 2.0}))) == ([["assign", "classes", "read-chapter", "lines", "s-1:2"]], 1)
     assert desk.told((0, desk.put(3, lines={1: 3.0})), binds=ALL) == (
-        [["assign", "whole", "1", "lines", "s-1:3,s-2:1"]], 3)
+        [["assign", "whole", "1", "lines", "s-1:3,s-2:1"]],
+        3,
+    )
 
 
 def test_shut_out_and_let_back():
@@ -217,8 +275,6 @@
     assert reader.feed(encode([b"assign", b"x" * (codec.MESSAGE_MOST - 40)]))
 
 
-
-
 def test_a_reader_that_stands_still_is_owed_the_newest_state_only():
     hall = Hall(tasks=900)
     sock = hall.proxy(3, buffer=4096)
@@ -259,8 +315,25 @@
     collector = green.create_connection(("127.0.0.1", hall.port))
     collector.sendall(encode([b"telemetry", b"locality", b"sahab"]))
     for name in (b"s-5", b"s-99"):
-        collector.sendall(encode([b"upstream_stats", b"locality", b"sahab", b"endpoint", name, b"total", b"4",
-                                  b"errors", b"0", b"rtt", b"90", b"interval", b"1000"]))
+        collector.sendall(
+            encode(
+                [
+                    b"upstream_stats",
+                    b"locality",
+                    b"sahab",
+                    b"endpoint",
+                    name,
+                    b"total",
+                    b"4",
+                    b"errors",
+                    b"0",
+                    b"rtt",
+                    b"90",
+                    b"interval",
+                    b"1000",
+                ]
+            )
+        )
     hall.until(lambda: hall.front.counts["messages_in"] == 3)
     assert hall.front.counts["spoilt"] == 1  # s-99 was never listed
     assert [event.task for _, event in hall.machine.inbox if hasattr(event, "tries")] == [5]
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -36,8 +36,9 @@
 
 def test_changes_and_whole_lists():
     desk = ListingDesk()
-    assert desk.take(Heard(news(5, ("a", READY, 0), ("b", READY, 0), full=True).news, stale=True)
-                     ).kind == ListKind.CACHED
+    assert (
+        desk.take(Heard(news(5, ("a", READY, 0), ("b", READY, 0), full=True).news, stale=True)).kind == ListKind.CACHED
+    )
     change = desk.take(news(6, ("a", GONE, 0), ("never", GONE, 0)))
     assert change.kind == ListKind.DELTA and [(e.task, e.state) for e in change.entries] == [(0, GONE)]
     assert desk.take(news(7, ("c", READY, 0), full=True)).kind == ListKind.FULL and set(desk.listing.rows) == {"c"}
@@ -54,14 +55,21 @@
 
 
 FAULTS = [
-    b"", b"[]", b"{", b"\xff\xfe", b'{"version":1}', b'{"version":-1,"full":true,"servers":[]}',
-    b'{"version":"1","full":true,"servers":[]}', b'{"version":1,"full":true,"servers":{}}',
+    b"",
+    b"[]",
+    b"{",
+    b"\xff\xfe",
+    b'{"version":1}',
+    b'{"version":-1,"full":true,"servers":[]}',
+    b'{"version":"1","full":true,"servers":[]}',
+    b'{"version":1,"full":true,"servers":{}}',
     b'{"version":1,"full":true,"servers":[{"id":"","zone":"khalda","state":"in_service"}]}',
     b'{"version":1,"full":true,"servers":[{"id":"a,b","zone":"khalda","state":"in_service"}]}',
     b'{"version":1,"full":true,"servers":[{"id":"a","zone":"mars","state":"in_service"}]}',
     b'{"version":1,"full":true,"servers":[{"id":"a","zone":"khalda","state":"up"}]}',
     b'{"version":1,"full":true,"servers":[{"id":"a","zone":"khalda","state":"in_service","weight":-1}]}',
-    b'{"version":1,"full":true,"servers":[{"id":"a","zone":"khalda","state":"in_service","started_ms":-1}]}']
+    b'{"version":1,"full":true,"servers":[{"id":"a","zone":"khalda","state":"in_service","started_ms":-1}]}',
+]
 
 
 @pytest.mark.parametrize("raw", FAULTS)
@@ -97,10 +105,14 @@
 
 
 ANSWERS = {
-    "refused": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "closed": b"",
+    "refused": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+    "closed": b"",
     "no http": b"hello\r\n\r\n",
-    "bad json": chunked(b"{"), "hangs": "hang", "endless head": b"HTTP/1.1 200 OK\r\nX: " + b"y" * 40_000,
-    "bad chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}
+    "bad json": chunked(b"{"),
+    "hangs": "hang",
+    "endless head": b"HTTP/1.1 200 OK\r\nX: " + b"y" * 40_000,
+    "bad chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+}
 
 
 @pytest.mark.parametrize("answer", ANSWERS.values(), ids=ANSWERS)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,12 +11,15 @@
 READY, DRAINING, GONE = api.TaskState.READY, api.TaskState.DRAINING, api.TaskState.GONE
 
 
-@pytest.mark.parametrize("gains, pushes, price", [
-    ([0.5], [1], 1.0),
-    ([0.5, 0.5, 0.5], [1, 1, 1], 2.6),
-    ([0.5, 0.0, 0.04, 0.049], [1, 0, 0, 0], 0.4),  # under the noise floor a gain counts as none
-    ([0.05] * 5, [1, 1, 1, 0, 1], 3.2),  # V x 0.05 is 2.5: held while the price is above, let go at 2.4
-])
+@pytest.mark.parametrize(
+    "gains, pushes, price",
+    [
+        ([0.5], [1], 1.0),
+        ([0.5, 0.5, 0.5], [1, 1, 1], 2.6),
+        ([0.5, 0.0, 0.04, 0.049], [1, 0, 0, 0], 0.4),  # under the noise floor a gain counts as none
+        ([0.05] * 5, [1, 1, 1, 0, 1], 3.2),  # V x 0.05 is 2.5: held while the price is above, let go at 2.4
+    ],
+)
 def test_price_by_hand(gains, pushes, price):
     gate = Gate()
     assert [gate.decide(1.0, 1.0 - g, False) for g in gains] == [bool(p) for p in pushes]
@@ -95,16 +98,18 @@
         rig.period()  # no news is no good news
     assert 8 not in rig.tables[0]
     for _ in range(6):
-        rig.period(*[rig.met(z, i) for z in (0, 1) for i in range(8)],
-                   api.OfferedLoad(9, 2 * SECOND, 1, 0, 0))
+        rig.period(*[rig.met(z, i) for z in (0, 1) for i in range(8)], api.OfferedLoad(9, 2 * SECOND, 1, 0, 0))
     assert 8 in rig.tables[0]
 
 
-@pytest.mark.parametrize("change", [
-    roster([entry(2, state=DRAINING)], api.ListKind.DELTA),
-    roster([entry(2, state=GONE)], api.ListKind.DELTA),
-    roster([entry(i) for i in range(8) if i != 2]),  # a full list says it by silence
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        roster([entry(2, state=DRAINING)], api.ListKind.DELTA),
+        roster([entry(2, state=GONE)], api.ListKind.DELTA),
+        roster([entry(i) for i in range(8) if i != 2]),  # a full list says it by silence
+    ],
+)
 def test_drained_and_gone_tasks_leave_at_once_and_for_those_who_join_later(change):
     rig = Rig()
     rig.feed(change, after=0.3)
@@ -133,17 +138,25 @@
     assert all(w > 0 for table in rig.tables.values() for w in table.values())
 
 
-@pytest.mark.parametrize("bad, latency, cut", [
-    (10, 0.0, True),  # hangs, vanished, cut off: nothing comes back
-    (7, 0.01, True),  # fails most, fast
-    (3, 0.3, False),  # slow, some tries run out of time: the solver's business
-    (0, 0.4, False),
-])
+@pytest.mark.parametrize(
+    "bad, latency, cut",
+    [
+        (10, 0.0, True),  # hangs, vanished, cut off: nothing comes back
+        (7, 0.01, True),  # fails most, fast
+        (3, 0.3, False),  # slow, some tries run out of time: the solver's business
+        (0, 0.4, False),
+    ],
+)
 def test_health_cuts_what_fails_against_the_rest_and_lets_it_back_by_steps(bad, latency, cut):
     rig = Rig()
     for _ in range(5):
-        rig.period(*[rig.met(z, i, latency=latency if i == 2 else 0.1, bad=bad if i == 2 else 0)
-                     for z in (0, 1) for i in range(8)])
+        rig.period(
+            *[
+                rig.met(z, i, latency=latency if i == 2 else 0.1, bad=bad if i == 2 else 0)
+                for z in (0, 1)
+                for i in range(8)
+            ]
+        )
     factor = rig.assigner.health.factor[0]
     assert (factor[2] < 0.1) is cut and rig.tables[0][2] > 0 and factor[0] == 1.0
     for _ in range(12):
@@ -161,15 +174,17 @@
     assert all((factor[z][i] < 0.2) is (i % 2 != z) for z in (0, 1) for i in range(8))
 
 
-@pytest.mark.parametrize("admission, util, lowered", [
-    (api.Admission.FRACTION, 1.0, True), (api.Admission.FRACTION, 0.5, False),
-    (api.Admission.OFF, 1.0, False)])
+@pytest.mark.parametrize(
+    "admission, util, lowered",
+    [(api.Admission.FRACTION, 1.0, True), (api.Admission.FRACTION, 0.5, False), (api.Admission.OFF, 1.0, False)],
+)
 def test_levels_fall_in_a_jam_with_busy_cores_only_and_rise_without_swinging(admission, util, lowered):
     rig = Rig(admission=admission)
     seen = []
 
     def reports(bad, load):
         return [rig.met(z, i, bad=bad)._replace(load=(load, 0.0)) for z in (0, 1) for i in range(8)]
+
     for _ in range(4):
         rig.period(*reports(8, util))
     assert (rig.assigner.levels.open[0] < 0.5) is lowered
@@ -180,8 +195,10 @@
     assert seen == sorted(seen) and seen[-1] == 1.0
 
 
-@pytest.mark.parametrize("part, rates, level", [
-    (0.5, [10.0, 10.0], 5.0), (0.5, [2.0, 18.0], 8.0), (0.9, [1.0, 1.0, 98.0], 88.0), (0.5, [], NO_LIMIT)])
+@pytest.mark.parametrize(
+    "part, rates, level",
+    [(0.5, [10.0, 10.0], 5.0), (0.5, [2.0, 18.0], 8.0), (0.9, [1.0, 1.0, 98.0], 88.0), (0.5, [], NO_LIMIT)],
+)
 def test_where_levels_are_rates_the_part_let_in_is_shared_out_and_those_with_most_give_way(part, rates, level):
     levels = Levels(bootstrap(admission=api.Admission.PER_SECOND))
     assert levels.rate(part, rates, NO_LIMIT) == pytest.approx(level)
@@ -194,8 +211,11 @@
     rig = Rig(admission=api.Admission.PER_SECOND)
 
     def step(bad, util, came=40):
-        rig.period(*[rig.met(z, i, bad=bad)._replace(load=(util, 0.0)) for z in (0, 1) for i in range(8)],
-                   *[api.OfferedLoad(came, SECOND, p, k, 0) for p in range(4) for k in (0, 1)])
+        rig.period(
+            *[rig.met(z, i, bad=bad)._replace(load=(util, 0.0)) for z in (0, 1) for i in range(8)],
+            *[api.OfferedLoad(came, SECOND, p, k, 0) for p in range(4) for k in (0, 1)],
+        )
+
     for _ in range(4):
         step(0, 0.5)
         assert all(amount == NO_LIMIT for amount, _ in rig.levels.values())
@@ -223,6 +243,7 @@
     def step(bad):
         rig.period(*[rig.met(z, i, bad=bad) for z in (0, 1) for i in range(8)])
         return [o for o in rig.orders if isinstance(o, api.Attach)]
+
     attached = [step(8) for _ in range(4)]
     assert [o for some in attached for o in some] == [api.Attach(p, 2, 1) for p in range(4)]  # method 0
     (sink,) = rig.tables[2]
@@ -240,6 +261,7 @@
 
     def news():
         return [rig.met(z, i) for z in (0, 1) for i in range(8)] + [api.OfferedLoad(9, SECOND, 1, 0, 0)]
+
     for _ in range(6):
         rig.period(*news())
     assert rig.assigner.ramp.listed
@@ -274,12 +296,14 @@
                 (lines.add if order.weight > 0 else lines.discard)(order.task)
             elif isinstance(order, api.Attach):
                 held.setdefault(order.proxy, {}).update(
-                    (k, order.table) for k in range(len(methods)) if not order.methods or order.methods >> k & 1)
+                    (k, order.table) for k in range(len(methods)) if not order.methods or order.methods >> k & 1
+                )
         for proxy, row in held.items():
             for k, table in row.items():
                 ready = set(rig.assigner.roster.open())
                 assert not methods[k].own_zone or all(i % 2 == proxy % 2 for i in tables[table]), (proxy, k, table)
                 assert not any(i % 2 == proxy % 2 for i in ready) or tables[table]
+
     look()
     every = set(range(len(methods)))
     assert {proxy: set(row) for proxy, row in held.items()} == dict.fromkeys(range(6), every)
@@ -287,15 +311,20 @@
         rig.period(*[rig.met(z, i, bad=bad) for z in (0, 1) for i in range(12)])
         look()
     changed = [entry(0, state=DRAINING), entry(3, state=GONE), entry(13, started_at=rig.now)]
-    rig.feed(roster(changed, api.ListKind.DELTA),
-             *[api.Joined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1)
+    rig.feed(roster(changed, api.ListKind.DELTA), *[api.Joined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1)
     for _ in range(12):
         look()
         rig.period(*[rig.met(z, i) for z in (0, 1) for i in range(14) if i not in (0, 3, 12)])
     assert set(held) == set(range(40)) and all(set(row) == every for row in held.values())
     assert not any({0, 3} & tables[table] for row in held.values() for table in row.values())
-    elsewhere = {i for row in held.values() for k, table in row.items() if not methods[k].own_zone
-                 for i in tables[table] if table == 0 and i % 2}
+    elsewhere = {
+        i
+        for row in held.values()
+        for k, table in row.items()
+        if not methods[k].own_zone
+        for i in tables[table]
+        if table == 0 and i % 2
+    }
     assert bool(elsewhere) is any(not m.own_zone for m in methods)  # the others go on reaching into other zones
 
 
@@ -322,8 +351,7 @@
     rig = Rig(tasks=40, proxies=10, most_waiting=900.0, messages_most=20, lines_per_s=200.0)
     box, times = rig.assigner.outbox, []
     for k in range(40):
-        rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 7) / 5) for z in (0, 1) for i in range(40)],
-                   receipts=False)
+        rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 7) / 5) for z in (0, 1) for i in range(40)], receipts=False)
         assert box.sent - box.left <= 900
         times += [rig.now] * bool(lines(rig.orders))
         assert sum(t > rig.now - 10 * SECOND for t in times) <= 20
@@ -400,13 +428,25 @@
     assert lists.hear(START, roster([entry(1, started_at=START)], api.ListKind.DELTA)) == [1]
 
 
-@pytest.mark.parametrize("event", [
-    api.TrafficReport(0, 99, 5, 1, 1, SECOND, ()), api.TrafficReport(7, 0, 5, 1, 1, SECOND, ()),
-    api.TrafficReport(0, 0, 5, 9, -1, SECOND, (float("nan"), -3.0)), api.TrafficReport(0, 0, 5, 0, 1, 0, ()),
-    api.TrafficReport(0, 0, 0, 3, 1, -1, (0.5,)), api.OfferedLoad(5, 0, 77, 0, 0), api.Left(77),
-    api.Receipt(77, 5, -1), api.Woke(99), api.PeerMessage(3, b""), api.ProbeResult(99, 20, -1, ()),
-    api.Joined(float("nan"), True, 5, 0), api.SliceLoad(0, 0, 1, 0, 0), api.SliceCharge(True, 0),
-])
+@pytest.mark.parametrize(
+    "event",
+    [
+        api.TrafficReport(0, 99, 5, 1, 1, SECOND, ()),
+        api.TrafficReport(7, 0, 5, 1, 1, SECOND, ()),
+        api.TrafficReport(0, 0, 5, 9, -1, SECOND, (float("nan"), -3.0)),
+        api.TrafficReport(0, 0, 5, 0, 1, 0, ()),
+        api.TrafficReport(0, 0, 0, 3, 1, -1, (0.5,)),
+        api.OfferedLoad(5, 0, 77, 0, 0),
+        api.Left(77),
+        api.Receipt(77, 5, -1),
+        api.Woke(99),
+        api.PeerMessage(3, b""),
+        api.ProbeResult(99, 20, -1, ()),
+        api.Joined(float("nan"), True, 5, 0),
+        api.SliceLoad(0, 0, 1, 0, 0),
+        api.SliceCharge(True, 0),
+    ],
+)
 def test_odd_news_is_harmless(event):
     rig = Rig()
     for _ in range(3):
@@ -433,10 +473,10 @@
     def day(seed):
         rig, out = Rig(seed=seed, subscribe=True), []
         for k in range(20):
-            out += rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 5) / 9)
-                                for z in (0, 1) for i in range(8)])
+            out += rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 5) / 9) for z in (0, 1) for i in range(8)])
             out += rig.feed(roster([], api.ListKind.FAILED), after=0.01)
         return out
+
     assert day(5) == day(5) != day(6)
     assert Assigner(bootstrap(partitions=16), 1).decide(START, [api.Joined(1.0, True, 1, 0)]) == []
 
@@ -444,21 +484,39 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_any_order_of_events_is_decided_and_tables_stay_sound(seed):
     chance = Random(seed)
-    rig = Rig(tasks=chance.choice((0, 1, 6)), subscribe=seed % 2 == 0, messages_most=seed % 3 * 15,
-              admission=list(api.Admission)[seed % 3], outlier_after=seed % 2 * 3,
-              pick=list(api.Pick)[seed % 3])
+    rig = Rig(
+        tasks=chance.choice((0, 1, 6)),
+        subscribe=seed % 2 == 0,
+        messages_most=seed % 3 * 15,
+        admission=list(api.Admission)[seed % 3],
+        outlier_after=seed % 2 * 3,
+        pick=list(api.Pick)[seed % 3],
+    )
 
     def event():
         task, zone, proxy = chance.randrange(10), chance.randrange(2), chance.randrange(6)
         many, over = chance.randrange(40), chance.choice((0, SECOND, 5 * SECOND))
-        return chance.choice((
-            roster([entry(task, zone, chance.randrange(3), rig.now * chance.randrange(2))],
-                   api.ListKind.DELTA),
-            roster([entry(i) for i in range(chance.randrange(10))], chance.randrange(4)),
-            api.TrafficReport(zone, task, many, chance.randrange(40), chance.choice((-1, 0, SECOND)), over,
-                              chance.choice(((), (1.0, 9.0), (0.0, -1.0)))),
-            api.Joined(chance.choice((0.0, 5.0)), True, proxy, zone), api.Left(proxy), api.Woke(1),
-            api.OfferedLoad(many, over, proxy, zone, 0), api.Receipt(proxy, many, over)))
+        return chance.choice(
+            (
+                roster([entry(task, zone, chance.randrange(3), rig.now * chance.randrange(2))], api.ListKind.DELTA),
+                roster([entry(i) for i in range(chance.randrange(10))], chance.randrange(4)),
+                api.TrafficReport(
+                    zone,
+                    task,
+                    many,
+                    chance.randrange(40),
+                    chance.choice((-1, 0, SECOND)),
+                    over,
+                    chance.choice(((), (1.0, 9.0), (0.0, -1.0))),
+                ),
+                api.Joined(chance.choice((0.0, 5.0)), True, proxy, zone),
+                api.Left(proxy),
+                api.Woke(1),
+                api.OfferedLoad(many, over, proxy, zone, 0),
+                api.Receipt(proxy, many, over),
+            )
+        )
+
     for _ in range(250):
         rig.feed(*[event() for _ in range(chance.randrange(6))], after=chance.choice((0, 0.01, 0.5, 3)))
         ready = set(rig.assigner.roster.open())
@@ -504,8 +562,11 @@
     reach = rig.assigner.solver.reach
 
     def step(way):
-        rig.period(*[rig.met(z, i, latency=0.1 + way * (i % 2 != z)) for z in (0, 1) for i in range(24)],
-                   *[api.OfferedLoad(90 if p == 0 else 10, SECOND, p, 0, 0) for p in (0, 1)])
+        rig.period(
+            *[rig.met(z, i, latency=0.1 + way * (i % 2 != z)) for z in (0, 1) for i in range(24)],
+            *[api.OfferedLoad(90 if p == 0 else 10, SECOND, p, 0, 0) for p in (0, 1)],
+        )
+
     for _ in range(8):
         step(0.0)
     assert reach[0][1] > 0.5 and reach[1][0] < 0.05
@@ -526,18 +587,33 @@
 
 @pytest.mark.parametrize("admission", list(api.Admission))
 def test_a_large_fleet_keeps_within_its_limits_through_crash_wave_and_bad_news(admission):
-    rig = Rig(tasks=0, proxies=0, most_waiting=3000.0, messages_most=30, lines_per_s=1000.0, outlier_after=0,
-              admission=admission)
+    rig = Rig(
+        tasks=0,
+        proxies=0,
+        most_waiting=3000.0,
+        messages_most=30,
+        lines_per_s=1000.0,
+        outlier_after=0,
+        admission=admission,
+    )
     box, tables = rig.assigner.outbox, rig.assigner.tables
     rig.feed(roster([entry(i) for i in range(100)]), after=0.1)
     joins = [api.Joined(5.0, False, p, p % 2) for p in range(160)]
     for k in range(12):
-        news = [rig.met(z, i, bad=i % 11)._replace(over=(k % 4) * SECOND, load=(k / 6, float("inf")))
-                for z in (0, 1) for i in range(0, 300, 7)]
-        rig.period(*joins[:80 + 80 * (k > 3)], *news, receipts=k % 3 > 0)  # joined again and again
+        news = [
+            rig.met(z, i, bad=i % 11)._replace(over=(k % 4) * SECOND, load=(k / 6, float("inf")))
+            for z in (0, 1)
+            for i in range(0, 300, 7)
+        ]
+        rig.period(*joins[: 80 + 80 * (k > 3)], *news, receipts=k % 3 > 0)  # joined again and again
         if k == 5:  # threefold at once, most of it cold, some of it started twice
-            rig.feed(*[roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.ListKind.DELTA)
-                       for s in (0, 1)], after=0.2)
+            rig.feed(
+                *[
+                    roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.ListKind.DELTA)
+                    for s in (0, 1)
+                ],
+                after=0.2,
+            )
         if k == 8:
             rig.feed(roster([entry(0)]), api.Left(3), api.Left(3), after=0.2)  # emptied to one
         assert box.sent - box.left <= 3000
@@ -604,7 +680,9 @@
         rig.period()
     for proxy in first:
         assert [table for table, bound in enumerate(tables.bound) if proxy in bound] == [
-            proxy % 2, tables.homes + proxy % 2]
+            proxy % 2,
+            tables.homes + proxy % 2,
+        ]
 
 
 @pytest.mark.parametrize("grace, lines", [(3, 1250), (20, 2000), (1, 250)])
@@ -626,4 +704,4 @@
 def test_a_start_is_no_wave():
     rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, most_waiting=4000.0)
     assert not rig.assigner.tables.crowded
-    assert not any(rig.assigner.tables.bound[rig.assigner.tables.excess + 1:])
+    assert not any(rig.assigner.tables.bound[rig.assigner.tables.excess + 1 :])
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -30,8 +30,11 @@
     st.builds(codec.SendWeights, weights_of),
     st.builds(codec.SetBalancer, texts, u8, u8),
     st.builds(codec.SetMembers, st.booleans(), some(st.builds(StatesOf, groups, some(states)))),
-    *(st.builds(kind, u8) for kind in (codec.RegisterReply, codec.DeregisterReply, codec.SetBalancerReply,
-                                       codec.SetMembersReply)))
+    *(
+        st.builds(kind, u8)
+        for kind in (codec.RegisterReply, codec.DeregisterReply, codec.SetBalancerReply, codec.SetMembersReply)
+    ),
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -46,7 +49,7 @@
     raw = bytearray(codec.encode(1, message))
     for at, value in spoils:
         raw[at % len(raw)] = value
-    raw = bytes(raw[:len(raw) - cut] if cut < 20 else raw)
+    raw = bytes(raw[: len(raw) - cut] if cut < 20 else raw)
     framer = codec.Framer(1 << 16)
     try:
         for frame in framer.feed(raw):
@@ -62,7 +65,7 @@
     framer, found, at = codec.Framer(1 << 20), [], 0
     while at < len(raw):
         size = cuts[len(found) % len(cuts)]
-        found += framer.feed(raw[at:at + size])
+        found += framer.feed(raw[at : at + size])
         at += size
     assert [codec.decode(f) for f in found] == list(enumerate(many))
     assert not framer.partial
@@ -105,8 +108,9 @@
 
 def told(group, **figures):
     rows = {"a": A, "b": B}
-    return WeightsOf(Group("gw", group), tuple(
-        Weight(rows[k], v, Told.CONTACT if v else Told.QUIESCE) for k, v in figures.items()))
+    return WeightsOf(
+        Group("gw", group), tuple(Weight(rows[k], v, Told.CONTACT if v else Told.QUIESCE) for k, v in figures.items())
+    )
 
 
 HELD = [
@@ -139,8 +143,9 @@
 
 def test_a_large_fleet_is_registered_in_parts():
     """A component's size is told in 16 bits: two thousand members with labels do not fit in one."""
-    crowd = [Member.at(f"127.1.{k // 200}.{k % 200 + 1}", 9000, f"shelf-{k} run=r{k} up=1000000.000")
-             for k in range(2000)]
+    crowd = [
+        Member.at(f"127.1.{k // 200}.{k % 200 + 1}", 9000, f"shelf-{k} run=r{k} up=1000000.000") for k in range(2000)
+    ]
     parts = list(Registrar.batches(crowd))
     assert [member for part in parts for member in part] == crowd and list(Registrar.batches([])) == [()]
     for part in parts:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -25,10 +25,14 @@
 
 class Rig:
     def __init__(self, **overrides):
-        quick = {("sasp", "listen"): "127.0.0.1:0", ("otlp", "listen"): "127.0.0.1:0",
-                 ("log", "status_every_s"): "0", ("roster", "settle_s"): "0.1",
-                 ("assigner", "report_period_s"): "0.2",
-                 ("promises", "drain_grace_s"): "1.5"}
+        quick = {
+            ("sasp", "listen"): "127.0.0.1:0",
+            ("otlp", "listen"): "127.0.0.1:0",
+            ("log", "status_every_s"): "0",
+            ("roster", "settle_s"): "0.1",
+            ("assigner", "report_period_s"): "0.2",
+            ("promises", "drain_grace_s"): "1.5",
+        }
         quick.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
         self.service = Service(assigner.load(LOOPBACK, quick), structlog.get_logger())
         self.sasp, self.otlp = self.service.start()
@@ -97,6 +101,7 @@
     def build(**overrides):
         rigs.append(Rig(**overrides))
         return rigs[-1]
+
     yield build
     for one in rigs:
         for client in one.clients:
@@ -214,7 +219,9 @@
 
 
 NONSENSE = [
-    b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"\0" * 64, codec.encode(1, codec.SendWeights(())),
+    b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    b"\0" * 64,
+    codec.encode(1, codec.SendWeights(())),
     codec.encode(1, codec.GetWeights(()))[:5] + b"\x7f\xff\xff\xff" + b"x" * 100,
 ]
 
@@ -250,18 +257,36 @@
     (Client, codec.Register(True, (MembersOf(Group("gw", "x" * 100), ()),)), Code.GROUP_NAME_SIZE),
     (Client, codec.SetBalancer("", 0, 0), Code.UID_SIZE),
     (Client, codec.SetBalancer("shelf", 0, 0), Code.NOT_FROM_YOU),
-    (Client, codec.Register(False, (MembersOf(Group("gw-9", "tasks"), (Member.at("127.1.0.9", 1),)),)),
-     Code.NOT_CONTACTED_YET),
-    (Client, codec.Register(False, (MembersOf(Group("shelf", "other"), (Member.at("127.1.0.9", 1),)),)),
-     Code.INVALID_GROUP),
-    (Client, codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("10.0.0.1", 1),)),)),
-     Code.NOT_FROM_YOU),  # no zone holds it
-    (Client, codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),) * 2),)),
-     Code.DUPLICATE_MEMBER),
-    (Client, codec.Deregister(False, 0, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),)),)),
-     Code.NOT_REGISTERED),
-    (Client, codec.Register(True, (MembersOf(Group("gw", "read-chapter"), (Member.at("127.1.0.9", 1),)),)),
-     Code.NOT_FROM_YOU),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("gw-9", "tasks"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_CONTACTED_YET,
+    ),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "other"), (Member.at("127.1.0.9", 1),)),)),
+        Code.INVALID_GROUP,
+    ),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("10.0.0.1", 1),)),)),
+        Code.NOT_FROM_YOU,
+    ),  # no zone holds it
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),) * 2),)),
+        Code.DUPLICATE_MEMBER,
+    ),
+    (
+        Client,
+        codec.Deregister(False, 0, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_REGISTERED,
+    ),
+    (
+        Client,
+        codec.Register(True, (MembersOf(Group("gw", "read-chapter"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_FROM_YOU,
+    ),
 ]
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -74,12 +74,20 @@
 
 
 SCRIPTS = [
-    ("[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1\nshares = 1, 1, 1\n",
-     "[load] work_ms: 3 figures wanted"),
-    ("[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1, 1, 1\nshares = 1, 1, 1\n"
-     "[trouble a]\nkind = plague\nat_s = 1\n", "[trouble a] kind: Input should be"),
-    ("[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1, 1, 1\nshares = 1, 1, 1\n"
-     "[trouble a]\nkind = zone_lost\nat_s = 11\nzone = atlantis\n", "[trouble a] zone: no such zone"),
+    (
+        "[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1\nshares = 1, 1, 1\n",
+        "[load] work_ms: 3 figures wanted",
+    ),
+    (
+        "[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1, 1, 1\nshares = 1, 1, 1\n"
+        "[trouble a]\nkind = plague\nat_s = 1\n",
+        "[trouble a] kind: Input should be",
+    ),
+    (
+        "[day]\nsettings = loopback.ini\nlength_s = 10\n[load]\nwork_ms = 1, 1, 1\nshares = 1, 1, 1\n"
+        "[trouble a]\nkind = zone_lost\nat_s = 11\nzone = atlantis\n",
+        "[trouble a] zone: no such zone",
+    ),
     ("[day]\nsettings = gone.ini\nlength_s = 10\n", "gone.ini"),
 ]
 
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -36,8 +36,13 @@
 def fleet(tasks, demand, held=(), **how):
     """Tasks as (zone, rate, part), demand by zone; 10 proxies each."""
     zones = tuple(Zone(f"z{z}", 10, (d,)) for z, d in enumerate(demand))
-    return Fleet(ONE, zones, tuple(Task(f"t{i}", z, rate, 0.0, part) for i, (z, rate, part) in enumerate(tasks)),
-                 tuple(held), **how)
+    return Fleet(
+        ONE,
+        zones,
+        tuple(Task(f"t{i}", z, rate, 0.0, part) for i, (z, rate, part) in enumerate(tasks)),
+        tuple(held),
+        **how,
+    )
 
 
 def simulated(weights, out, times, calls=40_000):
@@ -56,9 +61,17 @@
     return [n / calls for n in count]
 
 
-@pytest.mark.parametrize("weights, out, times", [
-    ([1, 1, 1, 1], 1.0, [1, 1, 1, 1]), ([4, 2, 1, 1], 0.5, [1, 1, 1, 1]), ([4, 2, 1, 1], 4.0, [1, 1, 1, 1]),
-    ([1, 1, 1, 1], 3.0, [1, 1, 1, 4]), ([8, 1, 1], 6.0, [1, 1, 1]), ([1, 1], 8.0, [1, 3])])
+@pytest.mark.parametrize(
+    "weights, out, times",
+    [
+        ([1, 1, 1, 1], 1.0, [1, 1, 1, 1]),
+        ([4, 2, 1, 1], 0.5, [1, 1, 1, 1]),
+        ([4, 2, 1, 1], 4.0, [1, 1, 1, 1]),
+        ([1, 1, 1, 1], 3.0, [1, 1, 1, 4]),
+        ([8, 1, 1], 6.0, [1, 1, 1]),
+        ([1, 1], 8.0, [1, 3]),
+    ],
+)
 def test_the_two_choice_model_against_simulation(weights, out, times):
     found, told = arrivals(weights, out, times), simulated(weights, out, times)
     assert max(abs(a - b) for a, b in zip(found, told)) < 0.035
@@ -84,8 +97,9 @@
     order = [2, 0, 3, 1]
     turned = solve(fleet([tasks[i] for i in order], [20, 15]))
     for z in (0, 1):
-        assert {order[i]: round(w, 6) for i, w in turned.tables[z].items()} == \
-            {i: round(w, 6) for i, w in found.tables[z].items()}
+        assert {order[i]: round(w, 6) for i, w in turned.tables[z].items()} == {
+            i: round(w, 6) for i, w in found.tables[z].items()
+        }
 
 
 def test_units_do_not_matter():
@@ -118,8 +132,10 @@
         one = fleet(tasks, asked, least_lines=1, pick="random")
         plan = solve(one)
         splits = [(a / 20, b / 20, (20 - a - b) / 20) for a, b in product(range(21), repeat=2) if a + b <= 20]
-        best = min(cost_of(one, tuple({i: s for i, s in enumerate(split) if s} for split in pair), asked)
-                   for pair in product(splits, repeat=2))
+        best = min(
+            cost_of(one, tuple({i: s for i, s in enumerate(split) if s} for split in pair), asked)
+            for pair in product(splits, repeat=2)
+        )
         found = cost_of(one, plan.shares, asked)
         assert found <= best * 1.05, (seed, found, best)
 
@@ -129,8 +145,10 @@
     one, deadline, _ = load(SOLVE / f"{name}.ini")
     plan = solve(one, deadline)
     assert max(plan.fill.values()) <= one.busy and plan.moves.opened > 0
-    naive = sum(zone.proxies * sum(i not in held for i, task in enumerate(one.tasks) if task.open)
-                for zone, held in zip(one.zones, one.held))
+    naive = sum(
+        zone.proxies * sum(i not in held for i, task in enumerate(one.tasks) if task.open)
+        for zone, held in zip(one.zones, one.held)
+    )
     assert plan.moves.opened < naive
     low = [k for k, m in enumerate(one.methods) if m.criticality == 2][0]
     for row in plan.served:
@@ -163,8 +181,10 @@
     assert not {1, 2} & set(table) and 0 in table
 
 
-@pytest.mark.parametrize("change", [
-    dict(rate=math.nan), dict(rate=math.inf), dict(rate=-1.0), dict(part=2.0), dict(zone=7), dict(doubt=math.nan)])
+@pytest.mark.parametrize(
+    "change",
+    [dict(rate=math.nan), dict(rate=math.inf), dict(rate=-1.0), dict(part=2.0), dict(zone=7), dict(doubt=math.nan)],
+)
 def test_nonsense_leaves_tables_as_they_are(change):
     good = fleet([(0, 10.0, 1.0)] * 4, [20])
     bad = good._replace(tasks=(good.tasks[0]._replace(**change), *good.tasks[1:]))
@@ -215,8 +235,9 @@
     rng = Random(5)
     one = fleet([(k % 3, rng.uniform(8, 12), 1.0) for k in range(30)], [60, 50, 40])
     plan = solve(one)
-    noisy = one._replace(held=plan.tables, tasks=tuple(
-        t._replace(rate=t.rate * rng.uniform(0.95, 1.05)) for t in one.tasks))
+    noisy = one._replace(
+        held=plan.tables, tasks=tuple(t._replace(rate=t.rate * rng.uniform(0.95, 1.05)) for t in one.tasks)
+    )
     again = solve(noisy)
     gap = sum(abs(a.get(i, 0) - b.get(i, 0)) for a, b in zip(plan.shares, again.shares) for i in {*a, *b})
     assert gap / 6 < 0.1 and again.gain < NOISE_FLOOR
@@ -275,19 +296,29 @@
 
 def test_faults_of_a_file_are_all_named(tmp_path):
     path = tmp_path / "bad.ini"
-    path.write_text("[solve]\nbusy = 2\n[method a]\nwork = 0\n[zone z]\ndemand = 1, 2\n[tasks t]\nzone = y\nrate = x\n"
-                    "[tasks u]\nzone = y\nrate = 1\n[held q]\nt = 1\n[nothing]\n")
+    path.write_text(
+        "[solve]\nbusy = 2\n[method a]\nwork = 0\n[zone z]\ndemand = 1, 2\n[tasks t]\nzone = y\nrate = x\n"
+        "[tasks u]\nzone = y\nrate = 1\n[held q]\nt = 1\n[nothing]\n"
+    )
     ran = CliRunner().invoke(main, ["solve", str(path)])
     assert ran.exit_code == 2
-    for words in ("[solve] busy", "[method a] work", "[zone z] demand", "[tasks t] rate", "[tasks u] zone", "[held q]",
-                  "[nothing]"):
+    for words in (
+        "[solve] busy",
+        "[method a] work",
+        "[zone z] demand",
+        "[tasks t] rate",
+        "[tasks u] zone",
+        "[held q]",
+        "[nothing]",
+    ):
         assert words in ran.output
 
 
 def news(module, now, proposed=None, load=0.5, proxies=2, slow=1):
     """A second of reports for four tasks of one zone, and what the module orders."""
-    events = [api.TrafficReport(0, i, 20, 0, 100_000 * (slow if i in (1, 2) else 1), SECOND, (load, 0.0))
-              for i in range(4)]
+    events = [
+        api.TrafficReport(0, i, 20, 0, 100_000 * (slow if i in (1, 2) else 1), SECOND, (load, 0.0)) for i in range(4)
+    ]
     events += [api.OfferedLoad(40, SECOND, proxy, 0, 0) for proxy in range(proxies)]
     if proposed is not None:
         events.append(api.Proposal(0, tuple(proposed.items())))
@@ -297,16 +328,20 @@
 def started():
     """A module with four warm tasks and two proxies in one zone."""
     module = Assigner(bootstrap(zones=1), 1)
-    module.decide(START, [roster([entry(i, 0) for i in range(4)]),
-                          *(api.Joined(20.0, False, proxy, 0) for proxy in range(2))])
+    module.decide(
+        START, [roster([entry(i, 0) for i in range(4)]), *(api.Joined(20.0, False, proxy, 0) for proxy in range(2))]
+    )
     return module
 
 
 def test_the_module_takes_what_is_proposed_where_it_gains_and_forgets_it_without_more():
     """The gate pushes what saves latency, at once and not by tenths; a proposal that saves nothing is not pushed."""
     ratio = {}
-    for name, proposed, slow in (("alone", None, 3), ("proposed", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 3),
-                                 ("gains nothing", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 1)):
+    for name, proposed, slow in (
+        ("alone", None, 3),
+        ("proposed", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 3),
+        ("gains nothing", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 1),
+    ):
         module, now = started(), START
         for _ in range(3):
             now += SECOND
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -13,7 +13,14 @@
 from hollyridge.steering.doorkeeper import Doorkeeper
 from hollyridge.steering.indices import IndexAllocator
 from hollyridge.steering.members import (
-    AskedAgain, Deregistered, Members, Quiesced, Refusal, Registered, StreamLost, Tick,
+    AskedAgain,
+    Deregistered,
+    Members,
+    Quiesced,
+    Refusal,
+    Registered,
+    StreamLost,
+    Tick,
 )
 from hollyridge.steering.news import SECOND as NS
 from hollyridge.steering.news import Kind, News, Point
@@ -26,6 +33,7 @@
 
 # Weights as 16-bit numbers.
 
+
 @pytest.mark.parametrize("seed", range(20))
 def test_shares_survive_rounding(seed):
     rng, group = Random(seed), GroupAdvice()
@@ -50,8 +58,9 @@
 def test_the_whole_group_is_said_again_only_when_its_scale_must_move():
     group = GroupAdvice()
     assert group.advise({1: 1.0, 2: 1.0}, [1, 2], False, bool, lambda i: False).whole
-    moves = [group.advise({1: 1.0, 2: w}, [2], False, bool, lambda i: False).whole
-             for w in (1.5, 3.9, 4.1, 2.0, 1.0, 0.5)]
+    moves = [
+        group.advise({1: 1.0, 2: w}, [2], False, bool, lambda i: False).whole for w in (1.5, 3.9, 4.1, 2.0, 1.0, 0.5)
+    ]
     assert moves == [False, False, True, False, True, False]
 
 
@@ -72,6 +81,7 @@
 
 # Versions of tables.
 
+
 def test_every_version_can_be_reached_from_every_kept_one():
     rng, store, truth = Random(4), Store(keep=10), {}
     for version in range(1, 60):
@@ -105,6 +115,7 @@
 
 # The channel.
 
+
 def parcel(proxy, lines=1, mark=-1, number=1, table=0):
     value = Store(1).put(number, table, {i: 1.0 for i in range(lines)})
     return Parcel(proxy, number, 0, (), ((table, value),), ((table, lines),), mark)
@@ -174,6 +185,7 @@
 
 # The desk.
 
+
 def test_one_message_a_proxy_with_what_its_tables_are_in_the_end():
     desk = Desk(2, Store(4))
     fronts = {1: PLAIN, 2: PLAIN}
@@ -188,13 +200,16 @@
     assert [p.proxy for p in desk.carry(2, 3, [PutLine(1.0, 7, 0), PutLine(1.0, 7, 1)], fronts).parcels] == [1]
 
 
-@pytest.mark.parametrize("order, why", [
-    (api.SetLevel(0, 1, 0.5, 0), "front has no levels"),
-    (api.Withdraw(3, True), "front has no withdrawals"),
-    (Attach(9, 0, 0), "proxy has left"),
-    (api.Probe(1), "no Probe here"),
-    (api.TellPeer(1, b""), "no TellPeer here"),
-])
+@pytest.mark.parametrize(
+    "order, why",
+    [
+        (api.SetLevel(0, 1, 0.5, 0), "front has no levels"),
+        (api.Withdraw(3, True), "front has no withdrawals"),
+        (Attach(9, 0, 0), "proxy has left"),
+        (api.Probe(1), "no Probe here"),
+        (api.TellPeer(1, b""), "no TellPeer here"),
+    ],
+)
 def test_what_cannot_be_carried_is_refused_and_counted(order, why):
     desk = Desk(1, Store(4))
     desk.carry(0, 1, [PutLine(1.0, 5, 0), Attach(1, 0, 0)], {1: PLAIN})
@@ -203,6 +218,7 @@
 
 # Indices.
 
+
 def test_weeks_of_tasks_do_not_grow_the_arrays():
     used = set()
     indices, now = IndexAllocator(rest=100, most=200, still_used=used.__contains__), 0
@@ -227,8 +243,9 @@
 
 # Members.
 
-TERMS = members.Terms(warm_up=16 * SECOND, hold_own=SECOND, hold_agent=30 * SECOND, settle=SECOND // 2,
-                      settle_most=3 * SECOND, most=100)
+TERMS = members.Terms(
+    warm_up=16 * SECOND, hold_own=SECOND, hold_agent=30 * SECOND, settle=SECOND // 2, settle_most=3 * SECOND, most=100
+)
 
 
 class Fleet:
@@ -324,10 +341,13 @@
 def test_refusals_leave_everything_as_it_was():
     fleet = Fleet().settled()
     row = members.Applicant((1,), 1, 0, "", False)
-    cases = [(Registered(1, (row, row)), Refusal.TWICE), (Registered(1, (row._replace(zone=-1),)), Refusal.NO_ZONE),
-             (Registered(1, (row._replace(task=-1),)), Refusal.FULL),
-             (Deregistered(1, ((7,),)), Refusal.NOT_REGISTERED),
-             (Registered(1, tuple(row._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL)]
+    cases = [
+        (Registered(1, (row, row)), Refusal.TWICE),
+        (Registered(1, (row._replace(zone=-1),)), Refusal.NO_ZONE),
+        (Registered(1, (row._replace(task=-1),)), Refusal.FULL),
+        (Deregistered(1, ((7,),)), Refusal.NOT_REGISTERED),
+        (Registered(1, tuple(row._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL),
+    ]
     for what, why in cases:
         assert fleet.take(what) == why and set(fleet.states) == {99}
     assert fleet.register(1) is None and fleet.register(1) == Refusal.ALREADY_REGISTERED
@@ -349,6 +369,7 @@
 
 # Presence.
 
+
 def test_a_poller_is_told_an_interval_that_keeps_drains_in_time():
     for grace, bare in ((1, 5), (3, 5), (10, 30), (60, 20)):
         seen = Presence(grace * SECOND, bare * SECOND)
@@ -386,6 +407,7 @@
 
 # News.
 
+
 def point(value=10.0, start=0.0, end=1.0, kind=Kind.TRIES, source="gw-1", place=(0, 3), method=0):
     return Point(source, kind, place, method, value, round(start * NS), round(end * NS))
 
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -89,6 +89,7 @@
             seen[who].append(post(line, request_of(f"{who}-{k % 3}", figures))[0])
             line.close()
             gevent.sleep(gap)
+
     jobs = [gevent.spawn(say, "loud", "127.0.0.7", 60, 0.02), gevent.spawn(say, "quiet", "127.0.0.8", 12, 0.2)]
     gevent.joinall(jobs, timeout=30, raise_error=True)
     assert set(seen["quiet"]) == {200} and seen["loud"].count(429) > 30
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -38,8 +38,7 @@
 ENTRY = (0x03124A07, 1, 0, 5, 1, 1.5, 4.0)
 EVENTS = [
     (0, (9, b"a=b\n"), "00 0900000000000000 04000000 613d620a"),
-    (1, (41, 3, (ENTRY,)),
-     "01 2900000000000000 03 01000000 074a1203 01 00 0500 01 0000c03f 0000000000001040"),
+    (1, (41, 3, (ENTRY,)), "01 2900000000000000 03 01000000 074a1203 01 00 0500 01 0000c03f 0000000000001040"),
     (2, (77,), "02 4d00000000000000"),
     (3, (7, 10, 0.5, (2.0,)), "03 07000000 0a 000000000000e03f 01 00000040"),
     (4, (1, b"hi"), "04 01000000 0200 6869"),
@@ -47,8 +46,11 @@
     (6, (6.5, 1, 41, 0), "06 0000d040 01 2900 00"),
     (7, (41,), "07 2900"),
     (8, (41, 3, 0.5), "08 2900 0300000000000000 000000000000e03f"),
-    (9, (0, 7, 14, 1, 0.5, 1.0, (2.0, 0.5)),
-     "09 00 07000000 0e000000 01000000 000000000000e03f 000000000000f03f 02 00000040 0000003f"),
+    (
+        9,
+        (0, 7, 14, 1, 0.5, 1.0, (2.0, 0.5)),
+        "09 00 07000000 0e000000 01000000 000000000000e03f 000000000000f03f 02 00000040 0000003f",
+    ),
     (10, (9, 2.0, 41, 0, 0), "0a 09000000 0000000000000040 2900 00 00000000"),
     (11, (4, 1, 9, 2, 2.0), "0b 0400 01 09000000 02000000 0000000000000040"),
     (12, (1, 4), "0c 01 0400"),
@@ -73,8 +75,9 @@
 ]
 
 
-@pytest.mark.parametrize("shapes, code, fields, text", [
-    *[(wire.EVENTS, *row) for row in EVENTS], *[(wire.ORDERS, *row) for row in ORDERS]])
+@pytest.mark.parametrize(
+    "shapes, code, fields, text", [*[(wire.EVENTS, *row) for row in EVENTS], *[(wire.ORDERS, *row) for row in ORDERS]]
+)
 def test_every_record_both_ways(shapes, code, fields, text):
     raw = bytes.fromhex(text)
     assert wire.pack(code, fields, shapes) == raw
@@ -103,7 +106,7 @@
 def orders(body, clock=100.0, at=None):
     reply = (at or link.Link()).answer(clock, 12, body)
     size, count, number = wire.REPLY_HEAD.unpack_from(reply)
-    found = list(wire.unpack(reply[wire.REPLY_HEAD.size:], wire.ORDERS))
+    found = list(wire.unpack(reply[wire.REPLY_HEAD.size :], wire.ORDERS))
     assert (size, count, number) == (len(reply) - wire.REPLY_HEAD.size, len(found), 12)
     return found
 
@@ -113,7 +116,7 @@
     found = orders(events(*START, (14, (5,)), *START[1:]), at=at)
     starts = [k for k, (code, _) in enumerate(found) if code == 77]
     assert [found[k][1] for k in starts] == [(3,), (5,)]
-    assert found[1:starts[1]] == found[starts[1] + 1:]
+    assert found[1 : starts[1]] == found[starts[1] + 1 :]
     assert (69, (1,)) in found and any(code == 74 and f[1] == ENTRY[0] for code, f in found)
     at.answer(101.0, 13, events((14, (3,)), (5, ())))
     assert set(at.instances) == {5}
@@ -128,7 +131,9 @@
     orders(events(*START), at=at)
     at.instances[3].assigner.decide = lambda now, events: 1 / 0
     assert orders(events((14, (3,)), (2, (1,))), 101.0, at) == [
-        (77, (3,)), (76, (b"ZeroDivisionError: division by zero",))]
+        (77, (3,)),
+        (76, (b"ZeroDivisionError: division by zero",)),
+    ]
 
 
 def test_settings():
@@ -141,16 +146,27 @@
         read_bootstrap(CONF.replace(b"rules.fall=2.0", b"rules.fall=nan"))
 
 
-@pytest.mark.parametrize("raw", [
-    b"\x01\x00", frame(b"\x02")[:-1], frame(b"\xfe"), frame(events((2, (1,)))),
-    frame(events((14, (3,)), (2, (1,)))),
-    wire.BATCH_HEAD.pack(1 << 30, 1.0, 0), wire.BATCH_HEAD.pack(0, math.nan, 0), frame(events(*START)[:-3]),
-    frame(events((14, (3,)), (0, (9, b"zones=a\n")))), frame(events(*START[:2], (1, (1, 9, ())))),
-    frame(events(*START, (10, (9, 2.0, 41, 7, 0)))), frame(events(*START[:3], (6, (5.0, 1, 41, 9)))),
-])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"\x01\x00",
+        frame(b"\x02")[:-1],
+        frame(b"\xfe"),
+        frame(events((2, (1,)))),
+        frame(events((14, (3,)), (2, (1,)))),
+        wire.BATCH_HEAD.pack(1 << 30, 1.0, 0),
+        wire.BATCH_HEAD.pack(0, math.nan, 0),
+        frame(events(*START)[:-3]),
+        frame(events((14, (3,)), (0, (9, b"zones=a\n")))),
+        frame(events(*START[:2], (1, (1, 9, ())))),
+        frame(events(*START, (10, (9, 2.0, 41, 7, 0)))),
+        frame(events(*START[:3], (6, (5.0, 1, 41, 9)))),
+    ],
+)
 def test_bad_input_ends_in_one_plain_line(raw):
-    done = subprocess.run([sys.executable, "-m", "hollyridge.benchlink"], input=frame(b"") + raw,
-                          capture_output=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "hollyridge.benchlink"], input=frame(b"") + raw, capture_output=True, check=False
+    )
     assert done.returncode == 2 and done.stdout == struct.pack("<III", 0, 0, 0)
     assert done.stderr.startswith(b"benchlink: ") and done.stderr.count(b"\n") == 1
 
