--- a/Makefile
+++ b/Makefile
@@ -16,5 +16,6 @@
 	.venv/bin/hollyridge serve examples/loopback.ini
 
 test: .venv/ready
+	$(PY) -m ruff format --check .
 	$(PY) -m ruff check .
 	$(PY) -m pytest
