--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -6,8 +6,8 @@
 
 from hollyridge import interface as api
 from hollyridge.benchlink import wire
-from hollyridge.benchlink.conf import micros, read_bootstrap
-from hollyridge.rules import Assigner
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.platform_settings.reader import micros, read_bootstrap
 
 
 class Instance:
--- a/hollyridge/clone/client.py
+++ b/hollyridge/chp/client.py
@@ -7,8 +7,8 @@
 import time
 from collections.abc import Callable
 
-from hollyridge.clone import codec
-from hollyridge.clone.replica import Client, Tables
+from hollyridge.chp import codec
+from hollyridge.chp.replica import Client, Tables
 
 
 class Subscriber:
--- a/hollyridge/clone/ledger.py
+++ b/hollyridge/chp/key_space.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hollyridge.clone import codec
-from hollyridge.clone.codec import Head, Kthxbai, Kvpub, Kvsync
+from hollyridge.chp import codec
+from hollyridge.chp.codec import Head, Kthxbai, Kvpub, Kvsync
 
 
 class Ledger:
--- a/hollyridge/clone/replica.py
+++ b/hollyridge/chp/replica.py
@@ -7,9 +7,9 @@
 
 from typing import NamedTuple
 
-from hollyridge.clone import codec
-from hollyridge.clone.codec import Head, Kthxbai, Kvpub, Kvsync
-from hollyridge.membership.judge import Judge
+from hollyridge.chp import codec
+from hollyridge.chp.codec import Head, Kthxbai, Kvpub, Kvsync
+from hollyridge.membership.fencing import Judge
 
 GATHERED_MOST = 20_000  # messages kept for a change whose head has not come
 
--- a/hollyridge/clone/front.py
+++ b/hollyridge/chp/server.py
@@ -16,20 +16,19 @@
 import gevent
 import zmq.green as zmq
 
-from hollyridge.clone import codec
-from hollyridge.clone.codec import CloneError
-from hollyridge.clone.ledger import Ledger
-from hollyridge.core.loop import Loop
+from hollyridge.chp import codec
+from hollyridge.chp.codec import CloneError
+from hollyridge.chp.key_space import Ledger
+from hollyridge.core.event_loop import Loop
+from hollyridge.delivery.update_builder import Abilities, Parcel
 from hollyridge.keys.curve import Curve
-from hollyridge.membership.owners import SendTo, Stale, Take
-from hollyridge.peers.fleet import Fleet
-from hollyridge.steering.access import Access
-from hollyridge.steering.desk import Abilities, Parcel
-from hollyridge.steering.doorkeeper import Bucket, Doorkeeper
-from hollyridge.steering.presence import Presence
-from hollyridge.steering.saying import worth_saying
-from hollyridge.store.versions import EMPTY, Table
-
+from hollyridge.limits.connection_limiter import Bucket, Doorkeeper
+from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.membership.leases import SendTo, Stale, Take
+from hollyridge.peers.peer_service import Fleet
+from hollyridge.sessions.access import Access
+from hollyridge.sessions.session_tracker import Presence
+from hollyridge.store.table_versions import EMPTY, Table
 
 OPEN = Access(False, ())
 
--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -11,7 +11,7 @@
 import gevent
 import msgspec
 
-from hollyridge.lab import script as scripts
+from hollyridge.lab import scenario as scripts
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.live import LiveStage
 from hollyridge.lab.policies import POLICIES
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -16,11 +16,11 @@
 
 
 def load(path: str, settings: str = "", fronts: str = "", times: float = 1.0, assigners: int = 0):
-    from hollyridge.lab import script
+    from hollyridge.lab import scenario
     from hollyridge.settings.ini import FaultsError
 
     try:
-        return script.load(path, settings, tuple(word for word in fronts.split(",") if word), times, assigners)
+        return scenario.load(path, settings, tuple(word for word in fronts.split(",") if word), times, assigners)
     except FaultsError as trouble:
         for fault in trouble.faults:
             click.echo(f"{path}: {fault}", err=True)
@@ -62,10 +62,10 @@
 
         monkey.patch_all()
     from hollyridge.cli.day import show
-    from hollyridge.lab.cost import Meter
     from hollyridge.lab.day import Day, DayError
     from hollyridge.lab.page import write
     from hollyridge.lab.policies import POLICIES
+    from hollyridge.lab.profiler import Meter
     from hollyridge.lab.virtual import VirtualStage
 
     script = load(scenario, settings, fronts, times, assigners)
--- a/hollyridge/cli/main.py
+++ b/hollyridge/cli/main.py
@@ -8,10 +8,10 @@
 
 import click
 
-from hollyridge.core import logs
 from hollyridge.cli.fleet import fleet
 from hollyridge.cli.lab import lab
 from hollyridge.cli.solve import solve
+from hollyridge.core import logs
 from hollyridge.settings import assigner
 from hollyridge.settings.ini import FaultsError
 
@@ -54,8 +54,8 @@
 def run(terms: assigner.AssignerTerms, path: str, make=None) -> None:
     import gevent
 
-    from hollyridge.core.machine import ModuleError
-    from hollyridge.rules import Assigner
+    from hollyridge.core.engine import ModuleError
+    from hollyridge.decisions.assigner import Assigner
     from hollyridge.service import Service
 
     log = logs.start(terms.log.format, terms.log.level, assigner=terms.assigner.name)
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -44,12 +44,12 @@
     """Weights within capacity for the fleet that FILE describes: tables by zone, what binds, what one more task would
     do, and what moves against the tables held now. FILE may be http://ADDRESS:PORT, an assigner's OTLP address: then
     what that assigner knows now is taken."""
-    from hollyridge.core.solving import wake
+    from hollyridge.core.solver_service import wake
     from hollyridge.settings.ini import FaultsError
     from hollyridge.settings.solve import load, read_text
-    from hollyridge.solving.fleet import NonsenseError
-    from hollyridge.solving.program import LateError
-    from hollyridge.solving.solver import solve as plan_of
+    from hollyridge.solver.fleet import NonsenseError
+    from hollyridge.solver.linear_program import LateError
+    from hollyridge.solver.planner import solve as plan_of
 
     try:
         fleet, deadline, groups = read_text(fetch(file), file) if file.startswith("http://") else load(file)
--- a/hollyridge/client/clone.py
+++ b/hollyridge/client/chp.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from hollyridge.client.surface import Gateway, SentOnError, several
-from hollyridge.clone.client import Subscriber
-from hollyridge.clone.replica import Client
+from hollyridge.chp.client import Subscriber
+from hollyridge.chp.replica import Client
+from hollyridge.client.gateway import Gateway, SentOnError, several
 
 
 class SilenceError(Exception):
--- a/hollyridge/client/surface.py
+++ b/hollyridge/client/gateway.py
@@ -17,7 +17,7 @@
 from tenacity import RetryCallState, wait_random_exponential
 
 from hollyridge.client.picking import Picker
-from hollyridge.membership.judge import Judge
+from hollyridge.membership.fencing import Judge
 
 NO_LINES: Mapping[str, float] = MappingProxyType({})
 
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -5,8 +5,8 @@
 import socket
 from collections.abc import Callable
 
-from hollyridge.client.surface import Gateway, SentOnError, several
-from hollyridge.sasp import codec, owner
+from hollyridge.client.gateway import Gateway, SentOnError, several
+from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import Balancer, Held, RefusedError, SilentError
 
 BEATS = 4  # signs of life in a lease
@@ -26,13 +26,13 @@
     def begin(self) -> int:
         """A new stream: the number of its question."""
         self.held.new_stream()
-        self.own = owner.Owned(0, 0.0)
+        self.own = ownership_extension.Owned(0, 0.0)
         return self.judge.ask()
 
     def take(self, message: codec.SendWeights) -> None:
         """SentOnError where another assigner should be asked. Not applied: what comes from who is not to be obeyed."""
-        word = owner.word_in(message.groups)
-        if isinstance(word, owner.SentOn):
+        word = ownership_extension.word_in(message.groups)
+        if isinstance(word, ownership_extension.SentOn):
             raise SentOnError(word.to)
         self.own = word or self.own
         self.lease = self.own.lease or self.lease
--- a/hollyridge/core/machine.py
+++ b/hollyridge/core/engine.py
@@ -16,14 +16,14 @@
 from hdrh.histogram import HdrHistogram
 
 from hollyridge import interface as api
-from hollyridge.core.front import Front
-from hollyridge.rules import Assigner
-from hollyridge.steering import members
-from hollyridge.steering.channel import Channel
-from hollyridge.steering.desk import Desk
-from hollyridge.steering.indices import IndexAllocator
-from hollyridge.steering.news import News, Point
-from hollyridge.store.versions import Store
+from hollyridge.core.protocol_server import Front
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.delivery.paced_queue import Channel
+from hollyridge.delivery.update_builder import Desk
+from hollyridge.registration import members
+from hollyridge.registration.index_allocator import IndexAllocator
+from hollyridge.store.table_versions import Store
+from hollyridge.telemetry.report_aggregator import News, Point
 
 
 class Limits(NamedTuple):
--- a/hollyridge/core/loop.py
+++ b/hollyridge/core/event_loop.py
@@ -8,8 +8,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from hollyridge.core.machine import Machine
-
+from hollyridge.core.engine import Machine
 
 CLOCK_ABOVE = 1_000_000_000  # us above the system's monotonic clock: 0 is read as long past
 
--- a/hollyridge/core/keeping.py
+++ b/hollyridge/core/persistence.py
@@ -8,15 +8,14 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from hollyridge.core.loop import Loop
-from hollyridge.steering import memory
-from hollyridge.steering.saying import worth_saying
-from hollyridge.store import durable
-from hollyridge.store.durable import DurableError
+from hollyridge.core.event_loop import Loop
+from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.store import learned_estimates, state_file
+from hollyridge.store.state_file import DurableError
 
 
 class KeepingTerms(NamedTuple):
-    """`every_s` between two writes; `fleet` as of `memory.fleet_of`."""
+    """`every_s` between two writes; `fleet` as of `learned_estimates.fleet_of`."""
 
     path: Path
     every_s: float
@@ -39,7 +38,7 @@
     ) -> None:
         self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
         self.name_of, self.index_of, self.apply, self.wall_ms = name_of, index_of, apply, wall_ms
-        self.write, self.read = durable.write, durable.read
+        self.write, self.read = state_file.write, state_file.read
         self.stopped = False
         self.counts = {"written": 0, "failed": 0, "recalled": 0, "left_out": 0}
 
@@ -54,9 +53,9 @@
             self.loop.sleep(self.terms.every_s)
             self.save()
 
-    def load(self) -> durable.State | None:
+    def load(self) -> state_file.State | None:
         try:
-            return durable.unpack(self.apply(self.read, (self.terms.path,)))
+            return state_file.unpack(self.apply(self.read, (self.terms.path,)))
         except FileNotFoundError:
             self.log.info("nothing kept yet", file=str(self.terms.path))
         except (OSError, DurableError) as trouble:
@@ -65,8 +64,8 @@
             )
         return None
 
-    def recall(self, state: durable.State) -> None:
-        told = memory.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
+    def recall(self, state: state_file.State) -> None:
+        told = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
         self.counts["left_out"] += sum(told.left_out.values())
         if told.event is not None:
             self.counts["recalled"] += len(told.event.rows)
@@ -86,7 +85,7 @@
         rows, price = learnt()
         if not rows:
             return  # what is on disk knows more
-        raw = durable.pack(memory.noted(self.terms.fleet, self.wall_ms(), rows, price, self.name_of))
+        raw = state_file.pack(learned_estimates.noted(self.terms.fleet, self.wall_ms(), rows, price, self.name_of))
         try:
             self.apply(self.write, (self.terms.path, raw))
             self.counts["written"] += 1
--- a/hollyridge/core/front.py
+++ b/hollyridge/core/protocol_server.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from hollyridge.steering.desk import Abilities, Parcel
+from hollyridge.delivery.update_builder import Abilities, Parcel
 
 
 class Front(Protocol):
--- a/hollyridge/core/solving.py
+++ b/hollyridge/core/solver_service.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple
 
 from hollyridge import interface as api
-from hollyridge.core.loop import Loop
-from hollyridge.solving import program
-from hollyridge.solving.feed import fleet_of, proposals
-from hollyridge.solving.solver import Planner
+from hollyridge.core.event_loop import Loop
+from hollyridge.solver import linear_program
+from hollyridge.solver.engine_adapter import fleet_of, proposals
+from hollyridge.solver.planner import Planner
 
 
 class SolverTerms(NamedTuple):
@@ -28,7 +28,7 @@
     kept = os.dup(1)
     os.dup2(2, 1)
     try:
-        program.library()
+        linear_program.library()
     finally:
         os.dup2(kept, 1)
         os.close(kept)
--- a/hollyridge/core/streams.py
+++ b/hollyridge/core/stream_server.py
@@ -7,7 +7,7 @@
 
 from gevent.server import StreamServer
 
-from hollyridge.core.loop import Loop
+from hollyridge.core.event_loop import Loop
 
 
 class StreamFront:
--- a/hollyridge/steering/channel.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from hollyridge.steering.desk import Parcel, merged
+from hollyridge.delivery.update_builder import Parcel, merged
 
 
 class Waiting(NamedTuple):
--- a/hollyridge/steering/desk.py
+++ b/hollyridge/delivery/update_builder.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from hollyridge.interface import AskReceipt, Attach, DropTable, Order, PutLine, SetLevel, Withdraw
-from hollyridge.store.versions import Store, Table
+from hollyridge.store.table_versions import Store, Table
 
 
 class Abilities(NamedTuple):
--- a/hollyridge/roster/listing.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from hollyridge.discovery.schema import Entry, News
 from hollyridge.interface import Listed, ListKind, RosterChange, TaskState
-from hollyridge.roster.words import Entry, News
-from hollyridge.steering.members import Outcome, Tick
+from hollyridge.registration.members import Outcome, Tick
 
 TOLD = 6_000_000  # us after which whatever discovery has to tell counts as told (the protocol page, Figures)
 
--- a/hollyridge/roster/words.py
+++ b/hollyridge/discovery/schema.py
@@ -59,7 +59,7 @@
 
     >>> read(b'{"version":2,"full":false,"servers":[{"id":"s-1","zone":"a","state":"gone"}]}', {"a": 0})
     Traceback (most recent call last):
-    hollyridge.roster.words.RosterError: s-1 has no known state: gone
+    hollyridge.discovery.schema.RosterError: s-1 has no known state: gone
     """
     if isinstance(raw, Page):
         page = raw
--- a/hollyridge/roster/watch.py
+++ b/hollyridge/discovery/watch_client.py
@@ -7,11 +7,11 @@
 from gevent import socket
 from gevent.event import Event
 
-from hollyridge.core.loop import Loop
-from hollyridge.roster.caller import CONNECT, Caller, Action, Happened
-from hollyridge.roster.listing import CallFailed, Heard, Listing
-from hollyridge.roster.words import RosterError, read
-from hollyridge.steering.saying import worth_saying
+from hollyridge.core.event_loop import Loop
+from hollyridge.discovery.endpoint_list import CallFailed, Heard, Listing
+from hollyridge.discovery.schema import RosterError, read
+from hollyridge.discovery.watch_state import CONNECT, Action, Caller, Happened
+from hollyridge.limits.log_sampling import worth_saying
 
 LINE_MOST = 8 << 20  # bytes of one line of a watch
 HEAD_MOST = 16384
--- a/hollyridge/interface.py
+++ b/hollyridge/interface.py
@@ -1,6 +1,6 @@
 """What happens to an assigner, what it orders, and what it reads at start.
 
-The decision module (`hollyridge.rules`) takes these events and returns these orders; whatever feeds
+The decision module (`hollyridge.decisions.assigner`) takes these events and returns these orders; whatever feeds
 it (today the bench link, later a control service) translates at its edge. Times are whole
 microseconds, tasks are small dense indices given there in the order of first mention.
 """
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -12,13 +12,13 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from hollyridge.clone import codec as clone
-from hollyridge.clone.replica import Client
-from hollyridge.membership.judge import Judge
+from hollyridge.chp import codec as clone
+from hollyridge.chp.replica import Client
 from hollyridge.lab.record import frame_of, parts_of
-from hollyridge.sasp import codec, owner
+from hollyridge.membership.fencing import Judge
+from hollyridge.registration.members import figure, read_label
+from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import Held
-from hollyridge.steering.members import figure, read_label
 
 SECOND = 1_000_000
 
@@ -176,7 +176,9 @@
                     continue
                 who = row["who"]
                 question = asked.get((who, row["stream"], number), (0, None))[1]
-                if isinstance(question, codec.Register) and owner.question_in(question.groups[0].group.name):
+                if isinstance(question, codec.Register) and ownership_extension.question_in(
+                    question.groups[0].group.name
+                ):
                     continue  # it has said its number, and is not joined yet
                 if isinstance(message, codec.RegisterReply) and message.code == 0:
                     self.joined[who].append(Span(row["t"], -1, self.goes_to[who]))
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from hollyridge.lab.checker import Evidence, Figures, Verdict, check
-from hollyridge.lab.figures import figures_of
+from hollyridge.lab.metrics import figures_of
 from hollyridge.lab.ownership import of_day
 from hollyridge.lab.parity import compare
-from hollyridge.lab.script import Script, TroubleSection
+from hollyridge.lab.scenario import Script, TroubleSection
 
 
 class DayError(Exception):
--- a/hollyridge/lab/hunt.py
+++ b/hollyridge/lab/hunt.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from hollyridge.lab.day import Day, DayError, Outcome
-from hollyridge.lab.script import KINDS, Script, TroubleSection
+from hollyridge.lab.scenario import KINDS, Script, TroubleSection
 from hollyridge.lab.virtual import VirtualStage
 
 RANGES = {
--- a/hollyridge/lab/fences.py
+++ b/hollyridge/lab/lease_model_check.py
@@ -8,8 +8,8 @@
 import copy
 from typing import NamedTuple
 
-from hollyridge.membership.judge import Judge
-from hollyridge.membership.owners import Acked, Came, Drop, Lease, Members, Owners, Standing, Take, Tick
+from hollyridge.membership.fencing import Judge
+from hollyridge.membership.leases import Acked, Came, Drop, Lease, Members, Owners, Standing, Take, Tick
 
 NAMES = ("a", "b")
 LEASE = Lease(length=2, settle=1, period=1)  # in steps of this world
--- a/hollyridge/lab/live.py
+++ b/hollyridge/lab/live.py
@@ -14,12 +14,12 @@
 import msgspec
 from gevent import subprocess
 
-from hollyridge.core.loop import CLOCK_ABOVE
+from hollyridge.core.event_loop import CLOCK_ABOVE
 from hollyridge.lab.agent import Agent
 from hollyridge.lab.day import Day, DayError
-from hollyridge.lab.relay import Relay
 from hollyridge.lab.record import STATE, Recorder, now_us, read_all
-from hollyridge.lab.script import Script
+from hollyridge.lab.relay import Relay
+from hollyridge.lab.scenario import Script
 from hollyridge.lab.world import LiveWorld
 
 
@@ -28,7 +28,7 @@
 
     def __init__(self, folder: Path, name: str, heard: Callable[[dict], None]) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.lab.house", str(folder / f"{name}.jsonl")],
+            [sys.executable, "-m", "hollyridge.lab.worker_process", str(folder / f"{name}.jsonl")],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=open(folder / f"{name}.log", "wb"),
--- a/hollyridge/lab/policies.py
+++ b/hollyridge/lab/policies.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from hollyridge import interface as api
-from hollyridge.rules import Assigner
+from hollyridge.decisions.assigner import Assigner
 
 
 class Simple:
--- a/hollyridge/lab/record.py
+++ b/hollyridge/lab/record.py
@@ -9,7 +9,6 @@
 
 import msgspec
 
-
 STATE = ("waiting", "decisions", "messages", "puts", "events")  # of the assigner's status, kept in recordings
 
 
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -10,10 +10,10 @@
 from hollyridge.client.sasp import BEATS, SaspTables
 from hollyridge.lab.proxy import Proxy
 from hollyridge.lab.world import VirtualWorld
-from hollyridge.sasp import codec, owner
+from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import Held, LostError, RefusedError, Registrar, SilentError
 from hollyridge.sasp.codec import Group, Wants
-from hollyridge.sasp.front import Stream
+from hollyridge.sasp.server import Stream
 
 if TYPE_CHECKING:
     from hollyridge.lab.virtual import Seat, VirtualStage
@@ -158,7 +158,7 @@
         hello = codec.SetBalancer(self.uid, 0x7F, int(Wants.PUSH | Wants.NO_CHANGE))
         registration = 3
         for number, message in enumerate(
-            (hello, owner.question(self.uid, asked, self.pleads), codec.Register(True, groups)), 1
+            (hello, ownership_extension.question(self.uid, asked, self.pleads), codec.Register(True, groups)), 1
         ):
             self.say(line, number, message)
         number, beat, answered, hello_s = registration, self.clock(), False, self.patience(5.0)
--- a/hollyridge/lab/takeover.py
+++ b/hollyridge/lab/takeover.py
@@ -11,12 +11,12 @@
 from statistics import median
 from typing import NamedTuple
 
-from hollyridge.lab import script as scripts
+from hollyridge.lab import scenario as scripts
 from hollyridge.lab.checker import Evidence
 from hollyridge.lab.day import Day
 from hollyridge.lab.hunt import drawn, with_troubles
 from hollyridge.lab.ownership import Gap, believed, doubles, gaps, moves
-from hollyridge.lab.script import TroubleSection
+from hollyridge.lab.scenario import TroubleSection
 from hollyridge.lab.virtual import VirtualStage
 
 RANGES = {
--- a/hollyridge/lab/task.py
+++ b/hollyridge/lab/task.py
@@ -11,8 +11,8 @@
 from gevent.server import StreamServer
 
 from hollyridge.lab import rpc
-from hollyridge.lab.physics import Budget, Build, Busy, Cache, Warmth, service_us
 from hollyridge.lab.record import Recorder
+from hollyridge.lab.task_model import Budget, Build, Busy, Cache, Warmth, service_us
 
 TOKENED, NON_IDEMPOTENT = "tokened", "non-idempotent"
 
--- a/hollyridge/lab/explore.py
+++ b/hollyridge/lab/update_model_check.py
@@ -7,10 +7,10 @@
 from collections import deque
 from typing import NamedTuple
 
-from hollyridge.clone import codec
-from hollyridge.clone.codec import Kthxbai, Kvpub
-from hollyridge.clone.ledger import Ledger
-from hollyridge.clone.replica import Did, Replica
+from hollyridge.chp import codec
+from hollyridge.chp.codec import Kthxbai, Kvpub
+from hollyridge.chp.key_space import Ledger
+from hollyridge.chp.replica import Did, Replica
 
 SUBTREE = "/table/0/"
 VERSIONS = (("a", "b"), ("b", "c"), ("a", "c", "d"), ("d",))
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -13,28 +13,28 @@
 
 from greenlet import GreenletExit
 
-from hollyridge.client.surface import Gateway
+from hollyridge.client.gateway import Gateway
+from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab import rpc
 from hollyridge.lab.agent import Agent
-from hollyridge.lab.cast import Cast
+from hollyridge.lab.command_handler import Cast
 from hollyridge.lab.day import Day, DayError
-from hollyridge.lab.physics import Build
 from hollyridge.lab.policies import POLICIES
 from hollyridge.lab.proxy import Proxy
 from hollyridge.lab.record import STATE, Recorder
-from hollyridge.lab.script import Script
+from hollyridge.lab.scenario import Script
 from hollyridge.lab.sockets import Context, Library, Network
 from hollyridge.lab.streams import VirtualCloneGateway, VirtualRegistrar, VirtualSaspGateway
 from hollyridge.lab.task import Task
+from hollyridge.lab.task_model import Build
 from hollyridge.lab.world import VirtualWorld
 from hollyridge.otlp.reading import METRICS
 from hollyridge.otlp.sender import Figure
-from hollyridge.peers.fleet import FleetTerms
-from hollyridge.rules import Assigner
+from hollyridge.peers.peer_service import FleetTerms
 from hollyridge.sasp.client import LostError
 from hollyridge.service import Service
 from hollyridge.settings.assigner import AssignerTerms
-from hollyridge.steering.news import LOADS, Kind, Point
+from hollyridge.telemetry.report_aggregator import LOADS, Kind, Point
 
 STATE_EVERY = 500_000  # us
 
--- a/hollyridge/lab/house.py
+++ b/hollyridge/lab/worker_process.py
@@ -1,5 +1,5 @@
 """A process that houses stand-in tasks or proxies: commands as JSON lines on standard input, answers on standard
-output, recordings in a file of its own. `python -m hollyridge.lab.house FILE.jsonl`."""
+output, recordings in a file of its own. `python -m hollyridge.lab.worker_process FILE.jsonl`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 import msgspec  # noqa: E402
 from gevent.fileobject import FileObject  # noqa: E402
 
-from hollyridge.lab.cast import Cast  # noqa: E402
-from hollyridge.lab.physics import Build  # noqa: E402
+from hollyridge.lab.command_handler import Cast  # noqa: E402
 from hollyridge.lab.proxy import Proxy  # noqa: E402
 from hollyridge.lab.record import Recorder  # noqa: E402
 from hollyridge.lab.task import Task, TaskServer  # noqa: E402
+from hollyridge.lab.task_model import Build  # noqa: E402
 from hollyridge.lab.world import LiveWorld  # noqa: E402
 
 
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import NamedTuple, Union
 
-from hollyridge.membership.words import Ack, Facts, Join, Message, Ping, Relay, Status, Whole, Word
+from hollyridge.membership.messages import Ack, Facts, Join, Message, Ping, Relay, Status, Whole, Word
 
 WORDS = 8  # of one message, at the most
 WHOLE = 64  # of an answer to a join
--- a/hollyridge/node/__main__.py
+++ b/hollyridge/node/__main__.py
@@ -14,9 +14,9 @@
 import gevent  # noqa: E402
 
 from hollyridge.core import logs  # noqa: E402
-from hollyridge.core.machine import ModuleError  # noqa: E402
-from hollyridge.node.program import Program  # noqa: E402
-from hollyridge.node.terms import NodeError, read_file  # noqa: E402
+from hollyridge.core.engine import ModuleError  # noqa: E402
+from hollyridge.node.application import Program  # noqa: E402
+from hollyridge.node.config import NodeError, read_file  # noqa: E402
 
 
 def main() -> int:
--- a/hollyridge/node/program.py
+++ b/hollyridge/node/application.py
@@ -9,14 +9,14 @@
 
 import gevent
 
-from hollyridge.core.loop import Loop, monotonic_us
-from hollyridge.core.machine import Limits, Machine, spread
-from hollyridge.node.terms import NodeError, NodeTerms
-from hollyridge.resp.front import RespFront, RespTerms
-from hollyridge.roster.caller import Caller
-from hollyridge.roster.listing import Heard, Listing
-from hollyridge.roster.watch import Watch
-from hollyridge.roster.words import TASKS_MOST
+from hollyridge.core.engine import Limits, Machine, spread
+from hollyridge.core.event_loop import Loop, monotonic_us
+from hollyridge.discovery.endpoint_list import Heard, Listing
+from hollyridge.discovery.schema import TASKS_MOST
+from hollyridge.discovery.watch_client import Watch
+from hollyridge.discovery.watch_state import Caller
+from hollyridge.node.config import NodeError, NodeTerms
+from hollyridge.resp.server import RespFront, RespTerms
 
 KEPT = 24  # descriptors for what is not a connection of the front: logs, the hub, discovery, the listener
 EVENTS_MOST = 20_000  # waiting for the module, past which reports give way
--- a/hollyridge/node/terms.py
+++ b/hollyridge/node/config.py
@@ -9,10 +9,10 @@
 import msgspec
 from msgspec import Meta
 
-from hollyridge.benchlink.conf import TermsError, bootstrap_of, flattened
+from hollyridge.discovery.schema import News, Page, RosterError, read
 from hollyridge.interface import Bootstrap
-from hollyridge.resp.words import Names
-from hollyridge.roster.words import News, Page, RosterError, read
+from hollyridge.platform_settings.reader import TermsError, bootstrap_of, flattened
+from hollyridge.resp.messages import Names
 from hollyridge.settings.address import split
 
 CONFIG_MOST = 16 << 20  # bytes
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -22,11 +22,11 @@
     ExportMetricsServiceResponse,
 )
 
-from hollyridge.core.loop import Loop
+from hollyridge.core.event_loop import Loop
 from hollyridge.keys.tls import bearer_of
+from hollyridge.limits.fair_share import Fair
 from hollyridge.otlp.reading import Names, Running, read
-from hollyridge.steering.access import Access
-from hollyridge.trust.fair import Fair
+from hollyridge.sessions.access import Access
 
 REASONS = {
     200: "OK",
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -21,7 +21,7 @@
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import ExportMetricsServiceRequest
 from opentelemetry.proto.metrics.v1.metrics_pb2 import AggregationTemporality
 
-from hollyridge.steering.news import LOADS, Kind, Point
+from hollyridge.telemetry.report_aggregator import LOADS, Kind, Point
 
 METRICS = {
     "hollyridge.tries": Kind.TRIES,
--- a/hollyridge/peers/codec.py
+++ b/hollyridge/peers/codec.py
@@ -21,7 +21,7 @@
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 
-from hollyridge.membership import words
+from hollyridge.membership import messages
 
 MAGIC = b"HRP1"
 HEAD = struct.Struct(">4s16sQ")
@@ -38,7 +38,17 @@
     word: bytes
 
 
-KINDS = (Prove, Proof, words.Ping, words.Ack, words.Relay, words.Join, words.Whole, words.Claimed, words.Learnt)
+KINDS = (
+    Prove,
+    Proof,
+    messages.Ping,
+    messages.Ack,
+    messages.Relay,
+    messages.Join,
+    messages.Whole,
+    messages.Claimed,
+    messages.Learnt,
+)
 _NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
 _DECODERS = [msgspec.msgpack.Decoder(kind) for kind in KINDS]
 _ENCODER = msgspec.msgpack.Encoder()
@@ -53,7 +63,7 @@
     """`message` None where there is only `answer`, a packet to send back."""
 
     name: str
-    message: words.Message | None
+    message: messages.Message | None
     answer: bytes | None = None
 
 
@@ -87,12 +97,12 @@
 
     >>> import os
     >>> a, b = Guard(b"k" * 32, "a", os.urandom), Guard(b"k" * 32, "b", os.urandom)
-    >>> ping = a.seal(words.Ping(1, "b", ()))
+    >>> ping = a.seal(messages.Ping(1, "b", ()))
     >>> prove = b.open(ping).answer
     >>> proof = a.open(prove).answer
     >>> b.open(proof).message is None
     True
-    >>> b.open(a.seal(words.Ping(2, "b", ()))).message
+    >>> b.open(a.seal(messages.Ping(2, "b", ()))).message
     Ping(number=2, target='b', words=())
     """
 
@@ -111,7 +121,7 @@
     def box_of(self, run: bytes) -> ChaCha20Poly1305:
         return ChaCha20Poly1305(HKDF(SHA256(), 32, run, b"hollyridge peers 1").derive(self.secret))
 
-    def seal(self, message: words.Message | Prove | Proof) -> bytes:
+    def seal(self, message: messages.Message | Prove | Proof) -> bytes:
         """ValueError for one that is longer than a packet may be."""
         self.number += 1
         head = HEAD.pack(MAGIC, self.run, self.number)
--- a/hollyridge/peers/fleet.py
+++ b/hollyridge/peers/peer_service.py
@@ -6,14 +6,14 @@
 from random import Random
 from typing import NamedTuple
 
-from hollyridge.core.loop import Loop
-from hollyridge.membership import owners, swim
-from hollyridge.membership.owners import Came, Drop, Lease, Owners, SendTo, Stale, Standing, Take
+from hollyridge.core.event_loop import Loop
+from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.membership import leases, swim
+from hollyridge.membership.leases import Came, Drop, Lease, Owners, SendTo, Stale, Standing, Take
+from hollyridge.membership.messages import Claimed, Facts, Learnt, Status
 from hollyridge.membership.swim import Changed, Heard, Pace, Send, Swim
-from hollyridge.membership.words import Claimed, Facts, Learnt, Status
 from hollyridge.peers.codec import Guard, PeerError
-from hollyridge.steering import memory
-from hollyridge.steering.saying import worth_saying
+from hollyridge.store import learned_estimates
 
 ROWS = 200  # proxies in one word about claims
 
@@ -78,7 +78,7 @@
 
     def tick(self, now: int) -> None:
         self.do(now, self.swim.take(now, swim.Tick()))
-        self.carry(now, self.owners.take(now, owners.Tick()))
+        self.carry(now, self.owners.take(now, leases.Tick()))
         if now >= self.claims_at:
             self.claims_at = now + self.terms.lease.length
             self.lend(now)
@@ -103,7 +103,7 @@
     def borrow(self, now: int, message: Learnt) -> None:
         learnt = getattr(self.machine.module, "learnt", None)
         if learnt is not None:
-            told = memory.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
+            told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
             if told.event is not None:
                 self.counts["borrowed"] += len(told.event.rows)
                 self.machine.tell(now, told.event)
@@ -139,7 +139,7 @@
         if isinstance(message, Learnt):
             self.borrow(now, message)
         elif isinstance(message, Claimed):
-            self.owners.take(now, owners.Claims(opened.name, message.rows, message.first))
+            self.owners.take(now, leases.Claims(opened.name, message.rows, message.first))
         elif message is not None:
             self.do(now, self.swim.take(now, Heard(address, message)))
 
@@ -170,7 +170,7 @@
             for name, one in there.items()
         }
         standing[self.terms.name] = Standing(mine.zone, mine.weight, -1 << 60, not mine.drains)
-        self.owners.take(now, owners.Members(standing))
+        self.owners.take(now, leases.Members(standing))
 
     # Proxies.
 
@@ -180,10 +180,10 @@
         return told
 
     def acked(self, uid: str, asked: int) -> None:
-        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), owners.Acked(uid, asked)))
+        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), leases.Acked(uid, asked)))
 
     def ended(self, uid: str) -> None:
-        self.owners.take(self.loop.clock(), owners.Ended(uid))
+        self.owners.take(self.loop.clock(), leases.Ended(uid))
 
     def owned(self, now: int, uid: str) -> bool:
         """Whether an order to this proxy may leave."""
--- /dev/null
+++ b/hollyridge/platform_settings/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's settings read into an assigner's configuration; standard library only."""
--- a/hollyridge/resp/words.py
+++ b/hollyridge/resp/messages.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Union
 
 from hollyridge.interface import Bootstrap
-from hollyridge.steering.members import figure
+from hollyridge.registration.members import figure
 
 RATE_MOST = 1e6  # RPCs a second that one figure can stand for
 SPAN_MOST = 600_000.0  # ms that a report may cover
--- a/hollyridge/resp/front.py
+++ b/hollyridge/resp/server.py
@@ -13,14 +13,14 @@
 from gevent.event import Event
 
 from hollyridge import interface as api
-from hollyridge.core.loop import Loop
-from hollyridge.core.streams import StreamFront, lost
-from hollyridge.resp import words
+from hollyridge.core.event_loop import Loop
+from hollyridge.core.stream_server import StreamFront, lost
+from hollyridge.delivery.update_builder import Abilities, Parcel, merged
+from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.limits.pending_connections import PendingJoins
+from hollyridge.resp import messages
 from hollyridge.resp.codec import MESSAGE_MOST, Reader, RespError, encode
-from hollyridge.resp.sheet import Scribe, Sheet
-from hollyridge.steering.desk import Abilities, Parcel, merged
-from hollyridge.steering.pending import PendingJoins
-from hollyridge.steering.saying import worth_saying
+from hollyridge.resp.update_encoder import Scribe, Sheet
 
 BEAT = encode([b"hb_ok"])
 STRANGERS_MOST = 4096  # bytes of a message from who has not joined
@@ -40,7 +40,7 @@
     descriptors: int
     kept: int
     patience: int
-    names: words.Names
+    names: messages.Names
 
 
 class Stream:
@@ -85,7 +85,7 @@
         super().__init__(loop, terms.host, terms.port)
         self.log = log
         self.abilities = Abilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
-        self.reading = words.Reading(terms.names, boot)
+        self.reading = messages.Reading(terms.names, boot)
         self.scribe = Scribe(terms.names.methods, self.name_of)
         self.room = max(16, terms.descriptors - terms.kept)  # connections in all
         self.pending = PendingJoins(terms.patience)
@@ -214,41 +214,41 @@
         try:
             word = self.reading.read(message)
             kind = type(word)
-            if kind is words.Beat:
+            if kind is messages.Beat:
                 if len(stream.unsent) < UNSENT_MOST:
                     self.send(stream, BEAT)
-            elif kind is words.Hello:
+            elif kind is messages.Hello:
                 self.hello(stream, word)
-            elif kind is words.Collector:
+            elif kind is messages.Collector:
                 self.collector(stream, word)
             elif not stream.joined:
-                raise words.Spoilt("a report before any joining")
+                raise messages.Spoilt("a report before any joining")
             else:
                 self.news(stream, word)
-        except words.Spoilt as trouble:
+        except messages.Spoilt as trouble:
             self.counts["spoilt"] += 1
             self.tell(f"{message[0][:20].decode('utf-8', 'replace')}: {trouble}", stream)
             if not stream.joined:
                 self.counts["refused"] += 1
                 self.refuse(stream, str(trouble))
 
-    def hello(self, stream: Stream, word: words.Hello) -> None:
+    def hello(self, stream: Stream, word: messages.Hello) -> None:
         if stream.joined:
-            raise words.Spoilt("joined already")
+            raise messages.Spoilt("joined already")
         now = self.clock()
         if len(self.streams) - len(self.pending.waiting) >= self.room:  # it would take the last descriptors
-            raise words.Spoilt("no room for another stream")
+            raise messages.Spoilt("no room for another stream")
         self.pending.left(stream.number)
         proxy = self.machine.join(now, self, word.node, word.zone, word.rate, word.cold)
         if proxy is None:
-            raise words.Spoilt("no room for another proxy")
+            raise messages.Spoilt("no room for another proxy")
         stream.zone, stream.node, stream.proxy = word.zone, word.node, proxy
         self.by_proxy[proxy] = stream
         self.loop.nudge()
 
-    def collector(self, stream: Stream, word: words.Collector) -> None:
+    def collector(self, stream: Stream, word: messages.Collector) -> None:
         if stream.joined:
-            raise words.Spoilt("joined already")
+            raise messages.Spoilt("joined already")
         self.pending.left(stream.number)
         stream.zone = word.zone
         row = self.collectors.setdefault(word.zone, [])
@@ -256,27 +256,27 @@
         if len(row) > self.COLLECTORS:
             self.close(min(row, key=lambda one: one.heard), "a newer collector of its zone came")
 
-    def news(self, stream: Stream, word: words.Word) -> None:
+    def news(self, stream: Stream, word: messages.Word) -> None:
         now, machine = self.clock(), self.machine
-        if type(word) is words.Met:
+        if type(word) is messages.Met:
             if stream.proxy >= 0:
-                raise words.Spoilt("not for a proxy to say")
+                raise messages.Spoilt("not for a proxy to say")
             task = machine.tasks.find(word.endpoint)  # also one that has just gone: its last tries are news of then
             if task is None:
-                raise words.Spoilt("names no task that was listed")
+                raise messages.Spoilt("names no task that was listed")
             machine.tell(
                 now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over, word.load)
             )
         else:
             proxy = machine.proxies.index.get(word.node)
             if stream.proxy >= 0 and stream.node != word.node:
-                raise words.Spoilt("speaks for another proxy")
+                raise messages.Spoilt("speaks for another proxy")
             if proxy is None or proxy not in self.by_proxy:
                 return  # it has left meanwhile
-            if type(word) is words.Offered:
+            if type(word) is messages.Offered:
                 machine.tell(now, api.OfferedLoad(word.rpcs, word.over, proxy, word.method, word.unanswered))
             elif stream.proxy < 0:
-                raise words.Spoilt("not for a collector to say")
+                raise messages.Spoilt("not for a collector to say")
             elif word.mark in stream.marks:
                 del stream.marks[word.mark]
                 machine.receipt(now, proxy, word.mark, word.took)
--- a/hollyridge/resp/sheet.py
+++ b/hollyridge/resp/update_encoder.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
 
+from hollyridge.delivery.update_builder import Parcel
 from hollyridge.resp.codec import encode
-from hollyridge.resp.words import Part, order
-from hollyridge.steering.desk import Parcel
-from hollyridge.store.versions import Table, difference
+from hollyridge.resp.messages import Part, order
+from hollyridge.store.table_versions import Table, difference
 
 
 class Sheet:
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from hollyridge.sasp import codec, owner
+from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.codec import Code, Group, Member, Told, Wants
 
 
@@ -123,7 +123,9 @@
         self.flags = (Wants.PUSH if push else 0) | Wants.NO_CHANGE
         self.alive()
         if asked:
-            self.call(owner.question(self.uid, asked, plea))  # one that shares nothing refuses it, which is no harm
+            self.call(
+                ownership_extension.question(self.uid, asked, plea)
+            )  # one that shares nothing refuses it, which is no harm
         self.ask(codec.Register(True, tuple(codec.MembersOf(Group(self.uid, name), ()) for name in groups)))
 
     def alive(self) -> None:
@@ -207,7 +209,7 @@
         """Apply one message; `whole` for the answer to a question, which tells all of each group."""
         tables, fresh = dict(self.tables), set(self.fresh)
         for group, weights in groups:
-            if not weights or group.name == owner.NAME:
+            if not weights or group.name == ownership_extension.NAME:
                 continue
             start = group.name not in (fresh - self.fresh if whole else fresh)
             table = {} if start else dict(tables.get(group.name, {}))
--- a/hollyridge/sasp/front.py
+++ b/hollyridge/sasp/server.py
@@ -17,21 +17,21 @@
 import gevent
 from gevent.event import Event
 
-from hollyridge.core.loop import Loop
-from hollyridge.core.streams import StreamFront, lost
+from hollyridge.core.event_loop import Loop
+from hollyridge.core.stream_server import StreamFront, lost
+from hollyridge.delivery.update_builder import Abilities, Parcel
 from hollyridge.keys.tls import bearer_of
-from hollyridge.membership.owners import SendTo, Stale, Take
-from hollyridge.peers.fleet import Fleet
-from hollyridge.sasp import codec, owner
+from hollyridge.limits.connection_limiter import Bucket, Doorkeeper
+from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.membership.leases import SendTo, Stale, Take
+from hollyridge.peers.peer_service import Fleet
+from hollyridge.registration import members
+from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.codec import Code, Told, Wants
-from hollyridge.steering import members
-from hollyridge.steering.access import Access
-from hollyridge.steering.advice import GroupAdvice
-from hollyridge.steering.desk import Abilities, Parcel
-from hollyridge.steering.doorkeeper import Bucket, Doorkeeper
-from hollyridge.steering.presence import Presence
-from hollyridge.steering.saying import worth_saying
-from hollyridge.store.versions import EMPTY, Table
+from hollyridge.sasp.weight_advice import GroupAdvice
+from hollyridge.sessions.access import Access
+from hollyridge.sessions.session_tracker import Presence
+from hollyridge.store.table_versions import EMPTY, Table
 
 
 class SaspTerms(NamedTuple):
@@ -352,7 +352,7 @@
     def say_where(self, stream: Stream, name: str) -> None:
         to = self.fleet.address_of(name, "sasp")
         if to:
-            word = owner.entry(stream.uid, owner.SentOn(to))
+            word = ownership_extension.entry(stream.uid, ownership_extension.SentOn(to))
             self.answer(stream, codec.encode(stream.version & 0xFFFFFFFF, codec.SendWeights((word,))))
 
     def let_go(self, stream: Stream, why: str) -> None:
@@ -439,7 +439,7 @@
 
     def register(self, stream: Stream, message: codec.Register) -> int:
         if message.by_balancer:
-            asked = [owner.question_in(row.group.name) for row in message.groups]
+            asked = [ownership_extension.question_in(row.group.name) for row in message.groups]
             if self.fleet is not None and asked and asked[0] is not None and stream.proxy < 0:
                 stream.question = asked[0]
                 return self.name(stream, message.groups[0].group.uid)
@@ -584,7 +584,11 @@
         if stream.fence_due and any(sheet.due for sheet in stream.sheets.values()):
             stream.fence_due = False
             lease = self.fleet.terms.lease.length / 1e6
-            rows.append(owner.entry(stream.uid, owner.Owned(stream.fence, lease, self.fleet.terms.name)))
+            rows.append(
+                ownership_extension.entry(
+                    stream.uid, ownership_extension.Owned(stream.fence, lease, self.fleet.terms.name)
+                )
+            )
         for name, sheet in stream.sheets.items():
             if not sheet.due:
                 continue
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -10,27 +10,27 @@
 import msgspec
 import zmq.green as zmq
 
-from hollyridge.clone.front import CloneFront
-from hollyridge.core.keeping import Keeping
-from hollyridge.core.loop import Loop, monotonic_us
-from hollyridge.core.machine import Machine, spread
-from hollyridge.core.solving import Solving
+from hollyridge.chp.server import CloneFront
+from hollyridge.core.engine import Machine, spread
+from hollyridge.core.event_loop import Loop, monotonic_us
+from hollyridge.core.persistence import Keeping
+from hollyridge.core.solver_service import Solving
+from hollyridge.decisions.assigner import Assigner
 from hollyridge.keys.curve import Curve
 from hollyridge.keys.tls import context_of, load, shake
+from hollyridge.limits.connection_limiter import Doorkeeper
 from hollyridge.otlp.intake import Intake
 from hollyridge.otlp.reading import Names
-from hollyridge.peers.fleet import Fleet, FleetTerms
-from hollyridge.peers.link import Link
-from hollyridge.rules import Assigner
+from hollyridge.peers.datagram_transport import Link
+from hollyridge.peers.peer_service import Fleet, FleetTerms
+from hollyridge.registration.members import Members
 from hollyridge.sasp.codec import Member
-from hollyridge.sasp.front import SaspFront
+from hollyridge.sasp.server import SaspFront
+from hollyridge.sessions.access import Access
+from hollyridge.sessions.session_tracker import Presence
 from hollyridge.settings.assigner import AssignerTerms
 from hollyridge.settings.solve import write
-from hollyridge.solving.feed import fleet_of, without_the_gone
-from hollyridge.steering.access import Access
-from hollyridge.steering.doorkeeper import Doorkeeper
-from hollyridge.steering.members import Members
-from hollyridge.steering.presence import Presence
+from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
 
 class Service:
--- /dev/null
+++ b/hollyridge/sessions/__init__.py
@@ -0,0 +1,1 @@
+"""Sessions of proxies across their streams, and who may do what. No I/O, no clock."""
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -11,22 +11,22 @@
 from pydantic import AfterValidator, Field, PositiveFloat, PositiveInt, field_validator
 
 from hollyridge import interface as api
-from hollyridge.clone.front import CloneTerms
-from hollyridge.core.keeping import KeepingTerms
-from hollyridge.core.machine import Limits
-from hollyridge.core.solving import SolverTerms
+from hollyridge.chp.server import CloneTerms
+from hollyridge.core.engine import Limits
+from hollyridge.core.persistence import KeepingTerms
+from hollyridge.core.solver_service import SolverTerms
 from hollyridge.keys.tls import TlsFiles
-from hollyridge.membership.owners import Lease
+from hollyridge.membership.leases import Lease
 from hollyridge.membership.swim import Pace
 from hollyridge.otlp.intake import OtlpTerms
-from hollyridge.peers.fleet import FleetTerms
-from hollyridge.sasp.front import SaspTerms
-from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_file, words
-from hollyridge.steering.access import Bearer
-from hollyridge.steering.advice import shown_methods
+from hollyridge.peers.peer_service import FleetTerms
+from hollyridge.registration.members import Terms
+from hollyridge.sasp.server import SaspTerms
+from hollyridge.sasp.weight_advice import shown_methods
+from hollyridge.sessions.access import Bearer
 from hollyridge.settings.address import split
-from hollyridge.steering.members import Terms
-from hollyridge.steering.memory import fleet_of
+from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_file, words
+from hollyridge.store.learned_estimates import fleet_of
 
 
 def listens(value: str) -> str:
--- a/hollyridge/settings/solve.py
+++ b/hollyridge/settings/solve.py
@@ -10,7 +10,7 @@
 from pydantic import Field, NonNegativeFloat, PositiveFloat, PositiveInt
 
 from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_bytes, read_file
-from hollyridge.solving.fleet import Fleet, Method, Task, Zone
+from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 
 
 class SolveSection(Section):
--- a/hollyridge/solving/feed.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from hollyridge import interface as api
-from hollyridge.rules import Assigner
-from hollyridge.solving.fleet import Fleet, Method, Task, Zone
-from hollyridge.solving.solver import Plan
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.solver.fleet import Fleet, Method, Task, Zone
+from hollyridge.solver.planner import Plan
 
 ENOUGH = 0.99  # part of the RPCs from which all counts as served
 DOUBT = 0.25  # of a rate that no busy period was heard of yet; it falls as more are
--- a/hollyridge/solving/program.py
+++ b/hollyridge/solver/linear_program.py
@@ -20,7 +20,7 @@
 import highspy
 import numpy
 
-from hollyridge.solving.fleet import Fleet
+from hollyridge.solver.fleet import Fleet
 
 PIECES = 14  # of the cost of filling a class: with few, whole classes stand at the ends of pieces, unevenly full
 LEAST_PART = 0.03  # of what a zone sends to a class, spread over all lines that it holds
--- a/hollyridge/solving/solver.py
+++ b/hollyridge/solver/planner.py
@@ -6,9 +6,9 @@
 from statistics import median
 from typing import NamedTuple
 
-from hollyridge.solving import program
-from hollyridge.solving.choices import arrivals, weights_for
-from hollyridge.solving.fleet import Fleet, NonsenseError, Task, check
+from hollyridge.solver import linear_program
+from hollyridge.solver.fleet import Fleet, NonsenseError, Task, check
+from hollyridge.solver.two_choices import arrivals, weights_for
 
 WORTH = 1 / 3  # of an even share of its table: a line with less is not worth its place
 
@@ -38,7 +38,7 @@
     stands: str = ""
 
 
-def pruned(fleet: Fleet, answer: program.Answer) -> frozenset[tuple[int, int]]:
+def pruned(fleet: Fleet, answer: linear_program.Answer) -> frozenset[tuple[int, int]]:
     """New lines that are not worth their place, and what a table can't hold, the least first; never below a table of
     the least size. A line that is held costs nothing to keep."""
     dropped = set()
@@ -55,11 +55,11 @@
     return frozenset(dropped)
 
 
-def widened(fleet: Fleet, answer: program.Answer) -> tuple[dict[int, float], ...]:
+def widened(fleet: Fleet, answer: linear_program.Answer) -> tuple[dict[int, float], ...]:
     """Work by zone and task with no table under the least size: a few tasks can't even out bursts, whatever they can do
     on average. Lines that are held come first, then the zone's own, then the emptiest; all are filled evenly."""
     work = [dict(row) for row in answer.work]
-    rooms = {i: room for i in range(len(fleet.tasks)) if (room := program.room_of(fleet, i)) > 0}
+    rooms = {i: room for i in range(len(fleet.tasks)) if (room := linear_program.room_of(fleet, i)) > 0}
     for z, mine in enumerate(work):
         lacking = min(fleet.least_lines, len(rooms)) - len(mine)
         if lacking <= 0 or not mine:
@@ -75,7 +75,7 @@
             key=lambda i: (i not in held, fleet.tasks[i].zone != z, load[i] / rooms[i], (i - start) % len(rooms)),
         )
         some = [*mine, *others[:lacking]]
-        work[z] = program.poured({i: load[i] for i in some}, {i: rooms[i] for i in some}, sum(mine.values()))
+        work[z] = linear_program.poured({i: load[i] for i in some}, {i: rooms[i] for i in some}, sum(mine.values()))
     return tuple(work)
 
 
@@ -89,7 +89,7 @@
 
 def times_of(fleet: Fleet, lines: Iterable[int]) -> list[float]:
     """How long an RPC takes at each task, relative to each other: longer where less can be done."""
-    return [1 / max(program.room_of(fleet, i), 1e-9) for i in lines]
+    return [1 / max(linear_program.room_of(fleet, i), 1e-9) for i in lines]
 
 
 def loads(shares: tuple[dict[int, float], ...], work: list[float]) -> dict[int, float]:
@@ -121,8 +121,8 @@
         if fleet.tasks[i].zone != z
     )
     for i, amount in loads(shares, work).items():
-        left, room = amount, program.room_of(fleet, i)
-        for part, slope in program.segments(fleet.busy):
+        left, room = amount, linear_program.room_of(fleet, i)
+        for part, slope in linear_program.segments(fleet.busy):
             here = min(left, part * room)
             cost += slope * here / whole
             left -= here
@@ -143,7 +143,7 @@
         lines += fleet.zones[z].proxies * (len(new) + len(gone) + len(moved))
         for i in new:
             shaken[i] = shaken.get(i, 0.0) + fleet.zones[z].proxies * fleet.handshake / fleet.settle_s
-    worst = max((amount / max(program.room_of(fleet, i), 1e-9) for i, amount in shaken.items()), default=0.0)
+    worst = max((amount / max(linear_program.room_of(fleet, i), 1e-9) for i, amount in shaken.items()), default=0.0)
     return Moves(opened, closed, lines, round(worst, 4))
 
 
@@ -158,7 +158,7 @@
     return got / asked if asked else 1.0
 
 
-def reasons(fleet: Fleet, answer: program.Answer, fill: dict[int, float], deadline_s: float) -> list[str]:
+def reasons(fleet: Fleet, answer: linear_program.Answer, fill: dict[int, float], deadline_s: float) -> list[str]:
     told = []
     served = worth(fleet, answer.served)
     for k, method in enumerate(fleet.methods):
@@ -176,14 +176,14 @@
             rates = [task.rate for task in fleet.tasks if task.zone == z] or [task.rate for task in fleet.tasks]
             if rates:
                 more = fleet._replace(tasks=(*fleet.tasks, Task("one more", z, median(rates))))
-                gain = worth(more, program.served(more, deadline_s)) - served
+                gain = worth(more, linear_program.served(more, deadline_s)) - served
                 told.append(f"one more task in {zone.name}, warm, would serve {gain:.1%} more")
         cold = fleet._replace(tasks=tuple(task._replace(part=1.0) for task in fleet.tasks))
-        gain = worth(cold, program.served(cold, deadline_s)) - served
+        gain = worth(cold, linear_program.served(cold, deadline_s)) - served
         if gain > 0.001:
             told.append(f"once all are warm {gain:.1%} more is served")
         known = fleet._replace(handshake=0.0)
-        gain = worth(known, program.served(known, deadline_s)) - served
+        gain = worth(known, linear_program.served(known, deadline_s)) - served
         if gain > 0.001:
             told.append(f"once the new connections stand {gain:.1%} more is served")
     elif fill:
@@ -195,10 +195,10 @@
 def solve(fleet: Fleet, deadline_s: float = 1.0, explain: bool = True) -> Plan:
     """Raises NonsenseError for figures that can't be, LateError where no answer came in time."""
     check(fleet)
-    answer = program.place(fleet, deadline_s)
+    answer = linear_program.place(fleet, deadline_s)
     dropped = pruned(fleet, answer)
     if dropped:
-        answer = program.place(fleet, deadline_s, dropped)
+        answer = linear_program.place(fleet, deadline_s, dropped)
     tables = []
     for z, work in enumerate(widened(fleet, answer)):
         whole = sum(work.values())
@@ -245,7 +245,7 @@
         except NonsenseError as trouble:
             self.counts["nonsense"] += 1
             why = str(trouble)
-        except program.LateError as trouble:
+        except linear_program.LateError as trouble:
             self.counts["late"] += 1
             why = f"late: {trouble}"
         return self.last._replace(stands=why) if self.last is not None else None
--- a/hollyridge/steering/memory.py
+++ b/hollyridge/store/learned_estimates.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from hollyridge.interface import Learnt, Recalled
-from hollyridge.store.durable import Row, State
+from hollyridge.store.state_file import Row, State
 
 LONGEST = 10.0  # busy periods that count; as many as the module itself remembers
 SKILLS = (0.25, 4.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """What the tests share: a bootstrap, an assigner at work, and a reading of its orders."""
 
 from hollyridge import interface as api
-from hollyridge.rules import Assigner
+from hollyridge.decisions.assigner import Assigner
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -12,19 +12,19 @@
 from helpers import SECOND, START, bootstrap
 from stand_ins import page, server
 
-from hollyridge.core.loop import Loop
-from hollyridge.core.machine import Limits, Machine
-from hollyridge.resp import words
+from hollyridge.core.engine import Limits, Machine
+from hollyridge.core.event_loop import Loop
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.discovery.endpoint_list import Heard, Listing
+from hollyridge.discovery.schema import Entry, News
+from hollyridge.discovery.watch_client import Watch
+from hollyridge.discovery.watch_state import Caller
+from hollyridge.registration.index_allocator import IndexAllocator
+from hollyridge.resp import messages
 from hollyridge.resp.codec import encode
-from hollyridge.resp.front import RespFront, RespTerms
-from hollyridge.roster.caller import Caller
-from hollyridge.roster.listing import Heard, Listing
-from hollyridge.roster.watch import Watch
-from hollyridge.roster.words import Entry, News
-from hollyridge.rules import Assigner
-from hollyridge.steering.indices import IndexAllocator
-
-NAMES = words.Names(("khalda", "sahab"), ("read-chapter", "redeem-code"), 150)
+from hollyridge.resp.server import RespFront, RespTerms
+
+NAMES = messages.Names(("khalda", "sahab"), ("read-chapter", "redeem-code"), 150)
 ZONES = {"khalda": 0, "sahab": 1}
 
 
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -12,12 +12,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from test_service import GROUPS, Rig, rig, wait_for  # noqa: F401
 
+from hollyridge.chp import codec
+from hollyridge.chp.key_space import Ledger
+from hollyridge.chp.replica import Client, Replica
 from hollyridge.client import CloneGateway, SaspGateway, State
-from hollyridge.clone import codec
-from hollyridge.clone.ledger import Ledger
-from hollyridge.clone.replica import Client, Replica
-from hollyridge.lab.explore import World, explore
 from hollyridge.lab.record import parts_of
+from hollyridge.lab.update_model_check import World, explore
 from hollyridge.sasp.codec import Member
 
 STREAMS = Path(__file__).parent / "streams"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,12 +21,12 @@
 
 from hollyridge import interface as api
 from hollyridge.core.logs import Sink
+from hollyridge.decisions.assigner import Assigner as Module
+from hollyridge.delivery.update_builder import Parcel
+from hollyridge.discovery.endpoint_list import TOLD, CallFailed, Heard
+from hollyridge.discovery.watch_state import Happened
+from hollyridge.registration.members import Tick
 from hollyridge.resp.codec import Reader, encode
-from hollyridge.roster.caller import Happened
-from hollyridge.roster.listing import TOLD, CallFailed, Heard
-from hollyridge.rules import Assigner as Module
-from hollyridge.steering.desk import Parcel
-from hollyridge.steering.members import Tick
 
 TASKS = [f"s-{k}" for k in range(6)]
 LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,17 +13,17 @@
 from gevent import socket
 from test_service import wait_for
 
+from hollyridge.chp import codec as clone
+from hollyridge.chp.client import Subscriber
+from hollyridge.chp.replica import Client
 from hollyridge.cli.main import main
 from hollyridge.client import CloneGateway, SaspGateway
-from hollyridge.clone import codec as clone
-from hollyridge.clone.client import Subscriber
-from hollyridge.clone.replica import Client
 from hollyridge.lab import ownership, takeover
 from hollyridge.lab.live import free_port, free_ports
-from hollyridge.membership.owners import rightful
-from hollyridge.membership.words import Claimed, Facts, Join, Ping, Word
+from hollyridge.membership.leases import rightful
+from hollyridge.membership.messages import Claimed, Facts, Join, Ping, Word
 from hollyridge.peers.codec import HEAD, MOST, Guard, PeerError
-from hollyridge.sasp import owner
+from hollyridge.sasp import ownership_extension
 from hollyridge.sasp.client import Balancer, RefusedError, Registrar
 from hollyridge.sasp.codec import Member
 from hollyridge.service import Service
@@ -223,7 +223,7 @@
     old = Balancer(("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200", connect=socket.create_connection)
     old.start(METHODS)
     got = old.receive(3)
-    assert got and all(group.name != owner.NAME for group, _ in got[1].groups)
+    assert got and all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
     listener = Subscriber(
         ("127.0.0.1", three.ports[2][2]),
         "old-clone",
@@ -309,14 +309,14 @@
     asking = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection)
     with pytest.raises(RefusedError):
         asking.start(METHODS, asked=5)
-    told = owner.word_in(asking.pushed[0][1].groups)
-    assert told == owner.SentOn(f"127.0.0.1:{three.ports[2][0]}")
+    told = ownership_extension.word_in(asking.pushed[0][1].groups)
+    assert told == ownership_extension.SentOn(f"127.0.0.1:{three.ports[2][0]}")
     asking.close()
     pleading = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection)
     pleading.start(METHODS, asked=6, plea=True)
     first = pleading.receive(3)[1].groups
-    assert owner.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
-    assert not any(w.weight for row in first if row.group.name == owner.NAME for w in row.weights)
+    assert ownership_extension.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
+    assert not any(w.weight for row in first if row.group.name == ownership_extension.NAME for w in row.weights)
     pleading.close()
 
 
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
 def test_questions_that_are_none(name):
-    assert owner.question_in(name) is None
+    assert ownership_extension.question_in(name) is None
 
 
 def test_operators_see_who_owns_what(three):
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,50 +9,49 @@
 from test_solving import news, started
 
 from hollyridge import interface as api
-from hollyridge.lab import script
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
 from hollyridge.lab.virtual import VirtualStage
-from hollyridge.rules import Assigner
-from hollyridge.steering import memory
-from hollyridge.store import durable
-from hollyridge.store.durable import DurableError, Row, State
+from hollyridge.store import learned_estimates, state_file
+from hollyridge.store.state_file import DurableError, Row, State
 
 ROWS = [Row("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), Row("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
-WHOLE = durable.pack(State("f", 1000, ROWS, 0.6))
+WHOLE = state_file.pack(State("f", 1000, ROWS, 0.6))
 
 
 def test_a_file_cut_off_at_any_byte_is_refused_and_the_whole_one_read():
-    assert durable.unpack(WHOLE).rows == ROWS
+    assert state_file.unpack(WHOLE).rows == ROWS
     for size in range(len(WHOLE)):
         with pytest.raises(DurableError):
-            durable.unpack(WHOLE[:size])
+            state_file.unpack(WHOLE[:size])
 
 
 def test_a_file_with_any_byte_turned_over_is_refused():
     for at in range(len(WHOLE)):
         with pytest.raises(DurableError):
-            durable.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
+            state_file.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
 
 
 def test_layouts_older_and_newer():
-    body = durable._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
-    raw = durable.HEAD.pack(durable.MAGIC, len(body), durable.xxh64_intdigest(body)) + body
-    old = durable.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
+    body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
+    raw = state_file.HEAD.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
+    old = state_file.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
     assert old.price == 0.0 and old.rows == [Row("a:1", 2.0, 1.0, 1.0, 1.0)]
     with pytest.raises(DurableError, match="layout 9"):
-        durable.unpack(durable.pack(State("f", 7, [], 0.0, 9)))
+        state_file.unpack(state_file.pack(State("f", 7, [], 0.0, 9)))
 
 
 def test_a_write_that_fails_leaves_the_former_file(tmp_path):
     path = tmp_path / "kept.state"
-    durable.write(path, WHOLE)
+    state_file.write(path, WHOLE)
     (tmp_path / "kept.state.new").mkdir()
     with pytest.raises(OSError):
-        durable.write(path, b"other")
-    assert durable.read(path) == WHOLE
-    path.write_bytes(b"x" * (durable.MOST + 1))
+        state_file.write(path, b"other")
+    assert state_file.read(path) == WHOLE
+    path.write_bytes(b"x" * (state_file.MOST + 1))
     with pytest.raises(DurableError, match="over"):
-        durable.read(path)
+        state_file.read(path)
 
 
 INDEX = {"127.1.0.1:9000": 0, "127.1.0.2:9000": 1}.get
@@ -70,20 +69,20 @@
     ],
 )
 def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
-    told = memory.recalled(state, "f", now, INDEX)
+    told = learned_estimates.recalled(state, "f", now, INDEX)
     assert (len(told.event.rows), told.event.age) == (rows, age_s * SECOND) if rows else told.event is None
 
 
 def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
     own = [api.Learnt(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
-    told = memory.lent(lies, 1e9, 0, INDEX, own)
+    told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
     assert [(r.does, r.heard, r.skill, r.weight) for r in told.event.rows] == [
         (24.0, 1.0, 1.0, 1.0),
         (6.0, 1.0, 1.0, 1.0),
     ]
     assert told.event.price == 0.0 and told.left_out == {"not listed": 1}
-    assert memory.lent(lies, 0.0, 0, INDEX, []).event is None
+    assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
 
 
 def taught():
@@ -157,7 +156,7 @@
 for_s = 1
 """
     )
-    loaded, told = script.load(path), []
+    loaded, told = scenario.load(path), []
     for _ in range(2):
         stage = VirtualStage(loaded, "", 3)
         outcome = Day(loaded, stage, 3).play()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,6 @@
 from gevent import ssl as green_ssl
 from test_clone import clone_rig, hosts, open_gateway
 from test_service import GROUPS, LOOPBACK, rig, tries, wait_for  # noqa: F401
-
 from zmq import auth
 
 from hollyridge.keys.curve import client_keys
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,11 +14,11 @@
 
 from hollyridge.cli.main import main
 from hollyridge.client.picking import Picker
-from hollyridge.lab import experiment, hunt, rpc, script, sockets, takeover
+from hollyridge.lab import experiment, hunt, rpc, scenario, sockets, takeover
 from hollyridge.lab.day import Day
-from hollyridge.lab.physics import Budget, Build, Warmth
 from hollyridge.lab.record import Recorder
 from hollyridge.lab.task import Task
+from hollyridge.lab.task_model import Budget, Build, Warmth
 from hollyridge.lab.virtual import VirtualStage
 from hollyridge.lab.world import VirtualWorld
 
@@ -112,7 +112,7 @@
 
 
 def outcome(path=SMALL, policy="", seed=3, ties=None):
-    loaded = script.load(path)
+    loaded = scenario.load(path)
     return Day(loaded, VirtualStage(loaded, policy, seed, ties), seed).play()
 
 
@@ -309,7 +309,7 @@
     ]
     path = tmp_path / "one.ini"
     path.write_text("\n".join(lines) + "\n")
-    loaded = script.load(path)
+    loaded = scenario.load(path)
     stage = VirtualStage(loaded, "", 3)
     told = Day(loaded, stage, 3).play()
     assert all(v.kept for v in told.verdicts)
@@ -350,9 +350,9 @@
 def test_every_kind_of_trouble_is_hunted_and_tested():
     tested = {name.strip() for name in TROUBLES}
     shared = {"peers_cut"}  # strikes shared fleets only, which have a command of their own
-    assert set(hunt.RANGES) == set(script.KINDS) - shared - {"unread"} and shared <= set(takeover.RANGES)
+    assert set(hunt.RANGES) == set(scenario.KINDS) - shared - {"unread"} and shared <= set(takeover.RANGES)
     in_days = {"unread", "streams_broken", "assigner_killed", "proxies_killed", *shared}
-    assert set(script.KINDS) - tested == in_days
+    assert set(scenario.KINDS) - tested == in_days
 
 
 def test_times_of_a_day():
@@ -370,7 +370,7 @@
 
 
 def test_a_hunt_finds_a_broken_rule_and_cuts_it_down(tmp_path):
-    loaded = script.load(SMALL)
+    loaded = scenario.load(SMALL)
     seed, worst, found = hunt.hunt(loaded, range(1, 9), "deaf", most=4)
     broken = {v.rule for v in found.verdicts if not v.kept}
     assert 3 in broken
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "examples" / "lab").glob("*.ini")))
 def test_lab_examples_are_fine(path):
-    assert script.load(path).troubles
+    assert scenario.load(path).troubles
 
 
 def test_a_recorder_without_a_file_keeps_rows():
@@ -396,7 +396,7 @@
 
 def test_pages_of_recordings_and_comparisons(tmp_path):
     record, kept = tmp_path / "day.jsonl", tmp_path / "kept.jsonl"
-    loaded = script.load(SMALL)
+    loaded = scenario.load(SMALL)
     Day(loaded, VirtualStage(loaded, "", 3, None, str(record)), 3).play()
     rows = [
         {
@@ -428,7 +428,7 @@
 
 def test_three_assigners_and_both_fronts():
     """Each proxy is with one at a time; the rules are checked by who knew what, the tables by protocol."""
-    loaded = script.load(THREE)
+    loaded = scenario.load(THREE)
     stage = VirtualStage(loaded, "", 5)
     told = Day(loaded, stage, 5).play()
     assert all(v.kept for v in told.verdicts), told.verdicts
@@ -444,7 +444,7 @@
 
 @pytest.mark.parametrize("policy, rule", [("bare", 1), ("deaf", 3), ("chatty", 5)])
 def test_saboteurs_are_caught_among_three(policy, rule):
-    loaded = script.load(THREE, fronts=("sasp",))
+    loaded = scenario.load(THREE, fronts=("sasp",))
     told = Day(loaded, VirtualStage(loaded, policy, 5), 5).play()
     assert rule in {v.rule for v in told.verdicts if not v.kept}
 
@@ -452,7 +452,7 @@
 def test_pub_sub_days_are_equal_byte_for_byte_and_lose_no_session():
     raws = []
     for _ in range(2):
-        loaded = script.load(SMALL, fronts=("clone",))
+        loaded = scenario.load(SMALL, fronts=("clone",))
         stage = VirtualStage(loaded, "", 3)
         assert all(v.kept for v in Day(loaded, stage, 3).play().verdicts)
         raws.append([msgspec.json.encode(row) for row in stage.record.rows])
@@ -510,12 +510,12 @@
 def test_retries_grow_as_theory_has_it():
     """A part p of tries fails at once and each client tries up to r more: (1 - p^(r+1)) / (1 - p) tries a client."""
     part, more = 0.5, 2
-    loaded = script.load(SMALL)
+    loaded = scenario.load(SMALL)
     quiet = loaded.load.model_copy(update={"client_retries": more, "work_ms": [5.0, 5.0, 5.0]})
-    trouble = script.TroubleSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
+    trouble = scenario.TroubleSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
     terms = [m.model_copy(update={"repeats": "idempotent"}) for m in loaded.terms.methods.values()]
     loaded.terms.methods.update(zip(list(loaded.terms.methods), terms))
-    day = script.Script(
+    day = scenario.Script(
         loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.terms
     )
     tries = [Day(day, VirtualStage(day, "even", seed), seed).play().figures for seed in range(1, 9)]
@@ -545,7 +545,7 @@
 """)
     after, before = [], []
     for fronts in (("sasp",), ("clone",)):
-        loaded = script.load(path, fronts=fronts)
+        loaded = scenario.load(path, fronts=fronts)
         line = dict(Day(loaded, VirtualStage(loaded, "", 2), 2).play().figures["timeline"])
         after.append(sum(line[s] for s in range(10, 14)) / 4)
         before.append(line[2])
@@ -575,6 +575,6 @@
         SMALL.read_text().replace("loopback.ini", str(ROOT / "examples" / "loopback.ini"))
         + "\n[net]\norders_ms = 250\n"
     )
-    loaded = script.load(path, fronts=("clone",))
+    loaded = scenario.load(path, fronts=("clone",))
     told = Day(loaded, VirtualStage(loaded, "", 2), 2).play()
     assert all(v.kept for v in told.verdicts)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -5,13 +5,13 @@
 from helpers import SECOND, bootstrap
 
 from hollyridge import interface as api
-from hollyridge.core.machine import Limits, Machine, ModuleError
+from hollyridge.core.engine import Limits, Machine, ModuleError
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.delivery.update_builder import Abilities
 from hollyridge.lab.policies import Even
-from hollyridge.rules import Assigner
-from hollyridge.steering import members
-from hollyridge.steering.desk import Abilities
-from hollyridge.steering.members import Applicant, Deregistered, Quiesced, Registered, StreamLost
-from hollyridge.steering.news import Kind, Point
+from hollyridge.registration import members
+from hollyridge.registration.members import Applicant, Deregistered, Quiesced, Registered, StreamLost
+from hollyridge.telemetry.report_aggregator import Kind, Point
 
 START = 1_000 * SECOND
 TERMS = members.Terms(16 * SECOND, SECOND, 30 * SECOND, SECOND // 2, 3 * SECOND, 1000)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from hollyridge.lab.fences import explore
-from hollyridge.membership import owners, swim
-from hollyridge.membership.owners import (
+from hollyridge.lab.lease_model_check import explore
+from hollyridge.membership import leases, swim
+from hollyridge.membership.leases import (
     Acked,
     Came,
     Claims,
@@ -22,8 +22,8 @@
     Take,
     rightful,
 )
+from hollyridge.membership.messages import Facts, Join, Ping, Status, Word
 from hollyridge.membership.swim import Changed, Heard, Leaving, Pace, Send, Swim, Told
-from hollyridge.membership.words import Facts, Join, Ping, Status, Word
 
 MS = 1000
 PACE = Pace(period=200 * MS, answer=60 * MS)
@@ -231,10 +231,10 @@
     assert one.take(0, Came(uid, "", 1, False)) == [SendTo(uid, "b")]
     assert one.take(0, Came(uid, "", 2, True)) == [Take(uid, 2)]
     now = 0
-    while not (out := one.take(now, owners.Tick())):
+    while not (out := one.take(now, leases.Tick())):
         now += 1_000_000
         one.take(now, Acked(uid, 2))
-    assert out == [Drop(uid, "handed over", "b")] and now >= owners.PLEA * LEASE.length
+    assert out == [Drop(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.length
 
 
 def test_a_lease_that_ran_out_ends_orders_before_anything_else_is_looked_at():
@@ -242,7 +242,7 @@
     one.take(0, Came("gw", "", 7, False))
     assert one.may_order(LEASE.length, "gw") and not one.may_order(LEASE.length + 1, "gw")
     assert not one.may_order(0, "other")
-    assert one.take(LEASE.length + 1, owners.Tick()) == [Drop("gw", "its lease ran out")]
+    assert one.take(LEASE.length + 1, leases.Tick()) == [Drop("gw", "its lease ran out")]
 
 
 def test_who_is_obeyed_no_more_lets_go():
@@ -271,7 +271,7 @@
             now += 500_000
             for uid in list(one.mine):
                 one.take(now, Acked(uid, 1))
-            moved.append([do for do in one.take(now, owners.Tick()) if isinstance(do, Drop)])
+            moved.append([do for do in one.take(now, leases.Tick()) if isinstance(do, Drop)])
 
     for _ in range(5):  # it comes and goes
         one.take(now, Members({**two, "c": Standing("", 1.0, now)}))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 import pytest
 from stand_ins import CLASSES, ROOT, SETTINGS, ZONES, Assigner, Discovery, Peer, message, page, server, wait_for
 
-from hollyridge.node.terms import NodeError, read_terms
+from hollyridge.node.config import NodeError, read_terms
 
 TASKS = [f"s-{k}" for k in range(6)]
 LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
@@ -210,7 +210,7 @@
 
 def test_what_run_starts_imports_nothing_that_is_switched_off():
     code = (
-        "import sys, hollyridge.node.program;"
+        "import sys, hollyridge.node.application;"
         "print([name for name in ('zmq', 'numpy', 'highspy', 'matplotlib', 'pydantic', 'cryptography') "
         "if name in sys.modules])"
     )
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -9,14 +9,14 @@
 from immutables import Map
 from in_process import NAMES, Hall
 
-from hollyridge.resp import codec, words
+from hollyridge.delivery.update_builder import Parcel
+from hollyridge.limits.pending_connections import PendingJoins
+from hollyridge.resp import codec, messages
 from hollyridge.resp.codec import Reader, RespError, encode
-from hollyridge.resp.sheet import Scribe, Sheet
-from hollyridge.steering.desk import Parcel
-from hollyridge.steering.pending import PendingJoins
-from hollyridge.store.versions import Store, Table
+from hollyridge.resp.update_encoder import Scribe, Sheet
+from hollyridge.store.table_versions import Store, Table
 
-READING = words.Reading(NAMES, bootstrap())
+READING = messages.Reading(NAMES, bootstrap())
 
 
 @given(
@@ -88,23 +88,23 @@
 MET = dict(locality="khalda", endpoint="s-1", total=212, errors=3, rtt=41.7, interval=1000.0)
 USED = dict(node=17, route="redeem-code", total=19, errors=0, interval=1000.0)
 GOOD = [
-    (said("hb"), words.Beat()),
-    (said("telemetry", locality="sahab"), words.Collector(1)),
-    (said("attach", node=17, locality="khalda", w=21.5, cold=1), words.Hello(17, 0, 21.5, True)),
-    (said("done", node=17, nonce=905, latency=310.4), words.Applied(17, 905, 310_400)),
+    (said("hb"), messages.Beat()),
+    (said("telemetry", locality="sahab"), messages.Collector(1)),
+    (said("attach", node=17, locality="khalda", w=21.5, cold=1), messages.Hello(17, 0, 21.5, True)),
+    (said("done", node=17, nonce=905, latency=310.4), messages.Applied(17, 905, 310_400)),
     (
         said("upstream_stats", **MET, metrics="queue:7,util:0.61"),
-        words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0)),
+        messages.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0)),
     ),
     (
         said("upstream_stats", **MET, metrics="util:0.61,other:3"),
-        words.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0)),
+        messages.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0)),
     ),
-    (said("upstream_stats", **MET), words.Met(0, "s-1", 212, 3, 41_700, SECOND, ())),
-    (said("upstream_stats", **{**MET, "total": 3, "rtt": 0}), words.Met(0, "s-1", 3, 3, 0, SECOND, ())),
-    (said("client_stats", **USED), words.Offered(17, 1, 19, 0, SECOND)),
+    (said("upstream_stats", **MET), messages.Met(0, "s-1", 212, 3, 41_700, SECOND, ())),
+    (said("upstream_stats", **{**MET, "total": 3, "rtt": 0}), messages.Met(0, "s-1", 3, 3, 0, SECOND, ())),
+    (said("client_stats", **USED), messages.Offered(17, 1, 19, 0, SECOND)),
     # Let in during an earlier interval and not served in this one: more than came.
-    (said("client_stats", **{**USED, "total": 2, "errors": 9}), words.Offered(17, 1, 2, 9, SECOND)),
+    (said("client_stats", **{**USED, "total": 2, "errors": 9}), messages.Offered(17, 1, 2, 9, SECOND)),
 ]
 
 
@@ -166,13 +166,13 @@
 
 @pytest.mark.parametrize("kind, fields", SPOILT)
 def test_a_spoilt_message_is_told_from_a_good_one(kind, fields):
-    with pytest.raises(words.Spoilt):
+    with pytest.raises(messages.Spoilt):
         said(kind, **fields)
 
 
 @pytest.mark.parametrize("parts", [[b"done", b"node"], [b"done", b"node", b"1", b"node", b"2"]])
 def test_names_and_values_pair(parts):
-    with pytest.raises(words.Spoilt):
+    with pytest.raises(messages.Spoilt):
         READING.read(parts)
 
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -7,18 +7,18 @@
 from helpers import SECOND
 from in_process import ZONES, ListingDesk, Script, chunked, line, watch_of
 
+from hollyridge.discovery import schema
+from hollyridge.discovery.endpoint_list import CallFailed, Heard
+from hollyridge.discovery.watch_state import Action, Caller, Happened
 from hollyridge.interface import ListKind, TaskState
-from hollyridge.roster import words
-from hollyridge.roster.caller import Action, Caller, Happened
-from hollyridge.roster.listing import CallFailed, Heard
-from hollyridge.steering.members import AskedAgain
+from hollyridge.registration.members import AskedAgain
 
 NOW = 1_000 * SECOND
 
 
 def news(version, *rows, full=False):
-    entries = tuple(words.Entry(name, 0, 0, state, 1.0, ms) for name, state, ms in rows)
-    return Heard(words.News(version, full, entries))
+    entries = tuple(schema.Entry(name, 0, 0, state, 1.0, ms) for name, state, ms in rows)
+    return Heard(schema.News(version, full, entries))
 
 
 READY, DRAINING, GONE = TaskState.READY, TaskState.DRAINING, TaskState.GONE
@@ -74,8 +74,8 @@
 
 @pytest.mark.parametrize("raw", FAULTS)
 def test_nonsense_is_named(raw):
-    with pytest.raises(words.RosterError, match="."):
-        words.read(raw, ZONES)
+    with pytest.raises(schema.RosterError, match="."):
+        schema.read(raw, ZONES)
 
 
 def test_calls_that_fail_are_made_again_after_growing_pauses():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import SECOND, START, Rig, bootstrap, entry, lines, method, roster
 
 from hollyridge import interface as api
-from hollyridge.rules import HMAX, NO_LIMIT, STEP, Assigner, Estimates, Gate, Levels, Outbox, Ramp, Roster
+from hollyridge.decisions.assigner import HMAX, NO_LIMIT, STEP, Assigner, Estimates, Gate, Levels, Outbox, Ramp, Roster
 
 READY, DRAINING, GONE = api.TaskState.READY, api.TaskState.DRAINING, api.TaskState.GONE
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 from hollyridge.cli.main import main
 from hollyridge.interface import Admission
-from hollyridge.lab import script
+from hollyridge.lab import scenario
 from hollyridge.settings import assigner
 from hollyridge.settings.ini import FaultsError
 
@@ -97,10 +97,10 @@
     (tmp_path / "loopback.ini").write_text(LOOPBACK)
     (tmp_path / "s.ini").write_text(text)
     with pytest.raises(FaultsError) as trouble:
-        script.load(tmp_path / "s.ini")
+        scenario.load(tmp_path / "s.ini")
     assert fault in str(trouble.value)
 
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*-day.ini")))
 def test_examples_are_fine(path):
-    assert script.load(path).troubles
+    assert scenario.load(path).troubles
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -18,16 +18,16 @@
 from hollyridge import interface as api
 from hollyridge.cli.main import main
 from hollyridge.client.picking import Picker
-from hollyridge.lab import script
+from hollyridge.decisions.assigner import NOISE_FLOOR, Assigner
+from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
 from hollyridge.lab.virtual import VirtualStage
-from hollyridge.rules import NOISE_FLOOR, Assigner
 from hollyridge.settings.solve import load
-from hollyridge.solving import program
-from hollyridge.solving.choices import arrivals, weights_for
-from hollyridge.solving.feed import fleet_of, proposals
-from hollyridge.solving.fleet import Fleet, Method, NonsenseError, Task, Zone
-from hollyridge.solving.solver import Planner, cost_of, solve
+from hollyridge.solver import linear_program
+from hollyridge.solver.engine_adapter import fleet_of, proposals
+from hollyridge.solver.fleet import Fleet, Method, NonsenseError, Task, Zone
+from hollyridge.solver.planner import Planner, cost_of, solve
+from hollyridge.solver.two_choices import arrivals, weights_for
 
 SOLVE = Path(__file__).parent.parent / "examples" / "solve"
 ONE = (Method("read", 3.0),)
@@ -210,7 +210,7 @@
     rng = Random(2)
     tasks = [(k % 6, rng.uniform(1, 100), rng.uniform(0.2, 1)) for k in range(400)]
     one = fleet(tasks, [rng.uniform(500, 2000) for _ in range(6)])
-    with pytest.raises(program.LateError):
+    with pytest.raises(linear_program.LateError):
         solve(one, 1e-4)
     planner = Planner(20.0)
     good = planner.take(one)
@@ -223,8 +223,8 @@
     """The library's clock goes on from answer to answer: past half a second in all, every plan was late once."""
     rng = Random(2)
     one = fleet([(k % 3, rng.uniform(8, 12), 1.0) for k in range(60)], [100, 90, 80])
-    planner, begun = Planner(0.1), program.library().getRunTime()
-    while program.library().getRunTime() - begun < 0.2:
+    planner, begun = Planner(0.1), linear_program.library().getRunTime()
+    while linear_program.library().getRunTime() - begun < 0.2:
         planner.take(one)
     assert planner.counts["late"] == 0 and planner.counts["solved"] > 10
 
@@ -391,7 +391,7 @@
     text = (SOLVE.parent / "lab" / "small.ini").read_text()
     path = tmp_path / "solver.ini"
     path.write_text(text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini")) + "\n[set solver]\non = yes\n")
-    loaded = script.load(path)
+    loaded = scenario.load(path)
     raws = []
     for _ in range(2):
         stage = VirtualStage(loaded, "", 3)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -5,14 +5,13 @@
 import pytest
 
 from hollyridge import interface as api
+from hollyridge.delivery.paced_queue import Channel
+from hollyridge.delivery.update_builder import Abilities, Desk, Parcel
 from hollyridge.interface import AskReceipt, Attach, PutLine, TaskState
-from hollyridge.steering import members
-from hollyridge.steering.advice import LEAST, MOST, GroupAdvice
-from hollyridge.steering.channel import Channel
-from hollyridge.steering.desk import Abilities, Desk, Parcel
-from hollyridge.steering.doorkeeper import Doorkeeper
-from hollyridge.steering.indices import IndexAllocator
-from hollyridge.steering.members import (
+from hollyridge.limits.connection_limiter import Doorkeeper
+from hollyridge.registration import members
+from hollyridge.registration.index_allocator import IndexAllocator
+from hollyridge.registration.members import (
     AskedAgain,
     Deregistered,
     Members,
@@ -22,10 +21,11 @@
     StreamLost,
     Tick,
 )
-from hollyridge.steering.news import SECOND as NS
-from hollyridge.steering.news import Kind, News, Point
-from hollyridge.steering.presence import TAKEOVERS, Presence
-from hollyridge.store.versions import EMPTY, Store, difference
+from hollyridge.sasp.weight_advice import LEAST, MOST, GroupAdvice
+from hollyridge.sessions.session_tracker import TAKEOVERS, Presence
+from hollyridge.store.table_versions import EMPTY, Store, difference
+from hollyridge.telemetry.report_aggregator import SECOND as NS
+from hollyridge.telemetry.report_aggregator import Kind, News, Point
 
 SECOND = 1_000_000
 PLAIN = Abilities(False, False, False, True, 1)
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -9,8 +9,8 @@
 from test_service import rig, tries  # noqa: F401
 
 from hollyridge.lab.flood import flood
+from hollyridge.limits.fair_share import ALL, Fair, level
 from hollyridge.otlp.sender import post, request_of
-from hollyridge.trust.fair import ALL, Fair, level
 
 SECOND = 1_000_000
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hollyridge.benchlink import link, wire
-from hollyridge.benchlink.conf import read_bootstrap
+from hollyridge.platform_settings.reader import read_bootstrap
 
 CONF = b"""balancers=1
 discovery=subscribe
