--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -23,9 +23,9 @@
 from joins import settings
 from soak import usage
 
-from hollyridge.client import CloneGateway
+from hollyridge.client import ChpGateway
 from hollyridge.lab.live import free_port, free_ports
-from hollyridge.sasp.client import Balancer, Held, LostError, Registrar
+from hollyridge.sasp.client import ConnectionLostError, HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
 METHODS = ["read-chapter", "unlock-chapter", "redeem-code"]
@@ -46,7 +46,7 @@
             gevent.sleep(0.05)
 
     def sasp(self, port: int) -> None:
-        gw = Balancer(
+        gw = LoadBalancerClient(
             ("127.0.0.1", port),
             self.uid,
             source=self.source,
@@ -55,19 +55,19 @@
             heard=self.heard,
         )
         gw.start(METHODS)
-        held = Held()
+        held = HeldWeights()
         try:
             while pushed := gw.receive():
                 held.take(pushed[1].groups)
                 self.tasks = {f"{m.host}:{m.port}" for m in held.lines(METHODS[0])}
-        except LostError:
+        except ConnectionLostError:
             return
 
     def clone(self, port: int) -> None:
         how = dict(zmq=zmq, context=self.context, source=self.source, heard=self.heard)
-        gateway = CloneGateway(("127.0.0.1", port), self.uid, METHODS, how, sleep=gevent.sleep)
+        gateway = ChpGateway(("127.0.0.1", port), self.uid, METHODS, how, sleep=gevent.sleep)
 
-        def changed(_: CloneGateway) -> None:
+        def changed(_: ChpGateway) -> None:
             self.tasks = set(gateway.table_for(METHODS[0]))
 
         gateway.on_change(changed)
@@ -129,7 +129,7 @@
         crowds = []
         try:
             time.sleep(2)
-            agent = Registrar(("127.0.0.1", ports[0]), "shelf")
+            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf")
             members = [Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)]
             agent.register(members)
             time.sleep(1)
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -18,7 +18,7 @@
 from gevent import socket
 
 from hollyridge.lab.live import free_port
-from hollyridge.sasp.client import Balancer, Registrar
+from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 from hollyridge.settings.assigner import load
 
@@ -53,7 +53,7 @@
         )
         try:
             gevent.sleep(1.5)
-            agent = Registrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
+            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
             agent.register([Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)])
             gevent.sleep(1)
             held, bytes_in = [], [0]
@@ -63,7 +63,7 @@
                 def heard(raw: bytes) -> None:
                     bytes_in[0] += len(raw)
 
-                gw = Balancer(
+                gw = LoadBalancerClient(
                     ("127.0.0.1", ports[0]),
                     f"gw-{k}",
                     source=f"127.{1 + k % 3}.9.{1 + k // 3}",
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -24,7 +24,7 @@
 
 from hollyridge.lab.live import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
-from hollyridge.sasp.client import Balancer, LostError, Registrar
+from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
 ZONES = ("abdali", "khalda", "sahab")
@@ -46,7 +46,7 @@
         gevent.spawn(self.report)
 
     def listen(self) -> None:
-        gw = Balancer(
+        gw = LoadBalancerClient(
             ("127.0.0.1", self.ports[0]),
             self.uid,
             source=f"127.{1 + self.zone}.9.{self.zone + 1}",
@@ -58,7 +58,7 @@
             while pushed := gw.receive():
                 self.messages += 1
                 self.lines += sum(len(g.weights) for g in pushed[1].groups)
-        except LostError:
+        except ConnectionLostError:
             return
 
     def report(self) -> None:
@@ -109,7 +109,7 @@
         try:
             gevent.sleep(1.5)
             rng, rows = Random(1), []
-            agent = Registrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
+            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
             members = [Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)]
             agent.register(members)
             speeds = [rng.uniform(0.05, 0.2) for _ in members]
--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -31,7 +31,7 @@
         """One record of the wire as a typed event."""
         if code == 1:
             entries = tuple(
-                api.Listed(
+                api.Endpoint(
                     self.task(e[0]),
                     in_range(e[1], self.zones, "zone"),
                     e[2],
@@ -42,19 +42,19 @@
                 )
                 for e in f[2]
             )
-            return api.RosterChange(f[0], in_range(f[1], 3, "list kind"), entries)
+            return api.EndpointListUpdate(f[0], in_range(f[1], 3, "list kind"), entries)
         if code == 2:
-            return api.Woke(f[0])
+            return api.TimerFired(f[0])
         if code == 3:
             return api.ProbeResult(self.task(f[0]), f[1], moment(f[2]), f[3])
         if code == 4:
             return api.PeerMessage(f[0], f[1])
         if code == 6:
-            return api.Joined(f[0], bool(f[1]), f[2], in_range(f[3], self.zones, "zone"))
+            return api.ProxyJoined(f[0], bool(f[1]), f[2], in_range(f[3], self.zones, "zone"))
         if code == 7:
-            return api.Left(f[0])
+            return api.ProxyLeft(f[0])
         if code == 8:
-            return api.Receipt(f[0], f[1], moment(f[2]))
+            return api.Ack(f[0], f[1], moment(f[2]))
         if code == 9:
             return api.TrafficReport(
                 in_range(f[0], self.zones, "zone"), self.task(f[1]), f[2], f[3], moment(f[4]), moment(f[5]), f[6]
@@ -67,32 +67,32 @@
             return api.SliceCharge(bool(f[0]), f[1])
         return api.SliceLine(self.task(f[0]), f[1], f[2])
 
-    def order(self, o: api.Order) -> bytes:
+    def order(self, o: api.Command) -> bytes:
         """One typed order as a record of the wire."""
         kind = type(o)
-        if kind is api.PutLine:
+        if kind is api.SetWeight:
             return record(74, o.weight, self.ids[o.task], o.table)
-        if kind is api.Attach:
+        if kind is api.BindTable:
             return record(72, *o)
-        if kind is api.AskReceipt:
+        if kind is api.RequestAck:
             return record(71, o.mark, o.everyone)
-        if kind is api.WakeAt:
+        if kind is api.SetTimer:
             return record(73, o.token, o.delay / 1e6)
-        if kind is api.SetLevel:
+        if kind is api.SetAdmission:
             return record(70, *o)
-        if kind is api.Watch:
+        if kind is api.WatchEndpoints:
             return record(69, o.on)
-        if kind is api.Reload:
+        if kind is api.RefreshEndpoints:
             return record(64)
-        if kind is api.Withdraw:
+        if kind is api.SetEjected:
             return record(65, self.ids[o.task], o.out)
-        if kind is api.DropTable:
+        if kind is api.DeleteTable:
             return record(75, o.table)
-        if kind is api.Note:
+        if kind is api.LogNote:
             return record(66, o.text.encode()[:1000])
         if kind is api.Probe:
             return record(67, self.ids[o.task])
-        if kind is api.TellPeer:
+        if kind is api.SendToPeer:
             return record(68, o.peer, o.payload)
         raise TypeError(f"no such order: {kind.__name__}")
 
--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from hollyridge.chp import codec
-from hollyridge.chp.replica import Client, Tables
+from hollyridge.chp.replica import Client, ReplicaTables
 
 
 class Subscriber:
@@ -81,7 +81,7 @@
         except self.zmq.ZMQError:
             pass  # nobody is there to hear it
 
-    def step(self, timeout: float) -> Tables | None:
+    def step(self, timeout: float) -> ReplicaTables | None:
         """Take what comes within `timeout` seconds, at the least one look; the tables if they changed."""
         until, changed = self.clock() + timeout, False
         while True:
@@ -112,7 +112,7 @@
             message = codec.decode(parts)
             self.last_heard = self.clock()
             ask, drop, changed = self.client.take(message)
-        except codec.CloneError:
+        except codec.ChpError:
             return False  # of a later layout, or spoilt: not applied; a gap if it mattered
         for subtree in ask:
             self.ask(subtree)
--- a/hollyridge/chp/codec.py
+++ b/hollyridge/chp/codec.py
@@ -34,7 +34,7 @@
 NO_SEQUENCE = _SEQUENCE.pack(0)
 
 
-class CloneError(Exception):
+class ChpError(Exception):
     """What came in is no message of this protocol."""
 
 
@@ -149,7 +149,7 @@
     try:
         return _DECODERS[kind].decode(raw)
     except msgspec.DecodeError as trouble:
-        raise CloneError(f"a value that is no {kind.__name__}: {trouble}") from None
+        raise ChpError(f"a value that is no {kind.__name__}: {trouble}") from None
 
 
 def encode(message: Message) -> list[bytes]:
@@ -180,12 +180,12 @@
 def decode(parts: list[bytes], collector: bool = False) -> Message:
     """CloneError for what is no message. What comes from a collector is a KVSET, else the parts tell."""
     if len(parts) > PARTS_MOST or any(len(part) > PART_MOST for part in parts):
-        raise CloneError("a message too long")
+        raise ChpError("a message too long")
     try:
         if parts[0] == b"ICANHAZ?" and len(parts) == 2:
             return Icanhaz(parts[1].decode())
         if len(parts) != 5:
-            raise CloneError(f"a message of {len(parts)} parts")
+            raise ChpError(f"a message of {len(parts)} parts")
         name, number, uuid, properties, value = parts
         (sequence,) = _SEQUENCE.unpack(number)
         if name == b"HUGZ":
@@ -194,14 +194,14 @@
             return Kthxbai(sequence, value.decode())
         key = name.decode()
         if not key.startswith("/"):
-            raise CloneError("a key that is no path")
+            raise ChpError("a key that is no path")
         if collector:
             return Kvset(key, uuid, properties.decode(), value)
         if uuid or properties:
             return Kvpub(key, sequence, uuid, properties.decode(), value)
         return Kvsync(key, sequence, value)
     except (struct.error, UnicodeDecodeError, IndexError):
-        raise CloneError("a message that does not add up") from None
+        raise ChpError("a message that does not add up") from None
 
 
 class Question(NamedTuple):
--- a/hollyridge/chp/key_space.py
+++ b/hollyridge/chp/key_space.py
@@ -6,10 +6,10 @@
 from hollyridge.chp.codec import Head, Kthxbai, Kvpub, Kvsync
 
 
-class Ledger:
+class KeySpace:
     """`epoch` names this run of the assigner: numbers of another run mean nothing here.
 
-    >>> ledger = Ledger("e1", beat=500)
+    >>> ledger = KeySpace("e1", beat=500)
     >>> [m.key for m in ledger.set("/table/0/", 1, {"/table/0/line/a:1": b"x"})]
     ['/table/0/line/a:1', '/table/0/head']
     >>> ledger.set("/table/0/", 2, {"/table/0/line/a:1": b"x"})
--- a/hollyridge/chp/replica.py
+++ b/hollyridge/chp/replica.py
@@ -9,12 +9,12 @@
 
 from hollyridge.chp import codec
 from hollyridge.chp.codec import Head, Kthxbai, Kvpub, Kvsync
-from hollyridge.membership.fencing import Judge
+from hollyridge.membership.fencing import FencingChecker
 
 GATHERED_MOST = 20_000  # messages kept for a change whose head has not come
 
 
-class Did(NamedTuple):
+class ReplicaChanges(NamedTuple):
     """`applied`: the subtree holds something new. `ask`: a snapshot is needed. `beat`: a sign of life."""
 
     applied: bool = False
@@ -22,7 +22,7 @@
     beat: bool = False
 
 
-NOTHING = Did()
+NOTHING = ReplicaChanges()
 
 
 class Replica:
@@ -41,7 +41,7 @@
         self.incoming: dict[int, dict[str, bytes]] = {}  # rows of snapshots by their number
         self.heads: dict[int, Head] = {}
 
-    def take(self, message: Kvsync | Kthxbai | Kvpub) -> Did:
+    def take(self, message: Kvsync | Kthxbai | Kvpub) -> ReplicaChanges:
         """One message of this subtree. CloneError for a head that is none."""
         if type(message) is Kvsync:
             if message.key == self.subtree + "head":
@@ -62,7 +62,7 @@
         self.asking = True
         self.incoming, self.heads = {}, {}
 
-    def snapshot(self, number: int) -> Did:
+    def snapshot(self, number: int) -> ReplicaChanges:
         head, rows = self.heads.pop(number, None), self.incoming.pop(number, {})
         if head is None or len(rows) != head.total:  # nothing there yet, or not all of it: what is held stays
             return NOTHING
@@ -73,23 +73,23 @@
         self.held, self.head, self.synced, self.asking = rows, head, True, False
         self.incoming, self.heads = {}, {}
         self.prune()
-        return Did(applied=new, beat=True)
+        return ReplicaChanges(applied=new, beat=True)
 
     def prune(self) -> None:
         mine = codec.uuid_of(self.head.epoch)
         self.gathered = {key: m for key, m in self.gathered.items() if key[0] == mine and key[1] > self.head.seq}
 
-    def change(self, head: Head) -> Did:
+    def change(self, head: Head) -> ReplicaChanges:
         if not self.synced:
-            return Did(ask=not self.asking)
+            return ReplicaChanges(ask=not self.asking)
         if head.epoch != self.head.epoch:
-            return Did(ask=not self.asking)
+            return ReplicaChanges(ask=not self.asking)
         if head.seq <= self.head.seq:
-            return Did(beat=head.seq == self.head.seq)
+            return ReplicaChanges(beat=head.seq == self.head.seq)
         uuid = codec.uuid_of(head.epoch)
         mine = sorted(seq for run, seq in self.gathered if run == uuid and self.head.seq < seq < head.seq)
         if head.prev != self.head.seq or len(mine) != head.count:
-            return Did(ask=not self.asking)
+            return ReplicaChanges(ask=not self.asking)
         held = dict(self.held)
         for seq in mine:
             message = self.gathered[uuid, seq]
@@ -99,10 +99,10 @@
                 held.pop(message.key, None)
         self.held, self.head = held, head
         self.prune()
-        return Did(applied=True, beat=True)
+        return ReplicaChanges(applied=True, beat=True)
 
 
-class Tables(NamedTuple):
+class ReplicaTables(NamedTuple):
     """What a proxy goes by: lines by method index, weight by `host:port`; the version of each table in use."""
 
     lines: dict[str, dict[str, float]]
@@ -142,10 +142,10 @@
     ask for; `tables` is what to go by, replaced only when every table in use is whole. A table that the bindings
     turn to is used once it has come, until then the former one is."""
 
-    def __init__(self, uid: str, methods: list[str], judge: Judge | None = None) -> None:
-        self.home, self.methods, self.judge = f"/proxy/{uid}/", methods, judge or Judge()
+    def __init__(self, uid: str, methods: list[str], judge: FencingChecker | None = None) -> None:
+        self.home, self.methods, self.judge = f"/proxy/{uid}/", methods, judge or FencingChecker()
         self.replicas = {self.home: Replica(self.home), codec.OUT: Replica(codec.OUT)}
-        self.tables = Tables({}, {}, {})
+        self.tables = ReplicaTables({}, {}, {})
         self.applied = 0
 
     def own(self) -> codec.Own:
@@ -202,7 +202,7 @@
             table: {task: weight for task, weight in lines_of(self.replicas[table]).items() if task not in out}
             for table in set(wanted.values())
         }
-        self.tables = Tables(
+        self.tables = ReplicaTables(
             {method: lines[table] for method, table in wanted.items()},
             {
                 method: level_of(self.replicas[table], k)
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -17,23 +17,23 @@
 import zmq.green as zmq
 
 from hollyridge.chp import codec
-from hollyridge.chp.codec import CloneError
-from hollyridge.chp.key_space import Ledger
-from hollyridge.core.event_loop import Loop
-from hollyridge.delivery.update_builder import Abilities, Parcel
+from hollyridge.chp.codec import ChpError
+from hollyridge.chp.key_space import KeySpace
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
 from hollyridge.keys.curve import Curve
-from hollyridge.limits.connection_limiter import Bucket, Doorkeeper
-from hollyridge.limits.log_sampling import worth_saying
-from hollyridge.membership.leases import SendTo, Stale, Take
-from hollyridge.peers.peer_service import Fleet
-from hollyridge.sessions.access import Access
-from hollyridge.sessions.session_tracker import Presence
+from hollyridge.limits.connection_limiter import ConnectionLimiter, TokenBucket
+from hollyridge.limits.log_sampling import should_log
+from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
+from hollyridge.peers.peer_service import PeerService
+from hollyridge.sessions.access import AccessControl
+from hollyridge.sessions.session_tracker import SessionTracker
 from hollyridge.store.table_versions import EMPTY, Table
 
-OPEN = Access(False, ())
+OPEN = AccessControl(False, ())
 
 
-class CloneTerms(NamedTuple):
+class ChpConfig(NamedTuple):
     """`port` is that of the snapshot socket, the publisher and the collector have the next two. `waiting_most`:
     messages that may wait in the library for one reader. `methods`: names in order."""
 
@@ -46,7 +46,7 @@
     methods: tuple[str, ...]
 
 
-class Reader:
+class SubscriberSession:
     """One joined proxy."""
 
     __slots__ = (
@@ -65,7 +65,7 @@
         "fence",
     )
 
-    def __init__(self, uid: str, user: str, number: int, identity: bytes, asks: Bucket) -> None:
+    def __init__(self, uid: str, user: str, number: int, identity: bytes, asks: TokenBucket) -> None:
         self.user = user
         self.uid, self.number, self.identity, self.asks = uid, number, identity, asks
         self.proxy, self.home = -1, f"/proxy/{uid}/"
@@ -76,38 +76,38 @@
         self.owed: dict[str, None] = {}  # snapshots on their way, the first of them now
 
 
-class CloneFront:
+class ChpServer:
     """Serves `terms` for the machine of `loop`. `name_of(task)` is a task's `host:port`. With `curve`
     only holders of known keys get through, and `access` says who may go by which name. `epoch` names this run.
     `fleet`: the assigners that share the proxies with this one."""
 
     def __init__(
         self,
-        loop: Loop,
-        terms: CloneTerms,
-        presence: Presence,
-        keeper: Doorkeeper,
+        loop: EventLoop,
+        terms: ChpConfig,
+        presence: SessionTracker,
+        keeper: ConnectionLimiter,
         zone_of: Callable[[str], int],
         name_of: Callable[[int], str],
         log,
         context: zmq.Context,
         curve: Curve | None = None,
-        access: Access = OPEN,
+        access: AccessControl = OPEN,
         epoch: str = "",
-        fleet: Fleet | None = None,
+        fleet: PeerService | None = None,
         zone_name: Callable[[int], str] = str,
     ) -> None:
         self.fleet, self.zone_name = fleet, zone_name
         self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
         self.terms, self.presence, self.keeper = terms, presence, keeper
         self.zone_of, self.name_of, self.log, self.access, self.curve = zone_of, name_of, log, access, curve
-        self.abilities = Abilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
-        self.ledger = Ledger(epoch or os.urandom(8).hex(), terms.beat_ms)
+        self.abilities = ServerCapabilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
+        self.ledger = KeySpace(epoch or os.urandom(8).hex(), terms.beat_ms)
         self.ledger.set(codec.OUT, 0, {})
-        self.readers: dict[str, Reader] = {}
-        self.by_proxy: dict[int, Reader] = {}
-        self.by_number: dict[int, Reader] = {}
-        self.by_identity: dict[bytes, Reader] = {}
+        self.readers: dict[str, SubscriberSession] = {}
+        self.by_proxy: dict[int, SubscriberSession] = {}
+        self.by_number: dict[int, SubscriberSession] = {}
+        self.by_identity: dict[bytes, SubscriberSession] = {}
         self.published: dict[int, Table] = {}
         self.number = 0
         self.counts = dict.fromkeys(
@@ -196,21 +196,21 @@
             try:
                 message = codec.decode(parts[1:])
                 if type(message) is not codec.Icanhaz:
-                    raise CloneError("only ICANHAZ is answered here")
+                    raise ChpError("only ICANHAZ is answered here")
                 self.asked(parts[0], message.subtree, address, user)
-            except CloneError as trouble:
+            except ChpError as trouble:
                 self.bad(address, str(trouble))
 
     def bad(self, address: str, why: str) -> None:
         self.counts["bad"] += 1
-        if worth_saying(self.counts["bad"]):
+        if should_log(self.counts["bad"]):
             self.log.warning("bad message", peer=address, why=why, times=self.counts["bad"])
 
     def asked(self, identity: bytes, subtree: str, address: str, user: str) -> None:
         self.counts["asked"] += 1
         now, steps = self.clock(), subtree.split("/")
         if len(steps) != 4 or steps[0] or steps[3] or steps[1] not in ("proxy", "table", "out"):
-            raise CloneError("no such subtree")
+            raise ChpError("no such subtree")
         if steps[1] == "proxy":
             self.hello(now, identity, steps[2], address, user)
             return
@@ -228,13 +228,13 @@
             self.machine.channel.charge(now, size + self.machine.channel.head)
         self.send(reader, subtree)
 
-    def wanted(self, reader: Reader) -> set[str]:
+    def wanted(self, reader: SubscriberSession) -> set[str]:
         return {f"/table/{table}/" for table in self.machine.desk.bound.get(reader.proxy, {}).values()}
 
     def hello(self, now: int, identity: bytes, uid: str, address: str, user: str) -> None:
         why = self.access.may_be(user, uid)
         if not uid or len(uid) > 64 or why:
-            raise CloneError(why or "no proxy has such a name")
+            raise ChpError(why or "no proxy has such a name")
         reader = self.readers.get(uid)
         if reader is not None and reader.identity == identity:  # it lost something of its own subtree
             if not reader.waits_for_home and reader.asks.draw(now):
@@ -247,7 +247,7 @@
         fence = 0
         if self.fleet is not None:
             told = self.fleet.came(uid, self.zone_name(zone), *codec.question_of(identity))
-            if type(told) is not Take:
+            if type(told) is not LeaseGranted:
                 self.turn_away(now, identity, uid, told)
                 return
             fence = told.fence
@@ -258,7 +258,7 @@
             return
         if reader is not None:
             self.leave(now, reader, "its name came again in a newer session", ours=True)
-        reader = self.readers[uid] = Reader(uid, user, self.number, identity, self.keeper.answers())
+        reader = self.readers[uid] = SubscriberSession(uid, user, self.number, identity, self.keeper.answers())
         reader.fence = fence
         proxy = self.machine.join(now, self, uid, zone, self.terms.usual_rate)
         if proxy is None:
@@ -270,11 +270,11 @@
         self.log.info("joined", uid=uid, proxy=proxy, zone=zone, front="clone")
         self.loop.nudge()
 
-    def turn_away(self, now: int, identity: bytes, uid: str, told: Stale | SendTo) -> None:
+    def turn_away(self, now: int, identity: bytes, uid: str, told: StaleToken | ForwardProxy) -> None:
         """Say who should be asked, in the place of a table."""
         self.counts["sent_on"] += 1
         reader = self.readers.get(uid)
-        if type(told) is SendTo:
+        if type(told) is ForwardProxy:
             if reader is not None:
                 self.leave(now, reader, "its newer session was sent on")
             home = f"/proxy/{uid}/"
@@ -297,7 +297,7 @@
                 )
             self.leave(self.clock(), reader, why, ours=True)
 
-    def leave(self, now: int, reader: Reader, why: str, ours: bool = False) -> None:
+    def leave(self, now: int, reader: SubscriberSession, why: str, ours: bool = False) -> None:
         """`ours`: who orders it has been decided already."""
         if self.fleet is not None and not ours:
             self.fleet.ended(reader.uid)
@@ -320,17 +320,17 @@
                 message = codec.decode(parts, collector=True)
                 steps = getattr(message, "key", "").split("/")
                 if len(steps) != 4 or steps[1] != "proxy" or steps[3] != "ack":
-                    raise CloneError("no such key can be set")
+                    raise ChpError("no such key can be set")
                 why = self.access.may_be(user, steps[2])
                 if why:
-                    raise CloneError(why)
+                    raise ChpError(why)
                 reader = self.readers.get(steps[2])
                 if reader is not None and message.uuid == codec.uuid_of(reader.identity.hex()):
                     self.ack(self.clock(), reader, codec.value_of(codec.Ack, message.value))
-            except CloneError as trouble:
+            except ChpError as trouble:
                 self.bad(address, str(trouble))
 
-    def ack(self, now: int, reader: Reader, word: codec.Ack) -> None:
+    def ack(self, now: int, reader: SubscriberSession, word: codec.Ack) -> None:
         """What it has applied: a sign of life, a receipt, and how far it lags."""
         self.counts["acks"] += 1
         self.presence.asked(now, reader.number)
@@ -347,7 +347,7 @@
             self.loop.nudge()
 
     @staticmethod
-    def reached(reader: Reader, needed: dict[str, int]) -> bool:
+    def reached(reader: SubscriberSession, needed: dict[str, int]) -> bool:
         return all(reader.seqs.get(subtree, -1) >= seq for subtree, seq in needed.items())
 
     def beat(self) -> None:
@@ -368,7 +368,7 @@
                     self.counts["cut"] += 1
                     self.leave(now, reader, why)
 
-    def heads_of(self, reader: Reader) -> dict[str, int]:
+    def heads_of(self, reader: SubscriberSession) -> dict[str, int]:
         """The newest head of each subtree that it uses."""
         subtrees = [reader.home, codec.OUT, *self.wanted(reader)]
         return {one: self.ledger.heads[one].seq for one in subtrees if one in self.ledger.heads}
@@ -383,14 +383,14 @@
             self.counts["bytes_out"] += sum(map(len, parts))
             sock.send_multipart(parts)  # never blocks: a full reader loses it, sees the gap, and asks
 
-    def send(self, reader: Reader, subtree: str) -> None:
+    def send(self, reader: SubscriberSession, subtree: str) -> None:
         """Answer with a snapshot, after those that this reader still waits for."""
         if subtree not in reader.owed:
             reader.owed[subtree] = None
             if len(reader.owed) == 1:
                 self.loop.spawn(self.deliver, reader)
 
-    def deliver(self, reader: Reader) -> None:
+    def deliver(self, reader: SubscriberSession) -> None:
         """One after the other, as fast as the reader takes them; a full pipe holds up nobody else."""
         while reader.owed and self.readers.get(reader.uid) is reader:
             subtree = next(iter(reader.owed))
@@ -404,7 +404,7 @@
                         return
             del reader.owed[subtree]
 
-    def pass_on(self, reader: Reader, parts: list[bytes]) -> bool:
+    def pass_on(self, reader: SubscriberSession, parts: list[bytes]) -> bool:
         return self.pass_on_to(reader.identity, parts)
 
     def pass_on_to(self, identity: bytes, parts: list[bytes]) -> bool:
@@ -418,14 +418,14 @@
         self.counts["bytes_out"] += sum(map(len, parts))
         return True
 
-    def lines(self, proxy: int, parcel: Parcel) -> tuple[int, int]:
+    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
         tables = set(self.machine.desk.bound.get(proxy, {}).values())
         return (
             sum(lines for _, lines in parcel.counts),
             sum(1 + len(self.machine.desk.store.latest(table)) for table in tables),
         )
 
-    def write(self, proxy: int, parcel: Parcel) -> None:
+    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
         reader = self.by_proxy.get(proxy)
         if parcel.out:
             out = sorted(self.machine.desk.out)
--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -50,7 +50,7 @@
         return run(script, Path(folder), seed, policy, as_json, keep=False)
 
 
-def run(script: scripts.Script, folder: Path, seed: int | None, policy: str, as_json: bool, keep: bool) -> int:
+def run(script: scripts.Scenario, folder: Path, seed: int | None, policy: str, as_json: bool, keep: bool) -> int:
     with click.progressbar(length=1000, label=f"{script.day.length_s:.0f} s", file=sys.stderr) as bar:
         told = 0
 
--- a/hollyridge/cli/main.py
+++ b/hollyridge/cli/main.py
@@ -18,7 +18,7 @@
 FAULTY, TAKEN, GAVE_UP = 2, 3, 4
 
 
-def load(path: str) -> assigner.AssignerTerms:
+def load(path: str) -> assigner.ServiceConfig:
     try:
         return assigner.load(path)
     except FaultsError as trouble:
@@ -51,10 +51,10 @@
     run(load(file), file)
 
 
-def run(terms: assigner.AssignerTerms, path: str, make=None) -> None:
+def run(terms: assigner.ServiceConfig, path: str, make=None) -> None:
     import gevent
 
-    from hollyridge.core.engine import ModuleError
+    from hollyridge.core.engine import DecisionModuleError
     from hollyridge.decisions.assigner import Assigner
     from hollyridge.service import Service
 
@@ -80,7 +80,7 @@
         gevent.signal_handler(number, service.stop)
     try:
         service.run()
-    except ModuleError as trouble:
+    except DecisionModuleError as trouble:
         log.error("gave up", error=str(trouble))
         service.stop()
         sys.exit(GAVE_UP)
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -44,17 +44,17 @@
     """Weights within capacity for the fleet that FILE describes: tables by zone, what binds, what one more task would
     do, and what moves against the tables held now. FILE may be http://ADDRESS:PORT, an assigner's OTLP address: then
     what that assigner knows now is taken."""
-    from hollyridge.core.solver_service import wake
+    from hollyridge.core.solver_service import load_solver_library
     from hollyridge.settings.ini import FaultsError
     from hollyridge.settings.solve import load, read_text
-    from hollyridge.solver.fleet import NonsenseError
-    from hollyridge.solver.linear_program import LateError
+    from hollyridge.solver.fleet import InvalidFleetError
+    from hollyridge.solver.linear_program import SolverTimeoutError
     from hollyridge.solver.planner import solve as plan_of
 
     try:
         fleet, deadline, groups = read_text(fetch(file), file) if file.startswith("http://") else load(file)
         begun = time.monotonic()
-        wake()
+        load_solver_library()
         plan = plan_of(fleet, deadline)
         took = time.monotonic() - begun
     except FaultsError as trouble:
@@ -64,7 +64,7 @@
     except (OSError, ValueError) as trouble:
         click.echo(f"{file}: {trouble}", err=True)
         sys.exit(1)
-    except (NonsenseError, LateError) as trouble:
+    except (InvalidFleetError, SolverTimeoutError) as trouble:
         click.echo(f"{file}: no plan, tables stay as they are: {trouble}", err=True)
         sys.exit(1)
     rows = []
--- a/hollyridge/client/__init__.py
+++ b/hollyridge/client/__init__.py
@@ -1,9 +1,9 @@
-"""The client library: one surface, two protocols. `SaspGateway` and `CloneGateway` hold the same tables, and
+"""The client library: one surface, two protocols. `SaspGateway` and `ChpGateway` hold the same tables, and
 `Reporter` says what was met."""
 
-from hollyridge.client.chp import CloneGateway
-from hollyridge.client.gateway import Gateway, State
+from hollyridge.client.chp import ChpGateway
+from hollyridge.client.gateway import Gateway, GatewayState
 from hollyridge.client.reporting import Reporter
 from hollyridge.client.sasp import SaspGateway
 
-__all__ = ["CloneGateway", "Gateway", "Reporter", "SaspGateway", "State"]
+__all__ = ["ChpGateway", "Gateway", "Reporter", "SaspGateway", "GatewayState"]
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -6,19 +6,19 @@
 
 from hollyridge.chp.client import Subscriber
 from hollyridge.chp.replica import Client
-from hollyridge.client.gateway import Gateway, SentOnError, several
+from hollyridge.client.gateway import Gateway, RedirectedError, several
 
 
-class SilenceError(Exception):
+class HeartbeatTimeoutError(Exception):
     """No heartbeat of one's own subtree for too long: the session is over."""
 
 
-class CloneGateway(Gateway):
+class ChpGateway(Gateway):
     """`address` may be a list: when one assigner doesn't answer, the next is dialled. `how` goes to `Subscriber` (zmq,
     context, source, heard, keys). A session ends after `silent_beats` heartbeats that did not come; the next one keeps
     what is held and asks for what has changed."""
 
-    silences = (SilenceError,)
+    silences = (HeartbeatTimeoutError,)
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
                 tables = subscriber.step(min(subscriber.beat_s, self.beat_s) / 2)
                 go = self.client.go()
                 if go is not None:
-                    raise SentOnError(go.to)
+                    raise RedirectedError(go.to)
                 if tables is not None:
                     self.before(sum(map(len, tables.lines.values())))
                     self.versions = tables.versions
@@ -66,7 +66,7 @@
                 if self.judge.held and not subscriber.joined:  # others may answer at once
                     patience = 2 * self.beat_s
                 if subscriber.silent_for > patience:
-                    raise SilenceError(f"no heartbeat for {subscriber.silent_for:.1f} s")
+                    raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
         finally:
             subscriber.close()  # here and not in `hang_up`: its sockets belong to this thread
 
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -17,12 +17,12 @@
 from tenacity import RetryCallState, wait_random_exponential
 
 from hollyridge.client.picking import Picker
-from hollyridge.membership.fencing import Judge
+from hollyridge.membership.fencing import FencingChecker
 
 NO_LINES: Mapping[str, float] = MappingProxyType({})
 
 
-class State(Enum):
+class GatewayState(Enum):
     """FRESH: the stream stands. STALE: it does not, what is held is used. CUT_OFF: not for `cut_off_after`."""
 
     FRESH = "fresh"
@@ -38,7 +38,7 @@
     return [address] if isinstance(address[0], str) else [tuple(one) for one in address]
 
 
-class SentOnError(Exception):
+class RedirectedError(Exception):
     """Another assigner should be asked, at the address that `args` has as `host:port`; none: whichever answers."""
 
 
@@ -64,7 +64,7 @@
         numbers_from: int | None = None,
     ) -> None:
         self.clock = clock
-        self.judge = Judge(int(time.time()) << 16 if numbers_from is None else numbers_from)
+        self.judge = FencingChecker(int(time.time()) << 16 if numbers_from is None else numbers_from)
         self.addresses: list[tuple[str, int]] = []
         self.sent_to, self.hops, self.pleads = -1, 0, False
         self.uid, self.methods, self.sleep, self.cut_off_after = uid, methods, sleep, cut_off_after
@@ -105,10 +105,10 @@
         self.listeners.append(call)
 
     @property
-    def state(self) -> State:
+    def state(self) -> GatewayState:
         if self.standing_stream:
-            return State.FRESH
-        return State.STALE if self.age < self.cut_off_after else State.CUT_OFF
+            return GatewayState.FRESH
+        return GatewayState.STALE if self.age < self.cut_off_after else GatewayState.CUT_OFF
 
     @property
     def age(self) -> float:
@@ -165,7 +165,7 @@
                 self.watch(True)
                 self.session()
                 self.trouble = "closed"
-            except SentOnError as told:
+            except RedirectedError as told:
                 self.trouble, hop = f"sent on to {told.args[0]}", True
                 self.sent_on(told.args[0])
             except Exception as trouble:  # whatever it is, what is held is used and the stream dialled again
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -5,9 +5,9 @@
 import socket
 from collections.abc import Callable
 
-from hollyridge.client.gateway import Gateway, SentOnError, several
+from hollyridge.client.gateway import Gateway, RedirectedError, several
 from hollyridge.sasp import codec, ownership_extension
-from hollyridge.sasp.client import Balancer, Held, RefusedError, SilentError
+from hollyridge.sasp.client import HeartbeatTimeoutError, HeldWeights, LoadBalancerClient, RefusedError
 
 BEATS = 4  # signs of life in a lease
 
@@ -16,7 +16,7 @@
     """What a gateway does with SASP's messages, wherever they come from. `groups`: the group a method goes by."""
 
     groups: dict[str, str]
-    silences = (SilentError, TimeoutError)
+    silences = (HeartbeatTimeoutError, TimeoutError)
     lease = 0.0  # of the last owner that told one
 
     def patience(self, usual: float) -> float:
@@ -32,8 +32,8 @@
     def take(self, message: codec.SendWeights) -> None:
         """SentOnError where another assigner should be asked. Not applied: what comes from who is not to be obeyed."""
         word = ownership_extension.word_in(message.groups)
-        if isinstance(word, ownership_extension.SentOn):
-            raise SentOnError(word.to)
+        if isinstance(word, ownership_extension.Redirected):
+            raise RedirectedError(word.to)
         self.own = word or self.own
         self.lease = self.own.lease or self.lease
         if not self.judge.obeys(self.own.fence):
@@ -51,8 +51,8 @@
 
 class SaspGateway(SaspTables):
     """`groups`: the group that each method goes by, itself if not named. `address` may be a list: when one assigner
-    doesn't answer, the next is dialled. `how` goes to `Balancer` (source, connect, heard, said). `receive_s`: how often
-    a stream without news is known to stand."""
+    doesn't answer, the next is dialled. `how` goes to `LoadBalancerClient` (source, connect, heard, said).
+    `receive_s`: how often a stream without news is known to stand."""
 
     def __init__(
         self,
@@ -69,12 +69,12 @@
         self.addresses, self.how, self.receive_s, self.before = several(address), how or {}, receive_s, before
         self.groups = {method: (groups or {}).get(method, method) for method in methods}
         self.ways = len(self.addresses)
-        self.held, self.client, self.version = Held(), None, 0
+        self.held, self.client, self.version = HeldWeights(), None, 0
 
     def session(self) -> None:
         asked = self.begin()
         how = {**self.how, "timeout": self.patience(self.how.get("timeout", 5.0))}
-        client = self.client = Balancer(self.addresses[self.way], self.uid, **how)
+        client = self.client = LoadBalancerClient(self.addresses[self.way], self.uid, **how)
         try:
             client.start(dict.fromkeys(self.groups.values()), asked=asked, plea=self.pleads)
         except RefusedError:
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -16,17 +16,17 @@
 from hdrh.histogram import HdrHistogram
 
 from hollyridge import interface as api
-from hollyridge.core.protocol_server import Front
+from hollyridge.core.protocol_server import ProtocolServer
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.delivery.paced_queue import Channel
-from hollyridge.delivery.update_builder import Desk
+from hollyridge.delivery.paced_queue import PacedQueue
+from hollyridge.delivery.update_builder import UpdateBuilder
 from hollyridge.registration import members
 from hollyridge.registration.index_allocator import IndexAllocator
-from hollyridge.store.table_versions import Store
-from hollyridge.telemetry.report_aggregator import News, Point
+from hollyridge.store.table_versions import TableStore
+from hollyridge.telemetry.report_aggregator import DataPoint, ReportAggregator
 
 
-class Limits(NamedTuple):
+class EngineLimits(NamedTuple):
     """Counts and times (microseconds) of one assigner that the module does not read."""
 
     lines_per_s: float
@@ -41,16 +41,16 @@
     events_most: int
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """Where the list of tasks comes from. It is `settled` once there is a first list to hand on."""
 
     settled: bool
     rows: dict
 
-    def take(self, now: int, what: object) -> members.Outcome:
-        """Something about the list, `members.AskedAgain` and `members.Tick` included; what follows."""
+    def take(self, now: int, what: object) -> members.RegistrationOutcome:
+        """Something about the list, `members.RefreshRequested` and `members.Tick` included; what follows."""
 
-    def whole(self, kind: api.ListKind) -> api.RosterChange:
+    def whole(self, kind: api.UpdateKind) -> api.EndpointListUpdate:
         """All of it, as it stands."""
 
     def next_at(self, now: int) -> int | None:
@@ -69,7 +69,7 @@
     }
 
 
-class ModuleError(Exception):
+class DecisionModuleError(Exception):
     """The module failed too often to go on."""
 
 
@@ -79,16 +79,16 @@
 TRAIL = 64  # events kept for the log of a failure
 
 
-class Machine:
+class Engine:
     """`make(bootstrap, seed)` builds the decision module: `rules.Assigner`, or a baseline of the laboratory. `source`:
     where the list of tasks comes from. `detail`: a log line for each decision."""
 
     def __init__(
         self,
-        boot: api.Bootstrap,
+        boot: api.AssignerConfig,
         seed: int,
-        limits: Limits,
-        source: Source,
+        limits: EngineLimits,
+        source: EndpointSource,
         now: int,
         log,
         make: Callable = Assigner,
@@ -103,14 +103,14 @@
         )
         self.proxies = IndexAllocator(boot.drain_grace * 2, min(limits.most_proxies, 65535))
         self.members, self.detail = source, detail
-        self.news = News(
+        self.news = ReportAggregator(
             limits.most_series, limits.most_series_each, limits.most_rate, limits.news_lines, 60 * boot.period
         )
-        self.desk = Desk(len(boot.methods), Store(HISTORY))
-        self.channel = Channel(limits.lines_per_s, limits.head, limits.most_waiting)
-        self.fronts: dict[int, Front] = {}
+        self.desk = UpdateBuilder(len(boot.methods), TableStore(HISTORY))
+        self.channel = PacedQueue(limits.lines_per_s, limits.head, limits.most_waiting)
+        self.fronts: dict[int, ProtocolServer] = {}
         self.places: dict[int, tuple[Hashable, int, float]] = {}  # proxy: name, zone, usual rate
-        self.listed: dict[int, api.Listed] = {}
+        self.listed: dict[int, api.Endpoint] = {}
         self.heard: dict[int, int] = {}  # task: when news of it came last
         self.holds: Callable[[int], bool] = lambda task: False  # may a front still say something of it?
         self.owned: Callable[[int, Hashable], bool] | None = None  # may this proxy be ordered now (a shared fleet)?
@@ -149,7 +149,7 @@
         self.inbox.append((now, event))
 
     def join(
-        self, now: int, front: Front, name: Hashable, zone: int, rate: float, standing_only: bool = False
+        self, now: int, front: ProtocolServer, name: Hashable, zone: int, rate: float, standing_only: bool = False
     ) -> int | None:
         """A proxy's stream stands; its index, or None where no more are taken. `standing_only`: it holds no table that
         was ever ordered."""
@@ -163,7 +163,7 @@
             proxy = self.proxies.enter(now, name)
         self.fronts[proxy], self.places[proxy] = front, (name, zone, rate)
         self.counts["joins"] += 1
-        self.tell(now, api.Joined(rate, standing_only, proxy, zone))
+        self.tell(now, api.ProxyJoined(rate, standing_only, proxy, zone))
         return proxy
 
     def leave(self, now: int, proxy: int) -> None:
@@ -173,12 +173,12 @@
         self.proxies.leave(now, name)
         self.channel.lose(proxy)
         self.desk.forget(proxy)
-        self.tell(now, api.Left(proxy))
+        self.tell(now, api.ProxyLeft(proxy))
 
     def receipt(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self.tell(now, api.Receipt(proxy, mark, took))
+        self.tell(now, api.Ack(proxy, mark, took))
 
-    def report(self, now: int, point: Point) -> str:
+    def report(self, now: int, point: DataPoint) -> str:
         """Take one reported figure; empty if it counts, else why not."""
         why = self.news.take(now, point)
         if not why and point.place[1] in self.listed and point.kind <= 2:
@@ -262,9 +262,9 @@
             events.append(event)
             self.trail.append((now, event))
         while self.wakes and self.wakes[0][0] <= now:
-            events.append(api.Woke(heapq.heappop(self.wakes)[1]))
-        events.sort(key=lambda event: 0 if type(event) is api.RosterChange else 1)  # stable: the rest as it came
-        events.append(api.Waits(self.channel.waiting))  # last: receipts of joined messages prove too much
+            events.append(api.TimerFired(heapq.heappop(self.wakes)[1]))
+        events.sort(key=lambda event: 0 if type(event) is api.EndpointListUpdate else 1)  # stable: the rest as it came
+        events.append(api.QueueDepth(self.channel.waiting))  # last: receipts of joined messages prove too much
         self.number += 1
         self.counts["events"] += len(events)
         try:
@@ -276,17 +276,17 @@
         self.counts["orders"] += len(orders)
         self.carry(now, oldest, orders)
 
-    def carry(self, now: int, oldest: int, orders: list[api.Order]) -> None:
-        tables: list[api.Order] = []
+    def carry(self, now: int, oldest: int, orders: list[api.Command]) -> None:
+        tables: list[api.Command] = []
         for order in orders:
-            if type(order) is api.WakeAt:
+            if type(order) is api.SetTimer:
                 if len(self.wakes) < WAKES:
                     heapq.heappush(self.wakes, (now + max(order.delay, 1), order.token))
                 else:
                     self.counts["wakes_dropped"] += 1
-            elif type(order) in (api.Reload, api.Watch):
-                self.happened(now, members.AskedAgain())
-            elif type(order) is api.Note:
+            elif type(order) in (api.RefreshEndpoints, api.WatchEndpoints):
+                self.happened(now, members.RefreshRequested())
+            elif type(order) is api.LogNote:
                 self.log.info("note", text=order.text)
             else:
                 tables.append(order)
@@ -300,18 +300,18 @@
             self.channel.put(now, parcel, *self.fronts[parcel.proxy].lines(parcel.proxy, parcel))
         self.say(now, tables, parcels, refused)
 
-    def say(self, now: int, orders: list[api.Order], parcels: list, refused: dict[str, int]) -> None:
+    def say(self, now: int, orders: list[api.Command], parcels: list, refused: dict[str, int]) -> None:
         """One log line a decision: which tables and tasks, and which part of the module moved them."""
-        self.counts["puts"] += sum(type(order) is api.PutLine for order in orders)
+        self.counts["puts"] += sum(type(order) is api.SetWeight for order in orders)
         if not self.detail:
             return
         causes: dict[str, list] = {}
         for order in orders:
-            if type(order) is api.PutLine:
+            if type(order) is api.SetWeight:
                 causes.setdefault(self.cause(now, order), []).append((order.table, order.task, round(order.weight, 4)))
-            elif type(order) is api.Attach:
+            elif type(order) is api.BindTable:
                 causes.setdefault("joins", []).append((order.proxy, order.table))
-            elif type(order) is api.SetLevel:
+            elif type(order) is api.SetAdmission:
                 causes.setdefault("levels", []).append((order.table, order.methods, order.amount))
         if causes or refused:
             self.log.info(
@@ -323,7 +323,7 @@
                 **{cause: rows[:40] for cause, rows in causes.items()},
             )
 
-    def cause(self, now: int, order: api.PutLine) -> str:
+    def cause(self, now: int, order: api.SetWeight) -> str:
         if self.closed(order.task):
             return "drain"
         if self.cold(now, order.task):
@@ -343,15 +343,15 @@
         while self.failures[0] < now - 60_000_000:
             self.failures.popleft()
         if len(self.failures) > FAILURES:
-            raise ModuleError(f"the module failed {len(self.failures)} times within a minute")
+            raise DecisionModuleError(f"the module failed {len(self.failures)} times within a minute")
         self.module = self.make(self.boot, self.seed)
-        self.desk = Desk(len(self.boot.methods), Store(HISTORY))
-        self.channel = Channel(self.limits.lines_per_s, self.limits.head, self.limits.most_waiting)
+        self.desk = UpdateBuilder(len(self.boot.methods), TableStore(HISTORY))
+        self.channel = PacedQueue(self.limits.lines_per_s, self.limits.head, self.limits.most_waiting)
         self.wakes.clear()
         self.trail.clear()
-        self.inbox.append((now, self.members.whole(api.ListKind.CACHED)))
+        self.inbox.append((now, self.members.whole(api.UpdateKind.CACHED)))
         for proxy, (_, zone, rate) in self.places.items():
-            self.inbox.append((now, api.Joined(rate, False, proxy, zone)))
+            self.inbox.append((now, api.ProxyJoined(rate, False, proxy, zone)))
 
     def status(self) -> dict:
         """Counts and levels for logs and the status page."""
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -8,7 +8,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from hollyridge.core.engine import Machine
+from hollyridge.core.engine import Engine
 
 CLOCK_ABOVE = 1_000_000_000  # us above the system's monotonic clock: 0 is read as long past
 
@@ -18,13 +18,13 @@
     return time.monotonic_ns() // 1000 + CLOCK_ABOVE
 
 
-class Loop:
+class EventLoop:
     """Runs a machine until `stop`. `nudge` after anything was told to it. `spawn` and `sleep` are for the fronts."""
 
     spawn, sleep = staticmethod(gevent.spawn), staticmethod(gevent.sleep)
     LEAST = 0.0005  # s between two runs, so that what comes together is decided together
 
-    def __init__(self, machine: Machine, clock=monotonic_us, least: float = LEAST) -> None:
+    def __init__(self, machine: Engine, clock=monotonic_us, least: float = LEAST) -> None:
         self.machine, self.clock, self.least = machine, clock, least
         self.news = Event()
         self.turns = HdrHistogram(1, 60_000_000, 3)  # us that each run of the machine took
--- a/hollyridge/core/logs.py
+++ b/hollyridge/core/logs.py
@@ -12,7 +12,7 @@
 PIECE = select.PIPE_BUF  # bytes that a pipe that can be written to takes at once
 
 
-class Sink:
+class NonBlockingLogSink:
     """A descriptor as a file that is never waited for: where nobody reads, a line is dropped, and how many were is said
     once there is room again. Guards against a log that stops the whole program. It may hurt where its reader is slow:
     lines are missing."""
@@ -59,6 +59,6 @@
             shape,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(Sink(sys.stderr.fileno())),
+        logger_factory=structlog.PrintLoggerFactory(NonBlockingLogSink(sys.stderr.fileno())),
     )
     return structlog.get_logger(**bound)
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from hollyridge.core.event_loop import Loop
-from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.limits.log_sampling import should_log
 from hollyridge.store import learned_estimates, state_file
-from hollyridge.store.state_file import DurableError
+from hollyridge.store.state_file import StateFileError
 
 
-class KeepingTerms(NamedTuple):
+class PersistenceConfig(NamedTuple):
     """`every_s` between two writes; `fleet` as of `learned_estimates.fleet_of`."""
 
     path: Path
@@ -22,14 +22,14 @@
     fleet: str
 
 
-class Keeping:
+class EstimatePersistence:
     """`apply(call, words)` runs a call elsewhere and waits for what it returns; `name_of` and `index_of` are a task's
     names and indices; `wall_ms` is the time of day."""
 
     def __init__(
         self,
-        loop: Loop,
-        terms: KeepingTerms,
+        loop: EventLoop,
+        terms: PersistenceConfig,
         log,
         name_of: Callable[[int], str],
         index_of: Callable[[str], int | None],
@@ -53,18 +53,18 @@
             self.loop.sleep(self.terms.every_s)
             self.save()
 
-    def load(self) -> state_file.State | None:
+    def load(self) -> state_file.SavedState | None:
         try:
             return state_file.unpack(self.apply(self.read, (self.terms.path,)))
         except FileNotFoundError:
             self.log.info("nothing kept yet", file=str(self.terms.path))
-        except (OSError, DurableError) as trouble:
+        except (OSError, StateFileError) as trouble:
             self.log.warning(
                 "what was kept can't be read; it is learnt again", file=str(self.terms.path), why=str(trouble)
             )
         return None
 
-    def recall(self, state: state_file.State) -> None:
+    def recall(self, state: state_file.SavedState) -> None:
         told = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
         self.counts["left_out"] += sum(told.left_out.values())
         if told.event is not None:
@@ -91,7 +91,7 @@
             self.counts["written"] += 1
         except OSError as trouble:
             self.counts["failed"] += 1
-            if worth_saying(self.counts["failed"]):
+            if should_log(self.counts["failed"]):
                 self.log.warning("not kept", file=str(self.terms.path), why=str(trouble), times=self.counts["failed"])
 
     def status(self) -> dict:
--- a/hollyridge/core/protocol_server.py
+++ b/hollyridge/core/protocol_server.py
@@ -4,17 +4,17 @@
 
 from typing import Protocol
 
-from hollyridge.delivery.update_builder import Abilities, Parcel
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
 
 
-class Front(Protocol):
-    abilities: Abilities
+class ProtocolServer(Protocol):
+    abilities: ServerCapabilities
 
-    def lines(self, proxy: int, parcel: Parcel) -> tuple[int, int]:
+    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
         """How many lines this message comes to at this proxy, its head left out; and how many with all its tables
         in full."""
 
-    def write(self, proxy: int, parcel: Parcel) -> None:
+    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
         """Send it; must not block. What a slow reader holds up is merged and bounded by the front."""
 
     def detach(self, proxy: int, why: str) -> None:
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -8,13 +8,13 @@
 from typing import NamedTuple
 
 from hollyridge import interface as api
-from hollyridge.core.event_loop import Loop
+from hollyridge.core.event_loop import EventLoop
 from hollyridge.solver import linear_program
 from hollyridge.solver.engine_adapter import fleet_of, proposals
 from hollyridge.solver.planner import Planner
 
 
-class SolverTerms(NamedTuple):
+class SolverConfig(NamedTuple):
     """Work of a new connection in average RPCs, connections that a task takes, seconds that an answer may take."""
 
     handshake: float
@@ -22,7 +22,7 @@
     deadline_s: float
 
 
-def wake() -> None:
+def load_solver_library() -> None:
     """Have the solver's library ready. It greets on standard output, past Python: that goes to standard error."""
     sys.stdout.flush()
     kept = os.dup(1)
@@ -34,13 +34,13 @@
         os.close(kept)
 
 
-class Solving:
+class SolverService:
     """`apply(call, words)` runs a call elsewhere and waits for what it returns."""
 
-    def __init__(self, loop: Loop, terms: SolverTerms, log, apply: Callable) -> None:
+    def __init__(self, loop: EventLoop, terms: SolverConfig, log, apply: Callable) -> None:
         self.loop, self.machine, self.terms, self.log, self.apply = loop, loop.machine, terms, log, apply
         self.planner = Planner(terms.deadline_s)
-        wake()
+        load_solver_library()
         self.counts = {"asked": 0, "proposed": 0, "unknown": 0, "too_little": 0}
         self.pushes_back = self.machine.boot.admission not in (api.Admission.OFF, api.Admission.SILENT)
 
--- a/hollyridge/core/stream_server.py
+++ b/hollyridge/core/stream_server.py
@@ -7,14 +7,14 @@
 
 from gevent.server import StreamServer
 
-from hollyridge.core.event_loop import Loop
+from hollyridge.core.event_loop import EventLoop
 
 
-class StreamFront:
+class ProtocolStreamServer:
     """Listens on `host:port`; `serve(sock, address)`, the front's own, keeps each connection in `streams` by number,
     as something with `sock`, `closed` (why, empty while it stands) and `proxy` (-1 for none)."""
 
-    def __init__(self, loop: Loop, host: str, port: int) -> None:
+    def __init__(self, loop: EventLoop, host: str, port: int) -> None:
         self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
         self.streams: dict = {}
         self.by_proxy: dict = {}
@@ -48,9 +48,9 @@
         return True
 
 
-def lost(trouble: OSError) -> str:
+def connection_lost_reason(trouble: OSError) -> str:
     """
-    >>> lost(ConnectionResetError(104, "reset"))
+    >>> connection_lost_reason(ConnectionResetError(104, "reset"))
     'connection lost: ECONNRESET'
     """
     return f"connection lost: {errno.errorcode.get(trouble.errno, trouble)}"
--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -1,7 +1,7 @@
 """All decisions of an assigner: which tasks its proxies send to, and how much to each.
 
 Called as `Assigner(bootstrap, seed).decide(now, events) -> orders`, once for all that came at one
-moment; nothing else goes in or out. Events, orders and `Bootstrap` are in `hollyridge/interface.py`.
+moment; nothing else goes in or out. Events, orders and `AssignerConfig` are in `hollyridge/interface.py`.
 Each part decides one thing: Roster (what is listed, when to ask), Estimates (what is heard), Health (who
 lies low), Ramp (what cold tasks may get), Solver (better weights), Gate (when they are worth a push),
 Levels (what is let in), Tables (what each table holds and who uses it), Outbox (what leaves, and when).
@@ -13,29 +13,29 @@
 from random import Random
 
 from hollyridge.interface import (
+    Ack,
     Admission,
-    AskReceipt,
-    Attach,
-    Bootstrap,
+    AssignerConfig,
+    BindTable,
+    Command,
+    EndpointListUpdate,
+    EstimatesRestored,
     Event,
-    Joined,
-    Learnt,
-    Left,
-    ListKind,
+    LearnedEstimate,
     OfferedLoad,
-    Order,
-    Proposal,
-    PutLine,
-    Recalled,
-    Receipt,
-    RosterChange,
-    SetLevel,
+    ProxyJoined,
+    ProxyLeft,
+    QueueDepth,
+    RequestAck,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
     TaskState,
+    TimerFired,
     TrafficReport,
-    Waits,
-    WakeAt,
-    Watch,
-    Woke,
+    UpdateKind,
+    WatchEndpoints,
+    WeightProposal,
 )
 
 HMAX = 0.2  # pushes a period in the long run
@@ -59,8 +59,8 @@
 NO_LIMIT = 65536.0  # RPCs a second at one proxy: where levels are rates none of them stands for all
 
 
-class Roster:
-    def __init__(self, boot: Bootstrap, rng: Random) -> None:
+class EndpointDirectory:
+    def __init__(self, boot: AssignerConfig, rng: Random) -> None:
         self.boot, self.chance = boot, rng.random
         self.state: list[int] = []
         self.zone: list[int] = []
@@ -70,15 +70,15 @@
         self.seen = [0] * boot.zones
         self.ask_at, self.failures = 0 if boot.subscribe else None, 0
 
-    def hear(self, now: int, change: RosterChange) -> list[int]:
+    def hear(self, now: int, change: EndpointListUpdate) -> list[int]:
         """Take a list event; returns the tasks that are new or have started again."""
-        if change.kind == ListKind.FAILED:
+        if change.kind == UpdateKind.FAILED:
             if self.ask_at is None or self.ask_at > now:  # ask again after a growing, jittered wait
                 self.failures += 1
                 wait = self.boot.period * min(2**self.failures, 16) / 2
                 self.ask_at = now + round(wait * (0.5 + self.chance()))
             return []
-        if change.kind != ListKind.CACHED:
+        if change.kind != UpdateKind.CACHED:
             self.failures = 0  # the watch holds; renew it before silence could mean that it was lost
             self.ask_at = now + self.boot.ask_within if self.boot.subscribe else None
         more = max([entry.task + 1 for entry in change.entries], default=0) - len(self.state)
@@ -101,7 +101,7 @@
                     self.rank[task], self.seen[zone] = self.seen[zone], self.seen[zone] + 1
                 self.hint[task] = weight if 0 < weight < 1e9 else 1.0
                 self.started[task] = max(started_at, self.started[task])
-        if change.kind != ListKind.DELTA:  # a full list says by silence what has left
+        if change.kind != UpdateKind.DELTA:  # a full list says by silence what has left
             for task in set(range(len(self.state))) - {entry.task for entry in change.entries}:
                 self.state[task] = TaskState.GONE
         return fresh
@@ -113,15 +113,15 @@
         tasks = self.open()
         return [[i for i in tasks if self.zone[i] == zone] for zone in range(self.boot.zones)]
 
-    def calls(self, now: int) -> list[Order]:
+    def calls(self, now: int) -> list[Command]:
         if self.ask_at is None or now < self.ask_at:
             return []
         self.ask_at = now + self.boot.ask_within  # an answer that never comes must not end the asking
-        return [Watch(True)]
+        return [WatchEndpoints(True)]
 
 
 class Estimates:
-    def __init__(self, boot: Bootstrap) -> None:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.boot, self.zones = boot, range(boot.zones)
         total = sum(m.criticality for m in boot.methods) or 1.0
         self.soft = sum(m.soft_deadline * m.criticality for m in boot.methods) / total
@@ -249,11 +249,11 @@
         return out
 
 
-class Health:
+class OutlierDetector:
     """Who lies low, by zone of proxies (a cut shows from one side only), against the best zone's middle task:
     errors, hangs and silence are met alike; overload, seen at all, cuts nobody."""
 
-    def __init__(self, boot: Bootstrap) -> None:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.factor: list[list[float]] = [[] for _ in range(boot.zones)]
 
     def restart(self, task: int) -> None:
@@ -275,8 +275,8 @@
                     factor[i] = min(1.0, factor[i] * (4.0 if est.tries[zone][i] >= 1.0 else 2.0))
 
 
-class Ramp:
-    def __init__(self, boot: Bootstrap) -> None:
+class SlowStart:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.boot, self.calm, self.listed, self.ease = boot, False, boot.outlier_after == 0, 1.0
         # Periods of news till tries sent while there was none have run out of time.
         self.deaf = self.blind = 2 + max(m.deadline for m in boot.methods) / boot.period
@@ -310,11 +310,11 @@
         }
 
 
-class Solver:
+class WeightController:
     """The feedback loop on heard latency: a weight goes towards the task's size x skill, a tenth at most a
     step, and counts in other zones' tables by their reach."""
 
-    def __init__(self, boot: Bootstrap, est: Estimates) -> None:
+    def __init__(self, boot: AssignerConfig, est: Estimates) -> None:
         self.zones, self.est, self.standing = range(boot.zones), est, boot.initial_set
         self.stride = STEP / boot.assigners
         self.toll = TOLL * boot.cross_zone_price * est.soft  # crossing zones as latency
@@ -396,7 +396,7 @@
         return lines
 
 
-class Gate:
+class PushGate:
     """The Greedy Policy: push iff U < V x gain, then U <- [U - hmax]+ + u."""
 
     def __init__(self) -> None:
@@ -409,13 +409,13 @@
         return push
 
 
-def whole_level(boot: Bootstrap) -> float:
+def whole_level(boot: AssignerConfig) -> float:
     """The level that lets all in."""
     return NO_LIMIT if boot.admission == Admission.PER_SECOND else 1.0
 
 
-class Levels:
-    def __init__(self, boot: Bootstrap) -> None:
+class AdmissionController:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.off = boot.admission in (Admission.OFF, Admission.SILENT)
         self.rated, self.whole = boot.admission == Admission.PER_SECOND, whole_level(boot)
         # The ways to try again: while all is well, and otherwise. A front may have no order for it.
@@ -458,12 +458,12 @@
         return before if abs(rate - before) <= STEP * before else rate
 
 
-class Outbox:
+class BacklogEstimator:
     """What may leave, within the lines that may wait and the messages a proxy may get. Messages leave in
     order: a receipt from any proxy proves that all sent before has left, and its own message: so many of a
     reply's proxies as have told of it are so much of it that has left. No pace is believed in."""
 
-    def __init__(self, boot: Bootstrap) -> None:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.boot = boot
         self.sent = self.left = 0.0  # lines ever sent, and those proven to have left
         self.at = self.heard = self.mark = 0
@@ -481,7 +481,7 @@
             self.left = min(self.sent, self.left + self.boot.lines_per_s / 8 * (now - self.at) / 1e6)
         self.at = now
 
-    def receipt(self, now: int, receipt: Receipt) -> None:
+    def receipt(self, now: int, receipt: Ack) -> None:
         before = self.marks.get(receipt.mark, 0.0)
         self.left, self.heard = max(self.left, before), now
         if receipt.mark == self.mark and self.own:  # else nothing would prove the last reply
@@ -523,22 +523,22 @@
         for proxy in fresh if self.boot.messages_most > 0 else ():
             self.written.setdefault(proxy, deque()).append(now)
 
-    def stamp(self, already: float) -> list[Order]:
+    def stamp(self, already: float) -> list[Command]:
         self.reply += 1
         if self.sent <= already:
             return []
         self.mark = (self.mark + 1) % 65536
         self.marks[self.mark] = already  # as many as the numbers allow are kept
         self.own, self.messages, self.told = self.messages, 0, set()
-        return [AskReceipt(self.mark, False)]
+        return [RequestAck(self.mark, False)]
 
 
-class Tables:
+class TableSet:
     """One shared table a zone, one for the excess of a jam, and slices of zones' tables for a wave of joins:
     a small table at once serves better than a whole one too late; where some methods may go to tasks of the
     proxy's zone only, a home table a zone for these; who uses them, what was last ordered."""
 
-    def __init__(self, boot: Bootstrap) -> None:
+    def __init__(self, boot: AssignerConfig) -> None:
         self.excess, self.standing = boot.zones, boot.initial_set
         own = sum(1 << k for k, m in enumerate(boot.methods) if m.own_zone)
         # Where all methods keep to their zone its one table does; else these methods, and all the rest.
@@ -579,7 +579,7 @@
         some = [table for table in range(first, first + SLICES) if self.crowded and self.lines[table]]
         return min(some, key=lambda table: len(self.bound[table]), default=zone)
 
-    def join(self, event: Joined, lean: int) -> None:
+    def join(self, event: ProxyJoined, lean: int) -> None:
         self.zone[event.proxy] = event.zone
         self.rate[event.proxy] = event.rate if event.rate > 0 else 0.0
         self.joining.append((event.proxy, event.zone, 0))
@@ -603,7 +603,7 @@
             self.joining = [due for due in self.joining if due[2] in (0, self.own)]
             self.joining += [(p, self.excess if self.parted else z, lean) for p, z in self.zone.items()]
 
-    def attach(self, now: int, box: Outbox, since: dict[int, int]) -> list[Order]:
+    def attach(self, now: int, box: BacklogEstimator, since: dict[int, int]) -> list[Command]:
         orders = []
         # Proxies without a table first, and past all that waits in time: what they hold may be gone.
         for proxy, zone, methods in sorted(self.joining, key=lambda due: due[2] not in (0, self.own)):
@@ -629,25 +629,29 @@
     def size(self, table: int) -> int:
         return len(self.lines[table]) + 1 + len(self.levels[table])
 
-    def bind(self, now: int, box: Outbox, proxy: int, table: int, methods: int) -> Attach:
+    def bind(self, now: int, box: BacklogEstimator, proxy: int, table: int, methods: int) -> BindTable:
         for other, bound in enumerate(self.bound):
             leaves = other == self.excess if methods else other != self.excess
             if proxy in bound and leaves and other != table and max(other, table) < self.homes:
                 bound.remove(proxy)
         self.bound[table] += [proxy] * (proxy not in self.bound[table])
         box.book(now, [proxy], self.size(table))
-        return Attach(proxy, table, methods or self.rest * (table <= self.excess))
+        return BindTable(proxy, table, methods or self.rest * (table <= self.excess))
 
 
 class Assigner:
-    def __init__(self, boot: Bootstrap, seed: int) -> None:
+    def __init__(self, boot: AssignerConfig, seed: int) -> None:
         self.boot = boot
-        self.roster, self.est, self.health = Roster(boot, Random(seed)), Estimates(boot), Health(boot)
-        self.ramp, self.solver, self.gate = Ramp(boot), Solver(boot, self.est), Gate()
-        self.levels, self.tables, self.outbox = Levels(boot), Tables(boot), Outbox(boot)
+        self.roster, self.est, self.health = (
+            EndpointDirectory(boot, Random(seed)),
+            Estimates(boot),
+            OutlierDetector(boot),
+        )
+        self.ramp, self.solver, self.gate = SlowStart(boot), WeightController(boot, self.est), PushGate()
+        self.levels, self.tables, self.outbox = AdmissionController(boot), TableSet(boot), BacklogEstimator(boot)
         self.next_period, self.owed, self.told = -1, False, 0
 
-    def decide(self, now: int, events: list[Event]) -> list[Order]:
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
         self.outbox.drain(now)
         kinds = {type(event) for event in events}
         for event in events:
@@ -655,20 +659,20 @@
                 self.est.hear(now, event)
             elif isinstance(event, OfferedLoad) and event.over > 0:
                 self.est.cover(event)
-            elif isinstance(event, RosterChange):
+            elif isinstance(event, EndpointListUpdate):
                 self.listen(now, event)
-            elif isinstance(event, Receipt):
+            elif isinstance(event, Ack):
                 self.outbox.receipt(now, event)
-            elif isinstance(event, Waits):
+            elif isinstance(event, QueueDepth):
                 self.outbox.waits(event.lines)
-            elif isinstance(event, Proposal) and event.zone < self.boot.zones:
+            elif isinstance(event, WeightProposal) and event.zone < self.boot.zones:
                 self.solver.proposed[event.zone] = now + LASTS * self.boot.period, dict(event.weights)
-            elif isinstance(event, Recalled):
+            elif isinstance(event, EstimatesRestored):
                 self.recall(now, event)
-            elif isinstance(event, (Joined, Left)):
+            elif isinstance(event, (ProxyJoined, ProxyLeft)):
                 self.tables.leave(event.proxy)
                 self.est.came.pop(event.proxy, None)
-                if isinstance(event, Joined) and event.zone < self.boot.zones:
+                if isinstance(event, ProxyJoined) and event.zone < self.boot.zones:
                     self.tables.join(event, self.levels.lean)
                     self.est.since[event.proxy] = now
         if self.boot.partitions:  # key slices are not decided yet
@@ -676,24 +680,26 @@
         period = now >= self.next_period - self.boot.period * (TrafficReport in kinds)
         push = period and self.improve(now)
         orders = self.roster.calls(now)
-        if period or RosterChange in kinds or self.tables.joining or self.owed:
+        if period or EndpointListUpdate in kinds or self.tables.joining or self.owed:
             orders += self.publish(now, push)
-        if period or self.owed or kinds & {Woke, RosterChange}:
+        if period or self.owed or kinds & {TimerFired, EndpointListUpdate}:
             hurry = now + self.boot.period // 8 if self.tables.joining or self.owed else self.next_period
             soon = min(self.next_period, self.roster.ask_at or self.next_period, hurry)
-            orders.append(WakeAt(0, max(soon - now, 1000)))
+            orders.append(SetTimer(0, max(soon - now, 1000)))
         return orders
 
-    def learnt(self) -> tuple[list[Learnt], float]:
+    def learnt(self) -> tuple[list[LearnedEstimate], float]:
         """What `recall` takes, of open tasks that were heard of, and the gate's price, for watchers."""
         est, solver = self.est, self.solver
         return [
-            Learnt(i, est.served[i] / est.busy[i], est.busy[i], solver.skill[i], solver.weight[i] / self.roster.hint[i])
+            LearnedEstimate(
+                i, est.served[i] / est.busy[i], est.busy[i], solver.skill[i], solver.weight[i] / self.roster.hint[i]
+            )
             for i in self.roster.open()
             if est.busy[i] > 0
         ], self.gate.price
 
-    def recall(self, now: int, told: Recalled) -> None:
+    def recall(self, now: int, told: EstimatesRestored) -> None:
         """Where it outweighs what is known, less the older it is. An old price can only hold pushes back."""
         trust = self.boot.warm_up / (self.boot.warm_up + max(told.age, 0))
         parts = self.parts(now)
@@ -704,7 +710,7 @@
                 self.solver.weight[i] = self.roster.hint[i] * (1 + (weight - 1) * trust)
         self.gate.price = max(self.gate.price, told.price)
 
-    def listen(self, now: int, change: RosterChange) -> None:
+    def listen(self, now: int, change: EndpointListUpdate) -> None:
         fresh = self.roster.hear(now, change)
         self.est.grow(len(self.roster.state))
         for task in fresh:
@@ -781,7 +787,7 @@
         caps = {i: factor[i] * part[i] + 2 * (i in sinks) for i in lines}
         return self.ramp.hold(lines, part, factor), caps
 
-    def publish(self, now: int, push: bool) -> list[Order]:
+    def publish(self, now: int, push: bool) -> list[Command]:
         box, tables, part, zones = self.outbox, self.tables, self.parts(now), self.roster.by_zone()
         cold = {i for i in part if part[i] < 1.0}
         # Removals behind a long queue, or with few messages left, wait a little for more of them: nothing is
@@ -836,8 +842,8 @@
             moved = moved[: max(spare, 0)]
             if len(gone) + len(moved) + len(levels) > room:
                 gone, moved, levels, self.owed = gone[:room], [], {}, True
-            orders += [PutLine(lines.get(i, 0.0), i, table) for i in moved + gone]
-            orders += [SetLevel(table, 1 << k, *level) for k, level in levels.items()]
+            orders += [SetWeight(lines.get(i, 0.0), i, table) for i in moved + gone]
+            orders += [SetAdmission(table, 1 << k, *level) for k, level in levels.items()]
             for i in moved + gone:
                 if i in lines:
                     before[i], cap_before[i] = lines[i], caps[i]
--- a/hollyridge/delivery/paced_queue.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -11,23 +11,23 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from hollyridge.delivery.update_builder import Parcel, merged
+from hollyridge.delivery.update_builder import ProxyUpdate, merge_updates
 
 
-class Waiting(NamedTuple):
+class QueuedUpdate(NamedTuple):
     """A message, what it costs with its head, and what it would cost with all its tables in full."""
 
-    parcel: Parcel
+    parcel: ProxyUpdate
     lines: float
     whole: float
 
 
-class Channel:
+class PacedQueue:
     """`lines_per_s` is the pace, `head` the lines that each message costs beyond its own, `most` the lines
     that may wait, heads included.
 
-    >>> channel = Channel(lines_per_s=10, head=1, most=100)
-    >>> channel.put(0, Parcel(4, 1, 0, (), (), (), -1), 1, 5)
+    >>> channel = PacedQueue(lines_per_s=10, head=1, most=100)
+    >>> channel.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
     >>> channel.take(199_999), channel.due
     (None, 200000)
     >>> channel.take(200_000).proxy, channel.waiting
@@ -36,12 +36,12 @@
 
     def __init__(self, lines_per_s: float, head: float, most: float) -> None:
         self.per_line, self.head, self.most = 1e6 / lines_per_s, head, most
-        self.queue: OrderedDict[int, Waiting] = OrderedDict()  # by proxy
+        self.queue: OrderedDict[int, QueuedUpdate] = OrderedDict()  # by proxy
         self.waiting = 0.0
         self.free_at = 0
         self.merged = self.over = self.lost_lines = self.highest = 0
 
-    def put(self, now: int, parcel: Parcel, lines: int, whole: int) -> None:
+    def put(self, now: int, parcel: ProxyUpdate, lines: int, whole: int) -> None:
         extra = self.head + (parcel.mark >= 0)
         if parcel.proxy in self.queue:
             self.merge(parcel, lines, whole + extra)
@@ -50,16 +50,16 @@
         self.over += self.waiting + cost > self.most
         if not self.queue:
             self.free_at = max(self.free_at, now)
-        self.queue[parcel.proxy] = Waiting(parcel, cost, max(whole, lines) + extra)
+        self.queue[parcel.proxy] = QueuedUpdate(parcel, cost, max(whole, lines) + extra)
         self.waiting += cost
         self.highest = max(self.highest, round(self.waiting))
 
-    def merge(self, parcel: Parcel, lines: int, whole: float) -> None:
+    def merge(self, parcel: ProxyUpdate, lines: int, whole: float) -> None:
         """Into a message that waits: it costs no more than all its tables in full."""
         old, cost, before = self.queue[parcel.proxy]
         whole = max(whole, before)
         joint = min(cost + lines + (parcel.mark >= 0 > old.mark), max(whole, cost))
-        self.queue[parcel.proxy] = Waiting(merged(old, parcel), joint, whole)
+        self.queue[parcel.proxy] = QueuedUpdate(merge_updates(old, parcel), joint, whole)
         self.waiting += joint - cost
         self.merged += 1
 
@@ -74,7 +74,7 @@
         """Lines said in an answer, beside the queue: what waits is held up by as much."""
         self.free_at = max(self.free_at, now) + round(lines * self.per_line)
 
-    def take(self, now: int) -> Parcel | None:
+    def take(self, now: int) -> ProxyUpdate | None:
         due = self.due
         if due is None or now < due:
             return None
--- a/hollyridge/delivery/update_builder.py
+++ b/hollyridge/delivery/update_builder.py
@@ -5,11 +5,23 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from hollyridge.interface import AskReceipt, Attach, DropTable, Order, PutLine, SetLevel, Withdraw
-from hollyridge.store.table_versions import Store, Table
-
-
-class Abilities(NamedTuple):
+from hollyridge.interface import (
+    BindTable,
+    Command,
+    DeleteTable,
+    RequestAck,
+    SendToPeer,
+    SetAdmission,
+    SetEjected,
+    SetWeight,
+)
+from hollyridge.store.table_versions import Table, TableStore
+
+# The status page counts refused commands by these names, whatever the classes are called.
+STATUS_NAMES = {SendToPeer: "TellPeer"}
+
+
+class ServerCapabilities(NamedTuple):
     """What a front can carry. `groups`: how often a line is said to a proxy, once for each group of methods."""
 
     levels: bool
@@ -19,7 +31,7 @@
     groups: int
 
 
-class Parcel(NamedTuple):
+class ProxyUpdate(NamedTuple):
     """One message to one proxy. `number` is that of the decision, `binds` (table, mask of methods) in order,
     `tables` the value of each table that changed for it, `counts` how many lines the module counts for each,
     `mark` -1 for none."""
@@ -34,13 +46,13 @@
     out: tuple[tuple[int, bool], ...] = ()
 
 
-def merged(old: Parcel, new: Parcel) -> Parcel:
+def merge_updates(old: ProxyUpdate, new: ProxyUpdate) -> ProxyUpdate:
     """One message for two: only the newest value of each table matters."""
     tables = {**dict(old.tables), **dict(new.tables)}
     counts = dict(old.counts)
     for table, lines in new.counts:
         counts[table] = min(counts.get(table, 0) + lines, 1 + len(tables[table]))
-    return Parcel(
+    return ProxyUpdate(
         new.proxy,
         new.number,
         old.at,
@@ -52,7 +64,7 @@
     )
 
 
-class Owed:
+class PendingUpdate:
     """What one proxy is owed while a decision is being read."""
 
     __slots__ = ("binds", "counts", "out")
@@ -63,17 +75,17 @@
         self.out: list[tuple[int, bool]] = []
 
 
-class Desk:
+class UpdateBuilder:
     """Tables as ordered, and who uses which.
 
-    >>> desk, can = Desk(methods=2, store=Store(4)), Abilities(False, False, False, True, 1)
-    >>> carried = desk.carry(1, 5, [PutLine(1.0, 3, 0), Attach(9, 0, 0), AskReceipt(1, False)], {9: can})
+    >>> desk, can = UpdateBuilder(methods=2, store=TableStore(4)), ServerCapabilities(False, False, False, True, 1)
+    >>> carried = desk.carry(1, 5, [SetWeight(1.0, 3, 0), BindTable(9, 0, 0), RequestAck(1, False)], {9: can})
     >>> for p in carried.parcels:
     ...     print(p.proxy, p.binds, dict(p.tables[0][1].lines), p.counts, p.mark)
     9 ((0, 3),) {3: 1.0} ((0, 2),) 1
     """
 
-    def __init__(self, methods: int, store: Store) -> None:
+    def __init__(self, methods: int, store: TableStore) -> None:
         self.every = (1 << methods) - 1
         self.store = store
         self.bound: dict[int, dict[int, int]] = {}  # proxy: table by method
@@ -88,10 +100,12 @@
         """Whether any table as it is now holds this task."""
         return any(task in history[-1].lines for history in self.store.history.values() if history)
 
-    def carry(self, now: int, number: int, orders: Iterable[Order], fronts: dict[int, Abilities]) -> Carried:
+    def carry(
+        self, now: int, number: int, orders: Iterable[Command], fronts: dict[int, ServerCapabilities]
+    ) -> UpdateBatch:
         """Take the orders about tables. An order that a proxy's front can't carry is refused with a reason;
         others go on."""
-        owed: dict[int, Owed] = {}
+        owed: dict[int, PendingUpdate] = {}
         refused: dict[str, int] = {}
         edits: dict[int, tuple[dict, dict]] = {}
         cleared: set[int] = set()
@@ -105,54 +119,54 @@
                 if needs and not getattr(fronts[proxy], needs):
                     refuse(f"front has no {needs}")
                 else:
-                    counts = owed.setdefault(proxy, Owed()).counts
+                    counts = owed.setdefault(proxy, PendingUpdate()).counts
                     counts[table] = counts.get(table, 0) + 1
 
         for order in orders:
             kind = type(order)
-            if kind is PutLine:
+            if kind is SetWeight:
                 edits.setdefault(order.table, ({}, {}))[0][order.task] = max(order.weight, 0.0)
                 count(order.table)
-            elif kind is SetLevel:
+            elif kind is SetAdmission:
                 edits.setdefault(order.table, ({}, {}))[1][order.methods] = order.amount, order.retry
                 count(order.table, "levels")
-            elif kind is DropTable:
+            elif kind is DeleteTable:
                 edits[order.table] = ({}, {})
                 cleared.add(order.table)
                 count(order.table)
-            elif kind is Attach:
+            elif kind is BindTable:
                 if order.proxy not in fronts:
                     refuse("proxy has left")
                     continue
                 mask = (order.methods or self.every) & self.every
                 self.bind(order.proxy, order.table, mask)
-                mine = owed.setdefault(order.proxy, Owed())
+                mine = owed.setdefault(order.proxy, PendingUpdate())
                 mine.binds.append((order.table, mask))
                 size = len(self.store.latest(order.table)) + sum(map(len, edits.get(order.table, ())))
                 mine.counts[order.table] = 1 + size
-            elif kind is Withdraw:
+            elif kind is SetEjected:
                 (self.out.add if order.out else self.out.discard)(order.task)
                 for proxy in self.bound:
                     if fronts[proxy].withdrawals:
-                        owed.setdefault(proxy, Owed()).out.append((order.task, order.out))
+                        owed.setdefault(proxy, PendingUpdate()).out.append((order.task, order.out))
                     else:
                         refuse("front has no withdrawals")
-            elif kind is AskReceipt:
+            elif kind is RequestAck:
                 mark, everyone = order.mark, order.everyone
             else:
-                refuse(f"no {kind.__name__} here")
+                refuse(f"no {STATUS_NAMES.get(kind, kind.__name__)} here")
         for table, (lines, levels) in edits.items():
             self.store.put(number, table, lines, levels, table in cleared)
         if everyone:
             for proxy in fronts:
-                owed.setdefault(proxy, Owed())
+                owed.setdefault(proxy, PendingUpdate())
         parcels = []
         for proxy, mine in owed.items():
             used = set(self.bound.get(proxy, {}).values())
             tables = tuple((table, self.store.latest(table)) for table in mine.counts if table in used)
             counts = tuple((table, lines) for table, lines in mine.counts.items() if table in used)
-            parcels.append(Parcel(proxy, number, now, tuple(mine.binds), tables, counts, mark, tuple(mine.out)))
-        return Carried(parcels, refused)
+            parcels.append(ProxyUpdate(proxy, number, now, tuple(mine.binds), tables, counts, mark, tuple(mine.out)))
+        return UpdateBatch(parcels, refused)
 
     def bind(self, proxy: int, table: int, mask: int) -> None:
         mine = self.bound.setdefault(proxy, {})
@@ -163,6 +177,6 @@
         self.users.setdefault(table, {})[proxy] = None
 
 
-class Carried(NamedTuple):
-    parcels: list[Parcel]
+class UpdateBatch(NamedTuple):
+    parcels: list[ProxyUpdate]
     refused: dict[str, int]
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -12,30 +12,30 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from hollyridge.discovery.schema import Entry, News
-from hollyridge.interface import Listed, ListKind, RosterChange, TaskState
-from hollyridge.registration.members import Outcome, Tick
+from hollyridge.discovery.schema import ListedEndpoint, WatchEvent
+from hollyridge.interface import Endpoint, EndpointListUpdate, TaskState, UpdateKind
+from hollyridge.registration.members import RegistrationOutcome, Tick
 
 TOLD = 6_000_000  # us after which whatever discovery has to tell counts as told (the protocol page, Figures)
 
 
-class Heard(NamedTuple):
+class EndpointListReceived(NamedTuple):
     """Discovery told this; `stale`: it is what was known before the start."""
 
-    news: News
+    news: WatchEvent
     stale: bool = False
 
 
-class CallFailed(NamedTuple):
+class WatchFailed(NamedTuple):
     """Discovery could not be asked, or a watch of it broke."""
 
 
-class Row(NamedTuple):
-    entry: Entry
-    listed: Listed
+class TrackedEndpoint(NamedTuple):
+    entry: ListedEndpoint
+    listed: Endpoint
 
 
-class Listing:
+class EndpointListTracker:
     """`enter(name)` is a task's index, None where no more are taken. `ahead`: microseconds by which the monotonic clock
     is ahead of the Unix clock (mostly below 0)."""
 
@@ -43,23 +43,23 @@
 
     def __init__(self, enter: Callable[[str], int | None], ahead: int) -> None:
         self.enter, self.ahead = enter, ahead
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, TrackedEndpoint] = {}
         self.version = -1
-        self.older_list: dict[str, Entry] | None = None  # a whole list with a lower version, kept up
+        self.older_list: dict[str, ListedEndpoint] | None = None  # a whole list with a lower version, kept up
         self.older_version, self.older_since = -1, 0
         self.failed = self.older = self.too_many = self.starts = self.counted_anew = 0
 
-    def take(self, now: int, what: object) -> Outcome:
-        if type(what) is Heard:
+    def take(self, now: int, what: object) -> RegistrationOutcome:
+        if type(what) is EndpointListReceived:
             return self.hear(now, what)
-        if type(what) is CallFailed:
+        if type(what) is WatchFailed:
             self.failed += 1
-            return Outcome(RosterChange(max(self.version, 0), ListKind.FAILED, ()))
+            return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), UpdateKind.FAILED, ()))
         if type(what) is Tick and self.older_list is not None and now >= self.older_since + TOLD:
             return self.count_anew(now)
-        return Outcome()  # asked again: a watch stands or is dialled already
+        return RegistrationOutcome()  # asked again: a watch stands or is dialled already
 
-    def keep_older(self, now: int, news: News) -> Outcome:
+    def keep_older(self, now: int, news: WatchEvent) -> RegistrationOutcome:
         """Something older than what is held."""
         self.older += 1
         if news.full:
@@ -73,16 +73,16 @@
                     self.older_list.pop(entry.name, None)
                 else:
                     self.older_list[entry.name] = entry
-        return Outcome()
+        return RegistrationOutcome()
 
-    def count_anew(self, now: int) -> Outcome:
+    def count_anew(self, now: int) -> RegistrationOutcome:
         """What was kept beside the list becomes the list."""
-        news = News(self.older_version, True, tuple(self.older_list.values()))
+        news = WatchEvent(self.older_version, True, tuple(self.older_list.values()))
         self.version, self.older_list = -1, None
         self.counted_anew += 1
-        return self.hear(now, Heard(news))
+        return self.hear(now, EndpointListReceived(news))
 
-    def hear(self, now: int, what: Heard) -> Outcome:
+    def hear(self, now: int, what: EndpointListReceived) -> RegistrationOutcome:
         news = what.news
         if news.version < self.version or not news.full and self.version < 0:
             return self.keep_older(now, news)
@@ -91,9 +91,9 @@
             return self.count_anew(now)
         self.older_list = None
         if news.version == self.version and not news.full and not news.entries:
-            return Outcome(RosterChange(self.version, ListKind.DELTA, ()))
+            return RegistrationOutcome(EndpointListUpdate(self.version, UpdateKind.DELTA, ()))
         self.version = news.version
-        listed: list[Listed] = []
+        listed: list[Endpoint] = []
         left: list[str] = []
         for entry in news.entries:
             before = self.rows.get(entry.name)
@@ -112,7 +112,7 @@
             else:
                 started = self.start_of(now, entry.started_ms)
                 self.starts += before is not None
-            row = Row(entry, Listed(task, entry.zone, 0, entry.cell, entry.state, entry.weight, started))
+            row = TrackedEndpoint(entry, Endpoint(task, entry.zone, 0, entry.cell, entry.state, entry.weight, started))
             self.rows[entry.name] = row
             listed.append(row.listed)
         if news.full:
@@ -120,15 +120,15 @@
             for name in [name for name in self.rows if name not in told]:
                 left.append(name)
                 del self.rows[name]
-        kind = ListKind.CACHED if what.stale else ListKind.FULL if news.full else ListKind.DELTA
-        return Outcome(RosterChange(max(self.version, 0), kind, tuple(listed)), left=tuple(left))
+        kind = UpdateKind.CACHED if what.stale else UpdateKind.FULL if news.full else UpdateKind.DELTA
+        return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), kind, tuple(listed)), left=tuple(left))
 
     def start_of(self, now: int, started_ms: float) -> int:
         """On the monotonic clock; 0 for long ago, now for what is yet to come."""
         return 0 if started_ms <= 0 else min(now, max(1, round(started_ms * 1000) + self.ahead))
 
-    def whole(self, kind: ListKind) -> RosterChange:
-        return RosterChange(max(self.version, 0), kind, tuple(row.listed for row in self.rows.values()))
+    def whole(self, kind: UpdateKind) -> EndpointListUpdate:
+        return EndpointListUpdate(max(self.version, 0), kind, tuple(row.listed for row in self.rows.values()))
 
     def next_at(self, now: int) -> int | None:
         return None if self.older_list is None else self.older_since + TOLD
--- a/hollyridge/discovery/watch_client.py
+++ b/hollyridge/discovery/watch_client.py
@@ -7,26 +7,32 @@
 from gevent import socket
 from gevent.event import Event
 
-from hollyridge.core.event_loop import Loop
-from hollyridge.discovery.endpoint_list import CallFailed, Heard, Listing
-from hollyridge.discovery.schema import RosterError, read
-from hollyridge.discovery.watch_state import CONNECT, Action, Caller, Happened
-from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker, WatchFailed
+from hollyridge.discovery.schema import EndpointListError, read
+from hollyridge.discovery.watch_state import CONNECT, WatchAction, WatchInput, WatchState
+from hollyridge.limits.log_sampling import should_log
 
 LINE_MOST = 8 << 20  # bytes of one line of a watch
 HEAD_MOST = 16384
 CHUNK = 65536
 
 
-class CallError(Exception):
+class DiscoveryCallError(Exception):
     """A call that came to nothing; the text says why."""
 
 
-class Watch:
+class WatchClient:
     """Keeps `listing` (the machine's source) up to date from `host:port`. `zones`: indices by name."""
 
     def __init__(
-        self, loop: Loop, listing: Listing, caller: Caller, address: tuple[str, int], zones: dict[str, int], log
+        self,
+        loop: EventLoop,
+        listing: EndpointListTracker,
+        caller: WatchState,
+        address: tuple[str, int],
+        zones: dict[str, int],
+        log,
     ) -> None:
         self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
         self.listing, self.caller, self.address, self.zones, self.log = listing, caller, address, zones, log
@@ -38,7 +44,7 @@
     def moved(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere: it is asked there at once, from the version that is held."""
         self.address = address
-        if self.caller.take(self.clock(), Happened.MOVED) is Action.DROP:
+        if self.caller.take(self.clock(), WatchInput.MOVED) is WatchAction.DROP:
             self.drop("discovery has moved")
         self.stirred.set()
 
@@ -53,12 +59,12 @@
         """Blocks for good."""
         while True:
             self.stirred.clear()
-            action = self.caller.take(self.clock(), Happened.TICK)
-            if action is Action.DIAL:
-                self.caller.take(self.clock(), Happened.DIALLED)
+            action = self.caller.take(self.clock(), WatchInput.TICK)
+            if action is WatchAction.DIAL:
+                self.caller.take(self.clock(), WatchInput.DIALLED)
                 self.counts["calls"] += 1
                 self.call = gevent.spawn(self.speak)
-            elif action is Action.DROP:
+            elif action is WatchAction.DROP:
                 self.drop("no word in time")
             self.stirred.wait(max(0.005, (self.caller.next_at - self.clock()) / 1e6))
 
@@ -69,7 +75,7 @@
             sock = socket.create_connection(self.address, timeout=CONNECT * self.caller.beat / 1e6)
             sock.settimeout(None)
             self.ask(sock)
-        except (OSError, CallError, RosterError, h11.ProtocolError) as trouble:
+        except (OSError, DiscoveryCallError, EndpointListError, h11.ProtocolError) as trouble:
             self.why = f"{type(trouble).__name__}: {trouble}"
         finally:
             if sock is not None:
@@ -82,8 +88,8 @@
             return
         now, self.call = self.clock(), None
         self.counts["ended"] += 1
-        self.caller.take(now, Happened.ENDED)
-        if worth_saying(self.caller.failures):
+        self.caller.take(now, WatchInput.ENDED)
+        if should_log(self.caller.failures):
             self.log.warning(
                 "discovery call ended",
                 address=f"{self.address[0]}:{self.address[1]}",
@@ -91,7 +97,7 @@
                 version=self.listing.version,
                 failures=self.caller.failures,
             )
-        self.machine.happened(now, CallFailed())
+        self.machine.happened(now, WatchFailed())
         self.loop.nudge()
         self.stirred.set()
 
@@ -110,41 +116,41 @@
             event = speaker.next_event()
             if event is h11.NEED_DATA:
                 chunk = sock.recv(CHUNK)
-                self.caller.take(self.clock(), Happened.HEARD)
+                self.caller.take(self.clock(), WatchInput.HEARD)
                 speaker.receive_data(chunk)
                 gevent.sleep(0)
             elif type(event) is h11.Response:
                 if event.status_code != 200:
-                    raise CallError(f"answered {event.status_code}")
+                    raise DiscoveryCallError(f"answered {event.status_code}")
             elif type(event) is h11.Data:
                 line += event.data
                 while (stop := line.find(b"\n")) >= 0:
                     self.hear(bytes(line[:stop]).strip())
                     del line[: stop + 1]
                 if len(line) > LINE_MOST:
-                    raise CallError("a line without end")
+                    raise DiscoveryCallError("a line without end")
             elif type(event) is h11.EndOfMessage:
                 if line.strip():
                     self.hear(bytes(line).strip())
-                raise CallError("the watch was ended")
+                raise DiscoveryCallError("the watch was ended")
             elif type(event) is not h11.InformationalResponse:
-                raise CallError("the connection was closed")
+                raise DiscoveryCallError("the connection was closed")
 
     def hear(self, line: bytes) -> None:
         now = self.clock()
         if not line:
             self.counts["beats"] += 1
             if self.caller.stands:  # before the first list it says only that somebody is there
-                self.caller.take(now, Happened.LIST)
+                self.caller.take(now, WatchInput.LIST)
             return
         try:
             news = read(line, self.zones)
-        except RosterError:
+        except EndpointListError:
             self.counts["bad_lines"] += 1
             raise
-        self.caller.take(now, Happened.LIST)
+        self.caller.take(now, WatchInput.LIST)
         self.counts["lists"] += 1
-        self.machine.happened(now, Heard(news))
+        self.machine.happened(now, EndpointListReceived(news))
         self.loop.nudge()
 
     def status(self) -> dict:
--- a/hollyridge/discovery/watch_state.py
+++ b/hollyridge/discovery/watch_state.py
@@ -18,7 +18,7 @@
 FIRST, LONGEST = 0.1, 1.0  # beats: the first pause and the longest
 
 
-class Happened(Enum):
+class WatchInput(Enum):
     TICK = 0
     DIALLED = 1
     HEARD = 2  # anything at all on the call
@@ -27,22 +27,22 @@
     MOVED = 5  # discovery has another address
 
 
-class Action(Enum):
+class WatchAction(Enum):
     NOTHING = 0
     DIAL = 1
     DROP = 2  # the call is dead: close it
 
 
-class Caller:
+class WatchState:
     """Times in microseconds.
 
-    >>> caller = Caller(2_000_000, Random(1))
-    >>> caller.take(0, Happened.TICK), caller.take(0, Happened.DIALLED), caller.next_at
-    (<Action.DIAL: 1>, <Action.NOTHING: 0>, 3000000)
-    >>> caller.take(2_900_000, Happened.LIST), caller.next_at, caller.take(5_900_001, Happened.TICK)
-    (<Action.NOTHING: 0>, 5900000, <Action.DROP: 2>)
-    >>> caller.take(5_900_002, Happened.ENDED), 100_000 <= caller.next_at - 5_900_002 <= 300_000
-    (<Action.NOTHING: 0>, True)
+    >>> caller = WatchState(2_000_000, Random(1))
+    >>> caller.take(0, WatchInput.TICK), caller.take(0, WatchInput.DIALLED), caller.next_at
+    (<WatchAction.DIAL: 1>, <WatchAction.NOTHING: 0>, 3000000)
+    >>> caller.take(2_900_000, WatchInput.LIST), caller.next_at, caller.take(5_900_001, WatchInput.TICK)
+    (<WatchAction.NOTHING: 0>, 5900000, <WatchAction.DROP: 2>)
+    >>> caller.take(5_900_002, WatchInput.ENDED), 100_000 <= caller.next_at - 5_900_002 <= 300_000
+    (<WatchAction.NOTHING: 0>, True)
     """
 
     def __init__(self, beat: int, rng: Random) -> None:
@@ -53,26 +53,26 @@
         self.next_at = 0  # when to dial, or when the call is lost
         self.line_by = 0  # when it is lost though bytes keep coming
 
-    def take(self, now: int, what: Happened) -> Action:
+    def take(self, now: int, what: WatchInput) -> WatchAction:
         """One thing that happened; what is to be done."""
-        if what is Happened.DIALLED:
+        if what is WatchInput.DIALLED:
             self.calling, self.stands = True, False
             self.next_at, self.line_by = now + round(ANSWER * self.beat), now + round(TOLD * self.beat)
-        elif what is Happened.LIST:
+        elif what is WatchInput.LIST:
             self.stands, self.failures = True, 0
             self.next_at, self.line_by = now + round(SILENT * self.beat), now + round(TOLD * self.beat)
-        elif what is Happened.HEARD and self.calling:
+        elif what is WatchInput.HEARD and self.calling:
             self.next_at = min(max(self.next_at, now + round(SILENT * self.beat)), self.line_by)
-        elif what is Happened.ENDED:
+        elif what is WatchInput.ENDED:
             self.calling = self.stands = False
             pause = min(LONGEST, FIRST * 2 ** min(self.failures, 16)) * self.beat
             self.failures += 1
             self.next_at = now + round(pause * (0.5 + self.rng.random()))
             if self.moved:  # it was ended by us: no failure, and nothing to wait for
                 self.moved, self.failures, self.next_at = False, 0, now
-        elif what is Happened.MOVED:
+        elif what is WatchInput.MOVED:
             self.failures, self.next_at, self.moved = 0, now, self.calling
-            return Action.DROP if self.calling else Action.DIAL
-        elif what is Happened.TICK and now >= self.next_at:
-            return Action.DROP if self.calling else Action.DIAL
-        return Action.NOTHING
+            return WatchAction.DROP if self.calling else WatchAction.DIAL
+        elif what is WatchInput.TICK and now >= self.next_at:
+            return WatchAction.DROP if self.calling else WatchAction.DIAL
+        return WatchAction.NOTHING
--- a/hollyridge/interface.py
+++ b/hollyridge/interface.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Union
 
 
-class ListKind(IntEnum):
+class UpdateKind(IntEnum):
     FAILED = 0
     DELTA = 1
     FULL = 2
@@ -24,13 +24,13 @@
     DRAINING = 2
 
 
-class Repeat(IntEnum):
+class Idempotency(IntEnum):
     IDEMPOTENT = 0
     TOKENED = 1
     NON_IDEMPOTENT = 2
 
 
-class Group(IntEnum):
+class IdempotencyScope(IntEnum):
     ALL = 0
     ZONE = 1
     CELL = 2
@@ -45,28 +45,28 @@
     SILENT = 3
 
 
-class Pick(IntEnum):
+class BalancingPolicy(IntEnum):
     RANDOM = 0
     ROTATE = 1
     P2C = 2
 
 
-class MethodTerms(NamedTuple):
+class MethodConfig(NamedTuple):
     """What an assigner is told of one method."""
 
     soft_deadline: int
     deadline: int
     criticality: float
-    repeat: Repeat
-    group: Group
+    repeat: Idempotency
+    group: IdempotencyScope
     window: int
     own_zone: bool
 
 
-class Bootstrap(NamedTuple):
+class AssignerConfig(NamedTuple):
     """What an assigner reads at start. Times in microseconds."""
 
-    methods: tuple[MethodTerms, ...]
+    methods: tuple[MethodConfig, ...]
     zones: int
     assigners: int
     subscribe: bool
@@ -86,7 +86,7 @@
     warm_up: int
     fall: int
     fall_multiple: float
-    pick: Pick
+    pick: BalancingPolicy
     outlier_after: int
     initial_set: int
     admission: Admission
@@ -98,7 +98,7 @@
     cross_zone_price: float
 
 
-class Listed(NamedTuple):
+class Endpoint(NamedTuple):
     """One entry of the list of tasks."""
 
     task: int
@@ -110,13 +110,13 @@
     started_at: int
 
 
-class RosterChange(NamedTuple):
+class EndpointListUpdate(NamedTuple):
     version: int
     kind: int
-    entries: tuple[Listed, ...]
+    entries: tuple[Endpoint, ...]
 
 
-class Woke(NamedTuple):
+class TimerFired(NamedTuple):
     token: int
 
 
@@ -132,24 +132,24 @@
     payload: bytes
 
 
-class Joined(NamedTuple):
+class ProxyJoined(NamedTuple):
     rate: float
     standing_only: bool
     proxy: int
     zone: int
 
 
-class Left(NamedTuple):
+class ProxyLeft(NamedTuple):
     proxy: int
 
 
-class Receipt(NamedTuple):
+class Ack(NamedTuple):
     proxy: int
     mark: int
     took: int
 
 
-class Waits(NamedTuple):
+class QueueDepth(NamedTuple):
     """What of the orders has not left yet, in lines, heads included: told last of an occasion by whoever keeps them
     waiting, where what comes for a proxy joins the message that already waits for it. There receipts come early."""
 
@@ -195,7 +195,7 @@
     slice: int
 
 
-class Proposal(NamedTuple):
+class WeightProposal(NamedTuple):
     """Weights by task that a solver proposes for the table of a zone's proxies. The loop trims them, the gate decides
     whether they are pushed; without news they run out after a few periods."""
 
@@ -203,7 +203,7 @@
     weights: tuple[tuple[int, float], ...]
 
 
-class Learnt(NamedTuple):
+class LearnedEstimate(NamedTuple):
     """What is known of a task: answers in a busy period, how many of these were heard, skill, and the weight it stands
     at as a part of its listed size."""
 
@@ -214,43 +214,43 @@
     weight: float
 
 
-class Recalled(NamedTuple):
+class EstimatesRestored(NamedTuple):
     """What was learnt before a restart, or by another assigner; `price` of its gate; `age` in microseconds."""
 
-    rows: tuple[Learnt, ...]
+    rows: tuple[LearnedEstimate, ...]
     price: float
     age: int
 
 
 Event = Union[
-    RosterChange,
-    Woke,
+    EndpointListUpdate,
+    TimerFired,
     ProbeResult,
     PeerMessage,
-    Joined,
-    Left,
-    Receipt,
-    Waits,
+    ProxyJoined,
+    ProxyLeft,
+    Ack,
+    QueueDepth,
     TrafficReport,
     OfferedLoad,
     SliceLoad,
     SliceCharge,
     SliceLine,
-    Proposal,
-    Recalled,
+    WeightProposal,
+    EstimatesRestored,
 ]
 
 
-class Reload(NamedTuple):
+class RefreshEndpoints(NamedTuple):
     pass
 
 
-class Withdraw(NamedTuple):
+class SetEjected(NamedTuple):
     task: int
     out: bool
 
 
-class Note(NamedTuple):
+class LogNote(NamedTuple):
     text: str
 
 
@@ -258,16 +258,16 @@
     task: int
 
 
-class TellPeer(NamedTuple):
+class SendToPeer(NamedTuple):
     peer: int
     payload: bytes
 
 
-class Watch(NamedTuple):
+class WatchEndpoints(NamedTuple):
     on: bool
 
 
-class SetLevel(NamedTuple):
+class SetAdmission(NamedTuple):
     """How much of the methods in a mask a table lets in (0: all methods) and how proxies try again."""
 
     table: int
@@ -276,43 +276,43 @@
     retry: int
 
 
-class AskReceipt(NamedTuple):
+class RequestAck(NamedTuple):
     mark: int
     everyone: bool
 
 
-class Attach(NamedTuple):
+class BindTable(NamedTuple):
     proxy: int
     table: int
     methods: int
 
 
-class WakeAt(NamedTuple):
+class SetTimer(NamedTuple):
     token: int
     delay: int
 
 
-class PutLine(NamedTuple):
+class SetWeight(NamedTuple):
     weight: float
     task: int
     table: int
 
 
-class DropTable(NamedTuple):
+class DeleteTable(NamedTuple):
     table: int
 
 
-Order = Union[
-    Reload,
-    Withdraw,
-    Note,
+Command = Union[
+    RefreshEndpoints,
+    SetEjected,
+    LogNote,
     Probe,
-    TellPeer,
-    Watch,
-    SetLevel,
-    AskReceipt,
-    Attach,
-    WakeAt,
-    PutLine,
-    DropTable,
+    SendToPeer,
+    WatchEndpoints,
+    SetAdmission,
+    RequestAck,
+    BindTable,
+    SetTimer,
+    SetWeight,
+    DeleteTable,
 ]
--- a/hollyridge/lab/agent.py
+++ b/hollyridge/lab/agent.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from hollyridge.lab.record import Recorder
-from hollyridge.sasp.client import LostError, RefusedError, Registrar
+from hollyridge.sasp.client import ConnectionLostError, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 
 
@@ -66,7 +66,7 @@
             self.stream += 1
             stream = self.stream
             try:
-                client = Registrar(
+                client = MemberRegistrar(
                     self.address,
                     self.fleet,
                     heard=partial(self.record.frame, "heard", self.who, stream),
@@ -80,20 +80,20 @@
                         self.sync(client)
                         self.synced.set()
                     elif not self.alive(client):
-                        raise LostError("closed by the service")
-            except (OSError, LostError, RefusedError) as trouble:
+                        raise ConnectionLostError("closed by the service")
+            except (OSError, ConnectionLostError, RefusedError) as trouble:
                 self.record("stream", who=self.who, stream=stream, up=False, why=str(trouble))
                 gevent.sleep(0.2)
 
     @staticmethod
-    def alive(client: Registrar) -> bool:
+    def alive(client: MemberRegistrar) -> bool:
         client.sock.settimeout(0.001)
         try:
             return client.sock.recv(1) != b""
         except TimeoutError:
             return True
 
-    def sync(self, client: Registrar) -> None:
+    def sync(self, client: MemberRegistrar) -> None:
         """Say what differs from what this stream has said."""
         known = dict(self.known)
         gone = [key for key in {**self.told, **self.left} if key not in known]
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -15,10 +15,10 @@
 from hollyridge.chp import codec as clone
 from hollyridge.chp.replica import Client
 from hollyridge.lab.record import frame_of, parts_of
-from hollyridge.membership.fencing import Judge
+from hollyridge.membership.fencing import FencingChecker
 from hollyridge.registration.members import figure, read_label
 from hollyridge.sasp import codec, ownership_extension
-from hollyridge.sasp.client import Held
+from hollyridge.sasp.client import HeldWeights
 
 SECOND = 1_000_000
 
@@ -78,7 +78,7 @@
     lines: dict[str, float]
 
 
-class Follower(Judge):
+class Follower(FencingChecker):
     """Does not know the numbers of a proxy's questions, only that they grow."""
 
     def obeys(self, fence: int) -> bool:
@@ -105,7 +105,7 @@
             message = clone.decode(parts)
             before = {subtree: replica.head.seq for subtree, replica in self.client.replicas.items()}
             _, _, changed = self.client.take(message)
-        except clone.CloneError:
+        except clone.ChpError:
             return False, 0, 0, False
         subtree = getattr(message, "subtree", "") or clone.subtree_of(getattr(message, "key", ""))
         replica, lines, version = self.client.replicas.get(subtree), 0, 0
@@ -141,7 +141,7 @@
 
     def read(self) -> None:
         asked: dict[tuple, tuple[int, codec.Message]] = {}
-        held: dict[str, Held] = defaultdict(Held)
+        held: dict[str, HeldWeights] = defaultdict(HeldWeights)
         held_at: dict[str, int] = {}
         groups: dict[str, list[str]] = {}
         clones: dict[str, Listener] = {}
--- a/hollyridge/lab/command_handler.py
+++ b/hollyridge/lab/command_handler.py
@@ -8,7 +8,7 @@
 from hollyridge.lab.task import Task
 
 
-class Cast:
+class CommandHandler:
     """`tasks` by name, with `stop(why)`; `proxies` by name. `bodies()` gives the tasks themselves."""
 
     tasks: dict
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -12,7 +12,7 @@
 from hollyridge.lab.metrics import figures_of
 from hollyridge.lab.ownership import of_day
 from hollyridge.lab.parity import compare
-from hollyridge.lab.scenario import Script, TroubleSection
+from hollyridge.lab.scenario import Scenario, TroubleSection
 
 
 class DayError(Exception):
@@ -43,7 +43,7 @@
     the agent's line to it. `tick(part)` is told how far the day is."""
 
     def __init__(
-        self, script: Script, stage, seed: int | None = None, tick: Callable[[float], None] = lambda part: None
+        self, script: Scenario, stage, seed: int | None = None, tick: Callable[[float], None] = lambda part: None
     ) -> None:
         self.script, self.stage, self.tick = script, stage, tick
         self.world = stage.world
--- a/hollyridge/lab/flood.py
+++ b/hollyridge/lab/flood.py
@@ -17,7 +17,7 @@
 
 from hollyridge.lab.live import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
-from hollyridge.sasp.client import Balancer, Held, Registrar
+from hollyridge.sasp.client import HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
 SETTINGS = Path(__file__).parent.parent.parent / "examples" / "loopback.ini"
@@ -121,19 +121,19 @@
     names = [f"{member.host}:9000" for member in members]
     clients = []
     for one in (tight, whole):
-        agent = Registrar(("127.0.0.1", one.sasp), "shelf", connect=socket.create_connection)
+        agent = MemberRegistrar(("127.0.0.1", one.sasp), "shelf", connect=socket.create_connection)
         agent.register(members)
         clients.append(agent)
     gevent.sleep(1.0)
     held = {}
     for one in (tight, whole):
         for zone, octet in one.zones.items():
-            reader = Balancer(
+            reader = LoadBalancerClient(
                 ("127.0.0.1", one.sasp), f"gw-{zone}", source=f"127.{octet}.0.200", connect=socket.create_connection
             )
             reader.start(one.methods[:1])
             clients.append(reader)
-            held[one, zone] = Held()
+            held[one, zone] = HeldWeights()
             gevent.spawn(follow, reader, held[one, zone])
     truth = Truth(names, list(tight.zones), tight.methods, seed)
     before, until = tight.rss_mb(), time.monotonic() + seconds
@@ -189,7 +189,7 @@
     }
 
 
-def follow(reader: Balancer, held: Held) -> None:
+def follow(reader: LoadBalancerClient, held: HeldWeights) -> None:
     try:
         while True:
             pushed = reader.receive(1.0)
--- a/hollyridge/lab/hunt.py
+++ b/hollyridge/lab/hunt.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from hollyridge.lab.day import Day, DayError, Outcome
-from hollyridge.lab.scenario import KINDS, Script, TroubleSection
+from hollyridge.lab.scenario import KINDS, Scenario, TroubleSection
 from hollyridge.lab.virtual import VirtualStage
 
 RANGES = {
@@ -63,13 +63,13 @@
     return drawn(rng, rng.sample(sorted(RANGES), rng.randint(1, most)), RANGES, 1, 0.75 * length)
 
 
-def with_troubles(script: Script, troubles: dict[str, TroubleSection]) -> Script:
-    return Script(
+def with_troubles(script: Scenario, troubles: dict[str, TroubleSection]) -> Scenario:
+    return Scenario(
         script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.terms
     )
 
 
-def play(script: Script, seed: int, policy: str) -> Outcome | None:
+def play(script: Scenario, seed: int, policy: str) -> Outcome | None:
     try:
         return Day(script, VirtualStage(script, policy, seed), seed).play()
     except DayError:
@@ -83,12 +83,12 @@
 
 
 def hunt(
-    script: Script,
+    script: Scenario,
     seeds: range,
     policy: str = "",
     most: int = 5,
     told: Callable[[int, float], None] = lambda seed, worst: None,
-) -> tuple[int, Script, Outcome] | None:
+) -> tuple[int, Scenario, Outcome] | None:
     """The seed, the script and the outcome of the worst day; None if none could be played."""
     found = None
     for seed in seeds:
@@ -100,7 +100,7 @@
     return found
 
 
-def cut_down(seed: int, script: Script, outcome: Outcome, policy: str = "") -> tuple[Script, Outcome]:
+def cut_down(seed: int, script: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
     """Leave out troubles while what was found stays: the same broken rules, or nine tenths of the badness."""
     broken = {v.rule for v in outcome.verdicts if not v.kept}
 
@@ -123,7 +123,7 @@
     return script, outcome
 
 
-def write(path: Path, seed: int, script: Script, outcome: Outcome) -> None:
+def write(path: Path, seed: int, script: Scenario, outcome: Outcome) -> None:
     """As a script that `hollyridge lab run` and `hollyridge day` read."""
     lines = [f"; Found by a hunt from {script.path.name}, seed {seed}: served {outcome.figures['served']}."]
     lines += [f"; rule {v.rule} broken: {v.where}" for v in outcome.verdicts if not v.kept]
--- a/hollyridge/lab/lease_model_check.py
+++ b/hollyridge/lab/lease_model_check.py
@@ -8,15 +8,25 @@
 import copy
 from typing import NamedTuple
 
-from hollyridge.membership.fencing import Judge
-from hollyridge.membership.leases import Acked, Came, Drop, Lease, Members, Owners, Standing, Take, Tick
+from hollyridge.membership.fencing import FencingChecker
+from hollyridge.membership.leases import (
+    Lease,
+    LeaseGranted,
+    LeaseManager,
+    Members,
+    MemberState,
+    ProxyAsked,
+    ReleaseProxy,
+    Tick,
+    TokenAcknowledged,
+)
 
 NAMES = ("a", "b")
 LEASE = Lease(length=2, settle=1, period=1)  # in steps of this world
 UID = "gw-1"
 
 
-class Careless(Judge):
+class FaultyFencingChecker(FencingChecker):
     def obeys(self, fence: int) -> bool:
         return True
 
@@ -33,11 +43,11 @@
     for those who look."""
 
     def __init__(self, fencing: bool = True, asks: int = 3, orders: int = 3, restarts: int = 1) -> None:
-        self.judge = Judge() if fencing else Careless()
+        self.judge = FencingChecker() if fencing else FaultyFencingChecker()
         self.asks, self.orders, self.restarts, self.steps = asks, orders, restarts, 3
         self.now, self.cut = 0, False
         self.run = dict.fromkeys(NAMES, 0)
-        self.owners: dict[str, Owners] = {}
+        self.owners: dict[str, LeaseManager] = {}
         for name in NAMES:
             self.begin(name)
         self.stream = ""  # whom the proxy hears
@@ -46,12 +56,12 @@
         self.wrong = ""
 
     def begin(self, name: str) -> None:
-        self.owners[name] = Owners(name, LEASE)
+        self.owners[name] = LeaseManager(name, LEASE)
         self.look(name)
 
     def look(self, name: str) -> None:
         there = [name] if self.cut else NAMES
-        self.owners[name].take(self.now, Members({one: Standing("", 1.0, 0) for one in there}))
+        self.owners[name].take(self.now, Members({one: MemberState("", 1.0, 0) for one in there}))
 
     def moves(self) -> list[tuple]:
         found: list[tuple] = []
@@ -75,8 +85,8 @@
             _, name, plea = move
             self.asks -= 1
             # Its old stream is not known to be gone at the other end: no word of it goes there.
-            for do in self.owners[name].take(self.now, Came(UID, "", self.judge.ask(), plea)):
-                if isinstance(do, Take):
+            for do in self.owners[name].take(self.now, ProxyAsked(UID, "", self.judge.ask(), plea)):
+                if isinstance(do, LeaseGranted):
                     self.stream = name
                     self.flying.append(Order(name, self.run[name], do.fence))
         elif kind == "order":
@@ -87,12 +97,12 @@
         elif kind == "hear":
             owners = self.owners[self.stream]
             if UID not in owners.mine or any(
-                isinstance(do, Drop) for do in owners.take(self.now, Acked(UID, self.judge.asked))
+                isinstance(do, ReleaseProxy) for do in owners.take(self.now, TokenAcknowledged(UID, self.judge.asked))
             ):
                 self.stream = ""
         elif kind == "tick":
             for do in self.owners[move[1]].take(self.now, Tick()):
-                if isinstance(do, Drop) and self.stream == move[1]:
+                if isinstance(do, ReleaseProxy) and self.stream == move[1]:
                     self.stream = ""
         elif kind == "restart":
             self.restarts -= 1
--- a/hollyridge/lab/live.py
+++ b/hollyridge/lab/live.py
@@ -19,11 +19,11 @@
 from hollyridge.lab.day import Day, DayError
 from hollyridge.lab.record import STATE, Recorder, now_us, read_all
 from hollyridge.lab.relay import Relay
-from hollyridge.lab.scenario import Script
+from hollyridge.lab.scenario import Scenario
 from hollyridge.lab.world import LiveWorld
 
 
-class House:
+class WorkerHandle:
     """A process of stand-ins, spoken to by lines."""
 
     def __init__(self, folder: Path, name: str, heard: Callable[[dict], None]) -> None:
@@ -82,7 +82,7 @@
 class LiveStage:
     """`policy` names another decision module of the laboratory."""
 
-    def __init__(self, script: Script, folder: Path, policy: str = "") -> None:
+    def __init__(self, script: Scenario, folder: Path, policy: str = "") -> None:
         self.script, self.folder, self.policy = script, folder, policy
         self.world = LiveWorld()
         self.record = Recorder(folder / "day.jsonl")
@@ -92,7 +92,7 @@
             name: [["127.0.0.1", ports[at]] for ports in self.ports]
             for at, name in enumerate(("sasp", "otlp", "clone"))
         }
-        self.houses: list[House] = []
+        self.houses: list[WorkerHandle] = []
         self.failures: list[str] = []
         self.assigners: list = [None] * count
         self.starts = 0
@@ -104,8 +104,8 @@
         for number in range(count):
             self.settings_file(number)
 
-    def house(self, name: str, heard: Callable[[dict], None]) -> House:
-        self.houses.append(House(self.folder, name, heard))
+    def house(self, name: str, heard: Callable[[dict], None]) -> WorkerHandle:
+        self.houses.append(WorkerHandle(self.folder, name, heard))
         return self.houses[-1]
 
     def agent(self, number: int) -> Agent:
--- a/hollyridge/lab/policies.py
+++ b/hollyridge/lab/policies.py
@@ -10,7 +10,7 @@
 class Simple:
     """Tables by zone, changed whenever `weights(zone)` changes. For baselines."""
 
-    def __init__(self, boot: api.Bootstrap, seed: int) -> None:
+    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
         self.boot = boot
         self.open: dict[int, int] = {}  # zone by task
         self.said: list[dict[int, float]] = [{} for _ in range(boot.zones)]
@@ -25,18 +25,18 @@
         orders: list = []
         for event in events:
             self.hear(now, event)
-            if isinstance(event, api.RosterChange):
+            if isinstance(event, api.EndpointListUpdate):
                 for entry in event.entries:
                     self.open.pop(entry.task, None)
                     if entry.state == api.TaskState.READY:
                         self.open[entry.task] = entry.zone
-            elif isinstance(event, api.Joined):
-                orders.append(api.Attach(event.proxy, event.zone, 0))
+            elif isinstance(event, api.ProxyJoined):
+                orders.append(api.BindTable(event.proxy, event.zone, 0))
         puts: list = []
         for zone, said in enumerate(self.said):
             lines = self.weights(zone)
-            puts += [api.PutLine(0.0, task, zone) for task in said if task not in lines]
-            puts += [api.PutLine(weight, task, zone) for task, weight in lines.items() if said.get(task) != weight]
+            puts += [api.SetWeight(0.0, task, zone) for task in said if task not in lines]
+            puts += [api.SetWeight(weight, task, zone) for task, weight in lines.items() if said.get(task) != weight]
             self.said[zone] = lines
         return puts + orders
 
@@ -68,7 +68,7 @@
     """By the inverse of the mean latency that the zone's proxies last met, pushed as it changes; who has not been heard
     counts as the best that has."""
 
-    def __init__(self, boot: api.Bootstrap, seed: int) -> None:
+    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
         super().__init__(boot, seed)
         self.took: list[dict[int, float]] = [{} for _ in range(boot.zones)]
 
@@ -82,15 +82,15 @@
         return {task: round(best / took.get(task, best), 2) or 0.01 for task in self.open}
 
 
-class Always(Assigner):
+class PushWithoutGate(Assigner):
     """The module without the gate: every change that is worth a line is pushed each period."""
 
-    def __init__(self, boot: api.Bootstrap, seed: int) -> None:
+    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
         super().__init__(boot, seed)
         self.gate.decide = lambda published, current, held: not held
 
 
-class Bare(Assigner):
+class EmptiesTables(Assigner):
     """Rule 1: after a while it takes every line out of a table and puts none back."""
 
     begun = 0
@@ -101,39 +101,41 @@
         if now - self.begun < 4_000_000:
             return orders
         lines = self.tables.lines[0]
-        orders = [o for o in orders if not (isinstance(o, api.PutLine) and o.table == 0)]
-        orders += [api.PutLine(0.0, task, 0) for task in lines]
+        orders = [o for o in orders if not (isinstance(o, api.SetWeight) and o.table == 0)]
+        orders += [api.SetWeight(0.0, task, 0) for task in lines]
         lines.clear()
         return orders
 
 
-class Deaf(Assigner):
+class KeepsDrainedEndpoints(Assigner):
     """Rule 3: it never takes a line out."""
 
     def decide(self, now: int, events: list) -> list:
-        return [o for o in super().decide(now, events) if not (isinstance(o, api.PutLine) and o.weight == 0)]
+        return [o for o in super().decide(now, events) if not (isinstance(o, api.SetWeight) and o.weight == 0)]
 
 
-class Bold(Assigner):
+class OverloadsColdTasks(Assigner):
     """Rule 4: the first of those that have just started gets nearly all."""
 
     def decide(self, now: int, events: list) -> list:
         orders = super().decide(now, events)
         cold = [i for i, part in self.parts(now).items() if part < 1]
         return [
-            o._replace(weight=o.weight * 1000) if isinstance(o, api.PutLine) and o.task == min(cold, default=-1) else o
+            o._replace(weight=o.weight * 1000)
+            if isinstance(o, api.SetWeight) and o.task == min(cold, default=-1)
+            else o
             for o in orders
         ]
 
 
-class Chatty(Assigner):
+class FloodsQueue(Assigner):
     """Rule 5: it says a line again ten times a second."""
 
     def decide(self, now: int, events: list) -> list:
         orders = super().decide(now, events)
         for table, lines in enumerate(self.tables.lines):
-            orders += [api.PutLine(w * (1 + now // 1000 % 7 / 10), i, table) for i, w in list(lines.items())[:1]]
-        return [*orders, api.WakeAt(9, 100_000)] if any(isinstance(e, api.Woke) for e in events) else orders
+            orders += [api.SetWeight(w * (1 + now // 1000 % 7 / 10), i, table) for i, w in list(lines.items())[:1]]
+        return [*orders, api.SetTimer(9, 100_000)] if any(isinstance(e, api.TimerFired) for e in events) else orders
 
 
 POLICIES = {
@@ -141,9 +143,9 @@
     "static": Static,
     "zone": ZoneOnly,
     "latency": LeastLatency,
-    "always": Always,
-    "bare": Bare,
-    "deaf": Deaf,
-    "bold": Bold,
-    "chatty": Chatty,
+    "always": PushWithoutGate,
+    "bare": EmptiesTables,
+    "deaf": KeepsDrainedEndpoints,
+    "bold": OverloadsColdTasks,
+    "chatty": FloodsQueue,
 }
--- a/hollyridge/lab/proxy.py
+++ b/hollyridge/lab/proxy.py
@@ -13,7 +13,7 @@
 import zmq.green as zmq
 from gevent.event import AsyncResult
 
-from hollyridge.client import CloneGateway, Gateway, Reporter, SaspGateway
+from hollyridge.client import ChpGateway, Gateway, Reporter, SaspGateway
 from hollyridge.lab import rpc
 from hollyridge.lab.record import Recorder
 from hollyridge.otlp.sender import Figure
@@ -162,7 +162,7 @@
         how = dict(
             source=self.host, zmq=zmq, heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts)
         )
-        return CloneGateway(self.plan["clone"], self.uid, self.names, how, before=self.apply, **terms)
+        return ChpGateway(self.plan["clone"], self.uid, self.names, how, before=self.apply, **terms)
 
     def watch(self, begins: bool) -> None:
         if begins and self.gateway.way in self.away:
--- a/hollyridge/lab/scenario.py
+++ b/hollyridge/lab/scenario.py
@@ -113,7 +113,7 @@
         return self.how or next(iter(KINDS[self.kind]), "")
 
 
-class Script:
+class Scenario:
     def __init__(
         self,
         path: Path,
@@ -123,7 +123,7 @@
         net: NetSection,
         troubles: dict[str, TroubleSection],
         overrides: dict[tuple[str, str], str],
-        terms: assigner.AssignerTerms,
+        terms: assigner.ServiceConfig,
     ) -> None:
         self.path, self.day, self.fleet, self.load, self.net = path, day, fleet, load, net
         self.troubles, self.overrides, self.terms = troubles, overrides, terms
@@ -131,7 +131,7 @@
 
 def load(
     path: Path | str, settings: str = "", fronts: tuple[str, ...] = (), times: float = 1.0, assigners: int = 0
-) -> Script:
+) -> Scenario:
     """Read and check a script and the settings it names, or `settings` in their place; `fronts` and `assigners` take
     the place of the script's. Fleet and load are `times` as large, and the channel as a push to all of it needs.
     Raises FaultsError with all that is wrong."""
@@ -165,7 +165,7 @@
         overrides["assigner", "assigners"] = str(assigners)
     listen = "127.0.0.1:3870" if found["fleet"] is not None and "clone" in found["fleet"].fronts else ""
 
-    def assigner_terms() -> assigner.AssignerTerms:
+    def assigner_terms() -> assigner.ServiceConfig:
         return assigner.load(
             settings or path.parent / found["day"].settings, {**overrides, ("clone", "listen"): listen}
         )
@@ -198,4 +198,4 @@
                 faults.append(f"[trouble {name}] at_s: after the day's end")
     if faults:
         raise FaultsError(faults)
-    return Script(path, found["day"], found["fleet"], found["load"], found["net"], troubles, overrides, terms)
+    return Scenario(path, found["day"], found["fleet"], found["load"], found["net"], troubles, overrides, terms)
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -6,17 +6,23 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from hollyridge.client import CloneGateway
+from hollyridge.client import ChpGateway
 from hollyridge.client.sasp import BEATS, SaspTables
 from hollyridge.lab.proxy import Proxy
 from hollyridge.lab.world import VirtualWorld
 from hollyridge.sasp import codec, ownership_extension
-from hollyridge.sasp.client import Held, LostError, RefusedError, Registrar, SilentError
+from hollyridge.sasp.client import (
+    ConnectionLostError,
+    HeartbeatTimeoutError,
+    HeldWeights,
+    MemberRegistrar,
+    RefusedError,
+)
 from hollyridge.sasp.codec import Group, Wants
-from hollyridge.sasp.server import Stream
+from hollyridge.sasp.server import Connection
 
 if TYPE_CHECKING:
-    from hollyridge.lab.virtual import Seat, VirtualStage
+    from hollyridge.lab.virtual import SimulatedProcess, VirtualStage
 
 
 class Signal:
@@ -32,11 +38,11 @@
 class Line:
     """A stream between one client and the assigner, both ends. `got` is called with each frame that arrives."""
 
-    def __init__(self, seat: Seat, host: str, got: Callable[[bytes | None], None]) -> None:
+    def __init__(self, seat: SimulatedProcess, host: str, got: Callable[[bytes | None], None]) -> None:
         self.seat, self.stage, self.host, self.got, self.open = seat, seat.stage, host, got, True
         front = seat.service.front
         front.number += 1
-        self.stream = Stream(front.number, self, (host, 0), front.keeper.answers())
+        self.stream = Connection(front.number, self, (host, 0), front.keeper.answers())
         self.stream.due = Signal(self.wake)
         front.streams[self.stream.number] = self.stream
         self.front = front
@@ -143,7 +149,7 @@
 
     def __init__(self, stage: VirtualStage, proxy: Proxy, **terms) -> None:
         super().__init__(proxy.uid, proxy.names, **terms)
-        self.stage, self.proxy, self.held, self.line = stage, proxy, Held(), None
+        self.stage, self.proxy, self.held, self.line = stage, proxy, HeldWeights(), None
         self.addresses = [tuple(address) for address in stage.addresses["sasp"]]
         self.ways = len(stage.seats)
         self.groups = {m["name"]: m["group"] for m in proxy.methods}
@@ -182,7 +188,7 @@
                     self.alive()
             waited = self.clock() - beat
             if not answered and waited >= (self.own.lease / 2 if number > registration else hello_s):
-                raise SilentError("no answer in time")
+                raise HeartbeatTimeoutError("no answer in time")
             if self.own.lease and waited >= self.own.lease / BEATS:
                 if answered:
                     beat, answered, number = self.clock(), False, number + 1
@@ -199,14 +205,14 @@
             line.close()
 
 
-class VirtualCloneGateway(VirtualWaits, CloneGateway):
+class VirtualChpGateway(VirtualWaits, ChpGateway):
     """The client library's own, on simulated sockets."""
 
 
-class VirtualRegistrar(Registrar):
+class VirtualRegistrar(MemberRegistrar):
     """The agent's stream: requests are taken and answered at once."""
 
-    def __init__(self, seat: Seat, fleet: str, who: str, number: int) -> None:
+    def __init__(self, seat: SimulatedProcess, fleet: str, who: str, number: int) -> None:
         self.stage, self.who, self.group, self.stream_number = seat.stage, who, Group(fleet, "tasks"), number
         self.number, self.lost = 0, False
         self.line = Line(seat, "127.0.0.1", self.end)
@@ -216,7 +222,7 @@
 
     def call(self, message: codec.Message) -> codec.Message:
         if self.lost or not self.line.open:
-            raise LostError("closed by the service")
+            raise ConnectionLostError("closed by the service")
         self.number += 1
         frame = codec.encode(self.number, message)
         record, stream = self.stage.record, self.line.stream
--- a/hollyridge/lab/update_model_check.py
+++ b/hollyridge/lab/update_model_check.py
@@ -9,8 +9,8 @@
 
 from hollyridge.chp import codec
 from hollyridge.chp.codec import Kthxbai, Kvpub
-from hollyridge.chp.key_space import Ledger
-from hollyridge.chp.replica import Did, Replica
+from hollyridge.chp.key_space import KeySpace
+from hollyridge.chp.replica import Replica, ReplicaChanges
 
 SUBTREE = "/table/0/"
 VERSIONS = (("a", "b"), ("b", "c"), ("a", "c", "d"), ("d",))
@@ -23,12 +23,12 @@
     return {f"{SUBTREE}line/{name}": f"{run}.{version}".encode() for name in names}
 
 
-class Careless(Replica):
+class FaultyReplica(Replica):
     """Replicas that leave out one check; the exploration must find what that breaks."""
 
     fault = ""
 
-    def change(self, head: codec.Head) -> Did:
+    def change(self, head: codec.Head) -> ReplicaChanges:
         same = self.synced and head.epoch == self.head.epoch
         if self.fault == "no count" and same and head.prev == self.head.seq:
             uuid = codec.uuid_of(head.epoch)
@@ -55,9 +55,9 @@
 
     def __init__(self, fault: str = "") -> None:
         self.run, self.version = 0, 0
-        self.ledger = Ledger("run0", 500)
+        self.ledger = KeySpace("run0", 500)
         self.ledger.set(SUBTREE, 0, target(0, 0))
-        self.replica = Careless(SUBTREE)
+        self.replica = FaultyReplica(SUBTREE)
         self.replica.fault = fault
         self.published: list[Kvpub] = []
         self.snapshots: list = []
@@ -105,7 +105,7 @@
             self.published.append(self.ledger.beat(SUBTREE))
         elif move == "restart":  # what was published may still arrive; the snapshot's stream does not survive
             self.run, self.version = self.run + 1, 0
-            self.ledger = Ledger(f"run{self.run}", 500)
+            self.ledger = KeySpace(f"run{self.run}", 500)
             self.ledger.set(SUBTREE, 0, target(self.run, 0))
             self.snapshots = ["ICANHAZ"] if self.replica.asking else []
             self.replica.incoming, self.replica.heads = {}, {}
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -17,24 +17,24 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab import rpc
 from hollyridge.lab.agent import Agent
-from hollyridge.lab.command_handler import Cast
+from hollyridge.lab.command_handler import CommandHandler
 from hollyridge.lab.day import Day, DayError
 from hollyridge.lab.policies import POLICIES
 from hollyridge.lab.proxy import Proxy
 from hollyridge.lab.record import STATE, Recorder
-from hollyridge.lab.scenario import Script
+from hollyridge.lab.scenario import Scenario
 from hollyridge.lab.sockets import Context, Library, Network
-from hollyridge.lab.streams import VirtualCloneGateway, VirtualRegistrar, VirtualSaspGateway
+from hollyridge.lab.streams import VirtualChpGateway, VirtualRegistrar, VirtualSaspGateway
 from hollyridge.lab.task import Task
 from hollyridge.lab.task_model import Build
 from hollyridge.lab.world import VirtualWorld
 from hollyridge.otlp.reading import METRICS
 from hollyridge.otlp.sender import Figure
-from hollyridge.peers.peer_service import FleetTerms
-from hollyridge.sasp.client import LostError
+from hollyridge.peers.peer_service import PeerConfig
+from hollyridge.sasp.client import ConnectionLostError
 from hollyridge.service import Service
-from hollyridge.settings.assigner import AssignerTerms
-from hollyridge.telemetry.report_aggregator import LOADS, Kind, Point
+from hollyridge.settings.assigner import ServiceConfig
+from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
 STATE_EVERY = 500_000  # us
 
@@ -120,7 +120,7 @@
             context=context,
             heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         )
-        return VirtualCloneGateway(stage.addresses["clone"], self.uid, self.names, how, before=self.apply, **terms)
+        return VirtualChpGateway(stage.addresses["clone"], self.uid, self.names, how, before=self.apply, **terms)
 
     def wall(self) -> int:
         return self.world.now() * 1000
@@ -132,7 +132,7 @@
         self.stage.seats[self.gateway.way].report(self.uid, figures)
 
 
-class VirtualHouse(Cast):
+class VirtualCommandHandler(CommandHandler):
     """Houses as the day speaks to them, all in this process."""
 
     def __init__(self, stage: VirtualStage, heard: Callable[[dict], None]) -> None:
@@ -163,7 +163,7 @@
 
 
 class VirtualAgent(Agent):
-    def __init__(self, seat: Seat) -> None:
+    def __init__(self, seat: SimulatedProcess) -> None:
         self.seat = seat
         super().__init__(
             ("", 0), seat.stage.script.terms.sasp.fleet, seat.stage.record, seat.stage.world.spawn, seat.number
@@ -186,13 +186,13 @@
                         self.due.clear()
                         self.sync(client)
                     world.sleep(0.02)
-            except LostError:
+            except ConnectionLostError:
                 pass
             self.record("stream", who=self.who, stream=self.stream, up=False)
             world.sleep(0.2)
 
 
-class Seat:
+class SimulatedProcess:
     """Where one assigner runs, and runs again after it was killed."""
 
     def __init__(self, stage: VirtualStage, number: int) -> None:
@@ -239,7 +239,7 @@
         self.nudge()
         self.world.spawn(self.look, service)
 
-    def peers(self, terms: AssignerTerms) -> FleetTerms | None:
+    def peers(self, terms: ServiceConfig) -> PeerConfig | None:
         """Its part in a shared fleet."""
         if not self.stage.script.fleet.shared:
             return None
@@ -354,7 +354,7 @@
             if None not in place:
                 self.service.machine.report(
                     now,
-                    Point(
+                    DataPoint(
                         source,
                         kind,
                         place,
@@ -370,7 +370,7 @@
     """`ties` shuffles what is due at the same moment (see `VirtualWorld`)."""
 
     def __init__(
-        self, script: Script, policy: str = "", seed: int = 1, ties: int | None = None, record: str | None = None
+        self, script: Scenario, policy: str = "", seed: int = 1, ties: int | None = None, record: str | None = None
     ) -> None:
         self.script, self.policy, self.seed = script, policy, seed
         self.peers_cut: set[tuple[int, int]] = set()  # pairs of assigners, from and to
@@ -391,7 +391,7 @@
             name: [["127.0.0.1", self.port_of(k) + at] for k in range(count)]
             for name, at in (("sasp", 4), ("otlp", 5), ("clone", 0))
         }
-        self.seats = [Seat(self, number) for number in range(count)]
+        self.seats = [SimulatedProcess(self, number) for number in range(count)]
         self.peers = {self.peer_at(seat.number): seat for seat in self.seats}
 
     @staticmethod
@@ -409,8 +409,8 @@
         """Seconds, varied."""
         return ms / 1e3 * (1 + self.net.jitter * (2 * self.rng.random() - 1))
 
-    def house(self, _name: str, heard: Callable[[dict], None]) -> VirtualHouse:
-        return VirtualHouse(self, heard)
+    def house(self, _name: str, heard: Callable[[dict], None]) -> VirtualCommandHandler:
+        return VirtualCommandHandler(self, heard)
 
     def agent(self, number: int) -> VirtualAgent:
         return VirtualAgent(self.seats[number])
--- a/hollyridge/lab/worker_process.py
+++ b/hollyridge/lab/worker_process.py
@@ -13,7 +13,7 @@
 import msgspec  # noqa: E402
 from gevent.fileobject import FileObject  # noqa: E402
 
-from hollyridge.lab.command_handler import Cast  # noqa: E402
+from hollyridge.lab.command_handler import CommandHandler  # noqa: E402
 from hollyridge.lab.proxy import Proxy  # noqa: E402
 from hollyridge.lab.record import Recorder  # noqa: E402
 from hollyridge.lab.task import Task, TaskServer  # noqa: E402
@@ -21,7 +21,7 @@
 from hollyridge.lab.world import LiveWorld  # noqa: E402
 
 
-class House(Cast):
+class WorkerProcess(CommandHandler):
     def __init__(self, path: str) -> None:
         self.record, self.world = Recorder(path), LiveWorld()
         self.tasks: dict[str, TaskServer] = {}
@@ -61,7 +61,7 @@
 
 
 def main() -> None:
-    house = House(sys.argv[1])
+    house = WorkerProcess(sys.argv[1])
     for line in FileObject(sys.stdin.buffer, "rb"):
         order = msgspec.json.decode(line)
         house.do(order.pop("do"), **order)
--- a/hollyridge/limits/connection_limiter.py
+++ b/hollyridge/limits/connection_limiter.py
@@ -9,10 +9,10 @@
 from collections import OrderedDict
 
 
-class Bucket:
+class TokenBucket:
     """A pace with room for `burst` at once.
 
-    >>> bucket = Bucket(per_s=2, burst=2)
+    >>> bucket = TokenBucket(per_s=2, burst=2)
     >>> [bucket.draw(at) for at in (0, 0, 0, 500_000)]
     [True, True, False, True]
     """
@@ -31,12 +31,12 @@
         return True
 
 
-class Doorkeeper:
+class ConnectionLimiter:
     """`most` connections in all and `most_each` from one address; `per_s` new ones in all, an eighth of it from
     one address that already holds connections; `requests_per_s` on each connection; `answers_per_s` with weights
     in them on each, a third of ten seconds' worth at once (0: no limit).
 
-    >>> keeper = Doorkeeper(most=2, most_each=1, per_s=100, requests_per_s=1)
+    >>> keeper = ConnectionLimiter(most=2, most_each=1, per_s=100, requests_per_s=1)
     >>> [keeper.knock(0, who) for who in ("a", "a", "b", "c")]
     ['', 'too many connections from one address', '', 'too many connections']
     >>> keeper.gone("a"); keeper.knock(0, "c")
@@ -50,11 +50,11 @@
     ) -> None:
         self.answers_per_s = answers_per_s
         self.most, self.most_each = most, most_each
-        self.whole = Bucket(per_s, max(1.0, per_s / 4))
+        self.whole = TokenBucket(per_s, max(1.0, per_s / 4))
         self.per_s, self.requests_per_s = per_s, requests_per_s
         self.open: dict[str, int] = {}
         self.total = 0
-        self.each: OrderedDict[str, Bucket] = OrderedDict()
+        self.each: OrderedDict[str, TokenBucket] = OrderedDict()
         self.refused: dict[str, int] = {}
 
     def knock(self, now: int, address: str) -> str:
@@ -74,7 +74,7 @@
             return "too many connections from one address"
         pace = self.each.get(address)
         if pace is None:
-            pace = self.each[address] = Bucket(self.per_s / 8, max(1.0, self.per_s / 8))
+            pace = self.each[address] = TokenBucket(self.per_s / 8, max(1.0, self.per_s / 8))
             if len(self.each) > self.ADDRESSES:
                 self.each.popitem(last=False)
         self.each.move_to_end(address)
@@ -88,11 +88,11 @@
         if not self.open[address]:
             del self.open[address]
 
-    def requests(self) -> Bucket:
+    def requests(self) -> TokenBucket:
         """The pace of one connection's requests."""
-        return Bucket(self.requests_per_s, max(2.0, 2 * self.requests_per_s))
+        return TokenBucket(self.requests_per_s, max(2.0, 2 * self.requests_per_s))
 
-    def answers(self) -> Bucket:
+    def answers(self) -> TokenBucket:
         """The pace of the answers with weights to one who asks: the messages a proxy may get count them too."""
         pace = self.answers_per_s or 1e9
-        return Bucket(pace * 2 / 3, pace * 10 / 3)
+        return TokenBucket(pace * 2 / 3, pace * 10 / 3)
--- a/hollyridge/limits/fair_share.py
+++ b/hollyridge/limits/fair_share.py
@@ -15,7 +15,7 @@
 ALL = ""  # stands for the senders beyond those that are told apart
 
 
-class Sender:
+class ReportSource:
     __slots__ = ("balance", "wanted", "now", "usual", "refused", "heard")
 
     def __init__(self, share: float, now: int) -> None:
@@ -37,17 +37,17 @@
     return (some[-1] if some else 0.0) + rest
 
 
-class Fair:
+class FairShareLimiter:
     """`per_period` points are read of all senders together, `most` senders are told apart, the rest share as one.
 
-    >>> fair = Fair(100.0, 1_000_000, 10)
+    >>> fair = FairShareLimiter(100.0, 1_000_000, 10)
     >>> fair.wait(0, "loud"), fair.spent(0, "loud", 500), fair.wait(1, "loud") > 0, fair.wait(2, "quiet")
     (0, None, True, 0)
     """
 
     def __init__(self, per_period: float, period: int, most: int) -> None:
         self.budget, self.period, self.most = per_period, period, most
-        self.senders: OrderedDict[str, Sender] = OrderedDict()
+        self.senders: OrderedDict[str, ReportSource] = OrderedDict()
         self.begins, self.share, self.left = -1, per_period, CREDIT * per_period
         self.counts = {"periods": 0, "heard": 0, "turned_away": 0, "limited": 0}
 
@@ -74,14 +74,14 @@
         self.left -= points
         self.counts["heard"] += points
 
-    def of(self, now: int, sender: str) -> Sender:
+    def of(self, now: int, sender: str) -> ReportSource:
         one = self.senders.get(sender)
         if one is None:
             if len(self.senders) >= self.most:
                 sender = ALL
                 one = self.senders.get(ALL)
             if one is None:
-                one = self.senders[sender] = Sender(CREDIT * self.share, now)
+                one = self.senders[sender] = ReportSource(CREDIT * self.share, now)
         one.heard = now
         return one
 
--- a/hollyridge/limits/pending_connections.py
+++ b/hollyridge/limits/pending_connections.py
@@ -11,10 +11,10 @@
 from collections import OrderedDict
 
 
-class PendingJoins:
+class PendingConnections:
     """Connections by number, times in microseconds.
 
-    >>> pending = PendingJoins(patience=2_000_000)
+    >>> pending = PendingConnections(patience=2_000_000)
     >>> [pending.came(at, at, 2) for at in (1, 2)]
     [[], []]
     >>> pending.spoke(1); pending.came(3, 3, 2), pending.next_at
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Judge:
+class FencingChecker:
     """Numbers its own questions; an order is obeyed only under the number of the newest. So whoever was asked before
     is refused from the moment on that another is asked, however late or in whatever order its messages come. Orders
     without a number (0) come from assigners that share nothing: they are obeyed by who never obeyed a numbered one.
@@ -11,7 +11,7 @@
     `first`: where numbers begin. A proxy that starts again must not go below those of its last life, or it is turned
     away for a lease: seconds since a fixed day, say, with room for the questions of a second.
 
-    >>> judge = Judge()
+    >>> judge = FencingChecker()
     >>> judge.obeys(0), judge.ask(), judge.obeys(1), judge.ask()
     (True, 1, True, 2)
     >>> [judge.obeys(fence) for fence in (1, 0, 2, 7)]
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -29,7 +29,7 @@
 KNOWN = 100_000  # proxies remembered that are not ours
 
 
-class Standing(NamedTuple):
+class MemberState(NamedTuple):
     """A member that is there: since when, whether it takes proxies, and whether it is suspected to be gone."""
 
     zone: str
@@ -47,7 +47,7 @@
     period: int
 
 
-class Came(NamedTuple):
+class ProxyAsked(NamedTuple):
     """A proxy asks to be ordered, under this number; `plea`: it could not reach whom it was sent to."""
 
     uid: str
@@ -56,21 +56,21 @@
     plea: bool
 
 
-class Acked(NamedTuple):
+class TokenAcknowledged(NamedTuple):
     """A proxy has told that it still hears us, and its newest number."""
 
     uid: str
     asked: int
 
 
-class Ended(NamedTuple):
+class ProxyEnded(NamedTuple):
     uid: str
 
 
 class Members(NamedTuple):
     """Who is there now, oneself included."""
 
-    standing: dict[str, Standing]
+    standing: dict[str, MemberState]
 
 
 class Claims(NamedTuple):
@@ -85,27 +85,27 @@
     pass
 
 
-class Take(NamedTuple):
+class LeaseGranted(NamedTuple):
     """It is ours, under this fencing number."""
 
     uid: str
     fence: int
 
 
-class Stale(NamedTuple):
+class StaleToken(NamedTuple):
     """An older question than one that was answered: nothing is to be done."""
 
     uid: str
 
 
-class SendTo(NamedTuple):
+class ForwardProxy(NamedTuple):
     """It should be ordered by that member."""
 
     uid: str
     name: str
 
 
-class Drop(NamedTuple):
+class ReleaseProxy(NamedTuple):
     """It is not ours any more; end its stream. `to`: who should have it, empty if whoever it finds."""
 
     uid: str
@@ -113,7 +113,7 @@
     to: str = ""
 
 
-Do = Union[Take, Stale, SendTo, Drop]
+Do = Union[LeaseGranted, StaleToken, ForwardProxy, ReleaseProxy]
 
 
 class Claim:
@@ -135,10 +135,10 @@
     return -weight / log(((xxh64_intdigest(f"{name}\0{uid}".encode()) >> 12) + 0.5) / 2.0**52)
 
 
-def rightful(uid: str, zone: str, standing: Mapping[str, Standing]) -> str:
+def rightful(uid: str, zone: str, standing: Mapping[str, MemberState]) -> str:
     """Who should order a proxy; empty if nobody takes any.
 
-    >>> three = {name: Standing("", 1.0, 0) for name in "abc"}
+    >>> three = {name: MemberState("", 1.0, 0) for name in "abc"}
     >>> before = {f"gw-{k}": rightful(f"gw-{k}", "", three) for k in range(300)}
     >>> del three["b"]
     >>> sum(rightful(uid, "", three) != name for uid, name in before.items()) == list(before.values()).count("b")
@@ -155,12 +155,12 @@
     return best[1] if best[0] > 0 else ""
 
 
-class Owners:
+class LeaseManager:
     """One assigner's side; `name` is its own."""
 
     def __init__(self, name: str, lease: Lease) -> None:
         self.name, self.lease = name, lease
-        self.standing: dict[str, Standing] = {}
+        self.standing: dict[str, MemberState] = {}
         self.mine: dict[str, Claim] = {}
         self.others: dict[str, dict[str, int]] = {}  # by member: proxies that it says it orders
         self.next_moves = 0
@@ -168,17 +168,17 @@
         self.counts = dict.fromkeys(("taken", "pleas", "stale", "sent_on", "lapsed", "fenced_out", "handed_over"), 0)
 
     def take(self, now: int, what) -> list[Do]:
-        if isinstance(what, Came):
+        if isinstance(what, ProxyAsked):
             return self.came(now, what)
-        if isinstance(what, Acked):
+        if isinstance(what, TokenAcknowledged):
             claim = self.mine.get(what.uid)
             if claim is not None and what.asked > claim.fence:  # it obeys another by now
                 self.counts["fenced_out"] += 1
                 del self.mine[what.uid]
-                return [Drop(what.uid, "another orders it")]
+                return [ReleaseProxy(what.uid, "another orders it")]
             if claim is not None:
                 claim.heard = now
-        elif isinstance(what, Ended):
+        elif isinstance(what, ProxyEnded):
             self.mine.pop(what.uid, None)
         elif isinstance(what, Members):
             self.standing = dict(what.standing)
@@ -202,11 +202,11 @@
         claim = self.mine.get(uid)
         return claim.fence if claim is not None else 0
 
-    def came(self, now: int, what: Came) -> list[Do]:
+    def came(self, now: int, what: ProxyAsked) -> list[Do]:
         before = self.mine.get(what.uid)
         if before is not None and what.asked < before.fence:
             self.counts["stale"] += 1
-            return [Stale(what.uid)]
+            return [StaleToken(what.uid)]
         to = rightful(what.uid, what.zone, self.standing)
         # Who looks elsewhere while its owner is suspected says the same as the suspicion: waiting for it to be gone
         # would cost the time of a takeover. It may hurt where loss makes a suspicion; it is moved back later.
@@ -214,11 +214,11 @@
         if to and to != self.name and not plea:
             self.counts["sent_on"] += 1
             self.mine.pop(what.uid, None)
-            return [SendTo(what.uid, to)]
+            return [ForwardProxy(what.uid, to)]
         self.counts["taken"] += 1
         self.counts["pleas"] += plea
         self.mine[what.uid] = Claim(what.asked, what.zone, now, plea and to != self.name)
-        return [Take(what.uid, what.asked)]
+        return [LeaseGranted(what.uid, what.asked)]
 
     def tick(self, now: int) -> list[Do]:
         out: list[Do] = []
@@ -226,7 +226,7 @@
             if now - claim.heard > self.lease.length:
                 self.counts["lapsed"] += 1
                 del self.mine[uid]
-                out.append(Drop(uid, "its lease ran out"))
+                out.append(ReleaseProxy(uid, "its lease ran out"))
         if now >= self.next_moves:
             self.next_moves = now + self.lease.period
             out += self.moves(now)
@@ -254,7 +254,7 @@
         for _, uid, to in due[: ceil(PART * len(self.mine))]:
             self.counts["handed_over"] += 1
             del self.mine[uid]
-            out.append(Drop(uid, "handed over", to))
+            out.append(ReleaseProxy(uid, "handed over", to))
         return out
 
     def disagreements(self) -> list[tuple[str, str, str]]:
--- a/hollyridge/membership/messages.py
+++ b/hollyridge/membership/messages.py
@@ -15,7 +15,7 @@
     LEFT = 3
 
 
-class Facts(NamedTuple):
+class MemberFacts(NamedTuple):
     """What a member says of itself. `run` names this start of it, `serves` the addresses (host:port) of its fronts by
     name, `weight` how many proxies it takes against others, `drains` that it takes none."""
 
@@ -27,13 +27,13 @@
     serves: tuple[tuple[str, str], ...] = ()
 
 
-class Word(NamedTuple):
+class GossipMessage(NamedTuple):
     """News of a member. Only it itself raises its incarnation."""
 
     name: str
     status: int
     incarnation: int
-    facts: Facts
+    facts: MemberFacts
 
 
 class Ping(NamedTuple):
@@ -41,12 +41,12 @@
 
     number: int
     target: str
-    words: tuple[Word, ...]
+    words: tuple[GossipMessage, ...]
 
 
 class Ack(NamedTuple):
     number: int
-    words: tuple[Word, ...]
+    words: tuple[GossipMessage, ...]
 
 
 class Relay(NamedTuple):
@@ -54,20 +54,20 @@
 
     number: int
     target: str
-    words: tuple[Word, ...]
+    words: tuple[GossipMessage, ...]
 
 
 class Join(NamedTuple):
     """The first word to a seed, or to one that was gone; answered with all that is known."""
 
-    words: tuple[Word, ...]
+    words: tuple[GossipMessage, ...]
 
 
-class Whole(NamedTuple):
-    words: tuple[Word, ...]
+class FullState(NamedTuple):
+    words: tuple[GossipMessage, ...]
 
 
-class Claimed(NamedTuple):
+class ClaimedProxies(NamedTuple):
     """Proxies that the sender orders, with their fencing numbers; for watchers, never believed against a proxy's
     own word."""
 
@@ -75,7 +75,7 @@
     first: bool
 
 
-class Learnt(NamedTuple):
+class SharedEstimates(NamedTuple):
     """What the sender has learnt of tasks, by name: see `interface.Learnt`. `age`: ms since the newest was heard."""
 
     rows: tuple[tuple[str, float, float, float, float], ...]
@@ -83,4 +83,4 @@
     age: int
 
 
-Message = Union[Ping, Ack, Relay, Join, Whole, Claimed, Learnt]
+Message = Union[Ping, Ack, Relay, Join, FullState, ClaimedProxies, SharedEstimates]
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -15,7 +15,17 @@
 from random import Random
 from typing import NamedTuple, Union
 
-from hollyridge.membership.messages import Ack, Facts, Join, Message, Ping, Relay, Status, Whole, Word
+from hollyridge.membership.messages import (
+    Ack,
+    FullState,
+    GossipMessage,
+    Join,
+    MemberFacts,
+    Message,
+    Ping,
+    Relay,
+    Status,
+)
 
 WORDS = 8  # of one message, at the most
 WHOLE = 64  # of an answer to a join
@@ -27,7 +37,7 @@
 RAISE = 1 << 20  # an incarnation further ahead than this is not believed: nobody could ever refute it
 
 
-class Pace(NamedTuple):
+class SwimConfig(NamedTuple):
     """`period` of probes, `answer` within which a direct ack comes (below half of it), `most` members."""
 
     period: int
@@ -49,7 +59,7 @@
 class Told(NamedTuple):
     """Other facts of oneself from now on."""
 
-    facts: Facts
+    facts: MemberFacts
 
 
 class Leaving(NamedTuple):
@@ -66,7 +76,7 @@
 
     name: str
     status: Status
-    facts: Facts
+    facts: MemberFacts
     restarted: bool = False
 
 
@@ -76,15 +86,15 @@
 class Member:
     __slots__ = ("status", "incarnation", "facts", "since", "until", "told", "disputed")
 
-    def __init__(self, word: Word, now: int) -> None:
+    def __init__(self, word: GossipMessage, now: int) -> None:
         self.status, self.incarnation, self.facts = Status(word.status), word.incarnation, word.facts
         self.since, self.until, self.told, self.disputed = now, 0, 0, False
 
 
 class Swim:
     """
-    >>> a, b = (Swim(name, Facts(f"127.0.0.1:{port}", "r1"), Pace(1000, 200), Random(1)) for name, port in
-    ...         (("a", 1), ("b", 2)))
+    >>> a, b = (Swim(name, MemberFacts(f"127.0.0.1:{port}", "r1"), SwimConfig(1000, 200), Random(1))
+    ...         for name, port in (("a", 1), ("b", 2)))
     >>> a.seeds = ["127.0.0.1:2"]
     >>> (join,) = a.take(0, Tick()); join.message.words[0].name
     'a'
@@ -95,7 +105,9 @@
     ['b']
     """
 
-    def __init__(self, name: str, facts: Facts, pace: Pace, rng: Random, seeds: tuple[str, ...] = ()) -> None:
+    def __init__(
+        self, name: str, facts: MemberFacts, pace: SwimConfig, rng: Random, seeds: tuple[str, ...] = ()
+    ) -> None:
         self.name, self.facts, self.pace, self.seeds = name, facts, pace, list(seeds)
         self.shuffle, self.sample = rng.shuffle, rng.sample
         self.incarnation, self.left = 0, False
@@ -152,7 +164,7 @@
         for name, one in list(self.members.items()):
             if one.status == Status.SUSPECT and now >= one.until:
                 self.counts["gone"] += 1
-                self.set(now, Word(name, Status.GONE, one.incarnation, one.facts), out)
+                self.set(now, GossipMessage(name, Status.GONE, one.incarnation, one.facts), out)
             elif one.status >= Status.GONE and now - one.since > KEEP * self.pace.period:
                 del self.members[name]
         self.relayed = {k: row for k, row in self.relayed.items() if now - row[2] < 2 * self.pace.period}
@@ -199,7 +211,7 @@
         one = self.members.get(name)
         if one is not None and one.status == Status.ALIVE:
             self.counts["suspected"] += 1
-            self.set(now, Word(name, Status.SUSPECT, one.incarnation, one.facts), out)
+            self.set(now, GossipMessage(name, Status.SUSPECT, one.incarnation, one.facts), out)
 
     def hear(self, now: int, what: Heard, out: list[Do]) -> None:
         message, address = what.message, what.address
@@ -228,21 +240,21 @@
                 self.probe = None
         elif kind is Join and message.words:
             every = [self.word(), *(self.word_of(name) for name in sorted(self.members))]
-            out.append(Send(address, Whole(tuple(every[:WHOLE]))))
+            out.append(Send(address, FullState(tuple(every[:WHOLE]))))
 
     # Words.
 
-    def word(self) -> Word:
-        return Word(self.name, Status.LEFT if self.left else Status.ALIVE, self.incarnation, self.facts)
+    def word(self) -> GossipMessage:
+        return GossipMessage(self.name, Status.LEFT if self.left else Status.ALIVE, self.incarnation, self.facts)
 
-    def word_of(self, name: str) -> Word:
+    def word_of(self, name: str) -> GossipMessage:
         one = self.members[name]
-        return Word(name, int(one.status), one.incarnation, one.facts)
+        return GossipMessage(name, int(one.status), one.incarnation, one.facts)
 
     def times(self) -> int:
         return TIMES * ceil(log2(len(self.alive()) + 2))
 
-    def words(self, to: str) -> tuple[Word, ...]:
+    def words(self, to: str) -> tuple[GossipMessage, ...]:
         """The least told first; what is said of whom it goes to goes first, so that it can refute it."""
         found = [self.word()] if self.my_word_told < self.times() else []
         self.my_word_told += len(found)
@@ -257,7 +269,7 @@
             found.append(self.word_of(name))
         return tuple(found)
 
-    def listen(self, now: int, word: Word, out: list[Do]) -> None:
+    def listen(self, now: int, word: GossipMessage, out: list[Do]) -> None:
         facts = word.facts
         if not (0 <= word.incarnation < 1 << 53 and isfinite(facts.weight) and 0 <= facts.weight <= 1e6):
             self.counts["disbelieved"] += 1
@@ -278,7 +290,7 @@
         elif word.incarnation <= one.incarnation and word.facts.run != one.facts.run:
             one.disputed = True  # it started again and knows nothing of its former number: it must hear of that
 
-    def refute(self, word: Word) -> None:
+    def refute(self, word: GossipMessage) -> None:
         """Of oneself only one's own word counts. A run before this one may have been further on."""
         mine = self.word()
         other = word.status != mine.status or word.facts != self.facts
@@ -290,7 +302,7 @@
             else:
                 self.counts["disbelieved"] += 1
 
-    def set(self, now: int, word: Word, out: list[Do]) -> None:
+    def set(self, now: int, word: GossipMessage, out: list[Do]) -> None:
         before = self.members.get(word.name)
         one = self.members[word.name] = Member(word, now)
         restarted = before is not None and before.facts.run != word.facts.run
--- a/hollyridge/node/__main__.py
+++ b/hollyridge/node/__main__.py
@@ -14,9 +14,9 @@
 import gevent  # noqa: E402
 
 from hollyridge.core import logs  # noqa: E402
-from hollyridge.core.engine import ModuleError  # noqa: E402
-from hollyridge.node.application import Program  # noqa: E402
-from hollyridge.node.config import NodeError, read_file  # noqa: E402
+from hollyridge.core.engine import DecisionModuleError  # noqa: E402
+from hollyridge.node.application import Application  # noqa: E402
+from hollyridge.node.config import ConfigError, read_file  # noqa: E402
 
 
 def main() -> int:
@@ -26,13 +26,13 @@
     log = logs.start("json", "info")
     try:
         if not path:
-            raise NodeError("BALANCER_CONFIG names no configuration file")
+            raise ConfigError("BALANCER_CONFIG names no configuration file")
         terms = read_file(path)
-    except NodeError as trouble:
+    except ConfigError as trouble:
         for fault in str(trouble).splitlines():
             print(f"hollyridge: {fault}", file=sys.stderr)
         return 2
-    program = Program(terms, log.bind(name=terms.name), lambda: read_file(path))
+    program = Application(terms, log.bind(name=terms.name), lambda: read_file(path))
     gevent.signal_handler(signal.SIGTERM, program.stop)
     gevent.signal_handler(signal.SIGINT, program.stop)
     gevent.signal_handler(signal.SIGHUP, program.reload)
@@ -54,7 +54,7 @@
     )
     try:
         program.run()
-    except ModuleError as trouble:
+    except DecisionModuleError as trouble:
         program.log.error("gives up", why=str(trouble))
         return 4
     return 0
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -9,14 +9,14 @@
 
 import gevent
 
-from hollyridge.core.engine import Limits, Machine, spread
-from hollyridge.core.event_loop import Loop, monotonic_us
-from hollyridge.discovery.endpoint_list import Heard, Listing
+from hollyridge.core.engine import Engine, EngineLimits, spread
+from hollyridge.core.event_loop import EventLoop, monotonic_us
+from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker
 from hollyridge.discovery.schema import TASKS_MOST
-from hollyridge.discovery.watch_client import Watch
-from hollyridge.discovery.watch_state import Caller
-from hollyridge.node.config import NodeError, NodeTerms
-from hollyridge.resp.server import RespFront, RespTerms
+from hollyridge.discovery.watch_client import WatchClient
+from hollyridge.discovery.watch_state import WatchState
+from hollyridge.node.config import ConfigError, NodeConfig
+from hollyridge.resp.server import RespConfig, RespServer
 
 KEPT = 24  # descriptors for what is not a connection of the front: logs, the hub, discovery, the listener
 EVENTS_MOST = 20_000  # waiting for the module, past which reports give way
@@ -26,15 +26,15 @@
 REREADS = (0.1, 0.2, 0.4, 0.8)  # s between readings of a configuration that may be half replaced
 
 
-class Program:
+class Application:
     """`read` reads the configuration again. `start` listens (OSError if the address is taken), `run` blocks until
     `stop` and raises what the machine raises when it gives up."""
 
-    def __init__(self, terms: NodeTerms, log, read: Callable[[], NodeTerms], clock: Callable = monotonic_us) -> None:
+    def __init__(self, terms: NodeConfig, log, read: Callable[[], NodeConfig], clock: Callable = monotonic_us) -> None:
         self.terms, self.log, self.read = terms, log, read
         self.reloads = 0
         boot = terms.boot
-        limits = Limits(
+        limits = EngineLimits(
             boot.lines_per_s,
             boot.overhead,
             boot.most_waiting,
@@ -47,16 +47,20 @@
             EVENTS_MOST,
         )
         now = clock()
-        listing = Listing(
+        listing = EndpointListTracker(
             lambda name: self.machine.tasks.enter(self.machine.ran_at, name), now - time.time_ns() // 1000
         )
-        self.machine = Machine(boot, terms.seed, limits, listing, now, log, detail=False)
-        self.loop = Loop(self.machine, clock, terms.round_s)
-        self.machine.happened(now, Heard(terms.known, stale=True))
+        self.machine = Engine(boot, terms.seed, limits, listing, now, log, detail=False)
+        self.loop = EventLoop(self.machine, clock, terms.round_s)
+        self.machine.happened(now, EndpointListReceived(terms.known, stale=True))
         zones = {name: z for z, name in enumerate(terms.names.zones)}
-        self.watch = Watch(self.loop, listing, Caller(BEAT, Random(terms.seed ^ 1)), terms.discovery, zones, log)
+        self.watch = WatchClient(
+            self.loop, listing, WatchState(BEAT, Random(terms.seed ^ 1)), terms.discovery, zones, log
+        )
         descriptors = min(terms.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.front = RespFront(self.loop, RespTerms(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), boot, log)
+        self.front = RespServer(
+            self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), boot, log
+        )
         self.machine.holds = self.front.holds
 
     def start(self) -> int:
@@ -80,7 +84,7 @@
             try:
                 terms = self.read()
                 break
-            except NodeError as trouble:
+            except ConfigError as trouble:
                 if str(trouble) != faults:
                     faults = str(trouble)
                     self.log.error("configuration not taken", faults=faults.splitlines())
--- a/hollyridge/node/config.py
+++ b/hollyridge/node/config.py
@@ -9,26 +9,26 @@
 import msgspec
 from msgspec import Meta
 
-from hollyridge.discovery.schema import News, Page, RosterError, read
-from hollyridge.interface import Bootstrap
-from hollyridge.platform_settings.reader import TermsError, bootstrap_of, flattened
-from hollyridge.resp.messages import Names
+from hollyridge.discovery.schema import EndpointListError, EndpointPage, WatchEvent, read
+from hollyridge.interface import AssignerConfig
+from hollyridge.platform_settings.reader import SettingsError, bootstrap_of, flattened
+from hollyridge.resp.messages import ProtocolNames
 from hollyridge.settings.address import split
 
 CONFIG_MOST = 16 << 20  # bytes
 
 
-class NodeError(Exception):
+class ConfigError(Exception):
     """A configuration that can't be used; a line for each fault."""
 
 
-class Allowance(msgspec.Struct):
+class ResourceLimits(msgspec.Struct):
     cores: Annotated[float, Meta(gt=0, le=1024)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
     sockets: Annotated[int, Meta(ge=32)] = 1024
 
 
-class Document(msgspec.Struct):
+class ConfigDocument(msgspec.Struct):
     """The file as the platform writes it."""
 
     name: Annotated[str, Meta(min_length=1, max_length=200)]
@@ -36,21 +36,21 @@
     discovery: str
     seed: str
     settings: dict
-    limits: Allowance = msgspec.field(default_factory=Allowance)
-    known: Page | None = None
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
+    known: EndpointPage | None = None
 
 
-class NodeTerms(NamedTuple):
+class NodeConfig(NamedTuple):
     """What the assigner runs by. `round_s`: the least time between two decisions."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    limits: Allowance
-    boot: Bootstrap
-    names: Names
-    known: News
+    limits: ResourceLimits
+    boot: AssignerConfig
+    names: ProtocolNames
+    known: WatchEvent
     round_s: float
     values: dict[str, str]
 
@@ -69,23 +69,23 @@
         return "", 0
 
 
-def read_file(path: str) -> NodeTerms:
+def read_file(path: str) -> NodeConfig:
     """NodeError names every fault found."""
     try:
         with Path(path).open("rb") as file:
             raw = file.read(CONFIG_MOST + 1)
     except OSError as trouble:
-        raise NodeError(f"cannot read {path}: {trouble.strerror}") from None
+        raise ConfigError(f"cannot read {path}: {trouble.strerror}") from None
     return read_terms(raw)
 
 
-def read_terms(raw: bytes) -> NodeTerms:
+def read_terms(raw: bytes) -> NodeConfig:
     if len(raw) > CONFIG_MOST:
-        raise NodeError(f"the configuration is longer than {CONFIG_MOST} bytes")
+        raise ConfigError(f"the configuration is longer than {CONFIG_MOST} bytes")
     try:
-        document = msgspec.json.decode(raw, type=Document)
+        document = msgspec.json.decode(raw, type=ConfigDocument)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as trouble:
-        raise NodeError(f"the configuration cannot be read: {str(trouble)[:300]}") from None
+        raise ConfigError(f"the configuration cannot be read: {str(trouble)[:300]}") from None
     faults: list[str] = []
     listen = address(document.listen, "listen", faults)
     discovery = address(document.discovery, "discovery", faults)
@@ -98,25 +98,25 @@
     boot = None
     try:
         boot = bootstrap_of(values)
-    except TermsError as trouble:
+    except SettingsError as trouble:
         faults += trouble.faults
     names = names_of(document.settings, values, faults)
-    known = News(-1, True, ())
+    known = WatchEvent(-1, True, ())
     if document.known is not None:
         try:
             known = read(document.known, {name: z for z, name in enumerate(names.zones)})
-        except RosterError as trouble:
+        except EndpointListError as trouble:
             faults.append(f"known: {trouble}")
     if faults or boot is None:
-        raise NodeError("\n".join(faults))
+        raise ConfigError("\n".join(faults))
     try:
         round_s = min(0.1, max(0.0005, float(values.get("round", "0.005"))))
     except ValueError:
         round_s = 0.005
-    return NodeTerms(document.name, listen, discovery, seed, document.limits, boot, names, known, round_s, values)
+    return NodeConfig(document.name, listen, discovery, seed, document.limits, boot, names, known, round_s, values)
 
 
-def names_of(settings: dict, values: dict[str, str], faults: list[str]) -> Names:
+def names_of(settings: dict, values: dict[str, str], faults: list[str]) -> ProtocolNames:
     """The words that messages use, as they are written there: not as the settings text would write them."""
     rows = settings.get("profiles")
     methods = [row.get("name") for row in rows if isinstance(row, dict)] if isinstance(rows, list) else []
@@ -125,7 +125,7 @@
         good = isinstance(found, list) and found and all(isinstance(x, str) and x for x in found)
         if not good or len(set(found)) < len(found):
             faults.append(f"the settings have no sensible {what}")
-            return Names(("",), ("",), 1)
+            return ProtocolNames(("",), ("",), 1)
     try:
         proxies = int(float(values.get("family_info.agents", "")))
         if not 1 <= proxies <= 65535:
@@ -133,4 +133,4 @@
     except ValueError:
         faults.append("the settings have no sensible family_info.agents")
         proxies = 1
-    return Names(tuple(zones), tuple(methods), proxies)
+    return ProtocolNames(tuple(zones), tuple(methods), proxies)
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -22,11 +22,11 @@
     ExportMetricsServiceResponse,
 )
 
-from hollyridge.core.event_loop import Loop
+from hollyridge.core.event_loop import EventLoop
 from hollyridge.keys.tls import bearer_of
-from hollyridge.limits.fair_share import Fair
-from hollyridge.otlp.reading import Names, Running, read
-from hollyridge.sessions.access import Access
+from hollyridge.limits.fair_share import FairShareLimiter
+from hollyridge.otlp.reading import AttributeNames, CumulativeState, read
+from hollyridge.sessions.access import AccessControl
 
 REASONS = {
     200: "OK",
@@ -44,7 +44,7 @@
 THREADED = 64 * 1024  # bytes of body from which it is unpacked off the hub's thread
 
 
-class OtlpTerms(NamedTuple):
+class OtlpConfig(NamedTuple):
     """Sizes in bytes, times in seconds; `points_per_s` is what all senders together may say."""
 
     host: str
@@ -55,7 +55,7 @@
     points_per_s: float
 
 
-class BadError(Exception):
+class BadRequestError(Exception):
     """A request that is turned down, with its HTTP status; `wait` microseconds before it may come again."""
 
     def __init__(self, status: int, why: str, wait: int = 0) -> None:
@@ -69,11 +69,11 @@
         engine = zlib.decompressobj(wbits=31)
         out = engine.decompress(raw, most + 1)
     except zlib.error:
-        raise BadError(400, "the body is no gzip") from None
+        raise BadRequestError(400, "the body is no gzip") from None
     if len(out) > most:
-        raise BadError(413, f"a body of over {most} bytes")
+        raise BadRequestError(413, f"a body of over {most} bytes")
     if not engine.eof:
-        raise BadError(400, "the gzip body is cut off")
+        raise BadRequestError(400, "the gzip body is cut off")
     return out
 
 
@@ -86,10 +86,10 @@
             )
         return ExportMetricsServiceRequest.FromString(body)
     except (DecodeError, json_format.ParseError, UnicodeDecodeError, RecursionError, ValueError):
-        raise BadError(400, "the body is no metrics request") from None
+        raise BadRequestError(400, "the body is no metrics request") from None
 
 
-OPEN = Access(False, ())
+OPEN = AccessControl(False, ())
 BEARER = "hollyridge.bearer"
 
 
@@ -114,25 +114,25 @@
     return Server
 
 
-class Intake:
+class MetricsServer:
     """`pages`: what `GET` of a path answers, its type and the call that writes it (None: nothing there yet). `deeds`:
     what `POST` of a path does, for known bearers, or from the same machine where there are no keys."""
 
     def __init__(
         self,
-        loop: Loop,
-        terms: OtlpTerms,
-        names: Names,
+        loop: EventLoop,
+        terms: OtlpConfig,
+        names: AttributeNames,
         pages: dict[str, tuple[str, Callable]],
         log,
-        access: Access = OPEN,
+        access: AccessControl = OPEN,
         secure: Callable | None = None,
         deeds: dict[str, Callable[[], None]] | None = None,
     ) -> None:
         self.access, self.deeds = access, deeds or {}
         self.loop, self.terms, self.names, self.pages, self.log = loop, terms, names, pages, log
-        self.running = Running(loop.machine.limits.most_series)
-        self.fair = Fair(terms.points_per_s, 1_000_000, terms.connections_most)
+        self.running = CumulativeState(loop.machine.limits.most_series)
+        self.fair = FairShareLimiter(terms.points_per_s, 1_000_000, terms.connections_most)
         self.counts = dict.fromkeys(("requests", "points", "rejected", "bad", "slowed"), 0)
         self.why: dict[str, int] = {}
         kind = WSGIServer if secure is None else secured(secure)
@@ -158,18 +158,18 @@
                 written, call = self.pages[path]
                 body = call()
                 if body is None:
-                    raise BadError(503, "nothing is known yet")
+                    raise BadRequestError(503, "nothing is known yet")
                 kind, status = written, 200
             elif path in self.deeds and verb == "POST":
                 why = self.access.known(environ.get(BEARER, ""))
                 if why or self.access.open and not environ.get("REMOTE_ADDR", "").startswith(("127.", "::1")):
-                    raise BadError(403, why or "only from this machine")
+                    raise BadRequestError(403, why or "only from this machine")
                 self.deeds[path]()
                 self.log.info("asked for", deed=path, peer=environ.get("REMOTE_ADDR"))
                 kind, status, body = "application/json", 200, b"{}"
             else:
                 status, body = 200, self.metrics(environ, path, verb, kind, as_json)
-        except BadError as trouble:
+        except BadRequestError as trouble:
             status, kind = trouble.status, kind if as_json else "application/x-protobuf"
             self.counts["slowed" if status == 429 else "bad"] += 1
             if status == 429:
@@ -191,36 +191,36 @@
         except ValueError:
             length = -1
         if length < 0 and environ.get("HTTP_TRANSFER_ENCODING", "").lower() != "chunked":
-            raise BadError(411, "no length")
+            raise BadRequestError(411, "no length")
         if length > self.terms.body_most:
-            raise BadError(413, f"a body of {length} bytes ({self.terms.body_most} at most)")
+            raise BadRequestError(413, f"a body of {length} bytes ({self.terms.body_most} at most)")
         try:
             with gevent.Timeout(self.terms.body_s, TimeoutError):
                 raw = environ["wsgi.input"].read(length if length >= 0 else self.terms.body_most + 1)
         except TimeoutError:
-            raise BadError(408, "the body did not come in time") from None
+            raise BadRequestError(408, "the body did not come in time") from None
         except OSError as trouble:
-            raise BadError(400, f"the body broke off: {trouble}") from None
+            raise BadRequestError(400, f"the body broke off: {trouble}") from None
         if len(raw) > self.terms.body_most:
-            raise BadError(413, f"a body of over {self.terms.body_most} bytes")
+            raise BadRequestError(413, f"a body of over {self.terms.body_most} bytes")
         if len(raw) < length:
-            raise BadError(400, "the body is shorter than told")
+            raise BadRequestError(400, "the body is shorter than told")
         return raw
 
     def metrics(self, environ: dict, path: str, verb: str, kind: str, as_json: bool) -> bytes:
         if path != "/v1/metrics":
-            raise BadError(404, f"nothing at {path[:80]}")
+            raise BadRequestError(404, f"nothing at {path[:80]}")
         if verb != "POST":
-            raise BadError(405, f"{verb[:16]} is not spoken here")
+            raise BadRequestError(405, f"{verb[:16]} is not spoken here")
         if not as_json and kind != "application/x-protobuf":
-            raise BadError(415, "application/x-protobuf or application/json is wanted")
+            raise BadRequestError(415, "application/x-protobuf or application/json is wanted")
         packing = environ.get("HTTP_CONTENT_ENCODING", "identity")
         if packing not in ("identity", "gzip"):
-            raise BadError(415, "gzip is the only content encoding spoken")
+            raise BadRequestError(415, "gzip is the only content encoding spoken")
         sender = environ.get(BEARER, "") or environ.get("REMOTE_ADDR", "?")
         wait = self.fair.wait(self.loop.clock(), sender)
         if wait:
-            raise BadError(429, "more points a second than are read of one sender now; come again", wait)
+            raise BadRequestError(429, "more points a second than are read of one sender now; come again", wait)
         raw, most = self.body(environ), 8 * self.terms.body_most
         if len(raw) >= THREADED:  # unpacking is one long call: it would hold up all streams
             request = gevent.get_hub().threadpool.apply(parse, (raw, packing == "gzip", as_json, most))
@@ -228,7 +228,7 @@
             request = parse(raw, packing == "gzip", as_json, most)
         return self.count(request, environ.get("REMOTE_ADDR", "?"), environ.get(BEARER, ""), as_json, sender)
 
-    def names_for(self, bearer: str) -> Names:
+    def names_for(self, bearer: str) -> AttributeNames:
         """Lookups as this sender may use them."""
         if self.access.open:
             return self.names
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -21,7 +21,7 @@
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import ExportMetricsServiceRequest
 from opentelemetry.proto.metrics.v1.metrics_pb2 import AggregationTemporality
 
-from hollyridge.telemetry.report_aggregator import LOADS, Kind, Point
+from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
 METRICS = {
     "hollyridge.tries": Kind.TRIES,
@@ -36,7 +36,7 @@
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
 
 
-class Names(NamedTuple):
+class AttributeNames(NamedTuple):
     """How names are looked up; each returns None for what is not known, -1 for what is not for this sender."""
 
     zone: Callable[[str], int | None]
@@ -53,7 +53,7 @@
     return float(point.as_int) if point.HasField("as_int") else point.as_double
 
 
-class Running:
+class CumulativeState:
     """Running totals of cumulative series, so that what came since can be told. A start that moved is a sender
     that began anew; a total that fell without it is no sensible figure."""
 
@@ -77,8 +77,10 @@
         return value - total, upto
 
 
-def read(request: ExportMetricsServiceRequest, peer: str, names: Names, running: Running) -> Iterator[Point | str]:
-    """Each data point as a `Point`, or as the reason for which it does not count."""
+def read(
+    request: ExportMetricsServiceRequest, peer: str, names: AttributeNames, running: CumulativeState
+) -> Iterator[DataPoint | str]:
+    """Each data point as a `DataPoint`, or as the reason for which it does not count."""
     for resource in request.resource_metrics:
         source = attributes(resource.resource.attributes).get("service.instance.id", peer)[:64]
         for scope in resource.scope_metrics:
@@ -98,7 +100,9 @@
                         yield one(source, kind, point, temporality, names, running)
 
 
-def one(source: str, kind: Kind, point, temporality: int, names: Names, running: Running) -> Point | str:
+def one(
+    source: str, kind: Kind, point, temporality: int, names: AttributeNames, running: CumulativeState
+) -> DataPoint | str:
     told = attributes(point.attributes)
     method = 0
     if kind in (Kind.RPCS, Kind.UNANSWERED):
@@ -130,4 +134,4 @@
         value, start = since
     elif temporality != DELTA:
         return "no temporality"
-    return Point(source, kind, place, method, value, start, end)
+    return DataPoint(source, kind, place, method, value, start, end)
--- a/hollyridge/peers/codec.py
+++ b/hollyridge/peers/codec.py
@@ -30,24 +30,24 @@
 RUNS = 256  # that are remembered, and as many that are to prove themselves
 
 
-class Prove(NamedTuple):
+class Challenge(NamedTuple):
     word: bytes
 
 
-class Proof(NamedTuple):
+class ChallengeResponse(NamedTuple):
     word: bytes
 
 
 KINDS = (
-    Prove,
-    Proof,
+    Challenge,
+    ChallengeResponse,
     messages.Ping,
     messages.Ack,
     messages.Relay,
     messages.Join,
-    messages.Whole,
-    messages.Claimed,
-    messages.Learnt,
+    messages.FullState,
+    messages.ClaimedProxies,
+    messages.SharedEstimates,
 )
 _NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
 _DECODERS = [msgspec.msgpack.Decoder(kind) for kind in KINDS]
@@ -59,7 +59,7 @@
     """What came in is no packet of this fleet."""
 
 
-class Opened(NamedTuple):
+class OpenedPacket(NamedTuple):
     """`message` None where there is only `answer`, a packet to send back."""
 
     name: str
@@ -67,7 +67,7 @@
     answer: bytes | None = None
 
 
-class Seen:
+class ReplayWindow:
     """The numbers of one run that have come."""
 
     __slots__ = ("highest", "bits")
@@ -77,7 +77,7 @@
 
     def first_time(self, number: int) -> bool:
         """
-        >>> seen = Seen()
+        >>> seen = ReplayWindow()
         >>> [seen.first_time(n) for n in (1, 3, 2, 3, 5000, 3, 4999)]
         [True, True, True, False, True, False, True]
         """
@@ -92,11 +92,11 @@
         return True
 
 
-class Guard:
+class PacketGuard:
     """One assigner's end of all its packets. `secret` is the fleet's key, `fresh(n)` gives n random bytes.
 
     >>> import os
-    >>> a, b = Guard(b"k" * 32, "a", os.urandom), Guard(b"k" * 32, "b", os.urandom)
+    >>> a, b = PacketGuard(b"k" * 32, "a", os.urandom), PacketGuard(b"k" * 32, "b", os.urandom)
     >>> ping = a.seal(messages.Ping(1, "b", ()))
     >>> prove = b.open(ping).answer
     >>> proof = a.open(prove).answer
@@ -114,14 +114,14 @@
         self.box = self.box_of(self.run)
         self.number = 0
         self.boxes: OrderedDict[bytes, ChaCha20Poly1305] = OrderedDict()
-        self.proven: OrderedDict[bytes, Seen] = OrderedDict()
+        self.proven: OrderedDict[bytes, ReplayWindow] = OrderedDict()
         self.asked: OrderedDict[bytes, bytes] = OrderedDict()
         self.counts = dict.fromkeys(("sealed", "opened", "not_ours", "repeated", "asked_to_prove"), 0)
 
     def box_of(self, run: bytes) -> ChaCha20Poly1305:
         return ChaCha20Poly1305(HKDF(SHA256(), 32, run, b"hollyridge peers 1").derive(self.secret))
 
-    def seal(self, message: messages.Message | Prove | Proof) -> bytes:
+    def seal(self, message: messages.Message | Challenge | ChallengeResponse) -> bytes:
         """ValueError for one that is longer than a packet may be."""
         self.number += 1
         head = HEAD.pack(MAGIC, self.run, self.number)
@@ -135,7 +135,7 @@
     def nonce(number: int) -> bytes:
         return b"\0\0\0\0" + number.to_bytes(8, "big")
 
-    def open(self, raw: bytes) -> Opened:
+    def open(self, raw: bytes) -> OpenedPacket:
         """PeerError for what is none of this fleet's, or has come before."""
         try:
             return self._open(raw)
@@ -145,7 +145,7 @@
             self.counts["not_ours"] += 1
             raise PeerError(f"no packet of this fleet ({type(trouble).__name__})") from None
 
-    def _open(self, raw: bytes) -> Opened:
+    def _open(self, raw: bytes) -> OpenedPacket:
         if not HEAD.size < len(raw) <= MOST:
             raise struct.error
         magic, run, number = HEAD.unpack_from(raw)
@@ -160,22 +160,22 @@
             raise struct.error
         message = _DECODERS[kind].decode(body)
         if kind == 0:  # it does not know us yet
-            return Opened(name, None, self.seal(Proof(message.word)))
+            return OpenedPacket(name, None, self.seal(ChallengeResponse(message.word)))
         if kind == 1:
             if self.asked.pop(run, None) == message.word:
-                keep(self.proven, run, Seen())
-            return Opened(name, None)
+                keep(self.proven, run, ReplayWindow())
+            return OpenedPacket(name, None)
         seen = self.proven.get(run)
         if seen is None:
             self.counts["asked_to_prove"] += 1
             word = self.asked.get(run) or self.fresh(16)
             keep(self.asked, run, word)
-            return Opened(name, None, self.seal(Prove(word)))
+            return OpenedPacket(name, None, self.seal(Challenge(word)))
         if not seen.first_time(number):
             self.counts["repeated"] += 1
             raise PeerError("a packet that has come before")
         self.counts["opened"] += 1
-        return Opened(name, message)
+        return OpenedPacket(name, message)
 
 
 def keep(rows: OrderedDict, key: bytes, value: object) -> None:
--- a/hollyridge/peers/datagram_transport.py
+++ b/hollyridge/peers/datagram_transport.py
@@ -10,7 +10,7 @@
 from hollyridge.peers.codec import MOST
 
 
-class Link:
+class DatagramTransport:
     """`heard(address, raw)` is called with each datagram that comes. OSError if the address is taken."""
 
     def __init__(self, host: str, port: int, heard: Callable[[str, bytes], None]) -> None:
