--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -6,19 +6,28 @@
 from random import Random
 from typing import NamedTuple
 
-from hollyridge.core.event_loop import Loop
-from hollyridge.limits.log_sampling import worth_saying
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.limits.log_sampling import should_log
 from hollyridge.membership import leases, swim
-from hollyridge.membership.leases import Came, Drop, Lease, Owners, SendTo, Stale, Standing, Take
-from hollyridge.membership.messages import Claimed, Facts, Learnt, Status
-from hollyridge.membership.swim import Changed, Heard, Pace, Send, Swim
-from hollyridge.peers.codec import Guard, PeerError
+from hollyridge.membership.leases import (
+    ForwardProxy,
+    Lease,
+    LeaseGranted,
+    LeaseManager,
+    MemberState,
+    ProxyAsked,
+    ReleaseProxy,
+    StaleToken,
+)
+from hollyridge.membership.messages import ClaimedProxies, MemberFacts, SharedEstimates, Status
+from hollyridge.membership.swim import Changed, Heard, Send, Swim, SwimConfig
+from hollyridge.peers.codec import PacketGuard, PeerError
 from hollyridge.store import learned_estimates
 
 ROWS = 200  # proxies in one word about claims
 
 
-class FleetTerms(NamedTuple):
+class PeerConfig(NamedTuple):
     """`listen` is where it listens, `known_as` where peers reach it, `seeds` some of them; `zone` and `weight` say what
     proxies it should have; times in microseconds."""
 
@@ -29,19 +38,19 @@
     secret: bytes
     zone: str
     weight: float
-    pace: Pace
+    pace: SwimConfig
     lease: Lease
 
 
-class Fleet:
+class PeerService:
     """What the fronts ask: `came`, `acked`, `ended`, `may_order`. `send(address, raw)` puts a packet on the wire;
     `serves` has the addresses of this assigner's fronts by name; `task_name` and `task_of` go between tasks' indices
     and names."""
 
     def __init__(
         self,
-        loop: Loop,
-        terms: FleetTerms,
+        loop: EventLoop,
+        terms: PeerConfig,
         log,
         fresh: Callable[[int], bytes],
         serves: dict[str, str],
@@ -50,14 +59,14 @@
     ) -> None:
         self.task_name, self.task_of = task_name, task_of
         self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
-        self.guard = Guard(terms.secret, terms.name, fresh)
+        self.guard = PacketGuard(terms.secret, terms.name, fresh)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
-        facts = Facts(
+        facts = MemberFacts(
             terms.known_as, self.guard.run.hex(), terms.zone, terms.weight, False, tuple(sorted(serves.items()))
         )
         rng = Random(f"{terms.name} {facts.run}")
         self.swim = Swim(terms.name, facts, terms.pace, rng, terms.seeds)
-        self.owners = Owners(terms.name, terms.lease)
+        self.owners = LeaseManager(terms.name, terms.lease)
         self.since: dict[str, int] = {}
         self.claims_at, self.stopped = 0, False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
@@ -86,7 +95,7 @@
             some = self.swim.alive()
             for at in range(0, max(1, len(rows)), ROWS):
                 for name in sorted(some):
-                    self.put(some[name].facts.address, Claimed(tuple(rows[at : at + ROWS]), at == 0))
+                    self.put(some[name].facts.address, ClaimedProxies(tuple(rows[at : at + ROWS]), at == 0))
 
     def lend(self, now: int) -> None:
         """What was learnt of tasks goes to the others: an heir knows the sizes of what it begins to use."""
@@ -98,9 +107,9 @@
                 (self.task_name(row.task), *(round(x, 4) for x in row[1:])) for row in rows[at : at + ROWS // 2]
             )
             for name in sorted(some):
-                self.put(some[name].facts.address, Learnt(named, round(price, 4), 0))
+                self.put(some[name].facts.address, SharedEstimates(named, round(price, 4), 0))
 
-    def borrow(self, now: int, message: Learnt) -> None:
+    def borrow(self, now: int, message: SharedEstimates) -> None:
         learnt = getattr(self.machine.module, "learnt", None)
         if learnt is not None:
             told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
@@ -129,16 +138,16 @@
             opened = self.guard.open(raw)
         except PeerError as trouble:
             self.counts["bad_packets"] += 1
-            if worth_saying(self.counts["bad_packets"]):
+            if should_log(self.counts["bad_packets"]):
                 self.log.warning("bad packet", peer=address, why=str(trouble), times=self.counts["bad_packets"])
             return
         if opened.answer is not None:
             self.counts["packets_out"] += 1
             self.send(address, opened.answer)
         now, message = self.loop.clock(), opened.message
-        if isinstance(message, Learnt):
+        if isinstance(message, SharedEstimates):
             self.borrow(now, message)
-        elif isinstance(message, Claimed):
+        elif isinstance(message, ClaimedProxies):
             self.owners.take(now, leases.Claims(opened.name, message.rows, message.first))
         elif message is not None:
             self.do(now, self.swim.take(now, Heard(address, message)))
@@ -164,26 +173,26 @@
         self.since = {name: self.since.get(name, now) for name in there}
         mine = self.swim.facts
         standing = {
-            name: Standing(
+            name: MemberState(
                 one.facts.zone, one.facts.weight, self.since[name], not one.facts.drains, one.status == Status.SUSPECT
             )
             for name, one in there.items()
         }
-        standing[self.terms.name] = Standing(mine.zone, mine.weight, -1 << 60, not mine.drains)
+        standing[self.terms.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.drains)
         self.owners.take(now, leases.Members(standing))
 
     # Proxies.
 
-    def came(self, uid: str, zone: str, asked: int, plea: bool) -> Take | Stale | SendTo:
+    def came(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
         """Who is to order it. One that can't number its questions (`asked` 0) is taken: it could not be sent on."""
-        (told,) = self.owners.take(self.loop.clock(), Came(uid, zone, asked, plea or not asked))
+        (told,) = self.owners.take(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
         return told
 
     def acked(self, uid: str, asked: int) -> None:
-        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), leases.Acked(uid, asked)))
+        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), leases.TokenAcknowledged(uid, asked)))
 
     def ended(self, uid: str) -> None:
-        self.owners.take(self.loop.clock(), leases.Ended(uid))
+        self.owners.take(self.loop.clock(), leases.ProxyEnded(uid))
 
     def owned(self, now: int, uid: str) -> bool:
         """Whether an order to this proxy may leave."""
@@ -198,7 +207,7 @@
 
     def carry(self, now: int, some: list) -> None:
         for one in some:
-            if isinstance(one, Drop):
+            if isinstance(one, ReleaseProxy):
                 proxy = self.machine.proxies.index.get(one.uid)
                 front = self.machine.fronts.get(proxy)
                 self.log.info("proxy let go", uid=one.uid, why=one.why, to=one.to or None)
--- a/hollyridge/platform_settings/reader.py
+++ b/hollyridge/platform_settings/reader.py
@@ -1,17 +1,17 @@
-"""The settings, as text of the wire or nested as a configuration has them, read into a `Bootstrap`."""
+"""The settings, as text of the wire or nested as a configuration has them, read into a `AssignerConfig`."""
 
 from __future__ import annotations
 
 from hollyridge.benchlink.wire import WireError
-from hollyridge.interface import Admission, Bootstrap, Group, MethodTerms, Pick, Repeat
+from hollyridge.interface import Admission, AssignerConfig, BalancingPolicy, Idempotency, IdempotencyScope, MethodConfig
 
-REPEAT = {"repeatable": Repeat.IDEMPOTENT, "by_key": Repeat.TOKENED, "once": Repeat.NON_IDEMPOTENT}
-GROUP = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-PICK = {"random": Pick.RANDOM, "rotate": Pick.ROTATE, "p2c": Pick.P2C}
+REPEAT = {"repeatable": Idempotency.IDEMPOTENT, "by_key": Idempotency.TOKENED, "once": Idempotency.NON_IDEMPOTENT}
+GROUP = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
+PICK = {"random": BalancingPolicy.RANDOM, "rotate": BalancingPolicy.ROTATE, "p2c": BalancingPolicy.P2C}
 ADMIT = {"off": Admission.OFF, "fraction": Admission.FRACTION, "per_second": Admission.PER_SECOND}
 
 
-class TermsError(WireError):
+class SettingsError(WireError):
     """Settings that can't be used; `faults`: what is wrong with them, each by its path."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -101,12 +101,12 @@
     return {path: ",".join(map(plain, tree)) if isinstance(tree, list) else plain(tree)}
 
 
-def read_bootstrap(raw: bytes) -> Bootstrap:
+def read_bootstrap(raw: bytes) -> AssignerConfig:
     """What an assigner reads at start, from the wire's settings text."""
     return bootstrap_of(pairs(raw))
 
 
-def bootstrap_of(values: dict[str, str]) -> Bootstrap:
+def bootstrap_of(values: dict[str, str]) -> AssignerConfig:
     """From values by path; unknown keys are skipped. TermsError names each that is missing or odd."""
     text = _Text(values)
     own_zone = text.names("family_info.class_own_zone")
@@ -115,7 +115,7 @@
         row = f"profiles.{k}."
         deadline = text.span(row + "deadline")
         methods.append(
-            MethodTerms(
+            MethodConfig(
                 soft_deadline=text.span(row + "slo"),
                 deadline=deadline,
                 criticality=text.number(row + "worth", 1.0),
@@ -129,7 +129,7 @@
         text.faults.append("the settings name no method (profiles.count)")
     family = "family_info."
     transit = text.number(family + "transit", 0.0)
-    boot = Bootstrap(
+    boot = AssignerConfig(
         methods=tuple(methods),
         zones=len(text.names("zones")) or 1,
         assigners=max(1, int(text.number("balancers", 1))),
@@ -162,5 +162,5 @@
         cross_zone_price=text.number("tariffs.cross_zone", 0.0),
     )
     if text.faults:
-        raise TermsError(text.faults)
+        raise SettingsError(text.faults)
     return boot
--- a/hollyridge/registration/members.py
+++ b/hollyridge/registration/members.py
@@ -19,7 +19,7 @@
 from enum import IntEnum
 from typing import AnyStr, NamedTuple, Union
 
-from hollyridge.interface import Listed, ListKind, RosterChange, TaskState
+from hollyridge.interface import Endpoint, EndpointListUpdate, TaskState, UpdateKind
 
 
 class Refusal(IntEnum):
@@ -32,7 +32,7 @@
     TWICE = 5
 
 
-class Applicant(NamedTuple):
+class MemberRequest(NamedTuple):
     """A member as a request names it: its key, its index and zone as allocated (-1: not found)."""
 
     key: tuple
@@ -44,7 +44,7 @@
 
 class Registered(NamedTuple):
     stream: int
-    members: tuple[Applicant, ...]
+    members: tuple[MemberRequest, ...]
 
 
 class Deregistered(NamedTuple):
@@ -68,22 +68,22 @@
     pass
 
 
-class AskedAgain(NamedTuple):
+class RefreshRequested(NamedTuple):
     """The module wants the whole list."""
 
 
-Happening = Union[Registered, Deregistered, Quiesced, StreamLost, Tick, AskedAgain]
+RegistrationEvent = Union[Registered, Deregistered, Quiesced, StreamLost, Tick, RefreshRequested]
 
 
-class Outcome(NamedTuple):
+class RegistrationOutcome(NamedTuple):
     """What to hand on: a list change or None, why a request was turned down or None, members that left."""
 
-    change: RosterChange | None = None
+    change: EndpointListUpdate | None = None
     refusal: Refusal | None = None
     left: tuple[tuple, ...] = ()
 
 
-class Terms(NamedTuple):
+class RegistrationConfig(NamedTuple):
     """Times in microseconds. `warm_up` is when a task counts as warm, `most` how many may be listed."""
 
     warm_up: int
@@ -94,10 +94,10 @@
     most: int
 
 
-class Row:
+class RegisteredMember:
     __slots__ = ("task", "zone", "run", "started", "stream", "own", "state", "weight", "until")
 
-    def __init__(self, who: Applicant) -> None:
+    def __init__(self, who: MemberRequest) -> None:
         self.task, self.zone, self.own = who.task, who.zone, who.own
         self.run, self.started, self.stream = "", 0, -1
         self.state, self.weight, self.until = TaskState.READY, 1.0, -1
@@ -125,17 +125,17 @@
     return value if least <= value <= most else None
 
 
-class Members:
-    def __init__(self, terms: Terms, now: int) -> None:
+class MemberRegistry:
+    def __init__(self, terms: RegistrationConfig, now: int) -> None:
         self.terms = terms
-        self.rows: dict[tuple, Row] = {}
+        self.rows: dict[tuple, RegisteredMember] = {}
         self.version = 0
         self.opened = now
         self.settled = False
         self.newest = now
         self.restarts = self.returns = self.lapsed = 0
 
-    def take(self, now: int, what: Happening) -> Outcome:
+    def take(self, now: int, what: RegistrationEvent) -> RegistrationOutcome:
         """One thing that happened; what follows from it."""
         if type(what) is Registered:
             outcome = self.register(now, what)
@@ -148,32 +148,32 @@
         elif type(what) is Tick:
             outcome = self.tick(now)
         else:
-            return Outcome(self.whole(ListKind.FULL)) if self.settled else Outcome()
+            return RegistrationOutcome(self.whole(UpdateKind.FULL)) if self.settled else RegistrationOutcome()
         if not self.settled:  # nothing is handed on before the first list
             return outcome._replace(change=self.first(now))
         return outcome
 
-    def first(self, now: int) -> RosterChange | None:
+    def first(self, now: int) -> EndpointListUpdate | None:
         quiet = self.rows and now - self.newest >= self.terms.settle
         if not quiet and now - self.opened < self.terms.settle_most:
             return None
         self.settled = True
-        return self.whole(ListKind.CACHED)
+        return self.whole(UpdateKind.CACHED)
 
-    def whole(self, kind: ListKind) -> RosterChange:
+    def whole(self, kind: UpdateKind) -> EndpointListUpdate:
         self.version += 1
-        return RosterChange(self.version, kind, tuple(map(self.listed, self.rows.values())))
+        return EndpointListUpdate(self.version, kind, tuple(map(self.listed, self.rows.values())))
 
-    def delta(self, entries: Iterable[Listed]) -> RosterChange | None:
+    def delta(self, entries: Iterable[Endpoint]) -> EndpointListUpdate | None:
         rows = tuple(entries)
         if not rows:
             return None
         self.version += 1
-        return RosterChange(self.version, ListKind.DELTA, rows)
+        return EndpointListUpdate(self.version, UpdateKind.DELTA, rows)
 
     @staticmethod
-    def listed(row: Row) -> Listed:
-        return Listed(row.task, row.zone, 0, 0, row.state, row.weight, row.started)
+    def listed(row: RegisteredMember) -> Endpoint:
+        return Endpoint(row.task, row.zone, 0, 0, row.state, row.weight, row.started)
 
     def started(self, now: int, words: dict[str, str]) -> int:
         """When this run began; 0 for long past. One that does not say so began now: careful, never bold."""
@@ -182,14 +182,14 @@
             return now
         return 0 if up * 1e6 >= self.terms.warm_up else max(1, now - round(up * 1e6))
 
-    def register(self, now: int, what: Registered) -> Outcome:
+    def register(self, now: int, what: Registered) -> RegistrationOutcome:
         if len({who.key for who in what.members}) < len(what.members):
-            return Outcome(refusal=Refusal.TWICE)
+            return RegistrationOutcome(refusal=Refusal.TWICE)
         new = [who for who in what.members if who.key not in self.rows]
         if len(self.rows) + len(new) > self.terms.most or any(who.task < 0 for who in what.members):
-            return Outcome(refusal=Refusal.FULL)
+            return RegistrationOutcome(refusal=Refusal.FULL)
         if any(who.zone < 0 for who in what.members):
-            return Outcome(refusal=Refusal.NO_ZONE)
+            return RegistrationOutcome(refusal=Refusal.NO_ZONE)
         changed, same = [], 0
         for who in what.members:
             words = read_label(who.label)
@@ -207,54 +207,54 @@
                 continue
             else:
                 self.restarts += row is not None
-                row = self.rows[who.key] = Row(who)
+                row = self.rows[who.key] = RegisteredMember(who)
                 row.run, row.stream, row.started = run, what.stream, self.started(now, words)
                 row.weight = figure(words, "size", 1e-6, 1e6) or 1.0
             changed.append(row)
         self.newest = now
         refusal = Refusal.ALREADY_REGISTERED if what.members and same == len(what.members) else None
-        return Outcome(self.delta(map(self.listed, changed)) if self.settled else None, refusal)
+        return RegistrationOutcome(self.delta(map(self.listed, changed)) if self.settled else None, refusal)
 
-    def mine(self, stream: int, row: Row) -> bool:
+    def mine(self, stream: int, row: RegisteredMember) -> bool:
         return row.stream in (stream, -1)
 
-    def remove(self, keys: Iterable[tuple]) -> tuple[RosterChange | None, tuple[tuple, ...]]:
+    def remove(self, keys: Iterable[tuple]) -> tuple[EndpointListUpdate | None, tuple[tuple, ...]]:
         gone = tuple(keys)
         entries = [self.listed(self.rows.pop(key))._replace(state=TaskState.GONE) for key in gone]
         return (self.delta(entries) if self.settled else None), gone
 
-    def deregister(self, now: int, what: Deregistered) -> Outcome:
+    def deregister(self, now: int, what: Deregistered) -> RegistrationOutcome:
         if what.keys is None:
             keys = [key for key, row in self.rows.items() if row.stream == what.stream]
         else:
             keys = [key for key in what.keys if key in self.rows and self.mine(what.stream, self.rows[key])]
             if len(keys) < len(set(what.keys)):
-                return Outcome(refusal=Refusal.NOT_REGISTERED)
+                return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
         change, left = self.remove(dict.fromkeys(keys))
-        return Outcome(change, None, left)
+        return RegistrationOutcome(change, None, left)
 
-    def quiesce(self, now: int, what: Quiesced) -> Outcome:
+    def quiesce(self, now: int, what: Quiesced) -> RegistrationOutcome:
         row = self.rows.get(what.key)
         if row is None or not self.mine(what.stream, row):
-            return Outcome(refusal=Refusal.NOT_REGISTERED)
+            return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
         state = TaskState.DRAINING if what.on else TaskState.READY
         if row.state == state:
-            return Outcome()
+            return RegistrationOutcome()
         row.state = state
-        return Outcome(self.delta([self.listed(row)]) if self.settled else None)
+        return RegistrationOutcome(self.delta([self.listed(row)]) if self.settled else None)
 
-    def lose(self, now: int, stream: int) -> Outcome:
+    def lose(self, now: int, stream: int) -> RegistrationOutcome:
         for row in self.rows.values():
             if row.stream == stream:
                 row.stream = -1
                 row.until = now + (self.terms.hold_own if row.own else self.terms.hold_agent)
         return self.tick(now)
 
-    def tick(self, now: int) -> Outcome:
+    def tick(self, now: int) -> RegistrationOutcome:
         over = [key for key, row in self.rows.items() if 0 <= row.until <= now]
         self.lapsed += len(over)
         change, left = self.remove(over)
-        return Outcome(change, None, left)
+        return RegistrationOutcome(change, None, left)
 
     def next_at(self, now: int) -> int | None:
         """When a `Tick` is due next."""
--- a/hollyridge/resp/codec.py
+++ b/hollyridge/resp/codec.py
@@ -18,10 +18,10 @@
     """What came in is not this protocol."""
 
 
-class Reader:
+class FrameReader:
     """Bytes in any pieces to messages. `most`: bytes that one message may have, its heads included.
 
-    >>> reader = Reader()
+    >>> reader = FrameReader()
     >>> reader.feed(b"*2\\r\\n$4\\r\\ndone\\r\\n$1"), reader.feed(b"\\r\\nx\\r\\n")
     ([], [[b'done', b'x']])
     >>> reader.feed(b"GET / HTTP/1.1")
--- a/hollyridge/resp/messages.py
+++ b/hollyridge/resp/messages.py
@@ -1,7 +1,7 @@
 """The platform's words to typed news, and tables to the fields of its orders. No I/O.
 
-A message that names something unknown, lacks a field or has one out of range is `Spoilt`: it is passed over, whatever
-came around it counts. Times come in milliseconds and leave in whole microseconds.
+A message that names something unknown, lacks a field or has one out of range is `MalformedMessageError`: it is passed
+over, whatever came around it counts. Times come in milliseconds and leave in whole microseconds.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple, Union
 
-from hollyridge.interface import Bootstrap
+from hollyridge.interface import AssignerConfig
 from hollyridge.registration.members import figure
 
 RATE_MOST = 1e6  # RPCs a second that one figure can stand for
@@ -19,19 +19,19 @@
 FIGURE_MOST = 1e9
 
 
-class Spoilt(Exception):  # noqa: N818
+class MalformedMessageError(Exception):  # noqa: N818
     """A message that can be read and not used; the text says why."""
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A question for a sign of life."""
 
 
-class Collector(NamedTuple):
+class CollectorHello(NamedTuple):
     zone: int
 
 
-class Hello(NamedTuple):
+class JoinRequest(NamedTuple):
     """A proxy joins. `cold`: it holds no table that was ordered."""
 
     node: int
@@ -40,7 +40,7 @@
     cold: bool
 
 
-class Met(NamedTuple):
+class TrafficSample(NamedTuple):
     """What the proxies of a zone met at a task; times in microseconds, `load` as `interface.TrafficReport` has it."""
 
     zone: int
@@ -52,7 +52,7 @@
     load: tuple[float, ...]
 
 
-class Offered(NamedTuple):
+class OfferedLoadSample(NamedTuple):
     node: int
     method: int
     rpcs: int
@@ -60,16 +60,16 @@
     over: int
 
 
-class Applied(NamedTuple):
+class AckMessage(NamedTuple):
     node: int
     mark: int
     took: int
 
 
-Word = Union[Beat, Collector, Hello, Met, Offered, Applied]
+InboundMessage = Union[Heartbeat, CollectorHello, JoinRequest, TrafficSample, OfferedLoadSample, AckMessage]
 
 
-class Names(NamedTuple):
+class ProtocolNames(NamedTuple):
     """What a deployment's words mean: zones and methods in order, how many proxies it has, the names of load."""
 
     zones: tuple[str, ...]
@@ -79,17 +79,17 @@
 
 def number(fields: dict[bytes, bytes], name: bytes, most: float, least: float = 0.0) -> float:
     if name not in fields:
-        raise Spoilt(f"lacks {name.decode()}")
+        raise MalformedMessageError(f"lacks {name.decode()}")
     value = figure(fields, name, least, most) if len(fields[name]) <= 32 else None
     if value is None:
-        raise Spoilt(f"{name.decode()} is no sensible figure")
+        raise MalformedMessageError(f"{name.decode()} is no sensible figure")
     return value
 
 
 def count(fields: dict[bytes, bytes], name: bytes, most: float) -> int:
     value = number(fields, name, most)
     if value != int(value):
-        raise Spoilt(f"{name.decode()} is not whole")
+        raise MalformedMessageError(f"{name.decode()} is not whole")
     return int(value)
 
 
@@ -102,10 +102,10 @@
     return round(milliseconds * 1000)
 
 
-class Reading:
+class MessageReader:
     """Reads messages by the names and terms of one deployment."""
 
-    def __init__(self, names: Names, boot: Bootstrap) -> None:
+    def __init__(self, names: ProtocolNames, boot: AssignerConfig) -> None:
         self.zones = {name.encode(): z for z, name in enumerate(names.zones)}
         self.methods = {name.encode(): k for k, name in enumerate(names.methods)}
         self.proxies, self.loads = names.proxies, boot.load_names
@@ -119,31 +119,31 @@
             b"done": self.applied,
         }
 
-    def read(self, parts: Sequence[bytes]) -> Word:
+    def read(self, parts: Sequence[bytes]) -> InboundMessage:
         """One message. Spoilt says why it can't be used."""
         kind = self.kinds.get(parts[0])
         if kind is None:
-            raise Spoilt("no such message is for an assigner")
+            raise MalformedMessageError("no such message is for an assigner")
         fields = dict(zip(parts[1::2], parts[2::2]))
         if len(parts) % 2 == 0 or 2 * len(fields) != len(parts) - 1:
-            raise Spoilt("names and values do not pair")
+            raise MalformedMessageError("names and values do not pair")
         return kind(fields)
 
-    def beat(self, fields: dict) -> Beat:
-        return Beat()
+    def beat(self, fields: dict) -> Heartbeat:
+        return Heartbeat()
 
-    def collector(self, fields: dict) -> Collector:
-        return Collector(self.one_of(self.zones, fields, b"locality"))
+    def collector(self, fields: dict) -> CollectorHello:
+        return CollectorHello(self.one_of(self.zones, fields, b"locality"))
 
-    def hello(self, fields: dict) -> Hello:
-        return Hello(
+    def hello(self, fields: dict) -> JoinRequest:
+        return JoinRequest(
             self.node(fields),
             self.one_of(self.zones, fields, b"locality"),
             number(fields, b"w", RATE_MOST),
             self.flag(fields, b"cold"),
         )
 
-    def met(self, fields: dict) -> Met:
+    def met(self, fields: dict) -> TrafficSample:
         span = number(fields, b"interval", SPAN_MOST, 0.001)
         tries = count(fields, b"total", most_in(span))
         bad = count(fields, b"errors", tries)
@@ -151,8 +151,8 @@
         took = number(fields, b"rtt", self.longest) if tries > bad or b"rtt" in fields else 0.0
         endpoint = fields.get(b"endpoint", b"")
         if not 0 < len(endpoint) <= 256:
-            raise Spoilt("lacks endpoint")
-        return Met(
+            raise MalformedMessageError("lacks endpoint")
+        return TrafficSample(
             self.one_of(self.zones, fields, b"locality"),
             endpoint.decode("utf-8", "replace"),
             tries,
@@ -171,15 +171,15 @@
             name, _, value = pair.partition(b":")
             found = figure({name: value}, name, 0.0, UTIL_MOST if name == b"util" else FIGURE_MOST)
             if found is None:
-                raise Spoilt("metrics has no sensible figure")
+                raise MalformedMessageError("metrics has no sensible figure")
             told[name.decode("utf-8", "replace")] = found
         return tuple(told.get(name, -1.0) for name in self.loads)
 
-    def offered(self, fields: dict) -> Offered:
+    def offered(self, fields: dict) -> OfferedLoadSample:
         span = number(fields, b"interval", SPAN_MOST, 0.001)
         most = most_in(span)
         # Those that could not be served may have come in an earlier interval: there can be more of them than came.
-        return Offered(
+        return OfferedLoadSample(
             self.node(fields),
             self.one_of(self.methods, fields, b"route"),
             count(fields, b"total", most),
@@ -187,8 +187,10 @@
             micros(span),
         )
 
-    def applied(self, fields: dict) -> Applied:
-        return Applied(self.node(fields), count(fields, b"nonce", 65535), micros(number(fields, b"latency", SPAN_MOST)))
+    def applied(self, fields: dict) -> AckMessage:
+        return AckMessage(
+            self.node(fields), count(fields, b"nonce", 65535), micros(number(fields, b"latency", SPAN_MOST))
+        )
 
     def node(self, fields: dict) -> int:
         return count(fields, b"node", self.proxies - 1)
@@ -197,17 +199,19 @@
     def one_of(known: dict[bytes, int], fields: dict, name: bytes) -> int:
         at = known.get(fields.get(name, b""))
         if at is None:
-            raise Spoilt(f"{name.decode()} names nothing known" if name in fields else f"lacks {name.decode()}")
+            raise MalformedMessageError(
+                f"{name.decode()} names nothing known" if name in fields else f"lacks {name.decode()}"
+            )
         return at
 
     @staticmethod
     def flag(fields: dict, name: bytes) -> bool:
         if fields.get(name) not in (b"0", b"1"):
-            raise Spoilt(f"{name.decode()} is neither 0 nor 1")
+            raise MalformedMessageError(f"{name.decode()} is neither 0 nor 1")
         return fields[name] == b"1"
 
 
-class Part(NamedTuple):
+class TableUpdate(NamedTuple):
     """One part of an order. `methods` empty for all; `lines` by name, weight 0 takes out; `level` None for no
     change."""
 
@@ -224,9 +228,9 @@
         return self.whole + len(self.lines) + (self.level is not None) + len(self.out) + len(self.back)
 
 
-def fields_of(part: Part) -> list[bytes]:
+def fields_of(part: TableUpdate) -> list[bytes]:
     """
-    >>> fields_of(Part(("lookup", "order"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.9, 1)))
+    >>> fields_of(TableUpdate(("lookup", "order"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.9, 1)))
     [b'classes', b'lookup+order', b'whole', b'1', b'lines', b's-1:1.5,s-2:0', b'level', b'0.9', b'retry', b'1']
     """
     words: list[str] = []
@@ -244,10 +248,10 @@
     return [word.encode() for word in words]
 
 
-def order(parts: Iterable[Part], mark: int) -> list[list[bytes]]:
+def order(parts: Iterable[TableUpdate], mark: int) -> list[list[bytes]]:
     """One message of the channel: its parts as messages of the protocol, all but the last tied to the next.
 
-    >>> order([Part(lines=(("s-1", 2.0),)), Part(("lookup",), level=(0.5, 0))], 7)[1]
+    >>> order([TableUpdate(lines=(("s-1", 2.0),)), TableUpdate(("lookup",), level=(0.5, 0))], 7)[1]
     [b'assign', b'classes', b'lookup', b'level', b'0.5', b'retry', b'0', b'ticket', b'7']
     """
     messages = [[b"assign", *fields_of(part)] for part in parts] or [[b"assign"]]
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -13,14 +13,14 @@
 from gevent.event import Event
 
 from hollyridge import interface as api
-from hollyridge.core.event_loop import Loop
-from hollyridge.core.stream_server import StreamFront, lost
-from hollyridge.delivery.update_builder import Abilities, Parcel, merged
-from hollyridge.limits.log_sampling import worth_saying
-from hollyridge.limits.pending_connections import PendingJoins
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.core.stream_server import ProtocolStreamServer, connection_lost_reason
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities, merge_updates
+from hollyridge.limits.log_sampling import should_log
+from hollyridge.limits.pending_connections import PendingConnections
 from hollyridge.resp import messages
-from hollyridge.resp.codec import MESSAGE_MOST, Reader, RespError, encode
-from hollyridge.resp.update_encoder import Scribe, Sheet
+from hollyridge.resp.codec import MESSAGE_MOST, FrameReader, RespError, encode
+from hollyridge.resp.update_encoder import ProxyView, UpdateEncoder
 
 BEAT = encode([b"hb_ok"])
 STRANGERS_MOST = 4096  # bytes of a message from who has not joined
@@ -31,7 +31,7 @@
 MARKS_MOST = 4096  # marks that one stream may owe an answer to
 
 
-class RespTerms(NamedTuple):
+class RespConfig(NamedTuple):
     """`descriptors`: that the process may hold; `kept`: of these for everything but connections here. `patience`:
     microseconds that a connection may take to join."""
 
@@ -40,10 +40,10 @@
     descriptors: int
     kept: int
     patience: int
-    names: messages.Names
+    names: messages.ProtocolNames
 
 
-class Stream:
+class Connection:
     """One connection, whoever is at its other end."""
 
     __slots__ = (
@@ -65,9 +65,9 @@
     def __init__(self, number: int, sock, address: tuple, now: int) -> None:
         self.number, self.sock, self.address, self.heard = number, sock, address, now
         self.zone = self.node = self.proxy = -1  # a collector has a zone only
-        self.sheet, self.planned = Sheet(), Sheet()  # as written, and as written once all that waits has left
+        self.sheet, self.planned = ProxyView(), ProxyView()  # as written, and as written once all that waits has left
         self.unsent = b""
-        self.owed: Parcel | None = None
+        self.owed: ProxyUpdate | None = None
         self.marks: dict[int, None] = {}  # written on this stream and not told of yet, oldest first
         self.closed = ""
 
@@ -76,20 +76,20 @@
         return self.zone >= 0
 
 
-class RespFront(StreamFront):
+class RespServer(ProtocolStreamServer):
     """Serves `terms` for the machine of `loop`."""
 
     COLLECTORS = 2  # connections of one zone's: a new one may come before the old one is seen to end
 
-    def __init__(self, loop: Loop, terms: RespTerms, boot: api.Bootstrap, log) -> None:
+    def __init__(self, loop: EventLoop, terms: RespConfig, boot: api.AssignerConfig, log) -> None:
         super().__init__(loop, terms.host, terms.port)
         self.log = log
-        self.abilities = Abilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
-        self.reading = messages.Reading(terms.names, boot)
-        self.scribe = Scribe(terms.names.methods, self.name_of)
+        self.abilities = ServerCapabilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
+        self.reading = messages.MessageReader(terms.names, boot)
+        self.scribe = UpdateEncoder(terms.names.methods, self.name_of)
         self.room = max(16, terms.descriptors - terms.kept)  # connections in all
-        self.pending = PendingJoins(terms.patience)
-        self.collectors: dict[int, list[Stream]] = {}
+        self.pending = PendingConnections(terms.patience)
+        self.collectors: dict[int, list[Connection]] = {}
         self.came = Event()
         self.named: set[int] | None = None  # tasks that some stream was told of last; None once that may have changed
         self.counts = dict.fromkeys(
@@ -135,25 +135,25 @@
             self.counts["overdue"] += 1
             self.refuse(stream, why)
 
-    def refuse(self, stream: Stream, why: str) -> None:
+    def refuse(self, stream: Connection, why: str) -> None:
         if stream.closed:
             return
         self.send(stream, encode([b"reject", b"why", why.encode()[:200]]))
         self.close(stream, why)
 
-    def tell(self, why: str, stream: Stream) -> None:
+    def tell(self, why: str, stream: Connection) -> None:
         """A line at the 1st, 2nd, 4th, 8th ... of each reason."""
         if len(self.why) >= 256 and why not in self.why:
             why = "other"
         times = self.why[why] = self.why.get(why, 0) + 1
-        if worth_saying(times):
+        if should_log(times):
             self.log.warning("not taken", why=why, peer=stream.address[0], node=stream.node, times=times)
 
     def serve(self, sock, address: tuple) -> None:
         now = self.clock()
         self.number += 1
         self.counts["connections"] += 1
-        stream = self.streams[self.number] = Stream(self.number, sock, address, now)
+        stream = self.streams[self.number] = Connection(self.number, sock, address, now)
         taken = len(self.streams) - 1 - len(self.pending.waiting)
         for number in self.pending.came(now, stream.number, max(PENDING_LEAST, self.room - taken)):
             self.turn_out(number, "no room for more who have not joined")
@@ -163,7 +163,7 @@
             sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, SEND_BUFFER)
             self.read_on(stream)
         except OSError as trouble:
-            stream.closed = stream.closed or lost(trouble)
+            stream.closed = stream.closed or connection_lost_reason(trouble)
         except RespError as trouble:
             self.counts["unreadable"] += 1
             self.tell(f"unreadable: {trouble}", stream)
@@ -179,7 +179,7 @@
                 pass
             sock.close()
 
-    def end(self, stream: Stream) -> None:
+    def end(self, stream: Connection) -> None:
         """Tell of the stream's end; an older stream of a proxy that has a newer one ends nothing."""
         self.pending.left(stream.number)
         self.named = None
@@ -191,8 +191,8 @@
 
     # In.
 
-    def read_on(self, stream: Stream) -> None:
-        reader = Reader(STRANGERS_MOST)
+    def read_on(self, stream: Connection) -> None:
+        reader = FrameReader(STRANGERS_MOST)
         while not stream.closed:
             chunk = stream.sock.recv(CHUNK)
             if not chunk or stream.closed:
@@ -210,45 +210,45 @@
                 reader.most = MESSAGE_MOST
             gevent.sleep(0)  # however much one sends, others have their turn
 
-    def take(self, stream: Stream, message: list[bytes]) -> None:
+    def take(self, stream: Connection, message: list[bytes]) -> None:
         try:
             word = self.reading.read(message)
             kind = type(word)
-            if kind is messages.Beat:
+            if kind is messages.Heartbeat:
                 if len(stream.unsent) < UNSENT_MOST:
                     self.send(stream, BEAT)
-            elif kind is messages.Hello:
+            elif kind is messages.JoinRequest:
                 self.hello(stream, word)
-            elif kind is messages.Collector:
+            elif kind is messages.CollectorHello:
                 self.collector(stream, word)
             elif not stream.joined:
-                raise messages.Spoilt("a report before any joining")
+                raise messages.MalformedMessageError("a report before any joining")
             else:
                 self.news(stream, word)
-        except messages.Spoilt as trouble:
+        except messages.MalformedMessageError as trouble:
             self.counts["spoilt"] += 1
             self.tell(f"{message[0][:20].decode('utf-8', 'replace')}: {trouble}", stream)
             if not stream.joined:
                 self.counts["refused"] += 1
                 self.refuse(stream, str(trouble))
 
-    def hello(self, stream: Stream, word: messages.Hello) -> None:
+    def hello(self, stream: Connection, word: messages.JoinRequest) -> None:
         if stream.joined:
-            raise messages.Spoilt("joined already")
+            raise messages.MalformedMessageError("joined already")
         now = self.clock()
         if len(self.streams) - len(self.pending.waiting) >= self.room:  # it would take the last descriptors
-            raise messages.Spoilt("no room for another stream")
+            raise messages.MalformedMessageError("no room for another stream")
         self.pending.left(stream.number)
         proxy = self.machine.join(now, self, word.node, word.zone, word.rate, word.cold)
         if proxy is None:
-            raise messages.Spoilt("no room for another proxy")
+            raise messages.MalformedMessageError("no room for another proxy")
         stream.zone, stream.node, stream.proxy = word.zone, word.node, proxy
         self.by_proxy[proxy] = stream
         self.loop.nudge()
 
-    def collector(self, stream: Stream, word: messages.Collector) -> None:
+    def collector(self, stream: Connection, word: messages.CollectorHello) -> None:
         if stream.joined:
-            raise messages.Spoilt("joined already")
+            raise messages.MalformedMessageError("joined already")
         self.pending.left(stream.number)
         stream.zone = word.zone
         row = self.collectors.setdefault(word.zone, [])
@@ -256,27 +256,27 @@
         if len(row) > self.COLLECTORS:
             self.close(min(row, key=lambda one: one.heard), "a newer collector of its zone came")
 
-    def news(self, stream: Stream, word: messages.Word) -> None:
+    def news(self, stream: Connection, word: messages.InboundMessage) -> None:
         now, machine = self.clock(), self.machine
-        if type(word) is messages.Met:
+        if type(word) is messages.TrafficSample:
             if stream.proxy >= 0:
-                raise messages.Spoilt("not for a proxy to say")
+                raise messages.MalformedMessageError("not for a proxy to say")
             task = machine.tasks.find(word.endpoint)  # also one that has just gone: its last tries are news of then
             if task is None:
-                raise messages.Spoilt("names no task that was listed")
+                raise messages.MalformedMessageError("names no task that was listed")
             machine.tell(
                 now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over, word.load)
             )
         else:
             proxy = machine.proxies.index.get(word.node)
             if stream.proxy >= 0 and stream.node != word.node:
-                raise messages.Spoilt("speaks for another proxy")
+                raise messages.MalformedMessageError("speaks for another proxy")
             if proxy is None or proxy not in self.by_proxy:
                 return  # it has left meanwhile
-            if type(word) is messages.Offered:
+            if type(word) is messages.OfferedLoadSample:
                 machine.tell(now, api.OfferedLoad(word.rpcs, word.over, proxy, word.method, word.unanswered))
             elif stream.proxy < 0:
-                raise messages.Spoilt("not for a collector to say")
+                raise messages.MalformedMessageError("not for a collector to say")
             elif word.mark in stream.marks:
                 del stream.marks[word.mark]
                 machine.receipt(now, proxy, word.mark, word.took)
@@ -289,22 +289,22 @@
     def name_of(self, task: int) -> str:
         return self.machine.tasks.names[task]
 
-    def lines(self, proxy: int, parcel: Parcel) -> tuple[int, int]:
+    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
         stream = self.by_proxy[proxy]
         lines = self.scribe.lines(stream.planned, parcel)
         return lines, sum(1 + len(value) for value in stream.planned.told.values())
 
-    def write(self, proxy: int, parcel: Parcel) -> None:
+    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
         stream = self.by_proxy.get(proxy)
         if stream is None or stream.closed:
             return
         if stream.unsent:
-            stream.owed = parcel if stream.owed is None else merged(stream.owed, parcel)
+            stream.owed = parcel if stream.owed is None else merge_updates(stream.owed, parcel)
             self.counts["merged"] += 1
             return
         self.send(stream, self.written(stream, parcel))
 
-    def written(self, stream: Stream, parcel: Parcel) -> bytes:
+    def written(self, stream: Connection, parcel: ProxyUpdate) -> bytes:
         self.named = None
         if parcel.mark >= 0:
             stream.marks[parcel.mark] = None
@@ -319,7 +319,7 @@
             self.named = {task for table in tables.values() for task in table.lines}
         return task in self.named
 
-    def send(self, stream: Stream, data: bytes) -> None:
+    def send(self, stream: Connection, data: bytes) -> None:
         """Without waiting; what the other side does not take yet is sent by a greenlet of its own."""
         if stream.unsent:
             stream.unsent += data
@@ -337,7 +337,7 @@
             stream.unsent = data[sent:]
             gevent.spawn(self.flush, stream)
 
-    def flush(self, stream: Stream) -> None:
+    def flush(self, stream: Connection) -> None:
         try:
             while stream.unsent and not stream.closed:
                 sent = stream.sock.send(stream.unsent)  # waits, and ends with an error when the socket is closed
--- a/hollyridge/resp/update_encoder.py
+++ b/hollyridge/resp/update_encoder.py
@@ -5,13 +5,13 @@
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
 
-from hollyridge.delivery.update_builder import Parcel
+from hollyridge.delivery.update_builder import ProxyUpdate
 from hollyridge.resp.codec import encode
-from hollyridge.resp.messages import Part, order
+from hollyridge.resp.messages import TableUpdate, order
 from hollyridge.store.table_versions import Table, difference
 
 
-class Sheet:
+class ProxyView:
     """What a proxy holds by this stream: its table by method, and the value each table was told at."""
 
     __slots__ = ("bound", "told")
@@ -21,7 +21,7 @@
         self.told: dict[int, Table] = {}
 
 
-class Scribe:
+class UpdateEncoder:
     """Writes messages for all streams; those that turn the same versions into the same are made once.
     `name_of(task)` is the platform's name of a task."""
 
@@ -29,29 +29,29 @@
 
     def __init__(self, methods: Sequence[str], name_of: Callable[[int], str]) -> None:
         self.methods, self.name_of = tuple(methods), name_of
-        self.memo: OrderedDict[tuple, tuple[Part, ...]] = OrderedDict()
+        self.memo: OrderedDict[tuple, tuple[TableUpdate, ...]] = OrderedDict()
         self.last: tuple[tuple, bytes] = ((), b"")  # what the message written last was made of
 
-    def lines(self, sheet: Sheet, parcel: Parcel) -> int:
+    def lines(self, sheet: ProxyView, parcel: ProxyUpdate) -> int:
         """What the channel counts for this message if it left now, and the sheet as it will be: for a sheet that runs
         ahead of what is written."""
         return sum(part.size for part in self.parts(sheet, parcel))
 
-    def write(self, sheet: Sheet, parcel: Parcel) -> bytes:
+    def write(self, sheet: ProxyView, parcel: ProxyUpdate) -> bytes:
         """The message that brings the sheet's proxy up to date."""
         key = self.parts(sheet, parcel), parcel.mark
         if self.last[0] != key:
             self.last = key, b"".join(encode(message) for message in order(*key))
         return self.last[1]
 
-    def parts(self, sheet: Sheet, parcel: Parcel) -> tuple[Part, ...]:
+    def parts(self, sheet: ProxyView, parcel: ProxyUpdate) -> tuple[TableUpdate, ...]:
         fresh: set[int] = set()
         for table, mask in parcel.binds:
             for k in range(len(self.methods)):
                 if mask >> k & 1:
                     sheet.bound[k] = table
                     fresh.add(k)
-        parts: tuple[Part, ...] = ()
+        parts: tuple[TableUpdate, ...] = ()
         for table, value in parcel.tables:
             users = [k for k, bound in sheet.bound.items() if bound == table]
             old = sheet.told.get(table)
@@ -66,14 +66,14 @@
         out = dict(parcel.out)
         if out:
             parts += (
-                Part(
+                TableUpdate(
                     out=tuple(self.name_of(task) for task, shut in out.items() if shut),
                     back=tuple(self.name_of(task) for task, shut in out.items() if not shut),
                 ),
             )
         return parts
 
-    def known(self, table: int, old: Table | None, new: Table, users: tuple[int, ...]) -> tuple[Part, ...]:
+    def known(self, table: int, old: Table | None, new: Table, users: tuple[int, ...]) -> tuple[TableUpdate, ...]:
         key = table, -1 if old is None else old.version, new.version, users
         found = self.memo.get(key)
         if found is None:
@@ -82,7 +82,7 @@
                 self.memo.popitem(last=False)
         return found
 
-    def turn(self, old: Table | None, new: Table, users: tuple[int, ...]) -> list[Part]:
+    def turn(self, old: Table | None, new: Table, users: tuple[int, ...]) -> list[TableUpdate]:
         """Parts that turn one value of a table into another for these methods; from None: the whole of it."""
         names = () if len(users) == len(self.methods) else tuple(self.methods[k] for k in users)
         after = {k: level_of(new, k) for k in users}
@@ -99,9 +99,11 @@
             if after[k] is not None and after[k] != before[k]:
                 groups.setdefault(after[k], []).append(k)
         if len(groups) == 1 and len(next(iter(groups.values()))) == len(users):  # one level for all of them
-            return [Part(names, old is None, lines, next(iter(groups)))]
-        parts = [Part(names, old is None, lines)] if lines or old is None else []
-        return parts + [Part(tuple(self.methods[k] for k in some), level=level) for level, some in groups.items()]
+            return [TableUpdate(names, old is None, lines, next(iter(groups)))]
+        parts = [TableUpdate(names, old is None, lines)] if lines or old is None else []
+        return parts + [
+            TableUpdate(tuple(self.methods[k] for k in some), level=level) for level, some in groups.items()
+        ]
 
 
 def level_of(table: Table, method: int) -> tuple[float, int] | None:
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -24,11 +24,11 @@
         self.code = code
 
 
-class LostError(Exception):
+class ConnectionLostError(Exception):
     """The stream is gone or spoke nonsense; open a new one."""
 
 
-class SilentError(LostError):
+class HeartbeatTimeoutError(ConnectionLostError):
     """No answer in time: the other end stands still, or can't be reached."""
 
 
@@ -69,7 +69,7 @@
                 self.sock.settimeout(left)
                 chunk = self.sock.recv(65536)
                 if not chunk:
-                    raise LostError("closed by the service")
+                    raise ConnectionLostError("closed by the service")
                 self.frames.extend(self.framer.feed(chunk))
             frame = self.frames.popleft()
             if self.heard:
@@ -78,7 +78,7 @@
         except TimeoutError:
             raise
         except (OSError, codec.SaspError) as trouble:
-            raise LostError(str(trouble)) from trouble
+            raise ConnectionLostError(str(trouble)) from trouble
 
     def call(self, message: codec.Message) -> codec.Message:
         """Send a request and wait for its answer; pushes that come meanwhile are kept for `receive`."""
@@ -88,7 +88,7 @@
             self.sock.settimeout(self.timeout)
             self.sock.sendall(frame)
         except OSError as trouble:
-            raise LostError(str(trouble)) from trouble
+            raise ConnectionLostError(str(trouble)) from trouble
         if self.said:
             self.said(frame)
         until = time.monotonic() + self.timeout
@@ -96,7 +96,7 @@
             try:
                 number, answer = self._read(max(0.001, until - time.monotonic()))
             except TimeoutError:
-                raise SilentError("no answer in time") from None
+                raise HeartbeatTimeoutError("no answer in time") from None
             if isinstance(answer, codec.SendWeights):
                 self.pushed.append((number, answer))
             elif number == self.number:
@@ -109,7 +109,7 @@
         return answer
 
 
-class Balancer(Client):
+class LoadBalancerClient(Client):
     """The side of a load balancer, `uid` its name."""
 
     def __init__(self, address: tuple[str, int], uid: str, **how) -> None:
@@ -150,7 +150,7 @@
 BATCH = 200  # members in one request; each takes some 24 bytes and a label of 255 at most
 
 
-class Registrar(Client):
+class MemberRegistrar(Client):
     """The side of a member or of an agent that speaks for several; `fleet` and `group` as the service has them."""
 
     def __init__(self, address: tuple[str, int], fleet: str, group: str = "tasks", **how) -> None:
@@ -184,13 +184,13 @@
     flags: int
 
 
-class Held:
+class HeldWeights:
     """The tables that a load balancer holds, by group: changed whole messages at a time, never half.
 
     The first entries of a group on a stream replace what was held of it, later ones change it: what an assigner
     never knew of must not linger. A group sent without entries leaves what is held.
 
-    >>> held, m = Held(), Member.at("127.1.0.1", 80)
+    >>> held, m = HeldWeights(), Member.at("127.1.0.1", 80)
     >>> held.take((codec.WeightsOf(Group("g", "a"), (codec.Weight(m, 9),)),))
     >>> [(member.host, entry.weight) for member, entry in held.lines("a").items()]
     [('127.1.0.1', 9)]
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -27,11 +27,11 @@
     by: str = ""
 
 
-class SentOn(NamedTuple):
+class Redirected(NamedTuple):
     to: str
 
 
-Word = Union[Owned, SentOn]
+OwnershipReply = Union[Owned, Redirected]
 
 
 def question(uid: str, asked: int, plea: bool) -> codec.Register:
@@ -50,13 +50,13 @@
     return (asked, words[2] == "1") if 0 < asked < 1 << 63 else None
 
 
-def entry(uid: str, word: Word) -> codec.WeightsOf:
+def entry(uid: str, word: OwnershipReply) -> codec.WeightsOf:
     """
     >>> told = entry("gw", Owned(9, 3.0, "a"))
     >>> word_in((told,))
     Owned(fence=9, lease=3.0, by='a')
-    >>> word_in((entry("gw", SentOn("127.0.0.1:3861")),))
-    SentOn(to='127.0.0.1:3861')
+    >>> word_in((entry("gw", Redirected("127.0.0.1:3861")),))
+    Redirected(to='127.0.0.1:3861')
     """
     if isinstance(word, Owned):
         member = Member(MARK + word.fence.to_bytes(8, "big"), min(round(word.lease * 10), 65535), 0, word.by[:64])
@@ -66,11 +66,11 @@
     return codec.WeightsOf(Group(uid, NAME), (Weight(member, 0, int(Told.QUIESCE)),))
 
 
-def word_in(groups: tuple[codec.WeightsOf, ...]) -> Word | None:
+def word_in(groups: tuple[codec.WeightsOf, ...]) -> OwnershipReply | None:
     for group, weights in groups:
         if group.name == NAME and weights:
             member = weights[0].member
             if member.address.startswith(MARK):
                 return Owned(int.from_bytes(member.address[8:], "big"), member.port / 10, member.label)
-            return SentOn(f"{member.host}:{member.port}")
+            return Redirected(f"{member.host}:{member.port}")
     return None
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -17,24 +17,24 @@
 import gevent
 from gevent.event import Event
 
-from hollyridge.core.event_loop import Loop
-from hollyridge.core.stream_server import StreamFront, lost
-from hollyridge.delivery.update_builder import Abilities, Parcel
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.core.stream_server import ProtocolStreamServer, connection_lost_reason
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
 from hollyridge.keys.tls import bearer_of
-from hollyridge.limits.connection_limiter import Bucket, Doorkeeper
-from hollyridge.limits.log_sampling import worth_saying
-from hollyridge.membership.leases import SendTo, Stale, Take
-from hollyridge.peers.peer_service import Fleet
+from hollyridge.limits.connection_limiter import ConnectionLimiter, TokenBucket
+from hollyridge.limits.log_sampling import should_log
+from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
+from hollyridge.peers.peer_service import PeerService
 from hollyridge.registration import members
 from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.codec import Code, Told, Wants
-from hollyridge.sasp.weight_advice import GroupAdvice
-from hollyridge.sessions.access import Access
-from hollyridge.sessions.session_tracker import Presence
+from hollyridge.sasp.weight_advice import GroupWeights
+from hollyridge.sessions.access import AccessControl
+from hollyridge.sessions.session_tracker import SessionTracker
 from hollyridge.store.table_versions import EMPTY, Table
 
 
-class SaspTerms(NamedTuple):
+class SaspConfig(NamedTuple):
     """What the front is told at start. `groups`: the method whose table a group shows, by group name; times in
     seconds, sizes in bytes."""
 
@@ -52,13 +52,13 @@
     usual_rate: float
 
 
-class Sheet:
+class SaspProxyView:
     """One group of one load balancer: what it is to hold, and what of that it was not yet told."""
 
     __slots__ = ("advice", "value", "told", "whole", "table")
 
     def __init__(self) -> None:
-        self.advice = GroupAdvice()
+        self.advice = GroupWeights()
         self.value: Table | None = None  # None until the module has given it a table
         self.told = EMPTY
         self.whole, self.table = False, -1
@@ -68,15 +68,15 @@
         return self.value is not None and (self.whole or self.value is not self.told)
 
 
-class Stream:
+class Connection:
     """One connection, whoever is at its other end."""
 
-    def __init__(self, number: int, sock, address: tuple, answers: Bucket) -> None:
+    def __init__(self, number: int, sock, address: tuple, answers: TokenBucket) -> None:
         self.number, self.sock, self.address, self.answers = number, sock, address, answers
         self.uid = self.bearer = ""
         self.proxy = -1
         self.flags = 0
-        self.sheets: dict[str, Sheet] = {}
+        self.sheets: dict[str, SaspProxyView] = {}
         self.speaks_of_members = False
         self.replies: deque[bytes] = deque()
         self.due, self.given = Event(), Event()
@@ -92,10 +92,10 @@
         return bool(self.flags & Wants.PUSH)
 
 
-OPEN = Access(False, ())
+OPEN = AccessControl(False, ())
 
 
-class SaspFront(StreamFront):
+class SaspServer(ProtocolStreamServer):
     """Serves `terms` for the machine of `loop`. `zone_of(host)` is the zone of an address, -1 for none.
     `secure(sock)` makes an accepted socket a TLS one (OSError where that fails); `access`
     says what its bearer may. `fleet`: the assigners that share the proxies with this one."""
@@ -105,15 +105,15 @@
 
     def __init__(
         self,
-        loop: Loop,
-        terms: SaspTerms,
-        presence: Presence,
-        keeper: Doorkeeper,
+        loop: EventLoop,
+        terms: SaspConfig,
+        presence: SessionTracker,
+        keeper: ConnectionLimiter,
         zone_of: Callable[[str], int],
         log,
-        access: Access = OPEN,
+        access: AccessControl = OPEN,
         secure: Callable | None = None,
-        fleet: Fleet | None = None,
+        fleet: PeerService | None = None,
         zone_name: Callable[[int], str] = str,
     ) -> None:
         self.fleet, self.zone_name = fleet, zone_name
@@ -121,12 +121,12 @@
         super().__init__(loop, terms.host, terms.port)
         self.terms, self.presence, self.keeper, self.zone_of = terms, presence, keeper, zone_of
         self.log = log
-        self.abilities = Abilities(
+        self.abilities = ServerCapabilities(
             levels=False, further_tries=False, withdrawals=False, receipts=True, groups=len(terms.groups)
         )
         self.bearers: dict[int, codec.Member] = {}  # task: its member
         self.agents: dict[tuple, bool] = {}
-        self.unsettled: dict[int, Stream] = {}
+        self.unsettled: dict[int, Connection] = {}
         self.counts = dict.fromkeys(
             ("connections", "refused", "frames_in", "frames_out", "bad_frames", "closed", "asked_too_often"), 0
         )
@@ -140,7 +140,7 @@
         self.log.info("sasp listens", host=self.terms.host, port=self.server.server_port)
         return self.server.server_port
 
-    def close(self, stream: Stream, why: str) -> None:
+    def close(self, stream: Connection, why: str) -> None:
         if not stream.closed:
             self.counts["closed"] += 1
             super().close(stream, why)
@@ -151,13 +151,13 @@
         why = self.keeper.knock(now, address[0])
         if why:
             self.counts["refused"] += 1
-            if worth_saying(self.counts["refused"]):
+            if should_log(self.counts["refused"]):
                 self.log.warning("connection refused", peer=address[0], why=why, times=self.counts["refused"])
             sock.close()
             return
         self.number += 1
         self.counts["connections"] += 1
-        stream = self.streams[self.number] = Stream(self.number, sock, address, self.keeper.answers())
+        stream = self.streams[self.number] = Connection(self.number, sock, address, self.keeper.answers())
         writer = None
         try:
             sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
@@ -171,7 +171,7 @@
             writer = gevent.spawn(self.write_on, stream)
             self.read_on(stream)
         except OSError as trouble:
-            stream.closed = stream.closed or lost(trouble)
+            stream.closed = stream.closed or connection_lost_reason(trouble)
         except codec.SaspError as trouble:
             self.counts["bad_frames"] += 1
             stream.closed = stream.closed or f"bad frame: {trouble}"
@@ -184,7 +184,7 @@
                 writer.kill(block=False)
             sock.close()
 
-    def end(self, stream: Stream) -> None:
+    def end(self, stream: Connection) -> None:
         now = self.clock()
         self.unsettled.pop(stream.number, None)
         self.presence.left(stream.number)
@@ -197,7 +197,7 @@
 
     # In.
 
-    def read_on(self, stream: Stream) -> None:
+    def read_on(self, stream: Connection) -> None:
         framer, pace = codec.Framer(self.terms.message_most), self.keeper.requests()
         begun = opened = self.clock()
         while not stream.closed:
@@ -229,7 +229,7 @@
             if framer.partial and len(framer.held) == len(chunk):
                 begun = self.clock()
 
-    def take(self, stream: Stream, frame: bytes) -> None:
+    def take(self, stream: Connection, frame: bytes) -> None:
         try:
             number, message = codec.decode(frame)
         except codec.SaspError as trouble:
@@ -275,13 +275,13 @@
             self.answer(stream, codec.encode(number, codec.reply_to(message, Code.NOT_FROM_YOU)))
         self.loop.nudge()
 
-    def answer(self, stream: Stream, frame: bytes) -> None:
+    def answer(self, stream: Connection, frame: bytes) -> None:
         stream.replies.append(frame)
         stream.due.set()
 
     # Load balancers.
 
-    def name(self, stream: Stream, uid: str) -> int:
+    def name(self, stream: Connection, uid: str) -> int:
         """The name a stream goes by, once for all."""
         if not uid or len(uid.encode()) > 64 or uid == self.terms.fleet or stream.speaks_of_members:
             return Code.UID_SIZE if not uid or len(uid.encode()) > 64 else Code.NOT_FROM_YOU
@@ -292,7 +292,7 @@
         stream.uid = uid
         return Code.OK
 
-    def refused(self, stream: Stream, why: str) -> bool:
+    def refused(self, stream: Connection, why: str) -> bool:
         if why:
             self.log.warning("not allowed", peer=stream.address[0], why=why)
         return bool(why)
@@ -305,7 +305,7 @@
             if why:
                 self.close(stream, f"keys withdrawn: {why}")
 
-    def set_balancer(self, stream: Stream, message: codec.SetBalancer) -> int:
+    def set_balancer(self, stream: Connection, message: codec.SetBalancer) -> int:
         code = self.name(stream, message.uid)
         if code == Code.OK:
             stream.flags = message.flags
@@ -313,13 +313,13 @@
                 code = self.attend(stream)
         return code
 
-    def attend(self, stream: Stream) -> int:
+    def attend(self, stream: Connection) -> int:
         """Count it as joined, if it is not yet."""
         now = self.clock()
         if self.fleet is not None and stream.proxy < 0:
             zone = self.zone_of(stream.address[0])
             told = self.fleet.came(stream.uid, self.zone_name(zone), *stream.question)
-            if type(told) is not Take:
+            if type(told) is not LeaseGranted:
                 self.turn_away(stream, told)
                 return Code.NOT_FROM_YOU
             stream.fence, stream.fence_due = told.fence, told.fence > 0
@@ -341,26 +341,26 @@
             self.log.info("joined", uid=stream.uid, proxy=proxy, zone=zone, push=stream.push)
         return Code.OK
 
-    def turn_away(self, stream: Stream, told: Stale | SendTo) -> None:
+    def turn_away(self, stream: Connection, told: StaleToken | ForwardProxy) -> None:
         """Say who should be asked, ahead of the answer; whoever it had here before is left."""
         older = self.streams.get(self.presence.by_uid.get(stream.uid, -1))
-        if type(told) is SendTo:
+        if type(told) is ForwardProxy:
             self.say_where(stream, told.name)
             if older is not None and older is not stream:
                 self.let_go(older, "its newer stream was sent on")
 
-    def say_where(self, stream: Stream, name: str) -> None:
+    def say_where(self, stream: Connection, name: str) -> None:
         to = self.fleet.address_of(name, "sasp")
         if to:
-            word = ownership_extension.entry(stream.uid, ownership_extension.SentOn(to))
+            word = ownership_extension.entry(stream.uid, ownership_extension.Redirected(to))
             self.answer(stream, codec.encode(stream.version & 0xFFFFFFFF, codec.SendWeights((word,))))
 
-    def let_go(self, stream: Stream, why: str) -> None:
+    def let_go(self, stream: Connection, why: str) -> None:
         """Who orders its proxy has been decided already."""
         self.unbind(self.clock(), stream)
         self.close(stream, why)
 
-    def unbind(self, now: int, stream: Stream) -> None:
+    def unbind(self, now: int, stream: Connection) -> None:
         """Its proxy, if it has one, is ordered by this stream no more."""
         if stream.proxy >= 0:
             self.by_proxy.pop(stream.proxy, None)
@@ -378,7 +378,7 @@
         else:
             self.let_go(stream, why)
 
-    def subscribe(self, stream: Stream, groups: list[codec.Group]) -> int:
+    def subscribe(self, stream: Connection, groups: list[codec.Group]) -> int:
         for group in groups:
             if len(group.name.encode()) > 64:
                 return Code.GROUP_NAME_SIZE
@@ -388,14 +388,14 @@
             if code != Code.OK:
                 return code
         for group in groups:
-            sheet = stream.sheets.setdefault(group.name, Sheet())
+            sheet = stream.sheets.setdefault(group.name, SaspProxyView())
             if sheet.value is None and stream.proxy >= 0:  # a later group of a proxy that has its tables
                 bound = self.machine.desk.bound.get(stream.proxy, {}).get(self.terms.groups[group.name])
                 if bound is not None:
                     self.lay(stream, sheet, bound, self.machine.desk.store.latest(bound))
         return self.attend(stream) if groups else Code.OK
 
-    def weights(self, stream: Stream, message: codec.GetWeights) -> codec.GetWeightsReply:
+    def weights(self, stream: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
         code = self.subscribe(stream, list(message.groups))
         if code == Code.OK and not stream.answers.draw(self.clock()):
             self.counts["asked_too_often"] += 1
@@ -417,7 +417,7 @@
 
     # Members and their agents.
 
-    def speaks(self, stream: Stream, by_balancer: bool, group: codec.Group) -> int:
+    def speaks(self, stream: Connection, by_balancer: bool, group: codec.Group) -> int:
         """Whether this stream may say something about members of this group."""
         if by_balancer:
             return Code.OK if self.terms.balancers_register and stream.uid == group.uid else Code.NOT_FROM_YOU
@@ -437,7 +437,7 @@
         members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
     }
 
-    def register(self, stream: Stream, message: codec.Register) -> int:
+    def register(self, stream: Connection, message: codec.Register) -> int:
         if message.by_balancer:
             asked = [ownership_extension.question_in(row.group.name) for row in message.groups]
             if self.fleet is not None and asked and asked[0] is not None and stream.proxy < 0:
@@ -467,7 +467,7 @@
                 entered += [member.key] * new
                 self.bearers[task] = member._replace(label="")
             applicants.append(
-                members.Applicant(member.key, max(task, 0) if zone < 0 else task, zone, member.label, own)
+                members.MemberRequest(member.key, max(task, 0) if zone < 0 else task, zone, member.label, own)
             )
         refusal = self.machine.happened(now, members.Registered(stream.number, tuple(applicants)))
         if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
@@ -479,7 +479,7 @@
                 self.agents[row.key] = message.by_balancer
         return self.CODES[refusal]
 
-    def deregister(self, stream: Stream, message: codec.Deregister) -> int:
+    def deregister(self, stream: Connection, message: codec.Deregister) -> int:
         if message.by_balancer:
             for group, some in message.groups:
                 if group.uid != stream.uid or group.name not in stream.sheets:
@@ -500,7 +500,7 @@
         what = members.Deregistered(stream.number, None if everyone else keys)
         return self.CODES[self.machine.happened(self.clock(), what)]
 
-    def set_members(self, stream: Stream, message: codec.SetMembers) -> int:
+    def set_members(self, stream: Connection, message: codec.SetMembers) -> int:
         code = Code.OK
         for group, states in message.groups:
             code = self.speaks(stream, message.by_balancer, group)
@@ -514,7 +514,7 @@
 
     # Out: what the core asks of a front.
 
-    def lines(self, proxy: int, parcel: Parcel) -> tuple[int, int]:
+    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
         stream = self.by_proxy.get(proxy)
         if stream is None:
             return 0, 0
@@ -525,7 +525,7 @@
             return whole, whole
         return sum(lines * tables.count(table) for table, lines in parcel.counts), whole
 
-    def write(self, proxy: int, parcel: Parcel) -> None:
+    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
         stream = self.by_proxy.get(proxy)
         if stream is None:
             return
@@ -545,7 +545,7 @@
             del stream.pending[:-32]  # a later mark covers the earlier ones
         stream.due.set()
 
-    def lay(self, stream: Stream, sheet: Sheet, table: int, value: Table) -> None:
+    def lay(self, stream: Connection, sheet: SaspProxyView, table: int, value: Table) -> None:
         sheet.table, sheet.value, sheet.whole = table, value, True
         stream.given.set()
         stream.due.set()
@@ -555,7 +555,7 @@
         if stream is not None:
             self.close(stream, why)
 
-    def entries(self, stream: Stream, sheet: Sheet, whole: bool) -> tuple[codec.Weight, ...]:
+    def entries(self, stream: Connection, sheet: SaspProxyView, whole: bool) -> tuple[codec.Weight, ...]:
         if sheet.value is None:
             return ()
         now, machine = self.clock(), self.machine
@@ -578,7 +578,7 @@
             entries.append(codec.Weight(member, figure, int(flags)))
         return tuple(entries)
 
-    def compose(self, stream: Stream) -> list[bytes]:
+    def compose(self, stream: Connection) -> list[bytes]:
         """Frames for all that a pushed stream was not told yet; several only where one would be too long."""
         rows, frames, size = [], [], 0
         if stream.fence_due and any(sheet.due for sheet in stream.sheets.values()):
@@ -603,10 +603,10 @@
                 size += len(part.weights)
         return frames + [self.frame(stream, rows)] * bool(rows)
 
-    def frame(self, stream: Stream, rows: list) -> bytes:
+    def frame(self, stream: Connection, rows: list) -> bytes:
         return codec.encode(stream.version & 0xFFFFFFFF, codec.SendWeights(tuple(rows)))
 
-    def write_on(self, stream: Stream) -> None:
+    def write_on(self, stream: Connection) -> None:
         try:
             while not stream.closed:
                 stream.due.wait()
@@ -619,9 +619,9 @@
                         self.put(stream, frame)
                     stream.marks.extend((stream.sent, mark, at) for mark, at in marks)
         except OSError as trouble:
-            self.close(stream, lost(trouble))
+            self.close(stream, connection_lost_reason(trouble))
 
-    def put(self, stream: Stream, frame: bytes) -> None:
+    def put(self, stream: Connection, frame: bytes) -> None:
         view = memoryview(frame)
         self.unsettled[stream.number] = stream
         self.counts["frames_out"] += 1
--- a/hollyridge/sasp/weight_advice.py
+++ b/hollyridge/sasp/weight_advice.py
@@ -30,23 +30,23 @@
     return found
 
 
-class Advised(NamedTuple):
+class AdvisedWeights(NamedTuple):
     """Figures to send by task; `whole` if they replace all that was said of the group before."""
 
     figures: dict[int, int]
     whole: bool
 
 
-class GroupAdvice:
+class GroupWeights:
     """What one load balancer was told of one group.
 
-    >>> group = GroupAdvice()
+    >>> group = GroupWeights()
     >>> group.advise({1: 1.0, 2: 0.25}, [1, 2], True, lambda task: task == 2, lambda task: False)
-    Advised(figures={1: 16384, 2: 4096}, whole=True)
+    AdvisedWeights(figures={1: 16384, 2: 4096}, whole=True)
     >>> group.advise({1: 1.0, 2: 0.5}, [2], False, lambda task: task == 2, lambda task: False)
-    Advised(figures={2: 8192}, whole=False)
+    AdvisedWeights(figures={2: 8192}, whole=False)
     >>> group.advise({1: 1.0}, [2], False, lambda task: False, lambda task: True)
-    Advised(figures={2: 0}, whole=False)
+    AdvisedWeights(figures={2: 0}, whole=False)
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         whole: bool,
         cold: Callable[[int], bool],
         closed: Callable[[int], bool],
-    ) -> Advised:
+    ) -> AdvisedWeights:
         """Figures for the tasks in `changed`, or for all if `whole`; `lines` is the table after the change.
 
         A closed task is told 0 whatever an older order says: an order overtaken by a drain on its way must not
@@ -82,7 +82,7 @@
                 self.said[task] = figure
             else:
                 self.said.pop(task, None)
-        return Advised(figures, whole)
+        return AdvisedWeights(figures, whole)
 
     def figure(self, weight: float, cold: bool, alone: bool) -> int:
         """A cold task's part is never rounded up, to nothing rather than above it, unless nothing else is
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -10,25 +10,25 @@
 import msgspec
 import zmq.green as zmq
 
-from hollyridge.chp.server import CloneFront
-from hollyridge.core.engine import Machine, spread
-from hollyridge.core.event_loop import Loop, monotonic_us
-from hollyridge.core.persistence import Keeping
-from hollyridge.core.solver_service import Solving
+from hollyridge.chp.server import ChpServer
+from hollyridge.core.engine import Engine, spread
+from hollyridge.core.event_loop import EventLoop, monotonic_us
+from hollyridge.core.persistence import EstimatePersistence
+from hollyridge.core.solver_service import SolverService
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.keys.curve import Curve
 from hollyridge.keys.tls import context_of, load, shake
-from hollyridge.limits.connection_limiter import Doorkeeper
-from hollyridge.otlp.intake import Intake
-from hollyridge.otlp.reading import Names
-from hollyridge.peers.datagram_transport import Link
-from hollyridge.peers.peer_service import Fleet, FleetTerms
-from hollyridge.registration.members import Members
+from hollyridge.limits.connection_limiter import ConnectionLimiter
+from hollyridge.otlp.intake import MetricsServer
+from hollyridge.otlp.reading import AttributeNames
+from hollyridge.peers.datagram_transport import DatagramTransport
+from hollyridge.peers.peer_service import PeerConfig, PeerService
+from hollyridge.registration.members import MemberRegistry
 from hollyridge.sasp.codec import Member
-from hollyridge.sasp.server import SaspFront
-from hollyridge.sessions.access import Access
-from hollyridge.sessions.session_tracker import Presence
-from hollyridge.settings.assigner import AssignerTerms
+from hollyridge.sasp.server import SaspServer
+from hollyridge.sessions.access import AccessControl
+from hollyridge.sessions.session_tracker import SessionTracker
+from hollyridge.settings.assigner import ServiceConfig
 from hollyridge.settings.solve import write
 from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
@@ -41,27 +41,27 @@
 
     def __init__(
         self,
-        terms: AssignerTerms,
+        terms: ServiceConfig,
         log,
         make: Callable = Assigner,
         clock: Callable = monotonic_us,
         context: Callable = zmq.Context,
         epoch: str = "",
         fresh: Callable[[int], bytes] = os.urandom,
-        fleet: FleetTerms | None = None,
+        fleet: PeerConfig | None = None,
     ) -> None:
         self.terms, self.log = terms, log
         boot = terms.bootstrap()
         now = clock()
-        members = Members(terms.members_terms(), now)
-        self.machine = Machine(boot, terms.assigner.seed, terms.limits(), members, now, log, make)
-        self.loop = Loop(self.machine, clock)
+        members = MemberRegistry(terms.members_terms(), now)
+        self.machine = Engine(boot, terms.assigner.seed, terms.limits(), members, now, log, make)
+        self.loop = EventLoop(self.machine, clock)
         sasp, channel, names = terms.sasp, terms.channel, self.names()
         self.fleet = self.link = None
         fleet = fleet or terms.fleet_terms()
         if fleet is not None:
             fronts = {"sasp": sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
-            self.fleet = Fleet(
+            self.fleet = PeerService(
                 self.loop,
                 fleet,
                 log,
@@ -71,18 +71,18 @@
                 names.task,
             )
         zone_name = dict(enumerate(terms.zone_names)).get
-        keeper = Doorkeeper(
+        keeper = ConnectionLimiter(
             sasp.connections_most,
             sasp.connections_each,
             sasp.connects_per_s,
             sasp.requests_per_s,
             channel.messages_most / channel.messages_over_s,
         )
-        presence = Presence(boot.drain_grace, boot.bare)
-        self.access = Access(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
+        presence = SessionTracker(boot.drain_grace, boot.bare)
+        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
         self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
         secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
-        self.front = SaspFront(
+        self.front = SaspServer(
             self.loop,
             terms.sasp_terms(),
             presence,
@@ -101,10 +101,10 @@
                 self.curve = Curve(
                     context, terms.curve_file(), self.access.curve_known, lambda key: self.access.by_curve.get(key, key)
                 )
-            self.clone = CloneFront(
+            self.clone = ChpServer(
                 self.loop,
                 terms.clone_terms(),
-                Presence(boot.drain_grace, boot.bare),
+                SessionTracker(boot.drain_grace, boot.bare),
                 keeper,
                 terms.zone_finder(),
                 self.task_name,
@@ -118,10 +118,10 @@
             )
         self.solving = None
         if terms.solver_terms() is not None:
-            self.solving = Solving(self.loop, terms.solver_terms(), log, gevent.get_hub().threadpool.apply)
+            self.solving = SolverService(self.loop, terms.solver_terms(), log, gevent.get_hub().threadpool.apply)
         self.keeping = None
         if terms.keeping_terms() is not None:
-            self.keeping = Keeping(
+            self.keeping = EstimatePersistence(
                 self.loop, terms.keeping_terms(), log, self.task_name, names.task, gevent.get_hub().threadpool.apply
             )
         pages = {
@@ -132,7 +132,7 @@
         if self.fleet is not None:
             pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
             deeds = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        self.intake = Intake(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
+        self.intake = MetricsServer(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
 
     def task_name(self, task: int) -> str:
         address, port, _ = self.machine.tasks.names[task]
@@ -150,7 +150,7 @@
         tasks = tuple(task._replace(name=self.task_name(i)) for i, task in enumerate(fleet.tasks))
         return write(without_the_gone(fleet._replace(zones=zones, tasks=tasks))).encode()
 
-    def names(self) -> Names:
+    def names(self) -> AttributeNames:
         zones = {name: z for z, name in enumerate(self.terms.zone_names)}
         methods = {name: k for k, name in enumerate(self.terms.method_names)}
         known: dict[str, tuple] = {}
@@ -167,12 +167,12 @@
                     known[name] = key
             return self.machine.tasks.index.get(key)
 
-        return Names(zones.get, task, self.machine.proxies.index.get, methods.get)
+        return AttributeNames(zones.get, task, self.machine.proxies.index.get, methods.get)
 
     def start(self) -> tuple[int, int]:
         """The ports that SASP and OTLP listen on."""
         if self.fleet is not None:
-            self.link = Link(*self.fleet.terms.listen, self.fleet.heard)
+            self.link = DatagramTransport(*self.fleet.terms.listen, self.fleet.heard)
             self.fleet.send = self.link.send
         ports = self.front.start(), self.intake.start()
         if self.clone is not None:
@@ -211,7 +211,7 @@
             self.curve.stop()
         self.intake.stop()
 
-    def reload(self, terms: AssignerTerms) -> None:
+    def reload(self, terms: ServiceConfig) -> None:
         """New keys and a new table of who may what, without dropping a stream of those who keep theirs. Faulty
         files change nothing: OSError or ValueError."""
         if self.tls is not None and terms.tls_files():
--- a/hollyridge/sessions/access.py
+++ b/hollyridge/sessions/access.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 
-class Bearer(NamedTuple):
+class Principal(NamedTuple):
     """`name` is that of its certificate, `curve` its public key for pub-sub (empty: none). `uids` are patterns."""
 
     name: str
@@ -23,11 +23,12 @@
     zones: tuple[str, ...]
 
 
-class Access:
+class AccessControl:
     """Each question is answered with an empty text, or with why not.
 
     >>> net = ipaddress.ip_network("127.1.0.0/16")
-    >>> access = Access(True, [Bearer("gate", "", ("gw-*",), (), ("abdali",)), Bearer("agent", "", (), (net,), ())])
+    >>> gate, agent = Principal("gate", "", ("gw-*",), (), ("abdali",)), Principal("agent", "", (), (net,), ())
+    >>> access = AccessControl(True, [gate, agent])
     >>> access.may_be("gate", "gw-7"), access.may_be("gate", "other")
     ('', 'gate may not go by that name')
     >>> access.may_register("agent", "127.1.0.9"), access.may_register("agent", "127.2.0.9")
@@ -36,12 +37,12 @@
     ('', 'nobody is not known')
     """
 
-    def __init__(self, keyed: bool, bearers: Iterable[Bearer]) -> None:
+    def __init__(self, keyed: bool, bearers: Iterable[Principal]) -> None:
         self.anyone = True
         self.replace(bearers)
         self.anyone = self.anyone or not keyed
 
-    def replace(self, bearers: Iterable[Bearer]) -> None:
+    def replace(self, bearers: Iterable[Principal]) -> None:
         """Another table from now on."""
         self.bearers = {bearer.name: bearer for bearer in bearers}
         self.anyone = self.anyone and not self.bearers
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -20,7 +20,7 @@
 TAKEOVERS = 4
 
 
-class Came(NamedTuple):
+class SessionStarted(NamedTuple):
     """What a stream's coming means: `joined`, the older stream to be closed (-1: none), or `turned_away`."""
 
     joined: bool
@@ -36,14 +36,14 @@
         self.unread_since, self.taken = -1, 0
 
 
-class Presence:
+class SessionTracker:
     """Times in microseconds.
 
-    >>> seen = Presence(grace=3_000_000, bare=5_000_000)
+    >>> seen = SessionTracker(grace=3_000_000, bare=5_000_000)
     >>> seen.interval
     1
     >>> seen.came(0, 7, "gw-1", push=False)
-    Came(joined=True, close=-1, turned_away=False)
+    SessionStarted(joined=True, close=-1, turned_away=False)
     >>> seen.overdue(2_600_000), seen.overdue(2_800_000)
     ([], [(7, 'asks no more')])
     """
@@ -57,23 +57,23 @@
         self.by_uid: dict[str, int] = {}
         self.takeovers: dict[str, deque[int]] = {}
 
-    def came(self, now: int, stream: int, uid: str, push: bool) -> Came:
+    def came(self, now: int, stream: int, uid: str, push: bool) -> SessionStarted:
         known = self.streams.get(stream)
         if known is not None:
             known.push, known.heard = push, now
-            return Came(False)
+            return SessionStarted(False)
         older = self.by_uid.get(uid, -1)
         if older >= 0:
             recent = self.takeovers.setdefault(uid, deque())
             while recent and recent[0] <= now - self.grace:
                 recent.popleft()
             if len(recent) >= TAKEOVERS:
-                return Came(False, turned_away=True)
+                return SessionStarted(False, turned_away=True)
             recent.append(now)
             self.left(older)
         self.streams[stream] = Stream(uid, push, now)
         self.by_uid[uid] = stream
-        return Came(True, older)
+        return SessionStarted(True, older)
 
     def left(self, stream: int) -> None:
         gone = self.streams.pop(stream, None)
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -11,19 +11,19 @@
 from pydantic import AfterValidator, Field, PositiveFloat, PositiveInt, field_validator
 
 from hollyridge import interface as api
-from hollyridge.chp.server import CloneTerms
-from hollyridge.core.engine import Limits
-from hollyridge.core.persistence import KeepingTerms
-from hollyridge.core.solver_service import SolverTerms
+from hollyridge.chp.server import ChpConfig
+from hollyridge.core.engine import EngineLimits
+from hollyridge.core.persistence import PersistenceConfig
+from hollyridge.core.solver_service import SolverConfig
 from hollyridge.keys.tls import TlsFiles
 from hollyridge.membership.leases import Lease
-from hollyridge.membership.swim import Pace
-from hollyridge.otlp.intake import OtlpTerms
-from hollyridge.peers.peer_service import FleetTerms
-from hollyridge.registration.members import Terms
-from hollyridge.sasp.server import SaspTerms
+from hollyridge.membership.swim import SwimConfig
+from hollyridge.otlp.intake import OtlpConfig
+from hollyridge.peers.peer_service import PeerConfig
+from hollyridge.registration.members import RegistrationConfig
+from hollyridge.sasp.server import SaspConfig
 from hollyridge.sasp.weight_advice import shown_methods
-from hollyridge.sessions.access import Bearer
+from hollyridge.sessions.access import Principal
 from hollyridge.settings.address import split
 from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_file, words
 from hollyridge.store.learned_estimates import fleet_of
@@ -217,12 +217,12 @@
     "kept": KeptSection,
 }
 REPEATS = {
-    "idempotent": api.Repeat.IDEMPOTENT,
-    "tokened": api.Repeat.TOKENED,
-    "non-idempotent": api.Repeat.NON_IDEMPOTENT,
+    "idempotent": api.Idempotency.IDEMPOTENT,
+    "tokened": api.Idempotency.TOKENED,
+    "non-idempotent": api.Idempotency.NON_IDEMPOTENT,
 }
-DROPPED_BY = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-PICKS = {"random": api.Pick.RANDOM, "rotate": api.Pick.ROTATE, "p2c": api.Pick.P2C}
+DROPPED_BY = {"all": api.IdempotencyScope.ALL, "zone": api.IdempotencyScope.ZONE, "cell": api.IdempotencyScope.CELL}
+PICKS = {"random": api.BalancingPolicy.RANDOM, "rotate": api.BalancingPolicy.ROTATE, "p2c": api.BalancingPolicy.P2C}
 
 
 def fleet_key(path: Path) -> bytes:
@@ -237,7 +237,7 @@
     return round(seconds * 1_000_000)
 
 
-class AssignerTerms:
+class ServiceConfig:
     """All that a checked file says, by section, and what each part is told of it.
 
     Attributes: `assigner`, `channel`, `promises`, `proxies`, `sasp`, `otlp`, `roster`, `log` (sections),
@@ -249,7 +249,7 @@
         sections: dict[str, Section],
         methods: dict[str, MethodSection],
         zones: dict[str, list],
-        bearers: list[Bearer],
+        bearers: list[Principal],
         folder: Path,
     ) -> None:
         self.__dict__.update(sections)
@@ -262,13 +262,13 @@
         """Group name to the method whose table it shows."""
         return shown_methods([(m.group or name, m.criticality) for name, m in self.methods.items()])
 
-    def bootstrap(self) -> api.Bootstrap:
+    def bootstrap(self) -> api.AssignerConfig:
         """What the module reads. A line of a table goes to a proxy once a group, so the module is told of a
         channel that is so many times narrower. Levels and ways to try again travel where the pub-sub front is on;
         SASP refuses them."""
         copies, channel, promises, proxies = len(self.groups()), self.channel, self.promises, self.proxies
         methods = tuple(
-            api.MethodTerms(
+            api.MethodConfig(
                 soft_deadline=micros(m.soft_deadline_ms / 1e3),
                 deadline=micros(m.deadline_ms / 1e3),
                 criticality=m.criticality,
@@ -279,7 +279,7 @@
             )
             for m in self.methods.values()
         )
-        return api.Bootstrap(
+        return api.AssignerConfig(
             methods=methods,
             zones=len(self.zones),
             assigners=self.assigner.assigners,
@@ -312,9 +312,9 @@
             cross_zone_price=proxies.cross_zone_price,
         )
 
-    def members_terms(self) -> Terms:
+    def members_terms(self) -> RegistrationConfig:
         roster = self.roster
-        return Terms(
+        return RegistrationConfig(
             micros(self.promises.warm_up_s),
             micros(roster.hold_own_s),
             micros(roster.hold_agent_s),
@@ -323,9 +323,9 @@
             self.proxies.tasks_most,
         )
 
-    def limits(self) -> Limits:
+    def limits(self) -> EngineLimits:
         channel, otlp = self.channel, self.otlp
-        return Limits(
+        return EngineLimits(
             channel.lines_per_s,
             channel.head_lines,
             channel.most_waiting,
@@ -338,19 +338,19 @@
             8 * otlp.lines_per_period,
         )
 
-    def solver_terms(self) -> SolverTerms | None:
+    def solver_terms(self) -> SolverConfig | None:
         solver = self.solver
-        return SolverTerms(solver.handshake, solver.connections or math.inf, solver.deadline_s) if solver.on else None
+        return SolverConfig(solver.handshake, solver.connections or math.inf, solver.deadline_s) if solver.on else None
 
-    def keeping_terms(self) -> KeepingTerms | None:
+    def keeping_terms(self) -> PersistenceConfig | None:
         kept = self.kept
         return (
-            KeepingTerms(self.folder / kept.file, kept.every_s, fleet_of(self.zone_names, self.method_names))
+            PersistenceConfig(self.folder / kept.file, kept.every_s, fleet_of(self.zone_names, self.method_names))
             if kept.file
             else None
         )
 
-    def fleet_terms(self) -> FleetTerms | None:
+    def fleet_terms(self) -> PeerConfig | None:
         """Probes and suspicion as ratios to the stated round trip: an answer within three, a probe every ten."""
         peers = self.peers
         if not peers.listen:
@@ -366,12 +366,12 @@
 
     def fleet_terms_of(
         self, name: str, listen: tuple[str, int], seeds: tuple[str, ...], secret: bytes, zone: str, known_as: str = ""
-    ) -> FleetTerms:
+    ) -> PeerConfig:
         """The paces of the settings for a member that goes by this name."""
         peers = self.peers
         trip, lease = micros(peers.round_trip_ms / 1e3), micros(peers.lease_s)
-        pace = Pace(10 * trip, 3 * trip, peers.members_most)
-        return FleetTerms(
+        pace = SwimConfig(10 * trip, 3 * trip, peers.members_most)
+        return PeerConfig(
             name,
             listen,
             known_as or "{}:{}".format(*listen),
@@ -390,9 +390,9 @@
     def curve_file(self) -> str:
         return str(self.folder / self.keys.curve) if self.keys.curve else ""
 
-    def sasp_terms(self) -> SaspTerms:
+    def sasp_terms(self) -> SaspConfig:
         s = self.sasp
-        return SaspTerms(
+        return SaspConfig(
             *split(s.listen),
             s.fleet,
             s.members_group,
@@ -406,8 +406,8 @@
             self.proxies.usual_rate,
         )
 
-    def clone_terms(self) -> CloneTerms:
-        return CloneTerms(
+    def clone_terms(self) -> ChpConfig:
+        return ChpConfig(
             *split(self.clone.listen),
             self.clone.waiting_most,
             self.clone.beat_ms,
@@ -416,9 +416,9 @@
             tuple(self.method_names),
         )
 
-    def otlp_terms(self) -> OtlpTerms:
+    def otlp_terms(self) -> OtlpConfig:
         o = self.otlp
-        return OtlpTerms(*split(o.listen), o.body_most_bytes, o.body_s, o.connections_most, o.points_per_s)
+        return OtlpConfig(*split(o.listen), o.body_most_bytes, o.body_s, o.connections_most, o.points_per_s)
 
     def zone_finder(self) -> Callable[[str], int]:
         """Zone of an address by the most particular network that holds it; -1 for none."""
@@ -440,7 +440,7 @@
         return find
 
 
-def load(path: Path | str, overrides: dict[tuple[str, str], str] | None = None) -> AssignerTerms:
+def load(path: Path | str, overrides: dict[tuple[str, str], str] | None = None) -> ServiceConfig:
     """Read and check a file. Raises FaultsError with all that is wrong, not only the first fault."""
     parser = read_file(path)
     for (section, key), value in (overrides or {}).items():
@@ -464,7 +464,7 @@
             if access is not None:
                 nets = networks_of(f"[{name}] members", access.members, faults)
                 bearers.append(
-                    Bearer(rest.strip(), access.curve, words(access.proxies), tuple(nets), words(access.reports))
+                    Principal(rest.strip(), access.curve, words(access.proxies), tuple(nets), words(access.reports))
                 )
         elif name == "zones":
             for zone, networks in parser[name].items():
@@ -483,7 +483,7 @@
         faults.append("[zones]: 255 at most")
     if faults:
         raise FaultsError(faults)
-    terms = AssignerTerms(sections, methods, zones, bearers, Path(path).parent)
+    terms = ServiceConfig(sections, methods, zones, bearers, Path(path).parent)
     across(terms, faults)
     if faults:
         raise FaultsError(faults)
@@ -500,7 +500,7 @@
     return found
 
 
-def across(terms: AssignerTerms, faults: list[str]) -> None:
+def across(terms: ServiceConfig, faults: list[str]) -> None:
     """Faults that only show between sections."""
     channel, promises = terms.channel, terms.promises
     keys = terms.keys
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -45,7 +45,7 @@
         stays = slow / max(tries - bad, 1.0) / 1e6
         zones.append(Zone(str(z), len(proxies), (comes,), comes * stays / max(len(proxies), 1)))
     held = tuple(dict(tables.lines[z]) if tables.bound[z] else {} for z in range(boot.zones))
-    pick = "p2c" if boot.pick == api.Pick.P2C else "random"
+    pick = "p2c" if boot.pick == api.BalancingPolicy.P2C else "random"
     return Fleet(
         (Method("all", 1.0),),
         tuple(zones),
@@ -66,16 +66,16 @@
     return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), held=held)
 
 
-def stated_part(boot: api.Bootstrap, now: int, started: int) -> float:
+def stated_part(boot: api.AssignerConfig, now: int, started: int) -> float:
     """Of what it can do when warm, by the stated floor and time."""
     if started <= 0 or now - started >= boot.warm_up:
         return 1.0
     return boot.cold_from + (1 - boot.cold_from) * max(0, now - started) / boot.warm_up
 
 
-def proposals(plan: Plan, pushes_back: bool) -> list[api.Proposal]:
+def proposals(plan: Plan, pushes_back: bool) -> list[api.WeightProposal]:
     """What the module is told. Where there is too little for everyone and nothing can be pushed back, all of it comes
     all the same: a plan for what could be let in is no plan then, and the loop, which spreads, goes on alone."""
     if not pushes_back and any(part < ENOUGH for row in plan.served for part in row):
         return []
-    return [api.Proposal(z, tuple(sorted(table.items()))) for z, table in enumerate(plan.tables) if table]
+    return [api.WeightProposal(z, tuple(sorted(table.items()))) for z, table in enumerate(plan.tables) if table]
--- a/hollyridge/solver/fleet.py
+++ b/hollyridge/solver/fleet.py
@@ -56,7 +56,7 @@
     cut: frozenset[tuple[int, int]] = frozenset()
 
 
-class NonsenseError(Exception):
+class InvalidFleetError(Exception):
     """What was told can't be; `faults` says what. Tables are to stay as they are."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -102,4 +102,4 @@
     if not fleet.methods or not fleet.zones:
         faults.append("no method or no zone")
     if faults:
-        raise NonsenseError(faults)
+        raise InvalidFleetError(faults)
--- a/hollyridge/solver/linear_program.py
+++ b/hollyridge/solver/linear_program.py
@@ -51,7 +51,7 @@
     return highspy.Highs()
 
 
-class LateError(Exception):
+class SolverTimeoutError(Exception):
     """No answer within the deadline."""
 
 
@@ -160,7 +160,7 @@
             self.highs.clearSolver()
             self.highs.run()
         if self.highs.getModelStatus() != OK:
-            raise LateError(self.highs.modelStatusToString(self.highs.getModelStatus()))
+            raise SolverTimeoutError(self.highs.modelStatusToString(self.highs.getModelStatus()))
         return numpy.array(self.highs.getSolution().col_value)
 
 
--- a/hollyridge/solver/planner.py
+++ b/hollyridge/solver/planner.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from hollyridge.solver import linear_program
-from hollyridge.solver.fleet import Fleet, NonsenseError, Task, check
+from hollyridge.solver.fleet import Fleet, InvalidFleetError, Task, check
 from hollyridge.solver.two_choices import arrivals, weights_for
 
 WORTH = 1 / 3  # of an even share of its table: a line with less is not worth its place
@@ -242,10 +242,10 @@
             self.last = solve(fleet, self.deadline_s, explain=False)
             self.counts["solved"] += 1
             return self.last
-        except NonsenseError as trouble:
+        except InvalidFleetError as trouble:
             self.counts["nonsense"] += 1
             why = str(trouble)
-        except linear_program.LateError as trouble:
+        except linear_program.SolverTimeoutError as trouble:
             self.counts["late"] += 1
             why = f"late: {trouble}"
         return self.last._replace(stands=why) if self.last is not None else None
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -8,8 +8,8 @@
 from statistics import median
 from typing import NamedTuple
 
-from hollyridge.interface import Learnt, Recalled
-from hollyridge.store.state_file import Row, State
+from hollyridge.interface import EstimatesRestored, LearnedEstimate
+from hollyridge.store.state_file import SavedState, TaskEstimate
 
 LONGEST = 10.0  # busy periods that count; as many as the module itself remembers
 SKILLS = (0.25, 4.0)
@@ -18,10 +18,10 @@
 APART = 2.0  # times above or below one's own median task that a peer's figure is taken for
 
 
-class Believed(NamedTuple):
+class RestoredEstimates(NamedTuple):
     """`event` None where nothing is; `left_out` counts rows by why."""
 
-    event: Recalled | None
+    event: EstimatesRestored | None
     left_out: dict[str, int]
 
 
@@ -34,13 +34,18 @@
     return f"{','.join(zones)}/{','.join(methods)}"
 
 
-def noted(fleet: str, saved_ms: int, rows: Iterable[Learnt], price: float, name_of: Callable[[int], str]) -> State:
-    return State(
-        fleet, saved_ms, [Row(name_of(row.task), *(round(x, 6) for x in row[1:])) for row in rows], round(price, 6)
+def noted(
+    fleet: str, saved_ms: int, rows: Iterable[LearnedEstimate], price: float, name_of: Callable[[int], str]
+) -> SavedState:
+    return SavedState(
+        fleet,
+        saved_ms,
+        [TaskEstimate(name_of(row.task), *(round(x, 6) for x in row[1:])) for row in rows],
+        round(price, 6),
     )
 
 
-def sane(row: Row) -> bool:
+def sane(row: TaskEstimate) -> bool:
     figures = (row.does, row.heard, row.skill, row.weight)
     return (
         all(map(isfinite, figures))
@@ -51,34 +56,34 @@
     )
 
 
-def recalled(state: State, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> Believed:
+def recalled(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
     """A state of one's own last run. One from the future was saved under a clock that has been set back: nobody knows
     how old it is, so it counts as older than anything learnt in a day."""
     if state.fleet != fleet:
-        return Believed(None, {"of another fleet": len(state.rows)})
+        return RestoredEstimates(None, {"of another fleet": len(state.rows)})
     age_ms = now_ms - state.saved if now_ms >= state.saved else 86_400_000
     return believed(state.rows, state.price, age_ms * 1000, index_of, LONGEST)
 
 
 def lent(
-    rows: Iterable[tuple], price: float, age: int, index_of: Callable[[str], int | None], own: Iterable[Learnt]
-) -> Believed:
+    rows: Iterable[tuple], price: float, age: int, index_of: Callable[[str], int | None], own: Iterable[LearnedEstimate]
+) -> RestoredEstimates:
     """A peer's. It may be wrong or lie: each figure is taken within twice of one's own median task, for no longer than
     a busy period of one's own news, only once there is some of that; and its price not at all."""
     usual = median([row.does for row in own] or [0.0])
     if not usual:
-        return Believed(None, {"nothing of one's own yet": 1})
+        return RestoredEstimates(None, {"nothing of one's own yet": 1})
     near = []
     for name, does, heard, _skill, _weight in rows:
         if isfinite(does) and does > 0:
-            near.append(Row(name, min(max(does, usual / APART), usual * APART), min(heard, LENT)))
+            near.append(TaskEstimate(name, min(max(does, usual / APART), usual * APART), min(heard, LENT)))
     return believed(near, 0.0, age, index_of, LENT)
 
 
 def believed(
-    rows: Iterable[Row], price: float, age: int, index_of: Callable[[str], int | None], longest: float
-) -> Believed:
-    found: list[Learnt] = []
+    rows: Iterable[TaskEstimate], price: float, age: int, index_of: Callable[[str], int | None], longest: float
+) -> RestoredEstimates:
+    found: list[LearnedEstimate] = []
     left_out: dict[str, int] = {}
     for row in rows:
         task = index_of(row.name) if sane(row) else -1
@@ -86,6 +91,6 @@
             why = "not listed" if task is None else "no sensible figure"
             left_out[why] = left_out.get(why, 0) + 1
         else:
-            found.append(Learnt(task, row.does, min(row.heard, longest), row.skill, row.weight))
+            found.append(LearnedEstimate(task, row.does, min(row.heard, longest), row.skill, row.weight))
     price = price if isfinite(price) and 0 <= price < 1e6 else 0.0
-    return Believed(Recalled(tuple(found), price, max(age, 0)) if found else None, left_out)
+    return RestoredEstimates(EstimatesRestored(tuple(found), price, max(age, 0)) if found else None, left_out)
--- a/hollyridge/store/state_file.py
+++ b/hollyridge/store/state_file.py
@@ -1,6 +1,6 @@
 """State that outlives its process: one file, whole or not at all.
 
-    8 bytes "HRSTATE1" | u32 length | u64 xxh64 of the rest | msgpack of a `State`
+    8 bytes "HRSTATE1" | u32 length | u64 xxh64 of the rest | msgpack of a `SavedState`
 
 Written beside the file, flushed to the disk, then renamed over it: a crash at any moment leaves the former one or the
 new one. Later layouts add members with defaults; a file of a layout that is not known is refused, not guessed at.
@@ -21,11 +21,11 @@
 LAYOUT = 1
 
 
-class DurableError(Exception):
+class StateFileError(Exception):
     """A file that is none, or not whole, or of a layout that is not known."""
 
 
-class Row(msgspec.Struct, array_like=True):
+class TaskEstimate(msgspec.Struct, array_like=True):
     """What is known of a task by name (`host:port`); figures as in `interface.Learnt`."""
 
     name: str
@@ -35,46 +35,46 @@
     weight: float = 1.0
 
 
-class State(msgspec.Struct):
+class SavedState(msgspec.Struct):
     """`fleet` tells fleets apart, `saved` is the time of day in ms, `price` the gate's."""
 
     fleet: str
     saved: int
-    rows: list[Row]
+    rows: list[TaskEstimate]
     price: float = 0.0
     layout: int = LAYOUT
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(State)
+_DECODER = msgspec.msgpack.Decoder(SavedState)
 
 
-def pack(state: State) -> bytes:
+def pack(state: SavedState) -> bytes:
     """
-    >>> unpack(pack(State("f", 5, [Row("a:1", 2.0, 1.0)]))).rows[0].name
+    >>> unpack(pack(SavedState("f", 5, [TaskEstimate("a:1", 2.0, 1.0)]))).rows[0].name
     'a:1'
     """
     body = _ENCODER.encode(state)
     return HEAD.pack(MAGIC, len(body), xxh64_intdigest(body)) + body
 
 
-def unpack(raw: bytes) -> State:
+def unpack(raw: bytes) -> SavedState:
     """DurableError for what is not whole."""
     try:
         magic, length, check = HEAD.unpack_from(raw)
     except struct.error:
-        raise DurableError("cut off in its head") from None
+        raise StateFileError("cut off in its head") from None
     body = raw[HEAD.size :]
     if magic != MAGIC:
-        raise DurableError("not a file of this kind")
+        raise StateFileError("not a file of this kind")
     if len(body) != length or xxh64_intdigest(body) != check:
-        raise DurableError("cut off or spoilt")
+        raise StateFileError("cut off or spoilt")
     try:
         state = _DECODER.decode(body)
     except msgspec.DecodeError as trouble:
-        raise DurableError(f"does not add up: {trouble}") from None
+        raise StateFileError(f"does not add up: {trouble}") from None
     if not 1 <= state.layout <= LAYOUT:
-        raise DurableError(f"of layout {state.layout}, {LAYOUT} is the newest known here")
+        raise StateFileError(f"of layout {state.layout}, {LAYOUT} is the newest known here")
     return state
 
 
@@ -99,5 +99,5 @@
     with open(path, "rb") as lines:
         raw = lines.read(MOST + 1)
     if len(raw) > MOST:
-        raise DurableError(f"over {MOST} bytes")
+        raise StateFileError(f"over {MOST} bytes")
     return raw
--- a/hollyridge/store/table_versions.py
+++ b/hollyridge/store/table_versions.py
@@ -27,7 +27,7 @@
 EMPTY = Table(0, Map(), Map())
 
 
-class Change(NamedTuple):
+class TableChange(NamedTuple):
     """What turns one version into another: weight 0 and level None take out."""
 
     lines: tuple[tuple[int, float], ...]
@@ -37,14 +37,14 @@
         return len(self.lines) + len(self.levels)
 
 
-def difference(old: Table, new: Table) -> Change:
+def difference(old: Table, new: Table) -> TableChange:
     """In the order of indices, so that equal tables give equal changes.
 
     >>> a = Table(1, Map({1: 1.0, 2: 2.0}), Map())
     >>> difference(a, Table(2, Map({2: 2.5, 3: 1.0}), Map({0: (0.5, 0)})))
-    Change(lines=((1, 0.0), (2, 2.5), (3, 1.0)), levels=((0, (0.5, 0)),))
+    TableChange(lines=((1, 0.0), (2, 2.5), (3, 1.0)), levels=((0, (0.5, 0)),))
     """
-    return Change(tuple(_changed(old.lines, new.lines, 0.0)), tuple(_changed(old.levels, new.levels, None)))
+    return TableChange(tuple(_changed(old.lines, new.lines, 0.0)), tuple(_changed(old.levels, new.levels, None)))
 
 
 def _changed(old: Map, new: Map, gone: object) -> Iterable[tuple]:
@@ -55,14 +55,14 @@
     return sorted(rows, key=lambda row: row[0])
 
 
-class Store:
+class TableStore:
     """`keep` versions of each table, the newest included.
 
-    >>> store = Store(keep=2)
+    >>> store = TableStore(keep=2)
     >>> for version, weight in ((1, 1.0), (2, 2.0), (3, 3.0)):
     ...     _ = store.put(version, 0, {7: weight})
     >>> store.since(0, 2), store.since(0, 1)
-    (Change(lines=((7, 3.0),), levels=()), None)
+    (TableChange(lines=((7, 3.0),), levels=()), None)
     """
 
     MEMO = 512  # differences kept: most readers go from one same version to one other
@@ -70,7 +70,7 @@
     def __init__(self, keep: int) -> None:
         self.keep = keep
         self.history: dict[int, deque[Table]] = {}
-        self.memo: OrderedDict[tuple[int, int, int], Change] = OrderedDict()
+        self.memo: OrderedDict[tuple[int, int, int], TableChange] = OrderedDict()
 
     def latest(self, table: int) -> Table:
         history = self.history.get(table)
@@ -120,7 +120,7 @@
                 return row
         return None
 
-    def change(self, table: int, old: Table, new: Table) -> Change:
+    def change(self, table: int, old: Table, new: Table) -> TableChange:
         """`difference`, remembered for those who read the same two versions."""
         key = table, old.version, new.version
         found = self.memo.get(key)
@@ -132,7 +132,7 @@
                     self.memo.popitem(last=False)
         return found
 
-    def since(self, table: int, version: int) -> Change | None:
+    def since(self, table: int, version: int) -> TableChange | None:
         """What came after that version; None where only the whole table will do."""
         old = self.at(table, version)
         return None if old is None else self.change(table, old, self.latest(table))
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -32,7 +32,7 @@
 LOADS = (Kind.UTIL, Kind.QUEUE)
 
 
-class Point(NamedTuple):
+class DataPoint(NamedTuple):
     """One figure. `place` is (zone, task) or (proxy, method), as indices; times in ns of the sender's clock."""
 
     source: str
@@ -44,19 +44,19 @@
     end: int
 
 
-class Sum:
+class Series:
     __slots__ = ("value", "span")
 
     def __init__(self) -> None:
         self.value, self.span = 0.0, 0
 
 
-class News:
+class ReportAggregator:
     """`most_series` are kept in all, `most_each` of one source; `per_s` is the most that can be true of a rate;
     `lines` the most that is handed on a period, what is left out waits for the next.
 
-    >>> news = News(100, 100, 1e6, 50, 60_000_000)
-    >>> tries = Point("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * SECOND, 6 * SECOND)
+    >>> news = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
+    >>> tries = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * SECOND, 6 * SECOND)
     >>> news.take(0, tries), news.take(0, tries)
     ('', 'counted before')
     >>> news.gather(10)
@@ -70,12 +70,12 @@
         self.used: dict[tuple, int] = {}
         self.sizes: dict[str, int] = {}
         self.newest: dict[str, tuple[int, int]] = {}  # source: newest end on its clock, and when that was told
-        self.sums: dict[tuple, dict[tuple, Sum]] = {}  # (kind, place): by (source, method)
+        self.sums: dict[tuple, dict[tuple, Series]] = {}  # (kind, place): by (source, method)
         self.loads: dict[int, dict[Kind, float]] = {}
         self.swept = 0
         self.turned_down: dict[str, int] = {}
 
-    def take(self, now: int, point: Point) -> str:
+    def take(self, now: int, point: DataPoint) -> str:
         """Empty if the point counts, else why it does not."""
         why = self.judge(now, point)
         if why:
@@ -85,12 +85,12 @@
             self.loads.setdefault(point.place[1], {})[point.kind] = point.value
             return ""
         bearer = self.sums.setdefault((point.kind, point.place), {})
-        row = bearer.setdefault((point.source, point.method), Sum())
+        row = bearer.setdefault((point.source, point.method), Series())
         row.value += point.value
         row.span += (point.end - point.start) // 1000
         return ""
 
-    def judge(self, now: int, point: Point) -> str:
+    def judge(self, now: int, point: DataPoint) -> str:
         value, span = point.value, point.end - point.start
         if not math.isfinite(value) or value < 0:
             return "no sensible figure"
@@ -104,11 +104,11 @@
             return "more than can be"
         return "" if self.remember(now, point, point.start, point.end) else self.full(point)
 
-    def full(self, point: Point) -> str:
+    def full(self, point: DataPoint) -> str:
         key = (point.source, point.kind, point.place, point.method)
         return "counted before" if key in self.spans else "too many series"
 
-    def remember(self, now: int, point: Point, start: int, end: int) -> bool:
+    def remember(self, now: int, point: DataPoint, start: int, end: int) -> bool:
         key = (point.source, point.kind, point.place, point.method)
         spans = self.spans.get(key)
         if spans is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 START = 1_000 * SECOND
 
 
-def method(repeat=api.Repeat.IDEMPOTENT, group=api.Group.ALL, **terms):
+def method(repeat=api.Idempotency.IDEMPOTENT, group=api.IdempotencyScope.ALL, **terms):
     row = dict(
         soft_deadline=SECOND // 2,
         deadline=3 * SECOND // 2,
@@ -17,12 +17,12 @@
         window=2 * SECOND,
         own_zone=False,
     )
-    return api.MethodTerms(**{**row, **terms})
+    return api.MethodConfig(**{**row, **terms})
 
 
 def bootstrap(**terms):
     row = dict(
-        methods=(method(), method(api.Repeat.NON_IDEMPOTENT, criticality=2.0)),
+        methods=(method(), method(api.Idempotency.NON_IDEMPOTENT, criticality=2.0)),
         zones=2,
         assigners=1,
         subscribe=False,
@@ -42,7 +42,7 @@
         warm_up=16 * SECOND,
         fall=2 * SECOND,
         fall_multiple=4.0,
-        pick=api.Pick.P2C,
+        pick=api.BalancingPolicy.P2C,
         admission=api.Admission.FRACTION,
         retry_default=0,
         per_try=1.2,
@@ -53,15 +53,15 @@
         initial_set=5,
         cross_zone_price=0.1,
     )
-    return api.Bootstrap(**{**row, **terms})
+    return api.AssignerConfig(**{**row, **terms})
 
 
 def entry(task, zone=None, state=api.TaskState.READY, started_at=0):
-    return api.Listed(task, task % 2 if zone is None else zone, 0, 0, state, 1.0, started_at)
+    return api.Endpoint(task, task % 2 if zone is None else zone, 0, 0, state, 1.0, started_at)
 
 
-def roster(entries, kind=api.ListKind.FULL):
-    return api.RosterChange(1, kind, tuple(entries))
+def roster(entries, kind=api.UpdateKind.FULL):
+    return api.EndpointListUpdate(1, kind, tuple(entries))
 
 
 class Rig:
@@ -76,29 +76,29 @@
         self.levels: dict[tuple, tuple] = {}
         self.orders: list = []
         self.feed(
-            roster([entry(i) for i in range(tasks)], api.ListKind.CACHED),
-            *[api.Joined(5.0, True, p, p % 2) for p in range(proxies)],
+            roster([entry(i) for i in range(tasks)], api.UpdateKind.CACHED),
+            *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(proxies)],
         )
 
     def feed(self, *events, after=0.0):
         self.now += round(after * SECOND)
         self.orders = self.assigner.decide(self.now, list(events))
         for o in self.orders:
-            if isinstance(o, api.PutLine):
+            if isinstance(o, api.SetWeight):
                 self.tables.setdefault(o.table, {})[o.task] = o.weight
                 if o.weight == 0:
                     del self.tables[o.table][o.task]
-            elif isinstance(o, api.Attach):
+            elif isinstance(o, api.BindTable):
                 self.bound[o.proxy] = o.table
-            elif isinstance(o, api.SetLevel):
+            elif isinstance(o, api.SetAdmission):
                 self.levels[o.table, o.methods] = (o.amount, o.retry)
         return self.orders
 
     def period(self, *reports, receipts=True):
         """Let a report period pass, with reports at its end."""
-        events = [api.Woke(0), *reports]
+        events = [api.TimerFired(0), *reports]
         if receipts:
-            events += [api.Receipt(0, o.mark, SECOND // 5) for o in self.orders if isinstance(o, api.AskReceipt)]
+            events += [api.Ack(0, o.mark, SECOND // 5) for o in self.orders if isinstance(o, api.RequestAck)]
         return self.feed(*events, after=self.boot.period / SECOND)
 
     def met(self, zone, task, latency=0.1, tries=10, bad=0):
@@ -110,4 +110,4 @@
 
 
 def lines(orders):
-    return [o for o in orders if isinstance(o, api.PutLine)]
+    return [o for o in orders if isinstance(o, api.SetWeight)]
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -12,26 +12,26 @@
 from helpers import SECOND, START, bootstrap
 from stand_ins import page, server
 
-from hollyridge.core.engine import Limits, Machine
-from hollyridge.core.event_loop import Loop
+from hollyridge.core.engine import Engine, EngineLimits
+from hollyridge.core.event_loop import EventLoop
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.discovery.endpoint_list import Heard, Listing
-from hollyridge.discovery.schema import Entry, News
-from hollyridge.discovery.watch_client import Watch
-from hollyridge.discovery.watch_state import Caller
+from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker
+from hollyridge.discovery.schema import ListedEndpoint, WatchEvent
+from hollyridge.discovery.watch_client import WatchClient
+from hollyridge.discovery.watch_state import WatchState
 from hollyridge.registration.index_allocator import IndexAllocator
 from hollyridge.resp import messages
 from hollyridge.resp.codec import encode
-from hollyridge.resp.server import RespFront, RespTerms
+from hollyridge.resp.server import RespConfig, RespServer
 
-NAMES = messages.Names(("khalda", "sahab"), ("read-chapter", "redeem-code"), 150)
+NAMES = messages.ProtocolNames(("khalda", "sahab"), ("read-chapter", "redeem-code"), 150)
 ZONES = {"khalda": 0, "sahab": 1}
 
 
 class ListingDesk:
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
-        self.listing = Listing(lambda name: self.indices.enter(START, name), ahead=START - 50_000 * SECOND)
+        self.listing = EndpointListTracker(lambda name: self.indices.enter(START, name), ahead=START - 50_000 * SECOND)
 
     def take(self, what, now=START):
         outcome = self.listing.take(now, what)
@@ -45,20 +45,20 @@
 
     def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
         boot, self.now = bootstrap(**terms), START
-        listing = Listing(lambda name: self.machine.tasks.enter(self.now, name), 0)
-        limits = Limits(boot.lines_per_s, boot.overhead, boot.most_waiting, 1000, 150, 0, 0, 0.0, 0, 1000)
-        self.machine = Machine(boot, 7, limits, listing, START, structlog.get_logger(), make)
+        listing = EndpointListTracker(lambda name: self.machine.tasks.enter(self.now, name), 0)
+        limits = EngineLimits(boot.lines_per_s, boot.overhead, boot.most_waiting, 1000, 150, 0, 0, 0.0, 0, 1000)
+        self.machine = Engine(boot, 7, limits, listing, START, structlog.get_logger(), make)
         self.tell(1, [f"s-{k}" for k in range(tasks)])
-        self.loop = Loop(self.machine, clock=lambda: self.now)
-        self.front = RespFront(
-            self.loop, RespTerms("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), boot, structlog.get_logger()
+        self.loop = EventLoop(self.machine, clock=lambda: self.now)
+        self.front = RespServer(
+            self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), boot, structlog.get_logger()
         )
         self.machine.holds = self.front.holds
         self.port = self.front.start()
 
     def tell(self, version, names):
-        entries = tuple(Entry(name, k % 2, 0, 1, 1.0, 0.0) for k, name in enumerate(names))
-        self.machine.happened(self.now, Heard(News(version, True, entries), version == 1))
+        entries = tuple(ListedEndpoint(name, k % 2, 0, 1, 1.0, 0.0) for k, name in enumerate(names))
+        self.machine.happened(self.now, EndpointListReceived(WatchEvent(version, True, entries), version == 1))
 
     def proxy(self, node, buffer=0):
         sock = green.socket()
@@ -112,18 +112,18 @@
 def watch_of(script, beat=200_000):
     machine, desk = ToldMachine(), ListingDesk()
 
-    class Loop:
+    class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
 
         def nudge(self):
             pass
 
-    loop = Loop()
+    loop = EventLoop()
     loop.machine = machine
-    watch = Watch(
+    watch = WatchClient(
         loop,
         desk.listing,
-        Caller(beat, Random(3)),
+        WatchState(beat, Random(3)),
         ("127.0.0.1", script.server.server_port),
         ZONES,
         structlog.get_logger(),
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from hollyridge.resp.codec import Reader, encode
+from hollyridge.resp.codec import FrameReader, encode
 
 ROOT = Path(__file__).parents[1]
 ZONES, CLASSES = ["khalda", "sahab"], ["read-chapter", "redeem-code"]
@@ -195,7 +195,7 @@
 
     def __init__(self, port, node=None, zone=0):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=8)
-        self.reader, self.inbox = Reader(), []
+        self.reader, self.inbox = FrameReader(), []
         self.node, self.table, self.levels, self.marks = node, {}, {}, []
         if node is not None:
             self.say("attach", node=node, locality=ZONES[zone], w=5.0, cold=1)
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -13,9 +13,9 @@
 from test_service import GROUPS, Rig, rig, wait_for  # noqa: F401
 
 from hollyridge.chp import codec
-from hollyridge.chp.key_space import Ledger
+from hollyridge.chp.key_space import KeySpace
 from hollyridge.chp.replica import Client, Replica
-from hollyridge.client import CloneGateway, SaspGateway, State
+from hollyridge.client import ChpGateway, GatewayState, SaspGateway
 from hollyridge.lab.record import parts_of
 from hollyridge.lab.update_model_check import World, explore
 from hollyridge.sasp.codec import Member
@@ -52,7 +52,7 @@
     ],
 )
 def test_what_is_no_message_is_refused(parts):
-    with pytest.raises(codec.CloneError):
+    with pytest.raises(codec.ChpError):
         codec.decode(parts)
 
 
@@ -101,7 +101,7 @@
 
 
 def test_lines_of_a_former_run_never_mix_in():
-    old, new = Ledger("old", 500), Ledger("new", 500)
+    old, new = KeySpace("old", 500), KeySpace("new", 500)
     replica = Replica("/table/0/")
     stale = old.set("/table/0/", 1, {f"/table/0/line/a:{k}": b"old" for k in range(3)})
     new.set("/table/0/", 1, {"/table/0/line/x:1": b"1"})
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("story", ["ahead", "behind"])
 def test_layouts_one_ahead_and_one_behind(story):
-    ledger, client = Ledger("e", 500), Client("gw", ["m"])
+    ledger, client = KeySpace("e", 500), Client("gw", ["m"])
     told = ledger.set("/proxy/gw/", 1, {"/proxy/gw/bind/m": codec.json(codec.Bind(0))})
     lines = {f"/table/0/line/127.0.0.1:{k}": codec.json(codec.Line(k / 2)) for k in range(1, 4)}
     ledger.set("/table/0/", 1, lines)
@@ -165,7 +165,7 @@
 
 
 def open_gateway(r, uid="gw-c", zone=1, **how):
-    gateway = CloneGateway(
+    gateway = ChpGateway(
         ("127.0.0.1", r.clone.terms.port),
         uid,
         list(GROUPS),
@@ -197,7 +197,7 @@
     r.clients.append(one)
     assert wait_for(lambda: hosts(one) == hosts(other) == {1, 2, 3, 4})
     for gateway in (one, other):
-        assert gateway.state == State.FRESH and gateway.pick("read-chapter") in gateway.table_for("read-chapter")
+        assert gateway.state == GatewayState.FRESH and gateway.pick("read-chapter") in gateway.table_for("read-chapter")
     shares = [
         {t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
         for g in (one, other)
@@ -222,7 +222,7 @@
     r.machine.carry(r.machine.number, r.service.loop.clock(), [])
     r.machine.number += 1
     now = r.service.loop.clock()
-    r.machine.carry(now, now, [api.SetLevel(0, 0, 0.5, 1), api.AskReceipt(77, False)])
+    r.machine.carry(now, now, [api.SetAdmission(0, 0, 0.5, 1), api.RequestAck(77, False)])
     r.service.loop.nudge()
     assert wait_for(lambda: gateway.level_for("redeem-code") == (0.5, 1), 2)
     assert wait_for(lambda: 77 in receipts, 2)
@@ -240,7 +240,7 @@
     for out, left in ((True, {2, 3, 4}), (False, {1, 2, 3, 4})):
         r.machine.number += 1
         now = r.service.loop.clock()
-        r.machine.carry(now, now, [api.Withdraw(0, out)])
+        r.machine.carry(now, now, [api.SetEjected(0, out)])
         r.service.loop.nudge()
         assert wait_for(lambda left=left: hosts(gateway) == left, 2)
     late = open_gateway(r, "late")
@@ -255,13 +255,13 @@
     listen = r.clone.terms.port
     r.service.stop()
     r.job.join(2)
-    assert wait_for(lambda: gateway.state == State.STALE, 2) and hosts(gateway) == {1, 2, 3, 4}
+    assert wait_for(lambda: gateway.state == GatewayState.STALE, 2) and hosts(gateway) == {1, 2, 3, 4}
     gevent.sleep(1)
     assert hosts(gateway) == {1, 2, 3, 4} and 1 < gateway.age < 5
     again = rig(clone__listen=f"127.0.0.1:{listen}", clone__beat_ms=100)
     again.agent(tasks=2)
     assert wait_for(lambda: hosts(gateway) == {1, 2}, 8)
-    assert gateway.state == State.FRESH and gateway.client.replicas[gateway.client.home].head.seq < 50
+    assert gateway.state == GatewayState.FRESH and gateway.client.replicas[gateway.client.home].head.seq < 50
 
 
 def test_a_subscriber_that_never_reads_is_cut_and_harms_nobody(rig):  # noqa: F811
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,13 +20,13 @@
 from stand_ins import Assigner, Discovery, Peer, apply_lines, message, page, server, wait_for
 
 from hollyridge import interface as api
-from hollyridge.core.logs import Sink
+from hollyridge.core.logs import NonBlockingLogSink
 from hollyridge.decisions.assigner import Assigner as Module
-from hollyridge.delivery.update_builder import Parcel
-from hollyridge.discovery.endpoint_list import TOLD, CallFailed, Heard
-from hollyridge.discovery.watch_state import Happened
+from hollyridge.delivery.update_builder import ProxyUpdate
+from hollyridge.discovery.endpoint_list import TOLD, EndpointListReceived, WatchFailed
+from hollyridge.discovery.watch_state import WatchInput
 from hollyridge.registration.members import Tick
-from hollyridge.resp.codec import Reader, encode
+from hollyridge.resp.codec import FrameReader, encode
 
 TASKS = [f"s-{k}" for k in range(6)]
 LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
@@ -39,7 +39,7 @@
 
 def orders(sock):
     """All that comes on a stream until it is quiet, as fields; None where it has been closed."""
-    reader, found = Reader(), []
+    reader, found = FrameReader(), []
     sock.settimeout(0.05)
     try:
         while chunk := sock.recv(65536):
@@ -107,9 +107,9 @@
     except OSError:
         pass
     hall.until(lambda: len(hall.front.streams) == 1)
-    assert not events(hall, api.Receipt)
-    kinds = [type(event) for _, event in hall.machine.inbox if type(event) in (api.Joined, api.Left)]
-    assert kinds == [api.Left, api.Joined]
+    assert not events(hall, api.Ack)
+    kinds = [type(event) for _, event in hall.machine.inbox if type(event) in (api.ProxyJoined, api.ProxyLeft)]
+    assert kinds == [api.ProxyLeft, api.ProxyJoined]
     newer.close()
 
 
@@ -130,12 +130,12 @@
     hall.machine.run(hall.now)
     sock.sendall(message("done", node=3, nonce=1, latency=5) + message("hb"))
     hall.until(lambda: hall.front.counts["messages_in"] == 3)
-    assert not events(hall, api.Receipt) and hall.front.counts["stray_receipts"] == 1
+    assert not events(hall, api.Ack) and hall.front.counts["stray_receipts"] == 1
     turn(hall, 1)
     assert any(one.get(b"ticket") == b"1" for one in orders(sock))
     sock.sendall(message("done", node=3, nonce=1, latency=5) * 2 + message("hb"))  # and once only
     hall.until(lambda: hall.front.counts["messages_in"] == 6)
-    assert len(events(hall, api.Receipt)) == 1
+    assert len(events(hall, api.Ack)) == 1
 
 
 @pytest.mark.parametrize("first", ["older", "newer"])
@@ -307,7 +307,7 @@
 
 class Flaky(Module):
     def decide(self, now, told):
-        if any(type(event) is api.Left for event in told):
+        if any(type(event) is api.ProxyLeft for event in told):
             raise RuntimeError("a fault of the module")
         return super().decide(now, told)
 
@@ -348,7 +348,7 @@
     watch, machine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is Heard for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in machine.told):
             assert not watch.caller.stands
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["beats"] > 2
@@ -360,7 +360,7 @@
     watch, machine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while [one.news.version for one in machine.told if type(one) is Heard] != [4, 5]:
+        while [one.news.version for one in machine.told if type(one) is EndpointListReceived] != [4, 5]:
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["ended"] == 1
     job.kill()
@@ -373,7 +373,7 @@
     assert 0.3 < (len(script.acts[0]) - 1) * Script.PAUSE < 0.6  # longer than an answer may take that does not move
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is Heard for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in machine.told):
             gevent.sleep(0.005)
     assert len(script.asked) == 1
     job.kill()
@@ -398,7 +398,7 @@
         moves = [gevent.spawn(watch.moved, ("127.0.0.1", script.server.server_port)) for script in (here, there)]
         while not there.asked:
             gevent.sleep(0.005)
-        while not any(type(one) is Heard for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in machine.told):
             gevent.sleep(0.005)
         watch.ended = end
         stood.set()
@@ -406,7 +406,7 @@
         gevent.sleep(0.05)
     assert watch.caller.calling and watch.caller.stands and watch.call is not None
     assert len(there.asked) == 1 and len(here.asked) == 1
-    assert sum(type(one) is CallFailed for one in machine.told) == 1
+    assert sum(type(one) is WatchFailed for one in machine.told) == 1
     job.kill()
 
 
@@ -427,7 +427,7 @@
             gevent.sleep(0.001)
         gevent.sleep(0.01)
         watch.moved(address)
-        while not any(type(one) is Heard for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in machine.told):
             gevent.sleep(0.005)
     assert time.monotonic() - begun < 1.5 and len(there.asked) == 1 and watch.counts["calls"] == 2
     job.kill()
@@ -450,7 +450,7 @@
     due = listing.next_at(now)
     assert listing.take(due - 1, Tick()).change is None
     change = listing.take(due, Tick()).change
-    assert due <= now + TOLD and change.kind == api.ListKind.FULL and set(listing.rows) == {"b", "d"}
+    assert due <= now + TOLD and change.kind == api.UpdateKind.FULL and set(listing.rows) == {"b", "d"}
     assert listing.version == 4 and listing.next_at(due) is None
     job.kill()
 
@@ -580,7 +580,7 @@
 def test_a_log_that_nobody_reads_stops_nothing():
     reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
-    sink = Sink(writer)
+    sink = NonBlockingLogSink(writer)
     for k in range(200):
         print(f"line {k} " + "x" * 90, file=sink, flush=True)
     dropped = sink.dropped
@@ -626,20 +626,20 @@
     stream = hall.front.by_proxy[0]
     value = hall.machine.desk.store.put(1, 0, {task: 1.0 + task for task in range(6)})
     stream.unsent = b"*2\r\n$6\r\nassign"
-    hall.front.write(0, Parcel(0, 1, hall.now, ((0, 3),), ((0, value),), (), 77))
+    hall.front.write(0, ProxyUpdate(0, 1, hall.now, ((0, 3),), ((0, value),), (), 77))
     assert stream.owed is not None and 77 not in stream.marks
     newer = hall.proxy(3)
     hall.until(lambda: len(hall.front.streams) == 1)
     assert stream.owed is None and not stream.unsent
     newer.sendall(message("done", node=3, nonce=77, latency=5) + encode([b"hb"]))
     hall.until(lambda: hall.front.counts["messages_in"] == 4)
-    assert not events(hall, api.Receipt)
+    assert not events(hall, api.Ack)
     older.close()
 
 
 def test_an_end_that_comes_after_a_newer_call_stands_ends_nothing():
     watch, machine = watch_of(Script())
-    watch.caller.take(watch.clock(), Happened.DIALLED)
+    watch.caller.take(watch.clock(), WatchInput.DIALLED)
     old, watch.call = gevent.spawn(watch.speak), gevent.spawn(gevent.sleep, 1)
     old.kill()
     watch.ended(old)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,14 +17,14 @@
 from hollyridge.chp.client import Subscriber
 from hollyridge.chp.replica import Client
 from hollyridge.cli.main import main
-from hollyridge.client import CloneGateway, SaspGateway
+from hollyridge.client import ChpGateway, SaspGateway
 from hollyridge.lab import ownership, takeover
 from hollyridge.lab.live import free_port, free_ports
 from hollyridge.membership.leases import rightful
-from hollyridge.membership.messages import Claimed, Facts, Join, Ping, Word
-from hollyridge.peers.codec import HEAD, MOST, Guard, PeerError
+from hollyridge.membership.messages import ClaimedProxies, GossipMessage, Join, MemberFacts, Ping
+from hollyridge.peers.codec import HEAD, MOST, PacketGuard, PeerError
 from hollyridge.sasp import ownership_extension
-from hollyridge.sasp.client import Balancer, RefusedError, Registrar
+from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 from hollyridge.service import Service
 from hollyridge.settings import assigner
@@ -39,7 +39,7 @@
 
 
 def acquainted():
-    a, b = (Guard(KEY, name, Random(name).randbytes) for name in "ab")
+    a, b = (PacketGuard(KEY, name, Random(name).randbytes) for name in "ab")
     for one, other in ((a, b), (b, a)):
         other.open(one.open(other.open(one.seal(Join(()))).answer).answer)
     return a, b
@@ -47,25 +47,25 @@
 
 def test_a_packet_is_heard_once_and_only_by_who_has_the_key():
     a, b = acquainted()
-    raw = a.seal(Ping(1, "b", (Word("a", 0, 3, Facts("127.0.0.1:1", "r")),)))
+    raw = a.seal(Ping(1, "b", (GossipMessage("a", 0, 3, MemberFacts("127.0.0.1:1", "r")),)))
     assert b.open(raw).message.words[0].facts.address == "127.0.0.1:1"
     with pytest.raises(PeerError, match="come before"):
         b.open(raw)
-    stranger = Guard(bytes(32), "c", os.urandom)
+    stranger = PacketGuard(bytes(32), "c", os.urandom)
     for guard, packet in ((stranger, a.seal(Join(()))), (b, stranger.seal(Join(())))):
         with pytest.raises(PeerError):
             guard.open(packet)
     with pytest.raises(PeerError):
         a.open(a.seal(Join(())))  # its own, come back
     with pytest.raises(ValueError):
-        Guard(b"short", "a", os.urandom)
+        PacketGuard(b"short", "a", os.urandom)
 
 
 def test_what_was_recorded_of_an_older_run_is_not_heard():
     a, b = acquainted()
-    old = [a.seal(Claimed((("gw", 7),), True)) for _ in range(3)]
+    old = [a.seal(ClaimedProxies((("gw", 7),), True)) for _ in range(3)]
     b.open(old[0])
-    later = Guard(KEY, "b", Random("b2").randbytes)  # b starts again and has seen nothing
+    later = PacketGuard(KEY, "b", Random("b2").randbytes)  # b starts again and has seen nothing
     for raw in old:
         opened = later.open(raw)
         assert opened.message is None and opened.answer
@@ -136,7 +136,7 @@
         )
         service.start()
         self.jobs[number] = gevent.spawn(service.run)
-        agent = self.agents[number] = Registrar(("127.0.0.1", sasp), "shelf", connect=socket.create_connection)
+        agent = self.agents[number] = MemberRegistrar(("127.0.0.1", sasp), "shelf", connect=socket.create_connection)
         agent.register([Member.at(f"127.{1 + k % 3}.0.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(4)])
 
     def kill(self, number):
@@ -148,7 +148,7 @@
         self.jobs[number].join(2)
 
     def gateway(self, kind, uid, zone=1, **how):
-        at = {CloneGateway: 2, SaspGateway: 0}[kind]
+        at = {ChpGateway: 2, SaspGateway: 0}[kind]
         addresses = [("127.0.0.1", ports[at]) for ports in self.ports]
         link = dict(source=f"127.{zone}.0.200", **({"zmq": zmq} if at else {"connect": socket.create_connection}))
         one = kind(addresses, uid, METHODS, how=link, sleep=gevent.sleep, **how)
@@ -189,7 +189,7 @@
 
 def test_each_proxy_has_one_owner_and_another_soon_after_it_died(three):
     three.meet()
-    gateways = {f"gw-{k}": three.gateway((CloneGateway, SaspGateway)[k % 2], f"gw-{k}", 1 + k % 3) for k in range(8)}
+    gateways = {f"gw-{k}": three.gateway((ChpGateway, SaspGateway)[k % 2], f"gw-{k}", 1 + k % 3) for k in range(8)}
     assert wait_for(lambda: all(g.table_for("read-chapter") for g in gateways.values()))
     assert three.owned_once(gateways)
     before = {uid: three.owners(uid)[0] for uid in gateways}
@@ -210,7 +210,7 @@
 def test_a_drained_assigner_hands_over_all_and_leaves(three):
     three.meet()
     uids = [f"gw-{k}" for k in range(6)]
-    gateways = [three.gateway((CloneGateway, SaspGateway)[k % 2], uid) for k, uid in enumerate(uids)]
+    gateways = [three.gateway((ChpGateway, SaspGateway)[k % 2], uid) for k, uid in enumerate(uids)]
     assert wait_for(lambda: three.owned_once(uids) and all(g.table_for("redeem-code") for g in gateways))
     busy = max(range(3), key=[three.owners(uid)[0] for uid in uids].count)
     three.services[busy].fleet.drain()
@@ -220,7 +220,9 @@
 
 def test_clients_that_know_no_owners_are_taken_by_whoever_they_ask(three):
     three.meet()
-    old = Balancer(("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200", connect=socket.create_connection)
+    old = LoadBalancerClient(
+        ("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200", connect=socket.create_connection
+    )
     old.start(METHODS)
     got = old.receive(3)
     assert got and all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
@@ -261,7 +263,7 @@
     )
     service.start()
     job = gevent.spawn(service.run)
-    agent = Registrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
+    agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
     agent.register([Member.at("127.1.0.1", 9000, "t run=a up=100")])
     one = SaspGateway(
         ("127.0.0.1", ports[0]),
@@ -270,9 +272,7 @@
         sleep=gevent.sleep,
         how=dict(source="127.1.0.9", connect=socket.create_connection),
     )
-    two = CloneGateway(
-        ("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq)
-    )
+    two = ChpGateway(("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq))
     jobs = [gevent.spawn(g.run) for g in (one, two)]
     assert wait_for(lambda: one.table_for("read-chapter") and two.table_for("read-chapter"))
     assert one.judge.held == two.judge.held == 0
@@ -287,7 +287,7 @@
 
 def test_orders_stop_when_an_assigner_slept_through_its_leases(three):
     three.meet()
-    one = three.gateway(CloneGateway, "gw-1")
+    one = three.gateway(ChpGateway, "gw-1")
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.table_for("read-chapter"))
     service = three.services[three.owners("gw-1")[0]]
     fleet, agent = service.fleet, three.agents[three.owners("gw-1")[0]]
@@ -306,13 +306,17 @@
 def test_sasp_says_who_should_be_asked(three):
     three.meet()
     uid = next(f"q-{k}" for k in range(99) if owner_of(three, f"q-{k}") == 2)
-    asking = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection)
+    asking = LoadBalancerClient(
+        ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
+    )
     with pytest.raises(RefusedError):
         asking.start(METHODS, asked=5)
     told = ownership_extension.word_in(asking.pushed[0][1].groups)
-    assert told == ownership_extension.SentOn(f"127.0.0.1:{three.ports[2][0]}")
+    assert told == ownership_extension.Redirected(f"127.0.0.1:{three.ports[2][0]}")
     asking.close()
-    pleading = Balancer(("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection)
+    pleading = LoadBalancerClient(
+        ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
+    )
     pleading.start(METHODS, asked=6, plea=True)
     first = pleading.receive(3)[1].groups
     assert ownership_extension.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -14,22 +14,22 @@
 from hollyridge.lab.day import Day
 from hollyridge.lab.virtual import VirtualStage
 from hollyridge.store import learned_estimates, state_file
-from hollyridge.store.state_file import DurableError, Row, State
+from hollyridge.store.state_file import SavedState, StateFileError, TaskEstimate
 
-ROWS = [Row("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), Row("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
-WHOLE = state_file.pack(State("f", 1000, ROWS, 0.6))
+ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
+WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
 def test_a_file_cut_off_at_any_byte_is_refused_and_the_whole_one_read():
     assert state_file.unpack(WHOLE).rows == ROWS
     for size in range(len(WHOLE)):
-        with pytest.raises(DurableError):
+        with pytest.raises(StateFileError):
             state_file.unpack(WHOLE[:size])
 
 
 def test_a_file_with_any_byte_turned_over_is_refused():
     for at in range(len(WHOLE)):
-        with pytest.raises(DurableError):
+        with pytest.raises(StateFileError):
             state_file.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
 
 
@@ -37,9 +37,9 @@
     body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
     raw = state_file.HEAD.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
     old = state_file.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
-    assert old.price == 0.0 and old.rows == [Row("a:1", 2.0, 1.0, 1.0, 1.0)]
-    with pytest.raises(DurableError, match="layout 9"):
-        state_file.unpack(state_file.pack(State("f", 7, [], 0.0, 9)))
+    assert old.price == 0.0 and old.rows == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
+    with pytest.raises(StateFileError, match="layout 9"):
+        state_file.unpack(state_file.pack(SavedState("f", 7, [], 0.0, 9)))
 
 
 def test_a_write_that_fails_leaves_the_former_file(tmp_path):
@@ -50,7 +50,7 @@
         state_file.write(path, b"other")
     assert state_file.read(path) == WHOLE
     path.write_bytes(b"x" * (state_file.MOST + 1))
-    with pytest.raises(DurableError, match="over"):
+    with pytest.raises(StateFileError, match="over"):
         state_file.read(path)
 
 
@@ -60,12 +60,12 @@
 @pytest.mark.parametrize(
     "state, now, rows, age_s",
     [
-        (State("f", 1000, ROWS, 0.6), 3000, 2, 2),
-        (State("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
-        (State("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
-        (State("f", 1000, [*ROWS, Row("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
-        (State("f", 1000, [ROWS[0], Row("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
-        (State("f", 1000, [Row("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
+        (SavedState("f", 1000, ROWS, 0.6), 3000, 2, 2),
+        (SavedState("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
+        (SavedState("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
+        (SavedState("f", 1000, [*ROWS, TaskEstimate("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
+        (SavedState("f", 1000, [ROWS[0], TaskEstimate("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
+        (SavedState("f", 1000, [TaskEstimate("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
     ],
 )
 def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
@@ -74,7 +74,7 @@
 
 
 def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
-    own = [api.Learnt(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
+    own = [api.LearnedEstimate(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
     told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
     assert [(r.does, r.heard, r.skill, r.weight) for r in told.event.rows] == [
@@ -101,7 +101,7 @@
     found = {}
     for age_s in (0, 30, 3600):
         module, now = started(), START + SECOND
-        module.decide(now, [api.Recalled(tuple(rows), 2.0, age_s * SECOND)])
+        module.decide(now, [api.EstimatesRestored(tuple(rows), 2.0, age_s * SECOND)])
         assert module.gate.price >= 2.0 - 1e-9  # an old price can only hold pushes back
         news(module, now + SECOND, load=0.5)
         found[age_s] = module.est.does[3] / module.est.does[0]
@@ -111,11 +111,15 @@
 def test_what_is_known_better_stays_and_what_is_closed_or_cold_is_not_told():
     module, now = taught(), START + 20 * SECOND
     before = list(module.est.busy)
-    told = api.Recalled((api.Learnt(0, 900.0, 0.5, 4.0, 9.0), api.Learnt(99, 900.0, 10.0, 4.0, 9.0)), 0.0, 0)
+    told = api.EstimatesRestored(
+        (api.LearnedEstimate(0, 900.0, 0.5, 4.0, 9.0), api.LearnedEstimate(99, 900.0, 10.0, 4.0, 9.0)), 0.0, 0
+    )
     module.decide(now, [told])
     assert module.est.busy == before and module.solver.skill[0] < 2
-    module.decide(now, [roster([entry(1, state=api.TaskState.GONE), entry(2, started_at=now)], api.ListKind.DELTA)])
-    module.decide(now, [api.Recalled(tuple(api.Learnt(i, 900.0, 10.0, 4.0, 9.0) for i in (1, 2)), 0.0, 0)])
+    module.decide(now, [roster([entry(1, state=api.TaskState.GONE), entry(2, started_at=now)], api.UpdateKind.DELTA)])
+    module.decide(
+        now, [api.EstimatesRestored(tuple(api.LearnedEstimate(i, 900.0, 10.0, 4.0, 9.0) for i in (1, 2)), 0.0, 0)]
+    )
     assert module.est.busy[2] == 0.0 and module.solver.skill[1] < 2
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -14,7 +14,7 @@
 
 from hollyridge.keys.curve import client_keys
 from hollyridge.otlp.sender import post, request_of
-from hollyridge.sasp.client import Balancer, LostError, RefusedError, Registrar
+from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 from hollyridge.settings import assigner
 from hollyridge.settings.ini import FaultsError
@@ -78,7 +78,7 @@
 
 def closed_rig(rig, keys):  # noqa: F811
     r = clone_rig(rig, **keys.overrides())
-    agent = r.open(Registrar, "shelf", connect=keys.connect("agent"))
+    agent = r.open(MemberRegistrar, "shelf", connect=keys.connect("agent"))
     agent.register(r.members())
     gevent.sleep(0.3)
     return r, agent
@@ -101,7 +101,7 @@
     r, _ = closed_rig(rig, keys)
     other = trustme.CA()
     for connect in (keys.connect(""), keys.connect("gate", other), socket.create_connection):
-        with pytest.raises((OSError, LostError)):
+        with pytest.raises((OSError, ConnectionLostError)):
             r.balancer("gw-1", connect=connect)
     for connect, uid in (
         (keys.connect("stranger"), "gw-1"),
@@ -110,7 +110,7 @@
     ):
         with pytest.raises(RefusedError):
             r.balancer(uid, connect=connect)
-    far = r.open(Registrar, "shelf", connect=keys.connect("gate"))
+    far = r.open(MemberRegistrar, "shelf", connect=keys.connect("gate"))
     with pytest.raises(RefusedError):
         far.register([Member.at("127.1.0.9", 1, "run=a")])
     for uid, how in (("gw-1", "stranger"), ("other", "gate")):
@@ -166,7 +166,7 @@
     for key in [key for key in overrides if key[0] == "access gate"]:
         del overrides[key]
     r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         while gate.receive(1):
             pass
     assert wait_for(lambda: not r.machine.fronts, 3)
@@ -192,7 +192,7 @@
 def test_a_subscriber_without_keys_is_no_balancer(rig, keys):  # noqa: F811
     r, _ = closed_rig(rig, keys)
     quiet = socket.create_connection(("127.0.0.1", r.sasp))  # never begins the handshake
-    gate = r.open(Balancer, "gw-1", source="127.1.0.200", connect=keys.connect("gate"))
+    gate = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200", connect=keys.connect("gate"))
     gate.start(GROUPS)
     assert r.holds(gate)[0] == {g: ALL for g in GROUPS}
     quiet.close()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -515,7 +515,7 @@
     trouble = scenario.TroubleSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
     terms = [m.model_copy(update={"repeats": "idempotent"}) for m in loaded.terms.methods.values()]
     loaded.terms.methods.update(zip(list(loaded.terms.methods), terms))
-    day = scenario.Script(
+    day = scenario.Scenario(
         loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.terms
     )
     tries = [Day(day, VirtualStage(day, "even", seed), seed).play().figures for seed in range(1, 9)]
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -5,22 +5,22 @@
 from helpers import SECOND, bootstrap
 
 from hollyridge import interface as api
-from hollyridge.core.engine import Limits, Machine, ModuleError
+from hollyridge.core.engine import DecisionModuleError, Engine, EngineLimits
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.delivery.update_builder import Abilities
+from hollyridge.delivery.update_builder import ServerCapabilities
 from hollyridge.lab.policies import Even
 from hollyridge.registration import members
-from hollyridge.registration.members import Applicant, Deregistered, Quiesced, Registered, StreamLost
-from hollyridge.telemetry.report_aggregator import Kind, Point
+from hollyridge.registration.members import Deregistered, MemberRequest, Quiesced, Registered, StreamLost
+from hollyridge.telemetry.report_aggregator import DataPoint, Kind
 
 START = 1_000 * SECOND
-TERMS = members.Terms(16 * SECOND, SECOND, 30 * SECOND, SECOND // 2, 3 * SECOND, 1000)
+TERMS = members.RegistrationConfig(16 * SECOND, SECOND, 30 * SECOND, SECOND // 2, 3 * SECOND, 1000)
 
 
 class Front:
     """Keeps the tables that proxies would hold."""
 
-    abilities = Abilities(False, False, False, True, 1)
+    abilities = ServerCapabilities(False, False, False, True, 1)
 
     def __init__(self):
         self.tables, self.bound, self.log = {}, {}, []
@@ -40,16 +40,18 @@
 class House:
     def __init__(self, make=Assigner, tasks=6, proxies=4, seed=7, **terms):
         boot = bootstrap(admission=api.Admission.SILENT, **terms)
-        limits = Limits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
+        limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.front = START, Front()
-        self.machine = Machine(boot, seed, limits, members.Members(TERMS, START), START, structlog.get_logger(), make)
+        self.machine = Engine(
+            boot, seed, limits, members.MemberRegistry(TERMS, START), START, structlog.get_logger(), make
+        )
         self.register({f"t{k}": ("run=a up=100", k % 2) for k in range(tasks)})
         self.proxies = [self.machine.join(self.now, self.front, f"gw-{k}", k % 2, 5.0) for k in range(proxies)]
         self.run(5)
 
     def register(self, rows, stream=1):
         found = tuple(
-            Applicant((name,), self.machine.tasks.enter(self.now, (name,)), zone, label, False)
+            MemberRequest((name,), self.machine.tasks.enter(self.now, (name,)), zone, label, False)
             for name, (label, zone) in rows.items()
         )
         return self.machine.happened(self.now, Registered(stream, found))
@@ -73,7 +75,7 @@
         end = self.now * 1000
         rows = ((Kind.TRIES, tries), (Kind.FAILED, bad), (Kind.TIME, (tries - bad) * 0.1))
         for kind, value in rows:
-            self.machine.report(self.now, Point("gw", kind, (zone, task), 0, value, end - round(span * 1e9), end))
+            self.machine.report(self.now, DataPoint("gw", kind, (zone, task), 0, value, end - round(span * 1e9), end))
 
     def held(self):
         return {proxy: set(table) for proxy, table in self.front.tables.items()}
@@ -127,7 +129,7 @@
     """Fails whenever it is told of this many proxies that left at once."""
 
     def decide(self, now, events):
-        if any(isinstance(e, api.Left) for e in events):
+        if any(isinstance(e, api.ProxyLeft) for e in events):
             raise KeyError("a fault of the module")
         return super().decide(now, events)
 
@@ -145,7 +147,7 @@
         house.machine.happened(house.now, Quiesced(1, (f"t{k}",), True))
         house.run(0.3)
         heard, waits = house.machine.module.heard, house.machine.channel.waiting
-        assert type(heard[-1]) is api.Waits and sum(type(event) is api.Waits for event in heard) == 1
+        assert type(heard[-1]) is api.QueueDepth and sum(type(event) is api.QueueDepth for event in heard) == 1
         assert house.machine.module.outbox.sent - house.machine.module.outbox.left >= heard[-1].lines - 1e-6
     assert house.machine.channel.merged > 0 and waits > 0
 
@@ -168,7 +170,7 @@
 
 def test_it_gives_up_when_the_module_fails_on_and_on():
     house = House(Flaky)
-    with pytest.raises(ModuleError):
+    with pytest.raises(DecisionModuleError):
         for proxy in house.proxies:
             house.machine.leave(house.now, proxy)
             house.run(0.2)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,25 +8,25 @@
 from hollyridge.lab.lease_model_check import explore
 from hollyridge.membership import leases, swim
 from hollyridge.membership.leases import (
-    Acked,
-    Came,
     Claims,
-    Drop,
-    Ended,
+    ForwardProxy,
     Lease,
+    LeaseGranted,
+    LeaseManager,
     Members,
-    Owners,
-    SendTo,
-    Stale,
-    Standing,
-    Take,
+    MemberState,
+    ProxyAsked,
+    ProxyEnded,
+    ReleaseProxy,
+    StaleToken,
+    TokenAcknowledged,
     rightful,
 )
-from hollyridge.membership.messages import Facts, Join, Ping, Status, Word
-from hollyridge.membership.swim import Changed, Heard, Leaving, Pace, Send, Swim, Told
+from hollyridge.membership.messages import GossipMessage, Join, MemberFacts, Ping, Status
+from hollyridge.membership.swim import Changed, Heard, Leaving, Send, Swim, SwimConfig, Told
 
 MS = 1000
-PACE = Pace(period=200 * MS, answer=60 * MS)
+PACE = SwimConfig(period=200 * MS, answer=60 * MS)
 
 
 class Wire:
@@ -39,7 +39,7 @@
             self.start(f"m{k}")
 
     def start(self, name, run="r0"):
-        facts = Facts(name, run, serves=(("clone", f"127.0.0.1:{len(name)}"),))
+        facts = MemberFacts(name, run, serves=(("clone", f"127.0.0.1:{len(name)}"),))
         self.members[name] = Swim(name, facts, PACE, Random(f"{name}{run}"), ("m0", "m1"))
         self.at(self.now, "tick", name, self.members[name])
 
@@ -165,10 +165,10 @@
 
 
 LIES = [
-    Word("m1", Status.GONE, 1 << 40, Facts("m1", "r0")),
-    Word("m0", Status.GONE, 1 << 40, Facts("m0", "r0")),
-    Word("x", 0, -1, Facts("x", "r")),
-    Word("m1", 0, 5, Facts("m1", "r0", weight=float("nan"))),
+    GossipMessage("m1", Status.GONE, 1 << 40, MemberFacts("m1", "r0")),
+    GossipMessage("m0", Status.GONE, 1 << 40, MemberFacts("m0", "r0")),
+    GossipMessage("x", 0, -1, MemberFacts("x", "r")),
+    GossipMessage("m1", 0, 5, MemberFacts("m1", "r0", weight=float("nan"))),
 ]
 
 
@@ -184,9 +184,9 @@
 
 
 def test_no_more_members_than_may_be():
-    member = Swim("m", Facts("m", "r"), Pace(200 * MS, 60 * MS, most=10), Random(1))
+    member = Swim("m", MemberFacts("m", "r"), SwimConfig(200 * MS, 60 * MS, most=10), Random(1))
     for k in range(50):
-        member.take(k, Heard(f"x{k}", Join((Word(f"x{k}", 0, 0, Facts(f"x{k}", "r")),))))
+        member.take(k, Heard(f"x{k}", Join((GossipMessage(f"x{k}", 0, 0, MemberFacts(f"x{k}", "r")),))))
     assert len(member.members) == 10
     assert len(member.words("x1")) <= swim.WORDS
 
@@ -194,11 +194,11 @@
 # Ownership.
 
 LEASE = Lease(length=3_000_000, settle=5_000_000, period=1_000_000)
-THREE = {name: Standing("", 1.0, 0) for name in "abc"}
+THREE = {name: MemberState("", 1.0, 0) for name in "abc"}
 
 
 def owner(name="a", standing=THREE, now=0):
-    one = Owners(name, LEASE)
+    one = LeaseManager(name, LEASE)
     one.take(now, Members(dict(standing)))
     return one
 
@@ -207,52 +207,55 @@
     found = {}
     all_three = [owner(name) for name in "abc"]
     for k in range(300):
-        answers = [one.take(0, Came(f"gw-{k}", "", 1, False))[0] for one in all_three]
-        takers = [one.name for one, do in zip(all_three, answers) if isinstance(do, Take)]
-        assert len(takers) == 1 and {do.name for do in answers if isinstance(do, SendTo)} == set(takers)
+        answers = [one.take(0, ProxyAsked(f"gw-{k}", "", 1, False))[0] for one in all_three]
+        takers = [one.name for one, do in zip(all_three, answers) if isinstance(do, LeaseGranted)]
+        assert len(takers) == 1 and {do.name for do in answers if isinstance(do, ForwardProxy)} == set(takers)
         found[takers[0]] = found.get(takers[0], 0) + 1
     assert min(found.values()) > 70
 
 
 def test_weights_and_zones_count():
     uids = [f"gw-{k}" for k in range(2000)]
-    heavy = {**THREE, "a": Standing("", 3.0, 0)}
+    heavy = {**THREE, "a": MemberState("", 3.0, 0)}
     part = sum(rightful(uid, "", heavy) == "a" for uid in uids) / 2000
     assert 0.56 < part < 0.64
-    near = {**THREE, "b": Standing("khalda", 1.0, 0)}
+    near = {**THREE, "b": MemberState("khalda", 1.0, 0)}
     part = sum(rightful(uid, "khalda", near) == "b" for uid in uids) / 2000
     assert 0.61 < part < 0.72  # four of six
-    assert rightful("gw", "", {}) == "" == rightful("gw", "", {"a": Standing("", 1.0, 0, takes=False)})
+    assert rightful("gw", "", {}) == "" == rightful("gw", "", {"a": MemberState("", 1.0, 0, takes=False)})
 
 
 def test_a_plea_is_heard_and_left_in_peace_for_a_while():
     uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", THREE) == "b")
     one = owner("a")
-    assert one.take(0, Came(uid, "", 1, False)) == [SendTo(uid, "b")]
-    assert one.take(0, Came(uid, "", 2, True)) == [Take(uid, 2)]
+    assert one.take(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
+    assert one.take(0, ProxyAsked(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
     now = 0
     while not (out := one.take(now, leases.Tick())):
         now += 1_000_000
-        one.take(now, Acked(uid, 2))
-    assert out == [Drop(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.length
+        one.take(now, TokenAcknowledged(uid, 2))
+    assert out == [ReleaseProxy(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.length
 
 
 def test_a_lease_that_ran_out_ends_orders_before_anything_else_is_looked_at():
     one = owner("a", {"a": THREE["a"]})
-    one.take(0, Came("gw", "", 7, False))
+    one.take(0, ProxyAsked("gw", "", 7, False))
     assert one.may_order(LEASE.length, "gw") and not one.may_order(LEASE.length + 1, "gw")
     assert not one.may_order(0, "other")
-    assert one.take(LEASE.length + 1, leases.Tick()) == [Drop("gw", "its lease ran out")]
+    assert one.take(LEASE.length + 1, leases.Tick()) == [ReleaseProxy("gw", "its lease ran out")]
 
 
 def test_who_is_obeyed_no_more_lets_go():
     one = owner("a", {"a": THREE["a"]})
-    one.take(0, Came("gw", "", 7, False))
-    assert one.take(1, Acked("gw", 7)) == [] and one.take(2, Acked("gw", 8))[0].why == "another orders it"
+    one.take(0, ProxyAsked("gw", "", 7, False))
+    assert (
+        one.take(1, TokenAcknowledged("gw", 7)) == []
+        and one.take(2, TokenAcknowledged("gw", 8))[0].why == "another orders it"
+    )
     assert not one.may_order(2, "gw")
-    one.take(3, Came("gw", "", 9, False))
-    assert one.take(4, Came("gw", "", 8, True)) == [Stale("gw")] and one.fence("gw") == 9
-    one.take(5, Ended("gw"))
+    one.take(3, ProxyAsked("gw", "", 9, False))
+    assert one.take(4, ProxyAsked("gw", "", 8, True)) == [StaleToken("gw")] and one.fence("gw") == 9
+    one.take(5, ProxyEnded("gw"))
     assert one.fence("gw") == 0
 
 
@@ -261,7 +264,7 @@
     one = owner("a", two)
     mine = [f"gw-{k}" for k in range(400) if rightful(f"gw-{k}", "", two) == "a"]
     for uid in mine:
-        one.take(0, Came(uid, "", 1, False))
+        one.take(0, ProxyAsked(uid, "", 1, False))
     due = [uid for uid in mine if rightful(uid, "", THREE) == "c"]
     now, moved = 0, []
 
@@ -270,16 +273,16 @@
         for _ in range(round(seconds * 2)):
             now += 500_000
             for uid in list(one.mine):
-                one.take(now, Acked(uid, 1))
-            moved.append([do for do in one.take(now, leases.Tick()) if isinstance(do, Drop)])
+                one.take(now, TokenAcknowledged(uid, 1))
+            moved.append([do for do in one.take(now, leases.Tick()) if isinstance(do, ReleaseProxy)])
 
     for _ in range(5):  # it comes and goes
-        one.take(now, Members({**two, "c": Standing("", 1.0, now)}))
+        one.take(now, Members({**two, "c": MemberState("", 1.0, now)}))
         pass_time(4)
         one.take(now, Members(two))
         pass_time(1)
     assert not any(moved)
-    one.take(now, Members({**two, "c": Standing("", 1.0, now)}))
+    one.take(now, Members({**two, "c": MemberState("", 1.0, now)}))
     pass_time(40)
     gone = [do for some in moved for do in some]
     assert sorted(do.uid for do in gone) == sorted(due) and {do.to for do in gone} == {"c"}
@@ -289,7 +292,7 @@
 def test_claims_of_others_are_for_watchers_only():
     one = owner("a", {"a": THREE["a"], "b": THREE["b"]})
     uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", one.standing) == "a")
-    one.take(0, Came(uid, "", 5, False))
+    one.take(0, ProxyAsked(uid, "", 5, False))
     one.take(1, Claims("b", ((uid, 1 << 60),), True))
     assert one.disagreements() == [(uid, "a", "b")] and one.fence(uid) == 5 and one.may_order(1, uid)
     one.take(2, Claims("b", (), True))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 import pytest
 from stand_ins import CLASSES, ROOT, SETTINGS, ZONES, Assigner, Discovery, Peer, message, page, server, wait_for
 
-from hollyridge.node.config import NodeError, read_terms
+from hollyridge.node.config import ConfigError, read_terms
 
 TASKS = [f"s-{k}" for k in range(6)]
 LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("change, fault", FAULTY)
 def test_every_fault_of_a_configuration_is_named(change, fault):
     raw = change if isinstance(change, bytes) else json.dumps({**GOOD, **change}).encode()
-    with pytest.raises(NodeError) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_terms(raw)
     assert fault in str(caught.value)
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -9,14 +9,14 @@
 from immutables import Map
 from in_process import NAMES, Hall
 
-from hollyridge.delivery.update_builder import Parcel
-from hollyridge.limits.pending_connections import PendingJoins
+from hollyridge.delivery.update_builder import ProxyUpdate
+from hollyridge.limits.pending_connections import PendingConnections
 from hollyridge.resp import codec, messages
-from hollyridge.resp.codec import Reader, RespError, encode
-from hollyridge.resp.update_encoder import Scribe, Sheet
-from hollyridge.store.table_versions import Store, Table
+from hollyridge.resp.codec import FrameReader, RespError, encode
+from hollyridge.resp.update_encoder import ProxyView, UpdateEncoder
+from hollyridge.store.table_versions import Table, TableStore
 
-READING = messages.Reading(NAMES, bootstrap())
+READING = messages.MessageReader(NAMES, bootstrap())
 
 
 @given(
@@ -25,7 +25,7 @@
 )
 def test_any_split_of_the_bytes_reads_alike(messages, sizes):
     raw = b"".join(map(encode, messages))
-    reader, found, at, k = Reader(), [], 0, 0
+    reader, found, at, k = FrameReader(), [], 0, 0
     while at < len(raw):
         step = sizes[k % len(sizes)]
         found += reader.feed(raw[at : at + step])
@@ -35,7 +35,7 @@
 
 @given(some.binary(max_size=300), some.integers(1, 64))
 def test_whatever_comes_is_read_or_refused_and_never_held_past_the_limit(raw, step):
-    reader = Reader(most=128)
+    reader = FrameReader(most=128)
     try:
         for at in range(0, len(raw), step):
             reader.feed(raw[at : at + step])
@@ -66,15 +66,15 @@
 @pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE)
 def test_refused_as_soon_as_it_is_known(raw):
     with pytest.raises(RespError):
-        Reader().feed(raw)
-    reader = Reader()
+        FrameReader().feed(raw)
+    reader = FrameReader()
     with pytest.raises(RespError):
         for at in range(len(raw)):
             reader.feed(raw[at : at + 1])
 
 
 def test_what_comes_before_the_unreadable_counts():
-    reader = Reader()
+    reader = FrameReader()
     assert reader.feed(encode([b"hb"]) + encode([b"done", b"x"]) + b"rubbish") == [[b"hb"], [b"done", b"x"]]
     assert reader.fault is not None
     with pytest.raises(RespError):
@@ -88,23 +88,23 @@
 MET = dict(locality="khalda", endpoint="s-1", total=212, errors=3, rtt=41.7, interval=1000.0)
 USED = dict(node=17, route="redeem-code", total=19, errors=0, interval=1000.0)
 GOOD = [
-    (said("hb"), messages.Beat()),
-    (said("telemetry", locality="sahab"), messages.Collector(1)),
-    (said("attach", node=17, locality="khalda", w=21.5, cold=1), messages.Hello(17, 0, 21.5, True)),
-    (said("done", node=17, nonce=905, latency=310.4), messages.Applied(17, 905, 310_400)),
+    (said("hb"), messages.Heartbeat()),
+    (said("telemetry", locality="sahab"), messages.CollectorHello(1)),
+    (said("attach", node=17, locality="khalda", w=21.5, cold=1), messages.JoinRequest(17, 0, 21.5, True)),
+    (said("done", node=17, nonce=905, latency=310.4), messages.AckMessage(17, 905, 310_400)),
     (
         said("upstream_stats", **MET, metrics="queue:7,util:0.61"),
-        messages.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0)),
+        messages.TrafficSample(0, "s-1", 212, 3, 41_700, SECOND, (0.61, 7.0)),
     ),
     (
         said("upstream_stats", **MET, metrics="util:0.61,other:3"),
-        messages.Met(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0)),
+        messages.TrafficSample(0, "s-1", 212, 3, 41_700, SECOND, (0.61, -1.0)),
     ),
-    (said("upstream_stats", **MET), messages.Met(0, "s-1", 212, 3, 41_700, SECOND, ())),
-    (said("upstream_stats", **{**MET, "total": 3, "rtt": 0}), messages.Met(0, "s-1", 3, 3, 0, SECOND, ())),
-    (said("client_stats", **USED), messages.Offered(17, 1, 19, 0, SECOND)),
+    (said("upstream_stats", **MET), messages.TrafficSample(0, "s-1", 212, 3, 41_700, SECOND, ())),
+    (said("upstream_stats", **{**MET, "total": 3, "rtt": 0}), messages.TrafficSample(0, "s-1", 3, 3, 0, SECOND, ())),
+    (said("client_stats", **USED), messages.OfferedLoadSample(17, 1, 19, 0, SECOND)),
     # Let in during an earlier interval and not served in this one: more than came.
-    (said("client_stats", **{**USED, "total": 2, "errors": 9}), messages.Offered(17, 1, 2, 9, SECOND)),
+    (said("client_stats", **{**USED, "total": 2, "errors": 9}), messages.OfferedLoadSample(17, 1, 2, 9, SECOND)),
 ]
 
 
@@ -166,13 +166,13 @@
 
 @pytest.mark.parametrize("kind, fields", SPOILT)
 def test_a_spoilt_message_is_told_from_a_good_one(kind, fields):
-    with pytest.raises(messages.Spoilt):
+    with pytest.raises(messages.MalformedMessageError):
         said(kind, **fields)
 
 
 @pytest.mark.parametrize("parts", [[b"done", b"node"], [b"done", b"node", b"1", b"node", b"2"]])
 def test_names_and_values_pair(parts):
-    with pytest.raises(messages.Spoilt):
+    with pytest.raises(messages.MalformedMessageError):
         READING.read(parts)
 
 
@@ -180,17 +180,17 @@
     """Tables by version, and what a proxy that obeys would hold."""
 
     def __init__(self):
-        self.store = Store(8)
-        self.scribe = Scribe(NAMES.methods, lambda task: f"s-{task}")
-        self.sheet, self.planned = Sheet(), Sheet()
+        self.store = TableStore(8)
+        self.scribe = UpdateEncoder(NAMES.methods, lambda task: f"s-{task}")
+        self.sheet, self.planned = ProxyView(), ProxyView()
 
     def put(self, version, table=0, lines=(), levels=()):
         return self.store.put(version, table, dict(lines), dict(levels))
 
     def told(self, *tables, binds=(), mark=-1, out=()):
-        parcel = Parcel(3, 1, 0, binds, tuple(tables), (), mark, tuple(out))
+        parcel = ProxyUpdate(3, 1, 0, binds, tuple(tables), (), mark, tuple(out))
         lines, data = self.scribe.lines(self.planned, parcel), self.scribe.write(self.sheet, parcel)
-        return [[part.decode() for part in one] for one in Reader().feed(data)], lines
+        return [[part.decode() for part in one] for one in FrameReader().feed(data)], lines
 
 
 ALL = ((0, 0b11),)
@@ -250,7 +250,7 @@
 
 
 def test_who_does_not_join_takes_no_place_for_long():
-    pending = PendingJoins(patience=2 * SECOND)
+    pending = PendingConnections(patience=2 * SECOND)
     closed = [number for at in range(500) for number in pending.came(at, at, 300)]
     assert closed == list(range(200)) and len(pending.waiting) == 300
     pending.left(499)
@@ -259,7 +259,7 @@
 
 
 def test_who_has_begun_to_join_keeps_its_place_among_those_who_say_nothing():
-    pending = PendingJoins(patience=2 * SECOND)
+    pending = PendingConnections(patience=2 * SECOND)
     pending.came(0, 0, 8)
     pending.spoke(0)
     assert [number for at in range(1, 300) for number in pending.came(at, at, 8)] == list(range(1, 293))
@@ -271,7 +271,7 @@
 
 def test_the_largest_message_is_within_the_platforms_limit():
     assert codec.MESSAGE_MOST == 1 << 20
-    reader = Reader()
+    reader = FrameReader()
     assert reader.feed(encode([b"assign", b"x" * (codec.MESSAGE_MOST - 40)]))
 
 
@@ -283,10 +283,10 @@
     for version in range(1, 400):
         value = store.put(version, 0, {task: 1.0 + version / 1000 for task in range(900)})
         binds = ALL if version == 1 else ()
-        hall.front.write(proxy, Parcel(proxy, version, START, binds, ((0, value),), (), version))
+        hall.front.write(proxy, ProxyUpdate(proxy, version, START, binds, ((0, value),), (), version))
         assert len(stream.unsent) < 64 << 10
     assert hall.front.counts["merged"] > 300
-    reader, held, mark = Reader(), {}, 0
+    reader, held, mark = FrameReader(), {}, 0
     with gevent.Timeout(5):
         while mark != 399:
             for one in reader.feed(sock.recv(65536)):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -8,17 +8,17 @@
 from in_process import ZONES, ListingDesk, Script, chunked, line, watch_of
 
 from hollyridge.discovery import schema
-from hollyridge.discovery.endpoint_list import CallFailed, Heard
-from hollyridge.discovery.watch_state import Action, Caller, Happened
-from hollyridge.interface import ListKind, TaskState
-from hollyridge.registration.members import AskedAgain
+from hollyridge.discovery.endpoint_list import EndpointListReceived, WatchFailed
+from hollyridge.discovery.watch_state import WatchAction, WatchInput, WatchState
+from hollyridge.interface import TaskState, UpdateKind
+from hollyridge.registration.members import RefreshRequested
 
 NOW = 1_000 * SECOND
 
 
 def news(version, *rows, full=False):
-    entries = tuple(schema.Entry(name, 0, 0, state, 1.0, ms) for name, state, ms in rows)
-    return Heard(schema.News(version, full, entries))
+    entries = tuple(schema.ListedEndpoint(name, 0, 0, state, 1.0, ms) for name, state, ms in rows)
+    return EndpointListReceived(schema.WatchEvent(version, full, entries))
 
 
 READY, DRAINING, GONE = TaskState.READY, TaskState.DRAINING, TaskState.GONE
@@ -37,13 +37,14 @@
 def test_changes_and_whole_lists():
     desk = ListingDesk()
     assert (
-        desk.take(Heard(news(5, ("a", READY, 0), ("b", READY, 0), full=True).news, stale=True)).kind == ListKind.CACHED
+        desk.take(EndpointListReceived(news(5, ("a", READY, 0), ("b", READY, 0), full=True).news, stale=True)).kind
+        == UpdateKind.CACHED
     )
     change = desk.take(news(6, ("a", GONE, 0), ("never", GONE, 0)))
-    assert change.kind == ListKind.DELTA and [(e.task, e.state) for e in change.entries] == [(0, GONE)]
-    assert desk.take(news(7, ("c", READY, 0), full=True)).kind == ListKind.FULL and set(desk.listing.rows) == {"c"}
-    assert [e.task for e in desk.listing.whole(ListKind.CACHED).entries] == [2]
-    assert desk.take(CallFailed()).kind == ListKind.FAILED and desk.take(AskedAgain()) is None
+    assert change.kind == UpdateKind.DELTA and [(e.task, e.state) for e in change.entries] == [(0, GONE)]
+    assert desk.take(news(7, ("c", READY, 0), full=True)).kind == UpdateKind.FULL and set(desk.listing.rows) == {"c"}
+    assert [e.task for e in desk.listing.whole(UpdateKind.CACHED).entries] == [2]
+    assert desk.take(WatchFailed()).kind == UpdateKind.FAILED and desk.take(RefreshRequested()) is None
 
 
 def test_an_older_list_changes_nothing():
@@ -74,17 +75,17 @@
 
 @pytest.mark.parametrize("raw", FAULTS)
 def test_nonsense_is_named(raw):
-    with pytest.raises(schema.RosterError, match="."):
+    with pytest.raises(schema.EndpointListError, match="."):
         schema.read(raw, ZONES)
 
 
 def test_calls_that_fail_are_made_again_after_growing_pauses():
-    caller, now, pauses = Caller(2 * SECOND, Random(5)), 0, []
+    caller, now, pauses = WatchState(2 * SECOND, Random(5)), 0, []
     for _ in range(12):
-        assert caller.take(now, Happened.TICK) is Action.DIAL
-        caller.take(now, Happened.DIALLED)
-        caller.take(now, Happened.ENDED)
-        assert caller.take(now, Happened.TICK) is Action.NOTHING
+        assert caller.take(now, WatchInput.TICK) is WatchAction.DIAL
+        caller.take(now, WatchInput.DIALLED)
+        caller.take(now, WatchInput.ENDED)
+        assert caller.take(now, WatchInput.TICK) is WatchAction.NOTHING
         pauses.append(caller.next_at - now)
         now = caller.next_at
     assert all(1 * SECOND <= pause <= 3 * SECOND for pause in pauses[5:]) and max(pauses[:1]) <= 0.3 * SECOND
@@ -92,16 +93,16 @@
 
 
 def test_a_silent_watch_is_dead_and_a_moved_one_dialled_at_once():
-    caller = Caller(2 * SECOND, Random(5))
-    caller.take(0, Happened.DIALLED)
+    caller = WatchState(2 * SECOND, Random(5))
+    caller.take(0, WatchInput.DIALLED)
     for second in range(1, 20):
-        caller.take(second * SECOND, Happened.LIST)
-        assert caller.take(second * SECOND + 1, Happened.TICK) is Action.NOTHING
-    assert caller.take(22 * SECOND, Happened.TICK) is Action.DROP
-    caller.take(22 * SECOND, Happened.ENDED)
-    assert caller.take(22 * SECOND, Happened.MOVED) is Action.DIAL
-    caller.take(22 * SECOND, Happened.DIALLED)
-    assert caller.take(22 * SECOND, Happened.MOVED) is Action.DROP
+        caller.take(second * SECOND, WatchInput.LIST)
+        assert caller.take(second * SECOND + 1, WatchInput.TICK) is WatchAction.NOTHING
+    assert caller.take(22 * SECOND, WatchInput.TICK) is WatchAction.DROP
+    caller.take(22 * SECOND, WatchInput.ENDED)
+    assert caller.take(22 * SECOND, WatchInput.MOVED) is WatchAction.DIAL
+    caller.take(22 * SECOND, WatchInput.DIALLED)
+    assert caller.take(22 * SECOND, WatchInput.MOVED) is WatchAction.DROP
 
 
 ANSWERS = {
@@ -121,11 +122,11 @@
     watch, machine = watch_of(script)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while len([one for one in machine.told if type(one) is Heard]) < 2:
+        while len([one for one in machine.told if type(one) is EndpointListReceived]) < 2:
             gevent.sleep(0.01)
     job.kill()
-    assert type(machine.told[0]) is CallFailed and len(script.asked) == 2
-    assert [one.news.version for one in machine.told if type(one) is Heard] == [4, 5]
+    assert type(machine.told[0]) is WatchFailed and len(script.asked) == 2
+    assert [one.news.version for one in machine.told if type(one) is EndpointListReceived] == [4, 5]
 
 
 def test_after_a_move_it_asks_there_from_the_version_it_holds():
@@ -147,24 +148,24 @@
 def test_a_move_before_a_call_has_begun_does_not_end_the_asking():
     script = Script(chunked(line(4, ("a",))))
     watch, machine = watch_of(script)
-    watch.caller.take(watch.clock(), Happened.TICK)
-    watch.caller.take(watch.clock(), Happened.DIALLED)
+    watch.caller.take(watch.clock(), WatchInput.TICK)
+    watch.caller.take(watch.clock(), WatchInput.DIALLED)
     watch.call = gevent.spawn(watch.speak)  # has not run yet
     watch.moved(watch.address)
     assert watch.call is None and not watch.caller.calling
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is Heard for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in machine.told):
             gevent.sleep(0.01)
     job.kill()
 
 
 def test_a_call_that_a_move_ended_is_no_failure():
-    caller = Caller(2 * SECOND, Random(5))
-    caller.take(0, Happened.DIALLED)
-    assert caller.take(SECOND, Happened.MOVED) is Action.DROP
-    caller.take(SECOND + 7, Happened.ENDED)
-    assert caller.failures == 0 and caller.take(SECOND + 7, Happened.TICK) is Action.DIAL
-    caller.take(SECOND + 7, Happened.DIALLED)
-    caller.take(SECOND + 9, Happened.ENDED)
-    assert caller.failures == 1 and caller.take(SECOND + 9, Happened.TICK) is Action.NOTHING
+    caller = WatchState(2 * SECOND, Random(5))
+    caller.take(0, WatchInput.DIALLED)
+    assert caller.take(SECOND, WatchInput.MOVED) is WatchAction.DROP
+    caller.take(SECOND + 7, WatchInput.ENDED)
+    assert caller.failures == 0 and caller.take(SECOND + 7, WatchInput.TICK) is WatchAction.DIAL
+    caller.take(SECOND + 7, WatchInput.DIALLED)
+    caller.take(SECOND + 9, WatchInput.ENDED)
+    assert caller.failures == 1 and caller.take(SECOND + 9, WatchInput.TICK) is WatchAction.NOTHING
