--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,18 @@
 from helpers import SECOND, START, Rig, bootstrap, entry, lines, method, roster
 
 from hollyridge import interface as api
-from hollyridge.decisions.assigner import HMAX, NO_LIMIT, STEP, Assigner, Estimates, Gate, Levels, Outbox, Ramp, Roster
+from hollyridge.decisions.assigner import (
+    HMAX,
+    NO_LIMIT,
+    STEP,
+    AdmissionController,
+    Assigner,
+    BacklogEstimator,
+    EndpointDirectory,
+    Estimates,
+    PushGate,
+    SlowStart,
+)
 
 READY, DRAINING, GONE = api.TaskState.READY, api.TaskState.DRAINING, api.TaskState.GONE
 
@@ -21,25 +32,25 @@
     ],
 )
 def test_price_by_hand(gains, pushes, price):
-    gate = Gate()
+    gate = PushGate()
     assert [gate.decide(1.0, 1.0 - g, False) for g in gains] == [bool(p) for p in pushes]
     assert gate.price == pytest.approx(price)
 
 
 def test_pushes_stay_within_the_budget_in_the_long_run():
-    gate = Gate()
+    gate = PushGate()
     pushes = sum(gate.decide(1.0, 0.9, False) for _ in range(2000))
     assert HMAX * 2000 - 10 <= pushes <= HMAX * 2000 + 30
-    assert not Gate().decide(1.0, 0.1, True)  # held while half the backlog waits
+    assert not PushGate().decide(1.0, 0.1, True)  # held while half the backlog waits
 
 
 def test_one_shared_table_a_zone_and_joins_at_once():
     rig = Rig()
     assert rig.bound == {0: 0, 1: 1, 2: 0, 3: 1} and set(rig.tables) == {0, 1}
     assert rig.share(0, 0) > rig.share(0, 1) > 0 and rig.share(1, 1) > rig.share(1, 0) > 0
-    rig.feed(api.Left(0), after=0.1)
-    orders = rig.feed(api.Joined(5.0, False, 0, 0), after=0.1)
-    assert api.Attach(0, 0, 0) in orders and not lines(orders)
+    rig.feed(api.ProxyLeft(0), after=0.1)
+    orders = rig.feed(api.ProxyJoined(5.0, False, 0, 0), after=0.1)
+    assert api.BindTable(0, 0, 0) in orders and not lines(orders)
 
 
 def test_weights_follow_heard_latency_by_a_tenth_at_most_and_only_moved_lines_go_out():
@@ -59,23 +70,23 @@
 
 @pytest.mark.parametrize("age, part", [(0, 0.25), (2, 0.5), (6, 0.99), (15.9, 0.99), (16, 1.0), (1e6, 1.0)])
 def test_ramp_rises_in_steps_from_the_stated_floor(age, part):
-    assert Ramp(bootstrap()).part(START, START - round(age * SECOND)) == part
+    assert SlowStart(bootstrap()).part(START, START - round(age * SECOND)) == part
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_a_cold_task_gets_its_part_of_what_a_warm_one_carries_also_when_its_id_is_known(known):
     rig = Rig(outlier_after=0)
     task = 3 if known else 8
-    rig.feed(roster([entry(task, started_at=rig.now)], api.ListKind.DELTA), after=1)
+    rig.feed(roster([entry(task, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
     for zone in (0, 1):
         assert 0 < rig.share(zone, task) <= rig.boot.fall_multiple / 2 * 0.25 / 7
 
 
 def test_many_cold_tasks_leave_the_rest_room_and_all_cold_are_held_alike():
     rig = Rig(outlier_after=0)
-    rig.feed(roster([entry(i, started_at=rig.now) for i in range(2, 8)], api.ListKind.DELTA), after=1)
+    rig.feed(roster([entry(i, started_at=rig.now) for i in range(2, 8)], api.UpdateKind.DELTA), after=1)
     assert all(rig.share(z, 0) + rig.share(z, 1) > 0.5 for z in (0, 1))
-    rig.feed(roster([entry(i, started_at=rig.now) for i in (0, 1)], api.ListKind.DELTA), after=1)
+    rig.feed(roster([entry(i, started_at=rig.now) for i in (0, 1)], api.UpdateKind.DELTA), after=1)
     assert all(rig.share(0, i) > 0 for i in range(8))
 
 
@@ -85,14 +96,14 @@
     for _ in range(5):
         rig.period(*[rig.met(z, i, bad=8) for z in (0, 1) for i in range(8)])
     usual = rig.share(0, 0)
-    rig.feed(roster([entry(8, started_at=rig.now)], api.ListKind.DELTA), after=0.1)
+    rig.feed(roster([entry(8, started_at=rig.now)], api.UpdateKind.DELTA), after=0.1)
     assert (8 in rig.tables[0]) is listed
     assert not listed or rig.share(0, 8) <= rig.boot.fall_multiple / 2 * 0.2 * usual
 
 
 def test_cold_tasks_wait_after_a_start_until_tries_could_have_run_out():
     rig = Rig()
-    rig.feed(roster([entry(8, started_at=rig.now)], api.ListKind.DELTA), after=0.1)
+    rig.feed(roster([entry(8, started_at=rig.now)], api.UpdateKind.DELTA), after=0.1)
     assert 8 not in rig.tables[0]
     for _ in range(4):
         rig.period()  # no news is no good news
@@ -105,8 +116,8 @@
 @pytest.mark.parametrize(
     "change",
     [
-        roster([entry(2, state=DRAINING)], api.ListKind.DELTA),
-        roster([entry(2, state=GONE)], api.ListKind.DELTA),
+        roster([entry(2, state=DRAINING)], api.UpdateKind.DELTA),
+        roster([entry(2, state=GONE)], api.UpdateKind.DELTA),
         roster([entry(i) for i in range(8) if i != 2]),  # a full list says it by silence
     ],
 )
@@ -114,17 +125,17 @@
     rig = Rig()
     rig.feed(change, after=0.3)
     assert all(2 not in table for table in rig.tables.values())
-    rig.feed(api.Joined(5.0, True, 9, 0), after=1)
+    rig.feed(api.ProxyJoined(5.0, True, 9, 0), after=1)
     assert rig.bound[9] == 0 and 2 not in rig.tables[0]
 
 
 def test_a_drain_goes_out_though_receipts_of_stalled_proxies_come_late():
     rig = Rig(messages_most=30)
     for _ in range(5):
-        marks = [o.mark for o in rig.orders if isinstance(o, api.AskReceipt)]
+        marks = [o.mark for o in rig.orders if isinstance(o, api.RequestAck)]
         rig.period(*[rig.met(z, i, latency=0.1 + i / 10) for z in (0, 1) for i in range(8)], receipts=False)
-        rig.feed(*[api.Receipt(p, m, 3 * SECOND) for m in marks for p in (0, 1)], after=0.1)
-    rig.feed(roster([entry(2, state=DRAINING)], api.ListKind.DELTA), after=0.3)
+        rig.feed(*[api.Ack(p, m, 3 * SECOND) for m in marks for p in (0, 1)], after=0.1)
+    rig.feed(roster([entry(2, state=DRAINING)], api.UpdateKind.DELTA), after=0.3)
     assert 2 not in rig.tables[0] and 2 not in rig.tables[1]
 
 
@@ -133,7 +144,7 @@
     rig = Rig()
     for _ in range(10):
         rig.period(*[rig.met(z, i, bad=10) for z in (0, 1) for i in range(8)])
-    rig.feed(roster([entry(i, state=GONE) for i in range(tasks_gone)], api.ListKind.DELTA), after=0.1)
+    rig.feed(roster([entry(i, state=GONE) for i in range(tasks_gone)], api.UpdateKind.DELTA), after=0.1)
     assert all(len(table) == 8 - tasks_gone for table in rig.tables.values())
     assert all(w > 0 for table in rig.tables.values() for w in table.values())
 
@@ -200,7 +211,7 @@
     [(0.5, [10.0, 10.0], 5.0), (0.5, [2.0, 18.0], 8.0), (0.9, [1.0, 1.0, 98.0], 88.0), (0.5, [], NO_LIMIT)],
 )
 def test_where_levels_are_rates_the_part_let_in_is_shared_out_and_those_with_most_give_way(part, rates, level):
-    levels = Levels(bootstrap(admission=api.Admission.PER_SECOND))
+    levels = AdmissionController(bootstrap(admission=api.Admission.PER_SECOND))
     assert levels.rate(part, rates, NO_LIMIT) == pytest.approx(level)
     assert sum(min(rate, levels.rate(part, rates, 1e9)) for rate in rates) == pytest.approx(part * sum(rates))
     assert levels.rate(part, rates, level * 1.05) == level * 1.05  # hardly a move: no line for it
@@ -242,17 +253,17 @@
 
     def step(bad):
         rig.period(*[rig.met(z, i, bad=bad) for z in (0, 1) for i in range(8)])
-        return [o for o in rig.orders if isinstance(o, api.Attach)]
+        return [o for o in rig.orders if isinstance(o, api.BindTable)]
 
     attached = [step(8) for _ in range(4)]
-    assert [o for some in attached for o in some] == [api.Attach(p, 2, 1) for p in range(4)]  # method 0
+    assert [o for some in attached for o in some] == [api.BindTable(p, 2, 1) for p in range(4)]  # method 0
     (sink,) = rig.tables[2]
     assert rig.share(0, sink) < 0.02
     back = [o for _ in range(12) for o in step(0)]
-    assert sorted(back) == [api.Attach(p, p % 2, 1) for p in range(4)]
+    assert sorted(back) == [api.BindTable(p, p % 2, 1) for p in range(4)]
     step(0)
     assert not rig.tables[2]
-    rig.feed(api.Joined(5.0, False, 9, 0), after=0.1)
+    rig.feed(api.ProxyJoined(5.0, False, 9, 0), after=0.1)
     assert rig.bound[9] == 0
 
 
@@ -291,10 +302,10 @@
 
     def look():
         for order in rig.orders:
-            if isinstance(order, api.PutLine):
+            if isinstance(order, api.SetWeight):
                 lines = tables.setdefault(order.table, set())
                 (lines.add if order.weight > 0 else lines.discard)(order.task)
-            elif isinstance(order, api.Attach):
+            elif isinstance(order, api.BindTable):
                 held.setdefault(order.proxy, {}).update(
                     (k, order.table) for k in range(len(methods)) if not order.methods or order.methods >> k & 1
                 )
@@ -311,7 +322,9 @@
         rig.period(*[rig.met(z, i, bad=bad) for z in (0, 1) for i in range(12)])
         look()
     changed = [entry(0, state=DRAINING), entry(3, state=GONE), entry(13, started_at=rig.now)]
-    rig.feed(roster(changed, api.ListKind.DELTA), *[api.Joined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1)
+    rig.feed(
+        roster(changed, api.UpdateKind.DELTA), *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1
+    )
     for _ in range(12):
         look()
         rig.period(*[rig.met(z, i) for z in (0, 1) for i in range(14) if i not in (0, 3, 12)])
@@ -329,7 +342,7 @@
 
 
 def test_what_one_reply_says_to_a_proxy_by_two_tables_is_one_message():
-    box = Outbox(bootstrap(messages_most=2))
+    box = BacklogEstimator(bootstrap(messages_most=2))
     for _ in range(2):
         assert box.spare(START, [5], True) > 0
         box.book(START, [5], 10)
@@ -338,9 +351,9 @@
     assert box.spare(START, [5], True) == 0  # and at most 0.95 of two messages
 
 
-@pytest.mark.parametrize("repeat", list(api.Repeat))
+@pytest.mark.parametrize("repeat", list(api.Idempotency))
 def test_no_way_to_try_again_repeats_an_effect(repeat):
-    rig = Rig(methods=(method(repeat), method(repeat, api.Group.ZONE)))
+    rig = Rig(methods=(method(repeat), method(repeat, api.IdempotencyScope.ZONE)))
     for bad in (0, 0, 8, 8, 0, 0, 0, 0, 0):
         rig.period(*[rig.met(z, i, bad=bad) for z in (0, 1) for i in range(8)])
         assert {way for _, way in rig.levels.values()} <= {0, 1}  # 1: on proof that the first never ran
@@ -359,7 +372,7 @@
 
 
 def test_a_receipt_proves_what_left_before_it_and_its_part_of_its_own_reply_and_no_pace_is_believed_in():
-    box = Outbox(bootstrap())
+    box = BacklogEstimator(bootstrap())
     for _ in range(2):
         already = box.sent
         box.book(0, [1, 2], 396)
@@ -368,12 +381,12 @@
     assert box.held() and not box.spare(0, [1], False)
     box.drain(4 * SECOND)
     assert box.sent - box.left == 1600
-    box.receipt(SECOND, api.Receipt(2, mark.mark, 9 * SECOND))
+    box.receipt(SECOND, api.Ack(2, mark.mark, 9 * SECOND))
     assert box.sent - box.left == 400 and box.spare(0, [1], True) == 1396  # one of the two messages of its own reply
     for again in (mark.mark, 999):  # the same proxy again, and a mark that nobody asked for
-        box.receipt(SECOND, api.Receipt(2, again, 1))
+        box.receipt(SECOND, api.Ack(2, again, 1))
         assert box.sent - box.left == 400
-    box.receipt(SECOND, api.Receipt(1, mark.mark, 9 * SECOND))
+    box.receipt(SECOND, api.Ack(1, mark.mark, 9 * SECOND))
     assert box.sent == box.left and not box.held() and box.spare(0, [1, 2], False) == 500
     box.book(0, [1, 2], 396)
     box.drain(20 * SECOND)  # nobody has answered for long
@@ -381,11 +394,11 @@
 
 
 def test_a_receipt_of_a_message_that_others_were_joined_to_proves_no_more_than_waits():
-    box = Outbox(bootstrap())
+    box = BacklogEstimator(bootstrap())
     for proxy in range(3):
         box.book(START, [proxy], 96)
         (order,) = box.stamp(box.sent - 100)
-    box.receipt(START, api.Receipt(0, order.mark, SECOND // 5))
+    box.receipt(START, api.Ack(0, order.mark, SECOND // 5))
     assert box.sent - box.left == 0  # as it would be if all before that mark had left
     box.waits(150.0)
     assert box.sent - box.left == 150.0
@@ -395,37 +408,37 @@
 
 def test_a_reply_that_fills_the_channel_holds_pushes_until_it_is_told_to_have_left_and_no_longer():
     """150 proxies on one assigner: one reply was more than may wait, and nothing came after it for 7.5 s."""
-    box, proxies = Outbox(bootstrap()), list(range(150))
+    box, proxies = BacklogEstimator(bootstrap()), list(range(150))
     already = box.sent
     box.book(0, proxies, 10)
     (mark,) = box.stamp(already)
     assert box.held()
     for proxy in proxies:
-        box.receipt(SECOND // 2, api.Receipt(proxy, mark.mark, SECOND // 4))
+        box.receipt(SECOND // 2, api.Ack(proxy, mark.mark, SECOND // 4))
     assert not box.held() and box.sent == box.left
 
 
 def test_calls_are_repeated_with_a_growing_wait_until_one_is_answered():
     rig = Rig(subscribe=True)
-    assert api.Watch(True) in rig.orders
+    assert api.WatchEndpoints(True) in rig.orders
     waits = []
     for _ in range(4):
-        rig.feed(roster([], api.ListKind.FAILED), after=0.1)
+        rig.feed(roster([], api.UpdateKind.FAILED), after=0.1)
         start = rig.now
-        while api.Watch(True) not in rig.feed(api.Woke(1), after=0.05):
+        while api.WatchEndpoints(True) not in rig.feed(api.TimerFired(1), after=0.05):
             assert rig.now - start < 20 * SECOND
         waits.append(rig.now - start)
     assert waits[3] > waits[0]
-    rig.feed(roster([], api.ListKind.DELTA), after=0.1)
-    assert api.Watch(True) not in rig.feed(api.Woke(1), after=5)
-    assert api.Watch(True) in rig.feed(api.Woke(1), after=6)  # renewed before silence could mean a loss
+    rig.feed(roster([], api.UpdateKind.DELTA), after=0.1)
+    assert api.WatchEndpoints(True) not in rig.feed(api.TimerFired(1), after=5)
+    assert api.WatchEndpoints(True) in rig.feed(api.TimerFired(1), after=6)  # renewed before silence could mean a loss
 
 
 def test_a_cached_list_is_replaced_by_the_full_one():
-    lists = Roster(bootstrap(), Random(1))
-    assert lists.hear(START, roster([entry(0), entry(1)], api.ListKind.CACHED)) == [0, 1]
+    lists = EndpointDirectory(bootstrap(), Random(1))
+    assert lists.hear(START, roster([entry(0), entry(1)], api.UpdateKind.CACHED)) == [0, 1]
     assert lists.hear(START, roster([entry(1), entry(2)])) == [2] and lists.open() == [1, 2]
-    assert lists.hear(START, roster([entry(1, started_at=START)], api.ListKind.DELTA)) == [1]
+    assert lists.hear(START, roster([entry(1, started_at=START)], api.UpdateKind.DELTA)) == [1]
 
 
 @pytest.mark.parametrize(
@@ -437,12 +450,12 @@
         api.TrafficReport(0, 0, 5, 0, 1, 0, ()),
         api.TrafficReport(0, 0, 0, 3, 1, -1, (0.5,)),
         api.OfferedLoad(5, 0, 77, 0, 0),
-        api.Left(77),
-        api.Receipt(77, 5, -1),
-        api.Woke(99),
+        api.ProxyLeft(77),
+        api.Ack(77, 5, -1),
+        api.TimerFired(99),
         api.PeerMessage(3, b""),
         api.ProbeResult(99, 20, -1, ()),
-        api.Joined(float("nan"), True, 5, 0),
+        api.ProxyJoined(float("nan"), True, 5, 0),
         api.SliceLoad(0, 0, 1, 0, 0),
         api.SliceCharge(True, 0),
     ],
@@ -474,11 +487,11 @@
         rig, out = Rig(seed=seed, subscribe=True), []
         for k in range(20):
             out += rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 5) / 9) for z in (0, 1) for i in range(8)])
-            out += rig.feed(roster([], api.ListKind.FAILED), after=0.01)
+            out += rig.feed(roster([], api.UpdateKind.FAILED), after=0.01)
         return out
 
     assert day(5) == day(5) != day(6)
-    assert Assigner(bootstrap(partitions=16), 1).decide(START, [api.Joined(1.0, True, 1, 0)]) == []
+    assert Assigner(bootstrap(partitions=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -490,7 +503,7 @@
         messages_most=seed % 3 * 15,
         admission=list(api.Admission)[seed % 3],
         outlier_after=seed % 2 * 3,
-        pick=list(api.Pick)[seed % 3],
+        pick=list(api.BalancingPolicy)[seed % 3],
     )
 
     def event():
@@ -498,7 +511,7 @@
         many, over = chance.randrange(40), chance.choice((0, SECOND, 5 * SECOND))
         return chance.choice(
             (
-                roster([entry(task, zone, chance.randrange(3), rig.now * chance.randrange(2))], api.ListKind.DELTA),
+                roster([entry(task, zone, chance.randrange(3), rig.now * chance.randrange(2))], api.UpdateKind.DELTA),
                 roster([entry(i) for i in range(chance.randrange(10))], chance.randrange(4)),
                 api.TrafficReport(
                     zone,
@@ -509,11 +522,11 @@
                     over,
                     chance.choice(((), (1.0, 9.0), (0.0, -1.0))),
                 ),
-                api.Joined(chance.choice((0.0, 5.0)), True, proxy, zone),
-                api.Left(proxy),
-                api.Woke(1),
+                api.ProxyJoined(chance.choice((0.0, 5.0)), True, proxy, zone),
+                api.ProxyLeft(proxy),
+                api.TimerFired(1),
                 api.OfferedLoad(many, over, proxy, zone, 0),
-                api.Receipt(proxy, many, over),
+                api.Ack(proxy, many, over),
             )
         )
 
@@ -541,8 +554,8 @@
     rig = Rig(outlier_after=0)
     usual, box = rig.share(0, 2), rig.assigner.outbox
     box.book(rig.now, [0], int(box.usual))  # what can wait is held
-    rig.feed(roster([entry(2, started_at=rig.now)], api.ListKind.DELTA), after=1)
-    rig.feed(api.Woke(0), after=1)
+    rig.feed(roster([entry(2, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
+    rig.feed(api.TimerFired(0), after=1)
     assert rig.share(0, 2) <= rig.boot.fall_multiple / 2 * rig.boot.cold_from * usual
 
 
@@ -552,7 +565,7 @@
     in_time = 200 * (rig.boot.drain_grace - rig.boot.worst_transit) / SECOND
     assert box.usual == in_time / 2 and box.sent - box.left <= in_time / 2 + 80
     for _ in range(8):
-        rig.feed(api.Woke(0), after=0.2)
+        rig.feed(api.TimerFired(0), after=0.2)
         assert box.sent - box.left <= in_time + 80
     assert 0 < len(rig.assigner.tables.joining) < 20
 
@@ -598,7 +611,7 @@
     )
     box, tables = rig.assigner.outbox, rig.assigner.tables
     rig.feed(roster([entry(i) for i in range(100)]), after=0.1)
-    joins = [api.Joined(5.0, False, p, p % 2) for p in range(160)]
+    joins = [api.ProxyJoined(5.0, False, p, p % 2) for p in range(160)]
     for k in range(12):
         news = [
             rig.met(z, i, bad=i % 11)._replace(over=(k % 4) * SECOND, load=(k / 6, float("inf")))
@@ -609,13 +622,13 @@
         if k == 5:  # threefold at once, most of it cold, some of it started twice
             rig.feed(
                 *[
-                    roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.ListKind.DELTA)
+                    roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.UpdateKind.DELTA)
                     for s in (0, 1)
                 ],
                 after=0.2,
             )
         if k == 8:
-            rig.feed(roster([entry(0)]), api.Left(3), api.Left(3), after=0.2)  # emptied to one
+            rig.feed(roster([entry(0)]), api.ProxyLeft(3), api.ProxyLeft(3), after=0.2)  # emptied to one
         assert box.sent - box.left <= 3000
         assert all(len(times) <= 30 for times in box.written.values())
     assert all(tables.lines[z] == {0: rig.tables[z][0]} for z in (0, 1))
@@ -626,7 +639,7 @@
     for second in range(12):
         bad = 18 if second < 8 else 0
         rig.period(*[rig.met(z, t, tries=20, bad=bad) for z in (0, 1) for t in range(8)])
-        assert not [o for o in rig.orders if isinstance(o, api.SetLevel)]
+        assert not [o for o in rig.orders if isinstance(o, api.SetAdmission)]
     assert not rig.levels
 
 
@@ -639,10 +652,10 @@
     assert not rig.assigner.tables.joining
     tables, whole = rig.assigner.tables, len(rig.tables[0])
     before = rig.assigner.outbox.sent
-    orders = rig.feed(*[api.Joined(10.0, False, 100 + k, k % 2) for k in range(24)])
+    orders = rig.feed(*[api.ProxyJoined(10.0, False, 100 + k, k % 2) for k in range(24)])
     for _ in range(4):
-        orders += rig.feed(api.Woke(0), after=0.1)
-    given = {o.proxy: o.table for o in reversed(orders) if isinstance(o, api.Attach)}  # its first table
+        orders += rig.feed(api.TimerFired(0), after=0.1)
+    given = {o.proxy: o.table for o in reversed(orders) if isinstance(o, api.BindTable)}  # its first table
     assert len(given) == 24 and all(table > tables.excess for table in given.values())
     assert {tables.zone_of(table) for proxy, table in given.items() if proxy % 2} == {1}
     assert rig.assigner.outbox.sent - before < 24 * whole * 0.6  # some have their whole table already
@@ -650,9 +663,9 @@
     assert set().union(*shares.values()) == set(rig.tables[0]) | set(rig.tables[1])
     assert max(map(len, shares.values())) <= whole / 4 + 2
     closed = 2
-    rig.feed(roster([entry(closed, state=api.TaskState.DRAINING)], api.ListKind.DELTA))
+    rig.feed(roster([entry(closed, state=api.TaskState.DRAINING)], api.UpdateKind.DELTA))
     for _ in range(10):  # behind a long queue removals wait a quarter of the grace for more of them
-        rig.feed(api.Woke(0), after=0.1)
+        rig.feed(api.TimerFired(0), after=0.1)
     assert all(closed not in tables.lines[table] for table, bound in enumerate(tables.bound) if bound)
     for _ in range(12):
         rig.period()
@@ -666,12 +679,12 @@
     for _ in range(12):
         rig.period()
     tables = rig.assigner.tables
-    orders = rig.feed(*[api.Joined(10.0, False, 100 + k, k % 2) for k in range(24)])
+    orders = rig.feed(*[api.ProxyJoined(10.0, False, 100 + k, k % 2) for k in range(24)])
     for _ in range(4):
-        orders += rig.feed(api.Woke(0), after=0.1)
-    first: dict[int, api.Attach] = {}
+        orders += rig.feed(api.TimerFired(0), after=0.1)
+    first: dict[int, api.BindTable] = {}
     for order in orders:
-        if isinstance(order, api.Attach):
+        if isinstance(order, api.BindTable):
             first.setdefault(order.proxy, order)
     assert len(first) == 24 and all(tables.excess < o.table < tables.homes and o.methods == 0 for o in first.values())
     assert all(i % 2 == proxy % 2 for proxy, o in first.items() for i in tables.lines[o.table])
@@ -688,12 +701,12 @@
 @pytest.mark.parametrize("grace, lines", [(3, 1250), (20, 2000), (1, 250)])
 def test_what_can_wait_fills_the_channel_by_two_periods_at_most_however_long_the_grace(grace, lines):
     """On the whole fleet's days the grace is 20 s: weights and levels waited 9 s behind others of their kind."""
-    assert Outbox(bootstrap(drain_grace=grace * SECOND, most_waiting=50_000.0)).usual == lines
+    assert BacklogEstimator(bootstrap(drain_grace=grace * SECOND, most_waiting=50_000.0)).usual == lines
 
 
 def test_a_start_that_would_fill_the_channel_twice_over_is_a_wave():
     rig = Rig(tasks=96, proxies=0, lines_per_s=700.0, most_waiting=40_000.0, drain_grace=20 * SECOND)
-    rig.feed(*[api.Joined(5.0, True, proxy, proxy % 2) for proxy in range(80)], after=0.1)
+    rig.feed(*[api.ProxyJoined(5.0, True, proxy, proxy % 2) for proxy in range(80)], after=0.1)
     tables = rig.assigner.tables
     assert tables.crowded and not any(tables.bound[:2])
     for _ in range(30):
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from hollyridge.sasp import codec
-from hollyridge.sasp.client import Held, Registrar
+from hollyridge.sasp.client import HeldWeights, MemberRegistrar
 from hollyridge.sasp.codec import Code, Group, Member, MembersOf, StatesOf, Told, Weight, WeightsOf
 
 u8, u16 = st.integers(0, 255), st.integers(0, 0xFFFF)
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("story, left", HELD)
 def test_what_a_balancer_holds(story, left):
-    held = Held()
+    held = HeldWeights()
     for anew, rows in story:
         if anew:
             held.new_stream()
@@ -135,7 +135,7 @@
 
 
 def test_an_answer_replaces_the_group():
-    held = Held()
+    held = HeldWeights()
     held.take([told("x", a=5, b=3)])
     held.take([told("x", b=1)], whole=True)
     assert {m: e.weight for m, e in held.lines("x").items()} == {B: 1}
@@ -146,8 +146,8 @@
     crowd = [
         Member.at(f"127.1.{k // 200}.{k % 200 + 1}", 9000, f"shelf-{k} run=r{k} up=1000000.000") for k in range(2000)
     ]
-    parts = list(Registrar.batches(crowd))
-    assert [member for part in parts for member in part] == crowd and list(Registrar.batches([])) == [()]
+    parts = list(MemberRegistrar.batches(crowd))
+    assert [member for part in parts for member in part] == crowd and list(MemberRegistrar.batches([])) == [()]
     for part in parts:
         codec.encode(1, codec.Register(False, (MembersOf(Group("f", "g"), part),)))
     with pytest.raises(ValueError):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,14 @@
 
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp import codec
-from hollyridge.sasp.client import Balancer, Client, Held, LostError, RefusedError, Registrar
+from hollyridge.sasp.client import (
+    Client,
+    ConnectionLostError,
+    HeldWeights,
+    LoadBalancerClient,
+    MemberRegistrar,
+    RefusedError,
+)
 from hollyridge.sasp.codec import Code, Group, Member, MembersOf, Told
 from hollyridge.service import Service
 from hollyridge.settings import assigner
@@ -46,7 +53,7 @@
         return client
 
     def agent(self, tasks=4, settle=True):
-        agent = self.open(Registrar, "shelf")
+        agent = self.open(MemberRegistrar, "shelf")
         agent.register(self.members(tasks))
         if settle:
             gevent.sleep(0.3)
@@ -56,7 +63,7 @@
         return [Member.at(f"127.{1 + k % 3}.0.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(tasks)]
 
     def balancer(self, uid="gw-1", zone=1, push=True, **how):
-        client = self.open(Balancer, uid, source=f"127.{zone}.0.200", **how)
+        client = self.open(LoadBalancerClient, uid, source=f"127.{zone}.0.200", **how)
         client.start(GROUPS, push)
         return client
 
@@ -67,7 +74,7 @@
 
     def holds(self, client, held=None, seconds=1.0):
         """What a push client holds after this long, host numbers by group."""
-        held = held or Held()
+        held = held or HeldWeights()
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
             pushed = client.receive(timeout=left)
@@ -132,7 +139,7 @@
     r = rig(roster__hold_own_s=0.3)
     r.agent()
     gw = r.balancer()
-    own = r.open(Registrar, "shelf", source="127.1.0.50")
+    own = r.open(MemberRegistrar, "shelf", source="127.1.0.50")
     own.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
     held, book = r.holds(gw, seconds=0.6)
     assert all(50 in some for some in held.values())
@@ -154,11 +161,11 @@
 def test_one_that_asks_once_gets_a_table_and_is_let_go(rig):
     r = rig()
     r.agent()
-    gw = r.open(Balancer, "gw-1", source="127.1.0.200")
+    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
     reply = gw.weights(GROUPS)
     assert reply.interval == 1 and {len(row.weights) for row in reply.groups} == {4}
     assert len(r.front.by_proxy) == 1
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         gw._read(4)
     assert not r.front.by_proxy and not r.machine.fronts
 
@@ -166,7 +173,7 @@
 def test_one_that_goes_on_asking_stays_and_sees_a_drain(rig):
     r = rig(promises__drain_grace_s=3)
     agent = r.agent()
-    gw = r.open(Balancer, "gw-1", source="127.1.0.200")
+    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
     gw.weights(GROUPS)
     agent.quiesce([r.members()[0]])
     gevent.sleep(1.0)
@@ -183,7 +190,7 @@
 def test_one_that_reads_nothing_harms_nobody(rig):
     r = rig(sasp__send_buffer_bytes=4096, proxies__tasks_most=400, channel__messages_most=200)
     agent = r.agent(tasks=4)
-    slow, quick = r.open(Balancer, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
+    slow, quick = r.open(LoadBalancerClient, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
     slow.sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
     slow.start(GROUPS)
     book = r.holds(quick, seconds=0.4)[1]
@@ -308,11 +315,11 @@
     assert refused.value.code == Code.UNKNOWN_BALANCER
     second = r.balancer()  # the same name on a newer stream
     assert r.holds(second)[0] == ALL
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         while first.receive(1):
             pass
     assert len(r.machine.fronts) == 1
-    other = r.open(Registrar, "shelf")
+    other = r.open(MemberRegistrar, "shelf")
     with pytest.raises(RefusedError):
         other.deregister([r.members()[0]])  # it is the agent's
     agent.deregister([r.members()[0]])
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -25,7 +25,7 @@
 from hollyridge.settings.solve import load
 from hollyridge.solver import linear_program
 from hollyridge.solver.engine_adapter import fleet_of, proposals
-from hollyridge.solver.fleet import Fleet, Method, NonsenseError, Task, Zone
+from hollyridge.solver.fleet import Fleet, InvalidFleetError, Method, Task, Zone
 from hollyridge.solver.planner import Planner, cost_of, solve
 from hollyridge.solver.two_choices import arrivals, weights_for
 
@@ -188,7 +188,7 @@
 def test_nonsense_leaves_tables_as_they_are(change):
     good = fleet([(0, 10.0, 1.0)] * 4, [20])
     bad = good._replace(tasks=(good.tasks[0]._replace(**change), *good.tasks[1:]))
-    with pytest.raises(NonsenseError):
+    with pytest.raises(InvalidFleetError):
         solve(bad)
     planner = Planner(1.0)
     assert planner.take(bad) is None
@@ -210,7 +210,7 @@
     rng = Random(2)
     tasks = [(k % 6, rng.uniform(1, 100), rng.uniform(0.2, 1)) for k in range(400)]
     one = fleet(tasks, [rng.uniform(500, 2000) for _ in range(6)])
-    with pytest.raises(linear_program.LateError):
+    with pytest.raises(linear_program.SolverTimeoutError):
         solve(one, 1e-4)
     planner = Planner(20.0)
     good = planner.take(one)
@@ -267,8 +267,8 @@
     assert before[1] > 3 * before[2]
     now += SECOND // 4
     gone = [entry(i, state=api.TaskState.GONE) for i in (0, 3)]
-    orders = module.decide(now, [roster(gone, api.ListKind.DELTA)])
-    assert {o.task for o in orders if isinstance(o, api.PutLine) and o.weight > 0} == {1, 2}
+    orders = module.decide(now, [roster(gone, api.UpdateKind.DELTA)])
+    assert {o.task for o in orders if isinstance(o, api.SetWeight) and o.weight > 0} == {1, 2}
     after = module.tables.lines[0]
     assert 0.5 < after[2] / after[1] < 2  # the plan has lapsed
 
@@ -321,7 +321,7 @@
     ]
     events += [api.OfferedLoad(40, SECOND, proxy, 0, 0) for proxy in range(proxies)]
     if proposed is not None:
-        events.append(api.Proposal(0, tuple(proposed.items())))
+        events.append(api.WeightProposal(0, tuple(proposed.items())))
     return module.decide(now, events)
 
 
@@ -329,7 +329,8 @@
     """A module with four warm tasks and two proxies in one zone."""
     module = Assigner(bootstrap(zones=1), 1)
     module.decide(
-        START, [roster([entry(i, 0) for i in range(4)]), *(api.Joined(20.0, False, proxy, 0) for proxy in range(2))]
+        START,
+        [roster([entry(i, 0) for i in range(4)]), *(api.ProxyJoined(20.0, False, proxy, 0) for proxy in range(2))],
     )
     return module
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -5,30 +5,30 @@
 import pytest
 
 from hollyridge import interface as api
-from hollyridge.delivery.paced_queue import Channel
-from hollyridge.delivery.update_builder import Abilities, Desk, Parcel
-from hollyridge.interface import AskReceipt, Attach, PutLine, TaskState
-from hollyridge.limits.connection_limiter import Doorkeeper
+from hollyridge.delivery.paced_queue import PacedQueue
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities, UpdateBuilder
+from hollyridge.interface import BindTable, RequestAck, SetWeight, TaskState
+from hollyridge.limits.connection_limiter import ConnectionLimiter
 from hollyridge.registration import members
 from hollyridge.registration.index_allocator import IndexAllocator
 from hollyridge.registration.members import (
-    AskedAgain,
     Deregistered,
-    Members,
+    MemberRegistry,
     Quiesced,
+    RefreshRequested,
     Refusal,
     Registered,
     StreamLost,
     Tick,
 )
-from hollyridge.sasp.weight_advice import LEAST, MOST, GroupAdvice
-from hollyridge.sessions.session_tracker import TAKEOVERS, Presence
-from hollyridge.store.table_versions import EMPTY, Store, difference
+from hollyridge.sasp.weight_advice import LEAST, MOST, GroupWeights
+from hollyridge.sessions.session_tracker import TAKEOVERS, SessionTracker
+from hollyridge.store.table_versions import EMPTY, TableStore, difference
 from hollyridge.telemetry.report_aggregator import SECOND as NS
-from hollyridge.telemetry.report_aggregator import Kind, News, Point
+from hollyridge.telemetry.report_aggregator import DataPoint, Kind, ReportAggregator
 
 SECOND = 1_000_000
-PLAIN = Abilities(False, False, False, True, 1)
+PLAIN = ServerCapabilities(False, False, False, True, 1)
 
 
 # Weights as 16-bit numbers.
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_shares_survive_rounding(seed):
-    rng, group = Random(seed), GroupAdvice()
+    rng, group = Random(seed), GroupWeights()
     lines = {i: rng.lognormvariate(0, 1.5) * rng.choice([1, 1000]) for i in range(rng.randrange(1, 200))}
     cold = {i for i in lines if rng.random() < 0.3}
     for _ in range(50):
@@ -56,7 +56,7 @@
 
 
 def test_the_whole_group_is_said_again_only_when_its_scale_must_move():
-    group = GroupAdvice()
+    group = GroupWeights()
     assert group.advise({1: 1.0, 2: 1.0}, [1, 2], False, bool, lambda i: False).whole
     moves = [
         group.advise({1: 1.0, 2: w}, [2], False, bool, lambda i: False).whole for w in (1.5, 3.9, 4.1, 2.0, 1.0, 0.5)
@@ -65,12 +65,12 @@
 
 
 def test_a_closed_task_stays_closed_whatever_an_older_order_says():
-    group = GroupAdvice()
+    group = GroupWeights()
     assert group.advise({1: 1.0, 2: 1.0}, [], True, lambda i: False, {2}.__contains__).figures == {1: 16384, 2: 0}
 
 
 def test_a_task_closed_for_a_moment_comes_back_with_its_old_weight():
-    group, shut = GroupAdvice(), set()
+    group, shut = GroupWeights(), set()
     lines = {1: 1.0, 2: 1.0}
     group.advise(lines, [], True, lambda i: False, shut.__contains__)
     shut.add(2)
@@ -83,7 +83,7 @@
 
 
 def test_every_version_can_be_reached_from_every_kept_one():
-    rng, store, truth = Random(4), Store(keep=10), {}
+    rng, store, truth = Random(4), TableStore(keep=10), {}
     for version in range(1, 60):
         lines = {rng.randrange(20): rng.choice([0.0, 1.0, 2.0]) for _ in range(rng.randrange(5))}
         levels = {0: (rng.random(), 0)} if rng.random() < 0.2 else {}
@@ -98,13 +98,13 @@
                 assert {k: w for k, w in held.items() if w} == dict(store.latest(0).lines)
     with pytest.raises(ValueError):
         store.put(3, 0, {})
-    assert store.at(0, 3) is None and len(store.memo) <= Store.MEMO
+    assert store.at(0, 3) is None and len(store.memo) <= TableStore.MEMO
     store.drop(0)
     assert store.latest(0) is EMPTY
 
 
 def test_the_same_version_put_twice_is_one_version():
-    store = Store(4)
+    store = TableStore(4)
     store.put(1, 0, {1: 1.0})
     store.put(2, 0, {2: 1.0})
     assert store.since(0, 1).lines == ((2, 1.0),)
@@ -117,12 +117,12 @@
 
 
 def parcel(proxy, lines=1, mark=-1, number=1, table=0):
-    value = Store(1).put(number, table, {i: 1.0 for i in range(lines)})
-    return Parcel(proxy, number, 0, (), ((table, value),), ((table, lines),), mark)
+    value = TableStore(1).put(number, table, {i: 1.0 for i in range(lines)})
+    return ProxyUpdate(proxy, number, 0, (), ((table, value),), ((table, lines),), mark)
 
 
 def test_messages_leave_in_order_at_the_stated_pace():
-    channel, left = Channel(lines_per_s=1000, head=3, most=10_000), []
+    channel, left = PacedQueue(lines_per_s=1000, head=3, most=10_000), []
     for k in range(50):
         channel.put(0, parcel(k, 7), 7, 7)
     for now in range(0, SECOND, 1000):
@@ -133,11 +133,11 @@
 
 
 def test_what_comes_for_a_proxy_that_waits_joins_its_message_at_its_place():
-    channel, store = Channel(1000, 10, most=10_000), Store(4)
+    channel, store = PacedQueue(1000, 10, most=10_000), TableStore(4)
     for number, mark in ((1, 4), (2, 5)):
         for proxy in (7, 8, 9):
             value = store.put(number, 0, {task: float(number) for task in range(3)})
-            channel.put(number, Parcel(proxy, number, number, (), ((0, value),), ((0, 3),), mark), 3, 6)
+            channel.put(number, ProxyUpdate(proxy, number, number, (), ((0, value),), ((0, 3),), mark), 3, 6)
     assert channel.waiting == 3 * (10 + 1 + 6)  # not 28 each: one head and one mark
     sent = [channel.take(SECOND) for _ in range(3)]
     assert [one.proxy for one in sent] == [7, 8, 9] and {one.mark for one in sent} == {5}
@@ -145,7 +145,7 @@
 
 
 def test_at_the_limit_messages_merge_and_none_is_lost():
-    channel, rng, store, wanted, marks = Channel(1000, 3, most=200), Random(5), Store(1), {}, {}
+    channel, rng, store, wanted, marks = PacedQueue(1000, 3, most=200), Random(5), TableStore(1), {}, {}
     highest = 0
     for number in range(400):
         proxy, table = number % 10, rng.randrange(2)
@@ -154,7 +154,7 @@
         if number % 7 == 0:
             marks[proxy] = number
         mark = number if number % 7 == 0 else -1
-        channel.put(0, Parcel(proxy, number, 0, ((table, 1),), ((table, value),), ((table, 4),), mark), 4, 24)
+        channel.put(0, ProxyUpdate(proxy, number, 0, ((table, 1),), ((table, value),), ((table, 4),), mark), 4, 24)
         highest = max(highest, channel.waiting)
     assert highest <= 10 * (24 + 4) + 200 and channel.merged > 300
     got, told = {}, {}
@@ -166,7 +166,7 @@
 
 
 def test_what_waits_for_a_broken_stream_is_lost_and_counted():
-    channel = Channel(1000, 3, 1000)
+    channel = PacedQueue(1000, 3, 1000)
     for proxy in (1, 2, 1):
         channel.put(0, parcel(proxy, 5), 5, 5)
     assert channel.lose(1) == 1 and channel.waiting == 8 and channel.lost_lines == 8
@@ -174,7 +174,7 @@
 
 
 def test_a_sender_that_stood_still_does_not_burst():
-    channel = Channel(100, 0, 10_000)
+    channel = PacedQueue(100, 0, 10_000)
     for k in range(100):
         channel.put(0, parcel(k, 10), 10, 10)
     sent = 0
@@ -187,32 +187,32 @@
 
 
 def test_one_message_a_proxy_with_what_its_tables_are_in_the_end():
-    desk = Desk(2, Store(4))
+    desk = UpdateBuilder(2, TableStore(4))
     fronts = {1: PLAIN, 2: PLAIN}
-    desk.carry(0, 1, [PutLine(1.0, 5, 0), Attach(1, 0, 0), Attach(2, 0, 0)], fronts)
-    orders = [PutLine(2.0, 6, 0), Attach(2, 1, 2), PutLine(0.0, 5, 0), AskReceipt(4, False)]
+    desk.carry(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0), BindTable(2, 0, 0)], fronts)
+    orders = [SetWeight(2.0, 6, 0), BindTable(2, 1, 2), SetWeight(0.0, 5, 0), RequestAck(4, False)]
     carried = desk.carry(1, 2, orders, fronts)
     parcels = {p.proxy: p for p in carried.parcels}
     assert {p: dict(dict(row.tables)[0].lines) for p, row in parcels.items()} == {1: {6: 2.0}, 2: {6: 2.0}}
     assert parcels[1].counts == ((0, 2),) and parcels[2].counts == ((0, 2), (1, 1))
     assert parcels[2].binds == ((1, 2),) and all(p.mark == 4 for p in carried.parcels)
     desk.forget(2)
-    assert [p.proxy for p in desk.carry(2, 3, [PutLine(1.0, 7, 0), PutLine(1.0, 7, 1)], fronts).parcels] == [1]
+    assert [p.proxy for p in desk.carry(2, 3, [SetWeight(1.0, 7, 0), SetWeight(1.0, 7, 1)], fronts).parcels] == [1]
 
 
 @pytest.mark.parametrize(
     "order, why",
     [
-        (api.SetLevel(0, 1, 0.5, 0), "front has no levels"),
-        (api.Withdraw(3, True), "front has no withdrawals"),
-        (Attach(9, 0, 0), "proxy has left"),
+        (api.SetAdmission(0, 1, 0.5, 0), "front has no levels"),
+        (api.SetEjected(3, True), "front has no withdrawals"),
+        (BindTable(9, 0, 0), "proxy has left"),
         (api.Probe(1), "no Probe here"),
-        (api.TellPeer(1, b""), "no TellPeer here"),
+        (api.SendToPeer(1, b""), "no TellPeer here"),
     ],
 )
 def test_what_cannot_be_carried_is_refused_and_counted(order, why):
-    desk = Desk(1, Store(4))
-    desk.carry(0, 1, [PutLine(1.0, 5, 0), Attach(1, 0, 0)], {1: PLAIN})
+    desk = UpdateBuilder(1, TableStore(4))
+    desk.carry(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0)], {1: PLAIN})
     assert desk.carry(0, 2, [order], {1: PLAIN}).refused == {why: 1}
 
 
@@ -243,7 +243,7 @@
 
 # Members.
 
-TERMS = members.Terms(
+TERMS = members.RegistrationConfig(
     warm_up=16 * SECOND, hold_own=SECOND, hold_agent=30 * SECOND, settle=SECOND // 2, settle_most=3 * SECOND, most=100
 )
 
@@ -252,7 +252,7 @@
     """Members with a clock; `states` is what the module has been told."""
 
     def __init__(self):
-        self.book, self.now, self.states, self.started = Members(TERMS, 0), 0, {}, {}
+        self.book, self.now, self.states, self.started = MemberRegistry(TERMS, 0), 0, {}, {}
 
     def take(self, what, after=0.0):
         self.now += round(after * SECOND)
@@ -262,7 +262,7 @@
         return outcome.refusal
 
     def register(self, task, stream=1, label="run=a up=100", own=False, after=0.0):
-        return self.take(Registered(stream, (members.Applicant((task,), task, 0, label, own),)), after)
+        return self.take(Registered(stream, (members.MemberRequest((task,), task, 0, label, own),)), after)
 
     def settled(self):
         self.register(99, stream=50)
@@ -340,7 +340,7 @@
 
 def test_refusals_leave_everything_as_it_was():
     fleet = Fleet().settled()
-    row = members.Applicant((1,), 1, 0, "", False)
+    row = members.MemberRequest((1,), 1, 0, "", False)
     cases = [
         (Registered(1, (row, row)), Refusal.TWICE),
         (Registered(1, (row._replace(zone=-1),)), Refusal.NO_ZONE),
@@ -363,8 +363,8 @@
     fleet.take(Quiesced(1, (1,), True))
     fleet.register(1, stream=2)
     assert fleet.states[1] == TaskState.READY
-    full = fleet.book.take(fleet.now, AskedAgain()).change
-    assert full.kind == api.ListKind.FULL and len(full.entries) == 2
+    full = fleet.book.take(fleet.now, RefreshRequested()).change
+    assert full.kind == api.UpdateKind.FULL and len(full.entries) == 2
 
 
 # Presence.
@@ -372,7 +372,7 @@
 
 def test_a_poller_is_told_an_interval_that_keeps_drains_in_time():
     for grace, bare in ((1, 5), (3, 5), (10, 30), (60, 20)):
-        seen = Presence(grace * SECOND, bare * SECOND)
+        seen = SessionTracker(grace * SECOND, bare * SECOND)
         assert 1 <= seen.interval and (seen.interval * SECOND < seen.patience or grace == 1)
         seen.came(0, 1, "gw", push=False)
         asked = 0
@@ -384,7 +384,7 @@
 
 
 def test_unread_orders_end_a_stream_within_the_grace():
-    seen = Presence(3 * SECOND, 5 * SECOND)
+    seen = SessionTracker(3 * SECOND, 5 * SECOND)
     seen.came(0, 1, "gw", push=True)
     for now in range(0, 20 * SECOND, SECOND // 10):  # a slow reader goes on reading
         seen.unread(now, 1, taken=now // 1000, waits=True)
@@ -397,7 +397,7 @@
 
 
 def test_two_of_one_name():
-    seen = Presence(3 * SECOND, 5 * SECOND)
+    seen = SessionTracker(3 * SECOND, 5 * SECOND)
     assert seen.came(0, 1, "gw", True).joined
     for k in range(TAKEOVERS):
         assert seen.came(k, k + 2, "gw", True) == (True, k + 1, False)
@@ -409,11 +409,11 @@
 
 
 def point(value=10.0, start=0.0, end=1.0, kind=Kind.TRIES, source="gw-1", place=(0, 3), method=0):
-    return Point(source, kind, place, method, value, round(start * NS), round(end * NS))
+    return DataPoint(source, kind, place, method, value, round(start * NS), round(end * NS))
 
 
 def news():
-    return News(most_series=50, most_each=20, per_s=1000, lines=5, forget=60 * SECOND)
+    return ReportAggregator(most_series=50, most_each=20, per_s=1000, lines=5, forget=60 * SECOND)
 
 
 TAKEN = [
@@ -490,7 +490,7 @@
 
 
 def test_doors_stay_open_for_others():
-    keeper = Doorkeeper(most=100, most_each=10, per_s=80, requests_per_s=10)
+    keeper = ConnectionLimiter(most=100, most_each=10, per_s=80, requests_per_s=10)
     taken = sum(not keeper.knock(at, "storm") for at in range(0, SECOND, 1000))
     assert taken == 10 and not keeper.knock(SECOND, "quiet")
 
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -9,7 +9,7 @@
 from test_service import rig, tries  # noqa: F401
 
 from hollyridge.lab.flood import flood
-from hollyridge.limits.fair_share import ALL, Fair, level
+from hollyridge.limits.fair_share import ALL, FairShareLimiter, level
 from hollyridge.otlp.sender import post, request_of
 
 SECOND = 1_000_000
@@ -17,7 +17,7 @@
 
 def play(rates, budget, seconds=30, seed=1, most=1000, size=10):
     """Points heard a second by sender: each sends requests of `size` points at its rate, and comes again when told."""
-    fair, rng, heard = Fair(budget, SECOND, most), Random(seed), dict.fromkeys(rates, 0)
+    fair, rng, heard = FairShareLimiter(budget, SECOND, most), Random(seed), dict.fromkeys(rates, 0)
     due = sorted((rng.random() * SECOND, name) for name in rates)
     while due and due[0][0] < seconds * SECOND:
         now, name = due.pop(0)
@@ -51,7 +51,7 @@
 
 
 def test_names_without_end_share_as_one():
-    fair = Fair(1000.0, SECOND, 8)
+    fair = FairShareLimiter(1000.0, SECOND, 8)
     for k in range(5000):
         if not fair.wait(k * 400, f"name-{k}"):
             fair.spent(k * 400, f"name-{k}", 10)
@@ -63,7 +63,7 @@
 
 
 def test_one_huge_request_is_paid_off():
-    fair = Fair(100.0, SECOND, 10)
+    fair = FairShareLimiter(100.0, SECOND, 10)
     assert fair.wait(0, "a") == 0
     fair.spent(0, "a", 1000)
     waits = fair.wait(10, "a")
