--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,6 @@
 from test_service import wait_for
 
 from hollyridge.chp import codec as clone
-from hollyridge.chp.client import Subscriber
-from hollyridge.chp.replica import Client
 from hollyridge.cli.main import main
 from hollyridge.client import ChpGateway, SaspGateway
 from hollyridge.lab import ownership, takeover
@@ -226,18 +224,8 @@
     old.start(METHODS)
     got = old.receive(3)
     assert got and all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
-    listener = Subscriber(
-        ("127.0.0.1", three.ports[2][2]),
-        "old-clone",
-        METHODS,
-        zmq=zmq,
-        source="127.1.0.201",
-        client=Client("old-clone", METHODS),
-    )
-    listener.close()
-    listener.identity = b"\x01" + os.urandom(12)
     dealer = zmq.Context.instance().socket(zmq.DEALER)
-    dealer.identity, dealer.linger = listener.identity, 0
+    dealer.identity, dealer.linger = b"\x01" + os.urandom(12), 0
     dealer.connect(f"tcp://127.1.0.201:0;127.0.0.1:{three.ports[2][2]}")
     dealer.send_multipart(clone.encode(clone.Icanhaz("/proxy/old-clone/")))
     assert wait_for(lambda: three.owners("old-clone") == [2])
