--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -7,16 +7,16 @@
 from hollyridge import interface as api
 from hollyridge.benchlink import wire
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.platform_settings.reader import micros, read_bootstrap
+from hollyridge.platform_settings.reader import micros, read_assigner_config
 
 
 class Instance:
     """One assigner with its own table of task ids."""
 
     def __init__(self, seed: int, conf: bytes) -> None:
-        boot = read_bootstrap(conf)
-        self.zones, self.methods = boot.zones - 1, len(boot.methods) - 1
-        self.assigner = Assigner(boot, seed)
+        config = read_assigner_config(conf)
+        self.zones, self.methods = config.zones - 1, len(config.methods) - 1
+        self.assigner = Assigner(config, seed)
         self.index: dict[int, int] = {}
         self.ids: list[int] = []
 
@@ -75,9 +75,9 @@
         if kind is api.BindTable:
             return record(72, *o)
         if kind is api.RequestAck:
-            return record(71, o.mark, o.everyone)
+            return record(71, o.mark, o.from_all)
         if kind is api.SetTimer:
-            return record(73, o.token, o.delay / 1e6)
+            return record(73, o.token, o.delay_us / 1e6)
         if kind is api.SetAdmission:
             return record(70, *o)
         if kind is api.WatchEndpoints:
@@ -85,7 +85,7 @@
         if kind is api.RefreshEndpoints:
             return record(64)
         if kind is api.SetEjected:
-            return record(65, self.ids[o.task], o.out)
+            return record(65, self.ids[o.task], o.ejected)
         if kind is api.DeleteTable:
             return record(75, o.table)
         if kind is api.LogNote:
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -80,12 +80,12 @@
 
 
 class Engine:
-    """`make(bootstrap, seed)` builds the decision module: `rules.Assigner`, or a baseline of the laboratory. `source`:
+    """`make(config, seed)` builds the decision module: `rules.Assigner`, or a baseline of the laboratory. `source`:
     where the list of tasks comes from. `detail`: a log line for each decision."""
 
     def __init__(
         self,
-        boot: api.AssignerConfig,
+        config: api.AssignerConfig,
         seed: int,
         limits: EngineLimits,
         source: EndpointSource,
@@ -94,19 +94,23 @@
         make: Callable = Assigner,
         detail: bool = True,
     ) -> None:
-        self.boot, self.seed, self.limits, self.log, self.make = boot, seed, limits, log, make
-        self.module = make(boot, seed)
+        self.config, self.seed, self.limits, self.log, self.make = config, seed, limits, log, make
+        self.module = make(config, seed)
         self.tasks = IndexAllocator(
-            max(boot.warm_up, boot.drain_grace) * 2,
+            max(config.warm_up_us, config.drain_grace_us) * 2,
             limits.most_tasks,
             lambda task: self.desk.names(task) or self.holds(task),
         )
-        self.proxies = IndexAllocator(boot.drain_grace * 2, min(limits.most_proxies, 65535))
+        self.proxies = IndexAllocator(config.drain_grace_us * 2, min(limits.most_proxies, 65535))
         self.members, self.detail = source, detail
         self.news = ReportAggregator(
-            limits.most_series, limits.most_series_each, limits.most_rate, limits.news_lines, 60 * boot.period
+            limits.most_series,
+            limits.most_series_each,
+            limits.most_rate,
+            limits.news_lines,
+            60 * config.report_period_us,
         )
-        self.desk = UpdateBuilder(len(boot.methods), TableStore(HISTORY))
+        self.desk = UpdateBuilder(len(config.methods), TableStore(HISTORY))
         self.channel = PacedQueue(limits.lines_per_s, limits.head, limits.most_waiting)
         self.fronts: dict[int, ProtocolServer] = {}
         self.places: dict[int, tuple[Hashable, int, float]] = {}  # proxy: name, zone, usual rate
@@ -120,7 +124,7 @@
         self.failures: deque[int] = deque()
         self.number = 0
         self.started, self.ran_at = False, now
-        self.gather_at = now + boot.period
+        self.gather_at = now + config.report_period_us
         self.refused: dict[str, int] = {}
         self.counts = dict.fromkeys(
             (
@@ -189,7 +193,7 @@
         """Something about the list; why it was turned down, or None."""
         outcome = self.members.take(now, what)
         if outcome.change is not None:
-            for entry in outcome.change.entries:
+            for entry in outcome.change.endpoints:
                 self.listed[entry.task] = entry
         for key in outcome.left:  # what is known of an index goes with its bearer, whether its end was told or not
             task = self.tasks.index.get(key)
@@ -200,8 +204,8 @@
             self.log.info(
                 "list",
                 version=outcome.change.version,
-                entries=len(outcome.change.entries),
-                states=[(e.task, int(e.state)) for e in outcome.change.entries[:20]],
+                entries=len(outcome.change.endpoints),
+                states=[(e.task, int(e.state)) for e in outcome.change.endpoints[:20]],
             )
             self.tell(now, outcome.change)
         return outcome.refusal
@@ -210,7 +214,7 @@
 
     def cold(self, now: int, task: int) -> bool:
         entry = self.listed.get(task)
-        return entry is not None and entry.started_at > 0 and now - entry.started_at < self.boot.warm_up
+        return entry is not None and entry.started_at_us > 0 and now - entry.started_at_us < self.config.warm_up_us
 
     def closed(self, task: int) -> bool:
         entry = self.listed.get(task)
@@ -222,7 +226,7 @@
 
     def confident(self, now: int, task: int) -> bool:
         """Whether its weight rests on news, not on its listed size."""
-        return now - self.heard.get(task, -1 << 60) < 4 * self.boot.period and not self.cold(now, task)
+        return now - self.heard.get(task, -1 << 60) < 4 * self.config.report_period_us and not self.cold(now, task)
 
     # The loop.
 
@@ -235,7 +239,7 @@
         if now >= self.gather_at:
             for event in self.news.gather(now):
                 self.tell(now, event)
-            self.gather_at = max(self.gather_at + self.boot.period, now + self.boot.period // 2)
+            self.gather_at = max(self.gather_at + self.config.report_period_us, now + self.config.report_period_us // 2)
         if self.members.settled and (self.inbox or not self.started or self.wakes and self.wakes[0][0] <= now):
             self.decide(now)
         while (parcel := self.channel.take(now)) is not None:
@@ -281,7 +285,7 @@
         for order in orders:
             if type(order) is api.SetTimer:
                 if len(self.wakes) < WAKES:
-                    heapq.heappush(self.wakes, (now + max(order.delay, 1), order.token))
+                    heapq.heappush(self.wakes, (now + max(order.delay_us, 1), order.token))
                 else:
                     self.counts["wakes_dropped"] += 1
             elif type(order) in (api.RefreshEndpoints, api.WatchEndpoints):
@@ -344,8 +348,8 @@
             self.failures.popleft()
         if len(self.failures) > FAILURES:
             raise DecisionModuleError(f"the module failed {len(self.failures)} times within a minute")
-        self.module = self.make(self.boot, self.seed)
-        self.desk = UpdateBuilder(len(self.boot.methods), TableStore(HISTORY))
+        self.module = self.make(self.config, self.seed)
+        self.desk = UpdateBuilder(len(self.config.methods), TableStore(HISTORY))
         self.channel = PacedQueue(self.limits.lines_per_s, self.limits.head, self.limits.most_waiting)
         self.wakes.clear()
         self.trail.clear()
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -68,12 +68,12 @@
         told = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
         self.counts["left_out"] += sum(told.left_out.values())
         if told.event is not None:
-            self.counts["recalled"] += len(told.event.rows)
+            self.counts["recalled"] += len(told.event.estimates)
             self.machine.tell(self.loop.clock(), told.event)
             self.loop.nudge()
         self.log.info(
             "recalled",
-            tasks=len(told.event.rows) if told.event else 0,
+            tasks=len(told.event.estimates) if told.event else 0,
             left_out=told.left_out or None,
             age_s=round((self.wall_ms() - state.saved) / 1e3, 1),
         )
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -42,11 +42,11 @@
         self.planner = Planner(terms.deadline_s)
         load_solver_library()
         self.counts = {"asked": 0, "proposed": 0, "unknown": 0, "too_little": 0}
-        self.pushes_back = self.machine.boot.admission not in (api.Admission.OFF, api.Admission.SILENT)
+        self.pushes_back = self.machine.config.admission not in (api.Admission.OFF, api.Admission.SILENT)
 
     def run(self) -> None:
         while True:
-            self.loop.sleep(self.machine.boot.period / 1e6)
+            self.loop.sleep(self.machine.config.report_period_us / 1e6)
             self.ask(self.loop.clock())
 
     def ask(self, now: int) -> None:
--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -60,28 +60,28 @@
 
 
 class EndpointDirectory:
-    def __init__(self, boot: AssignerConfig, rng: Random) -> None:
-        self.boot, self.chance = boot, rng.random
+    def __init__(self, config: AssignerConfig, rng: Random) -> None:
+        self.config, self.chance = config, rng.random
         self.state: list[int] = []
         self.zone: list[int] = []
         self.hint: list[float] = []  # listed size
         self.started: list[int] = []
         self.rank: list[int] = []  # by first mention in its zone: shares a zone out evenly and for good
-        self.seen = [0] * boot.zones
-        self.ask_at, self.failures = 0 if boot.subscribe else None, 0
+        self.seen = [0] * config.zones
+        self.ask_at, self.failures = 0 if config.subscribe else None, 0
 
     def hear(self, now: int, change: EndpointListUpdate) -> list[int]:
         """Take a list event; returns the tasks that are new or have started again."""
         if change.kind == UpdateKind.FAILED:
             if self.ask_at is None or self.ask_at > now:  # ask again after a growing, jittered wait
                 self.failures += 1
-                wait = self.boot.period * min(2**self.failures, 16) / 2
+                wait = self.config.report_period_us * min(2**self.failures, 16) / 2
                 self.ask_at = now + round(wait * (0.5 + self.chance()))
             return []
         if change.kind != UpdateKind.CACHED:
             self.failures = 0  # the watch holds; renew it before silence could mean that it was lost
-            self.ask_at = now + self.boot.ask_within if self.boot.subscribe else None
-        more = max([entry.task + 1 for entry in change.entries], default=0) - len(self.state)
+            self.ask_at = now + self.config.refresh_within_us if self.config.subscribe else None
+        more = max([entry.task + 1 for entry in change.endpoints], default=0) - len(self.state)
         for row, start in (
             (self.state, TaskState.GONE),
             (self.zone, 0),
@@ -91,7 +91,7 @@
         ):
             row.extend([start] * more)
         fresh = []
-        for task, zone, _sku, _cell, state, weight, started_at in change.entries:
+        for task, zone, _sku, _cell, state, weight, started_at in change.endpoints:
             known = self.state[task] == TaskState.READY and started_at <= self.started[task]
             fresh += [task] * (state == TaskState.READY and not known)
             self.state[task] = state
@@ -102,7 +102,7 @@
                 self.hint[task] = weight if 0 < weight < 1e9 else 1.0
                 self.started[task] = max(started_at, self.started[task])
         if change.kind != UpdateKind.DELTA:  # a full list says by silence what has left
-            for task in set(range(len(self.state))) - {entry.task for entry in change.entries}:
+            for task in set(range(len(self.state))) - {entry.task for entry in change.endpoints}:
                 self.state[task] = TaskState.GONE
         return fresh
 
@@ -111,21 +111,21 @@
 
     def by_zone(self) -> list[list[int]]:
         tasks = self.open()
-        return [[i for i in tasks if self.zone[i] == zone] for zone in range(self.boot.zones)]
+        return [[i for i in tasks if self.zone[i] == zone] for zone in range(self.config.zones)]
 
     def calls(self, now: int) -> list[Command]:
         if self.ask_at is None or now < self.ask_at:
             return []
-        self.ask_at = now + self.boot.ask_within  # an answer that never comes must not end the asking
+        self.ask_at = now + self.config.refresh_within_us  # an answer that never comes must not end the asking
         return [WatchEndpoints(True)]
 
 
 class Estimates:
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.boot, self.zones = boot, range(boot.zones)
-        total = sum(m.criticality for m in boot.methods) or 1.0
-        self.soft = sum(m.soft_deadline * m.criticality for m in boot.methods) / total
-        self.abort_cost = sum(m.deadline * m.criticality for m in boot.methods) / total
+    def __init__(self, config: AssignerConfig) -> None:
+        self.config, self.zones = config, range(config.zones)
+        total = sum(m.criticality for m in config.methods) or 1.0
+        self.soft = sum(m.soft_deadline_us * m.criticality for m in config.methods) / total
+        self.abort_cost = sum(m.deadline_us * m.criticality for m in config.methods) / total
         self.tries, self.bad, self.cost = ([[] for _ in self.zones] for _ in range(3))
         # Utilisation just heard (-1 once used), smoothed; answers and busy periods while warm, their ratio.
         self.util: list[float] = []
@@ -149,30 +149,30 @@
 
     def hear(self, now: int, report: TrafficReport) -> None:
         zone, task = report.zone, report.task
-        if zone >= self.boot.zones or task >= len(self.util) or report.over <= 0 or report.tries <= 0:
+        if zone >= self.config.zones or task >= len(self.util) or report.interval_us <= 0 or report.attempts <= 0:
             return
-        bad = min(report.bad, report.tries)
-        good = report.tries - bad if report.latency >= 0 else 0
+        bad = min(report.failed, report.attempts)
+        good = report.attempts - bad if report.latency_us >= 0 else 0
         self.tries[zone][task] += bad + good
         self.bad[zone][task] += bad
-        self.cost[zone][task] += good * report.latency + bad * self.abort_cost
-        told = dict(zip(self.boot.load_names, report.load))
+        self.cost[zone][task] += good * report.latency_us + bad * self.abort_cost
+        told = dict(zip(self.config.load_metric_names, report.load))
         self.util[task] = min(told.get("util", -1.0), 1.5)
-        span = max(report.over, self.boot.period)
-        part = self.boot.period / span
-        self.met[zone][task] = (bad + good) * part, bad * part, good * report.latency * part
+        span = max(report.interval_us, self.config.report_period_us)
+        part = self.config.report_period_us / span
+        self.met[zone][task] = (bad + good) * part, bad * part, good * report.latency_us * part
         self.till[zone][task] = now + 2 * span
 
     def cover(self, event: OfferedLoad) -> None:
         rows = self.came.setdefault(event.proxy, {})
         _, upto = rows.get(event.method, (0.0, self.since.get(event.proxy, 0)))
-        part = self.boot.period / max(event.over, self.boot.period)
-        rows[event.method] = event.rpcs * part, upto + event.over
+        part = self.config.report_period_us / max(event.interval_us, self.config.report_period_us)
+        rows[event.method] = event.rpcs * part, upto + event.interval_us
 
     def rates(self, zone_of: dict[int, int], zone: int, method: int) -> list[float]:
         """RPCs of a method that come to each of a zone's proxies a second, as far as heard."""
         rows = (rows.get(method) for proxy, rows in self.came.items() if zone_of.get(proxy) == zone)
-        return sorted(row[0] * 1e6 / self.boot.period for row in rows if row)
+        return sorted(row[0] * 1e6 / self.config.report_period_us for row in rows if row)
 
     def offered(self, proxy: int) -> float:
         return sum(rpcs for rpcs, _ in self.came.get(proxy, {}).values())
@@ -237,7 +237,7 @@
         pooled = {i: (sums[i] + PRIOR * mean) / (n[i] + PRIOR) for i in tasks}
         out = []
         for z in self.zones:
-            met, expected = ([PRIOR * mean] * self.boot.zones for _ in range(2))
+            met, expected = ([PRIOR * mean] * self.config.zones for _ in range(2))
             for i in tasks:
                 met[home[i]] += rows[z][i]
                 expected[home[i]] += self.tries[z][i] * pooled[i]
@@ -253,8 +253,8 @@
     """Who lies low, by zone of proxies (a cut shows from one side only), against the best zone's middle task:
     errors, hangs and silence are met alike; overload, seen at all, cuts nobody."""
 
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.factor: list[list[float]] = [[] for _ in range(boot.zones)]
+    def __init__(self, config: AssignerConfig) -> None:
+        self.factor: list[list[float]] = [[] for _ in range(config.zones)]
 
     def restart(self, task: int) -> None:
         for row in self.factor:
@@ -276,17 +276,20 @@
 
 
 class SlowStart:
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.boot, self.calm, self.listed, self.ease = boot, False, boot.outlier_after == 0, 1.0
+    def __init__(self, config: AssignerConfig) -> None:
+        self.config, self.calm, self.listed, self.ease = config, False, config.proxy_ejection_failures == 0, 1.0
         # Periods of news till tries sent while there was none have run out of time.
-        self.deaf = self.blind = 2 + max(m.deadline for m in boot.methods) / boot.period
+        self.deaf = self.blind = 2 + max(m.deadline_us for m in config.methods) / config.report_period_us
 
     def part(self, now: int, started: int) -> float:
         """From the stated floor up in quarters, at half the stated multiple: chance piles up RPCs."""
-        if started <= 0 or now - started >= self.boot.warm_up:
+        if started <= 0 or now - started >= self.config.warm_up_us:
             return 1.0
-        part = self.boot.cold_from + (1 - self.boot.cold_from) * max(0, now - started) / self.boot.warm_up
-        return min(0.99, max(0.5, int(2 * part * self.ease * self.boot.fall_multiple)) / 4)
+        part = (
+            self.config.cold_capacity_fraction
+            + (1 - self.config.cold_capacity_fraction) * max(0, now - started) / self.config.warm_up_us
+        )
+        return min(0.99, max(0.5, int(2 * part * self.ease * self.config.overload_multiple)) / 4)
 
     def judge(self, tried: float, bad: float, cold: float, fresh: bool) -> None:
         """Where over half of all tries are bad a cold task gets less by as much. Proxies that keep away after
@@ -296,7 +299,7 @@
         self.ease = min(1.0, 2 * (1 - bad / (tried + PRIOR)))
         self.deaf = self.deaf - (tried > 0) if fresh else self.blind
         jam = bad > JAM * (tried + PRIOR) or self.deaf > 0
-        self.listed = self.boot.outlier_after == 0 or not jam or 0 < tried < cold
+        self.listed = self.config.proxy_ejection_failures == 0 or not jam or 0 < tried < cold
 
     def hold(self, lines: dict[int, float], part: dict[int, float], factor: list[float]) -> dict[int, float]:
         """A cold task gets at most its part of what a warm one carries on average, less if most are cold."""
@@ -314,10 +317,10 @@
     """The feedback loop on heard latency: a weight goes towards the task's size x skill, a tenth at most a
     step, and counts in other zones' tables by their reach."""
 
-    def __init__(self, boot: AssignerConfig, est: Estimates) -> None:
-        self.zones, self.est, self.standing = range(boot.zones), est, boot.initial_set
-        self.stride = STEP / boot.assigners
-        self.toll = TOLL * boot.cross_zone_price * est.soft  # crossing zones as latency
+    def __init__(self, config: AssignerConfig, est: Estimates) -> None:
+        self.zones, self.est, self.standing = range(config.zones), est, config.initial_table_size
+        self.stride = STEP / config.assigners
+        self.toll = TOLL * config.cross_zone_cost * est.soft  # crossing zones as latency
         self.proposed: list[tuple[int, dict[int, float]]] = [(0, {}) for _ in self.zones]  # and until when
         self.skill: list[float] = []
         self.weight: list[float] = []
@@ -409,23 +412,25 @@
         return push
 
 
-def whole_level(boot: AssignerConfig) -> float:
+def whole_level(config: AssignerConfig) -> float:
     """The level that lets all in."""
-    return NO_LIMIT if boot.admission == Admission.PER_SECOND else 1.0
+    return NO_LIMIT if config.admission == Admission.PER_SECOND else 1.0
 
 
 class AdmissionController:
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.off = boot.admission in (Admission.OFF, Admission.SILENT)
-        self.rated, self.whole = boot.admission == Admission.PER_SECOND, whole_level(boot)
+    def __init__(self, config: AssignerConfig) -> None:
+        self.off = config.admission in (Admission.OFF, Admission.SILENT)
+        self.rated, self.whole = config.admission == Admission.PER_SECOND, whole_level(config)
         # The ways to try again: while all is well, and otherwise. A front may have no order for it.
-        self.retry = (boot.retry_default,) * 2 if boot.admission == Admission.SILENT else (ON_PROOF, 0)
-        self.open, self.cut_at = [1.0] * (boot.zones + 1), [0] * (boot.zones + 1)
-        self.lag = boot.transit + boot.period + max(m.deadline for m in boot.methods)  # till a cut can show
-        most = max(m.criticality for m in boot.methods)
+        self.retry = (config.default_retry_mode,) * 2 if config.admission == Admission.SILENT else (ON_PROOF, 0)
+        self.open, self.cut_at = [1.0] * (config.zones + 1), [0] * (config.zones + 1)
+        self.lag = (
+            config.transit_us + config.report_period_us + max(m.deadline_us for m in config.methods)
+        )  # till a cut can show
+        most = max(m.criticality for m in config.methods)
         # The table of methods: which give way to others where nothing can be pushed back.
-        self.methods = {k: self.off and m.criticality < most for k, m in enumerate(boot.methods)}
-        self.lean = sum(1 << k for k, way in self.methods.items() if way and not boot.methods[k].own_zone)
+        self.methods = {k: self.off and m.criticality < most for k, m in enumerate(config.methods)}
+        self.lean = sum(1 << k for k, way in self.methods.items() if way and not config.methods[k].same_zone_only)
 
     def move(self, now: int, zone: int, stress: float, able: float, busy: bool) -> None:
         """Down to what the fleet is able to do while it is busy; further in a jam, but not again before that
@@ -463,13 +468,13 @@
     order: a receipt from any proxy proves that all sent before has left, and its own message: so many of a
     reply's proxies as have told of it are so much of it that has left. No pace is believed in."""
 
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.boot = boot
+    def __init__(self, config: AssignerConfig) -> None:
+        self.config = config
         self.sent = self.left = 0.0  # lines ever sent, and those proven to have left
         self.at = self.heard = self.mark = 0
         # So far may what can wait fill the channel: a drain behind it is in time, and it answers news of now.
-        in_time = boot.lines_per_s * max(boot.drain_grace - boot.worst_transit, boot.transit) / 2e6
-        self.usual = min(boot.most_waiting / 2, in_time, 2 * boot.period * boot.lines_per_s / 1e6)
+        in_time = config.lines_per_s * max(config.drain_grace_us - config.max_transit_us, config.transit_us) / 2e6
+        self.usual = min(config.max_waiting_lines / 2, in_time, 2 * config.report_period_us * config.lines_per_s / 1e6)
         self.marks: dict[int, float] = {}  # lines sent before each mark's reply
         self.messages = self.own = 0  # booked since the last mark, and of the last mark's reply
         self.told: set[int] = set()  # who has told of that reply
@@ -477,8 +482,10 @@
         self.reply, self.last = 0, dict[int, int]()  # number of this reply, and of the last to each proxy
 
     def drain(self, now: int) -> None:
-        if now - self.heard > 4 * (self.boot.worst_transit + self.boot.period):  # all written to must be lost
-            self.left = min(self.sent, self.left + self.boot.lines_per_s / 8 * (now - self.at) / 1e6)
+        if now - self.heard > 4 * (
+            self.config.max_transit_us + self.config.report_period_us
+        ):  # all written to must be lost
+            self.left = min(self.sent, self.left + self.config.lines_per_s / 8 * (now - self.at) / 1e6)
         self.at = now
 
     def receipt(self, now: int, receipt: Ack) -> None:
@@ -497,30 +504,32 @@
         return self.sent - self.left >= times * self.usual
 
     def scarce(self, proxies: list[int]) -> bool:  # what can wait may be told to one of these no more
-        most = 0.6 * self.boot.messages_most
+        most = 0.6 * self.config.max_messages_per_proxy
         return most > 0 and any(len(self.written.get(proxy, ())) + 1 > most for proxy in proxies)
 
     def spare(self, now: int, proxies: list[int], urgent: bool) -> int:
         if not proxies:
             return 1 << 30
-        since = now - self.boot.counted_over - self.boot.worst_transit
-        for proxy in proxies if self.boot.messages_most > 0 else ():
+        since = now - self.config.message_count_window_us - self.config.max_transit_us
+        for proxy in proxies if self.config.max_messages_per_proxy > 0 else ():
             times = self.written.setdefault(proxy, deque())
             while times and times[0] < since:
                 times.popleft()
             part = 0.95 if urgent else 0.6
-            if len(times) + (self.last.get(proxy) != self.reply) > part * self.boot.messages_most:
+            if len(times) + (self.last.get(proxy) != self.reply) > part * self.config.max_messages_per_proxy:
                 return 0
         waits = self.sent - self.left
-        free = int((0.9 * self.boot.most_waiting - waits) / len(proxies) - self.boot.overhead - 1)
+        free = int(
+            (0.9 * self.config.max_waiting_lines - waits) / len(proxies) - self.config.message_overhead_lines - 1
+        )
         return max(0, free if urgent else min(free, int((self.usual - waits) / len(proxies))))
 
     def book(self, now: int, proxies: list[int], lines: int) -> None:
         fresh = [proxy for proxy in proxies if lines and self.last.get(proxy) != self.reply]
-        self.sent += lines * len(proxies) + (self.boot.overhead + 1) * len(fresh)
+        self.sent += lines * len(proxies) + (self.config.message_overhead_lines + 1) * len(fresh)
         self.messages += len(fresh)
         self.last.update(dict.fromkeys(fresh, self.reply))
-        for proxy in fresh if self.boot.messages_most > 0 else ():
+        for proxy in fresh if self.config.max_messages_per_proxy > 0 else ():
             self.written.setdefault(proxy, deque()).append(now)
 
     def stamp(self, already: float) -> list[Command]:
@@ -538,17 +547,17 @@
     a small table at once serves better than a whole one too late; where some methods may go to tasks of the
     proxy's zone only, a home table a zone for these; who uses them, what was last ordered."""
 
-    def __init__(self, boot: AssignerConfig) -> None:
-        self.excess, self.standing = boot.zones, boot.initial_set
-        own = sum(1 << k for k, m in enumerate(boot.methods) if m.own_zone)
+    def __init__(self, config: AssignerConfig) -> None:
+        self.excess, self.standing = config.zones, config.initial_table_size
+        own = sum(1 << k for k, m in enumerate(config.methods) if m.same_zone_only)
         # Where all methods keep to their zone its one table does; else these methods, and all the rest.
-        self.alone = own == (1 << len(boot.methods)) - 1
-        self.own, self.rest = (0, 0) if self.alone or not own else (own, (1 << len(boot.methods)) - 1 - own)
-        self.homes = boot.zones * (1 + SLICES) + 1
-        every = range(self.homes + boot.zones * (self.own > 0))
+        self.alone = own == (1 << len(config.methods)) - 1
+        self.own, self.rest = (0, 0) if self.alone or not own else (own, (1 << len(config.methods)) - 1 - own)
+        self.homes = config.zones * (1 + SLICES) + 1
+        every = range(self.homes + config.zones * (self.own > 0))
         self.lines: list[dict[int, float]] = [{} for _ in every]
         self.caps: list[dict[int, float]] = [{} for _ in every]  # the cap each line went out with
-        usual = dict.fromkeys(range(len(boot.methods)), (whole_level(boot), boot.retry_default))
+        usual = dict.fromkeys(range(len(config.methods)), (whole_level(config), config.default_retry_mode))
         self.levels = [dict(usual) for _ in every]
         self.bound: list[list[int]] = [[] for _ in every]
         self.joining: list[tuple[int, int, int]] = []  # proxies to be put on a table, for which methods
@@ -581,7 +590,7 @@
 
     def join(self, event: ProxyJoined, lean: int) -> None:
         self.zone[event.proxy] = event.zone
-        self.rate[event.proxy] = event.rate if event.rate > 0 else 0.0
+        self.rate[event.proxy] = event.usual_rate_per_s if event.usual_rate_per_s > 0 else 0.0
         self.joining.append((event.proxy, event.zone, 0))
         if self.own:
             self.joining.append((event.proxy, self.homes + event.zone, self.own))
@@ -608,7 +617,7 @@
         # Proxies without a table first, and past all that waits in time: what they hold may be gone.
         for proxy, zone, methods in sorted(self.joining, key=lambda due: due[2] not in (0, self.own)):
             table = zone if methods else self.first_table(zone)
-            due = methods in (0, self.own) and now - since[proxy] > box.boot.drain_grace / 4
+            due = methods in (0, self.own) and now - since[proxy] > box.config.drain_grace_us / 4
             room = 0 if box.held(1 + due) or not self.lines[table] else box.spare(now, [proxy], True)
             if room >= self.size(table) and (proxy, zone, methods) in self.joining:
                 self.joining.remove((proxy, zone, methods))
@@ -640,15 +649,15 @@
 
 
 class Assigner:
-    def __init__(self, boot: AssignerConfig, seed: int) -> None:
-        self.boot = boot
+    def __init__(self, config: AssignerConfig, seed: int) -> None:
+        self.config = config
         self.roster, self.est, self.health = (
-            EndpointDirectory(boot, Random(seed)),
-            Estimates(boot),
-            OutlierDetector(boot),
+            EndpointDirectory(config, Random(seed)),
+            Estimates(config),
+            OutlierDetector(config),
         )
-        self.ramp, self.solver, self.gate = SlowStart(boot), WeightController(boot, self.est), PushGate()
-        self.levels, self.tables, self.outbox = AdmissionController(boot), TableSet(boot), BacklogEstimator(boot)
+        self.ramp, self.solver, self.gate = SlowStart(config), WeightController(config, self.est), PushGate()
+        self.levels, self.tables, self.outbox = AdmissionController(config), TableSet(config), BacklogEstimator(config)
         self.next_period, self.owed, self.told = -1, False, 0
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
@@ -657,33 +666,33 @@
         for event in events:
             if isinstance(event, TrafficReport):
                 self.est.hear(now, event)
-            elif isinstance(event, OfferedLoad) and event.over > 0:
+            elif isinstance(event, OfferedLoad) and event.interval_us > 0:
                 self.est.cover(event)
             elif isinstance(event, EndpointListUpdate):
                 self.listen(now, event)
             elif isinstance(event, Ack):
                 self.outbox.receipt(now, event)
             elif isinstance(event, QueueDepth):
-                self.outbox.waits(event.lines)
-            elif isinstance(event, WeightProposal) and event.zone < self.boot.zones:
-                self.solver.proposed[event.zone] = now + LASTS * self.boot.period, dict(event.weights)
+                self.outbox.waits(event.waiting_lines)
+            elif isinstance(event, WeightProposal) and event.zone < self.config.zones:
+                self.solver.proposed[event.zone] = now + LASTS * self.config.report_period_us, dict(event.weights)
             elif isinstance(event, EstimatesRestored):
                 self.recall(now, event)
             elif isinstance(event, (ProxyJoined, ProxyLeft)):
                 self.tables.leave(event.proxy)
                 self.est.came.pop(event.proxy, None)
-                if isinstance(event, ProxyJoined) and event.zone < self.boot.zones:
+                if isinstance(event, ProxyJoined) and event.zone < self.config.zones:
                     self.tables.join(event, self.levels.lean)
                     self.est.since[event.proxy] = now
-        if self.boot.partitions:  # key slices are not decided yet
+        if self.config.slices:  # key slices are not decided yet
             return []
-        period = now >= self.next_period - self.boot.period * (TrafficReport in kinds)
+        period = now >= self.next_period - self.config.report_period_us * (TrafficReport in kinds)
         push = period and self.improve(now)
         orders = self.roster.calls(now)
         if period or EndpointListUpdate in kinds or self.tables.joining or self.owed:
             orders += self.publish(now, push)
         if period or self.owed or kinds & {TimerFired, EndpointListUpdate}:
-            hurry = now + self.boot.period // 8 if self.tables.joining or self.owed else self.next_period
+            hurry = now + self.config.report_period_us // 8 if self.tables.joining or self.owed else self.next_period
             soon = min(self.next_period, self.roster.ask_at or self.next_period, hurry)
             orders.append(SetTimer(0, max(soon - now, 1000)))
         return orders
@@ -701,14 +710,14 @@
 
     def recall(self, now: int, told: EstimatesRestored) -> None:
         """Where it outweighs what is known, less the older it is. An old price can only hold pushes back."""
-        trust = self.boot.warm_up / (self.boot.warm_up + max(told.age, 0))
+        trust = self.config.warm_up_us / (self.config.warm_up_us + max(told.age_us, 0))
         parts = self.parts(now)
-        for i, does, heard, skill, weight in told.rows:
+        for i, does, heard, skill, weight in told.estimates:
             if parts.get(i, 0.0) >= 1.0 and self.est.busy[i] < heard * trust:
                 self.est.served[i], self.est.busy[i] = does * heard * trust, heard * trust
                 self.solver.skill[i] = 1 + (skill - 1) * trust
                 self.solver.weight[i] = self.roster.hint[i] * (1 + (weight - 1) * trust)
-        self.gate.price = max(self.gate.price, told.price)
+        self.gate.price = max(self.gate.price, told.push_price)
 
     def listen(self, now: int, change: EndpointListUpdate) -> None:
         fresh = self.roster.hear(now, change)
@@ -722,7 +731,7 @@
     def improve(self, now: int) -> bool:
         est, home, tables, tasks = self.est, self.roster.zone, self.tables, self.roster.open()
         self.solver.proposed = [(till, w if now <= till else {}) for till, w in self.solver.proposed]
-        self.next_period = now + self.boot.period * 3 // 2
+        self.next_period = now + self.config.report_period_us * 3 // 2
         if not tasks:
             return self.gate.decide(0.0, 0.0, True)
         self.health.judge(est, tasks, home)
@@ -730,7 +739,7 @@
         part, zones = self.parts(now), self.roster.by_zone()
         able = est.able({i: p * max(row[i] for row in self.health.factor) for i, p in part.items()})
         cold = sum(p * est.does[i] for i, p in part.items() if p < 1.0)
-        self.ramp.judge(*est.failing(tasks), cold, now - est.newest() < 3 * self.boot.period)
+        self.ramp.judge(*est.failing(tasks), cold, now - est.newest() < 3 * self.config.report_period_us)
         for zone in est.zones:
             self.levels.move(now, zone, est.stress(zone), able, not est.idle(tables.lines[zone]))
         rest = est.failing(set(tasks) - set(tables.lines[tables.excess]))
@@ -739,9 +748,9 @@
         size = est.sizes(self.roster.hint, tasks, warm)
         est.age(now)
         costs = [{i: self.solver.cost(row[i], est.load[i], home[i] != z) for i in tasks} for z, row in enumerate(heard)]
-        demand = [0.0] * self.boot.zones
+        demand = [0.0] * self.config.zones
         for proxy, zone in tables.zone.items():
-            demand[zone] += est.offered(proxy) or tables.rate[proxy] * self.boot.period / 1e6
+            demand[zone] += est.offered(proxy) or tables.rate[proxy] * self.config.report_period_us / 1e6
         for kin in zones:
             self.solver.step(costs, size, kin)
         self.solver.stretch(heard, zones, part, self.health.factor, demand)
@@ -793,7 +802,7 @@
         # Removals behind a long queue, or with few messages left, wait a little for more of them: nothing is
         # lost, and heads and messages are saved.
         self.told = self.told if self.owed else now
-        wait, long = now < self.told + self.boot.drain_grace // 4, box.sent - box.left > box.usual / 2
+        wait, long = now < self.told + self.config.drain_grace_us // 4, box.sent - box.left > box.usual / 2
         orders, already, self.owed = [], box.sent, False
         crowd = tables.gather(box.usual)  # who waits for a table goes first
         for table, before in reversed(list(enumerate(tables.lines))):  # the excess of a jam first
--- a/hollyridge/delivery/update_builder.py
+++ b/hollyridge/delivery/update_builder.py
@@ -9,16 +9,26 @@
     BindTable,
     Command,
     DeleteTable,
+    LogNote,
+    RefreshEndpoints,
     RequestAck,
     SendToPeer,
     SetAdmission,
     SetEjected,
+    SetTimer,
     SetWeight,
+    WatchEndpoints,
 )
 from hollyridge.store.table_versions import Table, TableStore
 
 # The status page counts refused commands by these names, whatever the classes are called.
-STATUS_NAMES = {SendToPeer: "TellPeer"}
+STATUS_NAMES = {
+    LogNote: "Note",
+    RefreshEndpoints: "Reload",
+    SendToPeer: "TellPeer",
+    SetTimer: "WakeAt",
+    WatchEndpoints: "Watch",
+}
 
 
 class ServerCapabilities(NamedTuple):
@@ -128,7 +138,7 @@
                 edits.setdefault(order.table, ({}, {}))[0][order.task] = max(order.weight, 0.0)
                 count(order.table)
             elif kind is SetAdmission:
-                edits.setdefault(order.table, ({}, {}))[1][order.methods] = order.amount, order.retry
+                edits.setdefault(order.table, ({}, {}))[1][order.methods] = order.amount, order.retry_mode
                 count(order.table, "levels")
             elif kind is DeleteTable:
                 edits[order.table] = ({}, {})
@@ -145,14 +155,14 @@
                 size = len(self.store.latest(order.table)) + sum(map(len, edits.get(order.table, ())))
                 mine.counts[order.table] = 1 + size
             elif kind is SetEjected:
-                (self.out.add if order.out else self.out.discard)(order.task)
+                (self.out.add if order.ejected else self.out.discard)(order.task)
                 for proxy in self.bound:
                     if fronts[proxy].withdrawals:
-                        owed.setdefault(proxy, PendingUpdate()).out.append((order.task, order.out))
+                        owed.setdefault(proxy, PendingUpdate()).out.append((order.task, order.ejected))
                     else:
                         refuse("front has no withdrawals")
             elif kind is RequestAck:
-                mark, everyone = order.mark, order.everyone
+                mark, everyone = order.mark, order.from_all
             else:
                 refuse(f"no {STATUS_NAMES.get(kind, kind.__name__)} here")
         for table, (lines, levels) in edits.items():
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -108,7 +108,7 @@
                 self.too_many += 1
                 continue
             if before is not None and before.entry.started_ms == entry.started_ms:
-                started = before.listed.started_at
+                started = before.listed.started_at_us
             else:
                 started = self.start_of(now, entry.started_ms)
                 self.starts += before is not None
--- a/hollyridge/interface.py
+++ b/hollyridge/interface.py
@@ -54,13 +54,13 @@
 class MethodConfig(NamedTuple):
     """What an assigner is told of one method."""
 
-    soft_deadline: int
-    deadline: int
+    soft_deadline_us: int
+    deadline_us: int
     criticality: float
-    repeat: Idempotency
-    group: IdempotencyScope
-    window: int
-    own_zone: bool
+    idempotency: Idempotency
+    idempotency_scope: IdempotencyScope
+    idempotency_window_us: int
+    same_zone_only: bool
 
 
 class AssignerConfig(NamedTuple):
@@ -70,32 +70,32 @@
     zones: int
     assigners: int
     subscribe: bool
-    ask_within: int
-    period: int
+    refresh_within_us: int
+    report_period_us: int
     lines_per_s: float
-    overhead: float
-    most_waiting: float
-    messages_most: int
-    counted_over: int
-    transit: int
-    worst_transit: int
-    bare: int
-    drain_grace: int
-    gone_is_advice: bool
-    cold_from: float
-    warm_up: int
-    fall: int
-    fall_multiple: float
-    pick: BalancingPolicy
-    outlier_after: int
-    initial_set: int
+    message_overhead_lines: float
+    max_waiting_lines: float
+    max_messages_per_proxy: int
+    message_count_window_us: int
+    transit_us: int
+    max_transit_us: int
+    empty_table_limit_us: int
+    drain_grace_us: int
+    removal_is_advisory: bool
+    cold_capacity_fraction: float
+    warm_up_us: int
+    overload_window_us: int
+    overload_multiple: float
+    balancing_policy: BalancingPolicy
+    proxy_ejection_failures: int
+    initial_table_size: int
     admission: Admission
-    retry_default: int
-    per_try: float
-    partitions: int
-    one_owner: bool
-    load_names: tuple[str, ...]
-    cross_zone_price: float
+    default_retry_mode: int
+    attempt_timeout_factor: float
+    slices: int
+    exclusive_slices: bool
+    load_metric_names: tuple[str, ...]
+    cross_zone_cost: float
 
 
 class Endpoint(NamedTuple):
@@ -103,17 +103,17 @@
 
     task: int
     zone: int
-    sku: int
+    hardware_kind: int
     cell: int
     state: int
-    weight: float
-    started_at: int
+    listed_weight: float
+    started_at_us: int
 
 
 class EndpointListUpdate(NamedTuple):
     version: int
     kind: int
-    entries: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 class TimerFired(NamedTuple):
@@ -123,7 +123,7 @@
 class ProbeResult(NamedTuple):
     task: int
     status: int
-    latency: int
+    latency_us: int
     load: tuple[float, ...]
 
 
@@ -133,8 +133,8 @@
 
 
 class ProxyJoined(NamedTuple):
-    rate: float
-    standing_only: bool
+    usual_rate_per_s: float
+    has_no_table: bool
     proxy: int
     zone: int
 
@@ -146,14 +146,14 @@
 class Ack(NamedTuple):
     proxy: int
     mark: int
-    took: int
+    apply_time_us: int
 
 
 class QueueDepth(NamedTuple):
     """What of the orders has not left yet, in lines, heads included: told last of an occasion by whoever keeps them
     waiting, where what comes for a proxy joins the message that already waits for it. There receipts come early."""
 
-    lines: float
+    waiting_lines: float
 
 
 class TrafficReport(NamedTuple):
@@ -161,16 +161,16 @@
 
     zone: int
     task: int
-    tries: int
-    bad: int
-    latency: int
-    over: int
+    attempts: int
+    failed: int
+    latency_us: int
+    interval_us: int
     load: tuple[float, ...]
 
 
 class OfferedLoad(NamedTuple):
     rpcs: int
-    over: int
+    interval_us: int
     proxy: int
     method: int
     unanswered: int
@@ -181,11 +181,11 @@
     method: int
     rpcs: int
     unanswered: int
-    over: int
+    interval_us: int
 
 
 class SliceCharge(NamedTuple):
-    given: bool
+    granted: bool
     slice: int
 
 
@@ -208,18 +208,18 @@
     at as a part of its listed size."""
 
     task: int
-    does: float
-    heard: float
-    skill: float
-    weight: float
+    capacity: float
+    busy_periods: float
+    efficiency: float
+    weight_ratio: float
 
 
 class EstimatesRestored(NamedTuple):
     """What was learnt before a restart, or by another assigner; `price` of its gate; `age` in microseconds."""
 
-    rows: tuple[LearnedEstimate, ...]
-    price: float
-    age: int
+    estimates: tuple[LearnedEstimate, ...]
+    push_price: float
+    age_us: int
 
 
 Event = Union[
@@ -247,7 +247,7 @@
 
 class SetEjected(NamedTuple):
     task: int
-    out: bool
+    ejected: bool
 
 
 class LogNote(NamedTuple):
@@ -273,12 +273,12 @@
     table: int
     methods: int
     amount: float
-    retry: int
+    retry_mode: int
 
 
 class RequestAck(NamedTuple):
     mark: int
-    everyone: bool
+    from_all: bool
 
 
 class BindTable(NamedTuple):
@@ -289,7 +289,7 @@
 
 class SetTimer(NamedTuple):
     token: int
-    delay: int
+    delay_us: int
 
 
 class SetWeight(NamedTuple):
--- a/hollyridge/lab/policies.py
+++ b/hollyridge/lab/policies.py
@@ -10,10 +10,10 @@
 class Simple:
     """Tables by zone, changed whenever `weights(zone)` changes. For baselines."""
 
-    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
-        self.boot = boot
+    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+        self.config = config
         self.open: dict[int, int] = {}  # zone by task
-        self.said: list[dict[int, float]] = [{} for _ in range(boot.zones)]
+        self.said: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
     def weights(self, zone: int) -> dict[int, float]:
         raise NotImplementedError
@@ -26,7 +26,7 @@
         for event in events:
             self.hear(now, event)
             if isinstance(event, api.EndpointListUpdate):
-                for entry in event.entries:
+                for entry in event.endpoints:
                     self.open.pop(entry.task, None)
                     if entry.state == api.TaskState.READY:
                         self.open[entry.task] = entry.zone
@@ -68,13 +68,13 @@
     """By the inverse of the mean latency that the zone's proxies last met, pushed as it changes; who has not been heard
     counts as the best that has."""
 
-    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
-        super().__init__(boot, seed)
-        self.took: list[dict[int, float]] = [{} for _ in range(boot.zones)]
+    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+        super().__init__(config, seed)
+        self.took: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
     def hear(self, now: int, event: api.Event) -> None:
-        if isinstance(event, api.TrafficReport) and event.tries > event.bad and event.latency > 0:
-            self.took[event.zone][event.task] = event.latency
+        if isinstance(event, api.TrafficReport) and event.attempts > event.failed and event.latency_us > 0:
+            self.took[event.zone][event.task] = event.latency_us
 
     def weights(self, zone: int) -> dict[int, float]:
         took = {task: us for task, us in self.took[zone].items() if task in self.open}
@@ -85,8 +85,8 @@
 class PushWithoutGate(Assigner):
     """The module without the gate: every change that is worth a line is pushed each period."""
 
-    def __init__(self, boot: api.AssignerConfig, seed: int) -> None:
-        super().__init__(boot, seed)
+    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+        super().__init__(config, seed)
         self.gate.decide = lambda published, current, held: not held
 
 
--- a/hollyridge/lab/profiler.py
+++ b/hollyridge/lab/profiler.py
@@ -12,6 +12,36 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
+# Keys of `parts` in `lab run --cost --json` and `lab sweep --json`. They are a format: what packages are called today
+# is turned into the names that readers of older results know.
+REPORTED_PACKAGES = {
+    "chp": "clone",
+    "decisions": "rules",
+    "delivery": "steering",
+    "discovery": "roster",
+    "limits": "steering",
+    "platform_settings": "benchlink",
+    "registration": "steering",
+    "sessions": "steering",
+    "solver": "solving",
+    "telemetry": "steering",
+}
+REPORTED_MODULES = {
+    "limits/fair_share.py": "trust",
+    "sasp/weight_advice.py": "steering",
+    "store/learned_estimates.py": "steering",
+}
+STAND_IN_MODULES = (
+    "proxy.py",
+    "record.py",
+    "sockets.py",
+    "streams.py",
+    "task.py",
+    "task_model.py",
+    "virtual.py",
+    "world.py",
+)
+
 
 def part_of(frame: FrameType | None) -> str:
     """The part of the program whose code runs, or runs a library: its package, or its module at the top."""
@@ -22,22 +52,9 @@
             frame = frame.f_back
             continue
         if steps[0] == "lab":
-            return "lab/" + (
-                "stand-ins"
-                if steps[1]
-                in (
-                    "proxy.py",
-                    "task.py",
-                    "world.py",
-                    "virtual.py",
-                    "streams.py",
-                    "sockets.py",
-                    "physics.py",
-                    "record.py",
-                )
-                else "checker"
-            )
-        return steps[0].removesuffix(".py")
+            return "lab/stand-ins" if steps[-1] in STAND_IN_MODULES else "lab/checker"
+        package = steps[0].removesuffix(".py")
+        return REPORTED_MODULES.get("/".join(steps)) or REPORTED_PACKAGES.get(package, package)
     return "elsewhere"
 
 
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -33,11 +33,11 @@
     def __init__(self, terms: NodeConfig, log, read: Callable[[], NodeConfig], clock: Callable = monotonic_us) -> None:
         self.terms, self.log, self.read = terms, log, read
         self.reloads = 0
-        boot = terms.boot
+        config = terms.config
         limits = EngineLimits(
-            boot.lines_per_s,
-            boot.overhead,
-            boot.most_waiting,
+            config.lines_per_s,
+            config.message_overhead_lines,
+            config.max_waiting_lines,
             TASKS_MOST,
             terms.names.proxies,
             0,
@@ -50,7 +50,7 @@
         listing = EndpointListTracker(
             lambda name: self.machine.tasks.enter(self.machine.ran_at, name), now - time.time_ns() // 1000
         )
-        self.machine = Engine(boot, terms.seed, limits, listing, now, log, detail=False)
+        self.machine = Engine(config, terms.seed, limits, listing, now, log, detail=False)
         self.loop = EventLoop(self.machine, clock, terms.round_s)
         self.machine.happened(now, EndpointListReceived(terms.known, stale=True))
         zones = {name: z for z, name in enumerate(terms.names.zones)}
@@ -59,7 +59,7 @@
         )
         descriptors = min(terms.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.front = RespServer(
-            self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), boot, log
+            self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), config, log
         )
         self.machine.holds = self.front.holds
 
--- a/hollyridge/node/config.py
+++ b/hollyridge/node/config.py
@@ -11,7 +11,7 @@
 
 from hollyridge.discovery.schema import EndpointListError, EndpointPage, WatchEvent, read
 from hollyridge.interface import AssignerConfig
-from hollyridge.platform_settings.reader import SettingsError, bootstrap_of, flattened
+from hollyridge.platform_settings.reader import SettingsError, assigner_config_from, flattened
 from hollyridge.resp.messages import ProtocolNames
 from hollyridge.settings.address import split
 
@@ -48,7 +48,7 @@
     discovery: tuple[str, int]
     seed: int
     limits: ResourceLimits
-    boot: AssignerConfig
+    config: AssignerConfig
     names: ProtocolNames
     known: WatchEvent
     round_s: float
@@ -95,9 +95,9 @@
         seed = 0
         faults.append(f"seed is not hexadecimal: {document.seed[:40]}")
     values = flattened(document.settings)
-    boot = None
+    config = None
     try:
-        boot = bootstrap_of(values)
+        config = assigner_config_from(values)
     except SettingsError as trouble:
         faults += trouble.faults
     names = names_of(document.settings, values, faults)
@@ -107,13 +107,13 @@
             known = read(document.known, {name: z for z, name in enumerate(names.zones)})
         except EndpointListError as trouble:
             faults.append(f"known: {trouble}")
-    if faults or boot is None:
+    if faults or config is None:
         raise ConfigError("\n".join(faults))
     try:
         round_s = min(0.1, max(0.0005, float(values.get("round", "0.005"))))
     except ValueError:
         round_s = 0.005
-    return NodeConfig(document.name, listen, discovery, seed, document.limits, boot, names, known, round_s, values)
+    return NodeConfig(document.name, listen, discovery, seed, document.limits, config, names, known, round_s, values)
 
 
 def names_of(settings: dict, values: dict[str, str], faults: list[str]) -> ProtocolNames:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -114,7 +114,7 @@
         if learnt is not None:
             told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
             if told.event is not None:
-                self.counts["borrowed"] += len(told.event.rows)
+                self.counts["borrowed"] += len(told.event.estimates)
                 self.machine.tell(now, told.event)
 
     def leave(self) -> None:
--- a/hollyridge/platform_settings/reader.py
+++ b/hollyridge/platform_settings/reader.py
@@ -101,12 +101,12 @@
     return {path: ",".join(map(plain, tree)) if isinstance(tree, list) else plain(tree)}
 
 
-def read_bootstrap(raw: bytes) -> AssignerConfig:
+def read_assigner_config(raw: bytes) -> AssignerConfig:
     """What an assigner reads at start, from the wire's settings text."""
-    return bootstrap_of(pairs(raw))
+    return assigner_config_from(pairs(raw))
 
 
-def bootstrap_of(values: dict[str, str]) -> AssignerConfig:
+def assigner_config_from(values: dict[str, str]) -> AssignerConfig:
     """From values by path; unknown keys are skipped. TermsError names each that is missing or odd."""
     text = _Text(values)
     own_zone = text.names("family_info.class_own_zone")
@@ -116,51 +116,51 @@
         deadline = text.span(row + "deadline")
         methods.append(
             MethodConfig(
-                soft_deadline=text.span(row + "slo"),
-                deadline=deadline,
+                soft_deadline_us=text.span(row + "slo"),
+                deadline_us=deadline,
                 criticality=text.number(row + "worth", 1.0),
-                repeat=text.choice(row + "repeat", REPEAT),
-                group=text.choice(row + "group", GROUP, "cell"),
-                window=text.span(row + "window", 0.0),
-                own_zone=k < len(own_zone) and own_zone[k] == "true",
+                idempotency=text.choice(row + "repeat", REPEAT),
+                idempotency_scope=text.choice(row + "group", GROUP, "cell"),
+                idempotency_window_us=text.span(row + "window", 0.0),
+                same_zone_only=k < len(own_zone) and own_zone[k] == "true",
             )
         )
     if not methods:
         text.faults.append("the settings name no method (profiles.count)")
     family = "family_info."
     transit = text.number(family + "transit", 0.0)
-    boot = AssignerConfig(
+    config = AssignerConfig(
         methods=tuple(methods),
         zones=len(text.names("zones")) or 1,
         assigners=max(1, int(text.number("balancers", 1))),
         subscribe=text.word("discovery") == "subscribe",
-        ask_within=text.span("rules.ask_within", 10.0),
-        period=max(1, text.span(family + "period")),
+        refresh_within_us=text.span("rules.ask_within", 10.0),
+        report_period_us=max(1, text.span(family + "period")),
         lines_per_s=text.number(family + "lines_per_s"),
-        overhead=text.number(family + "overhead"),
-        most_waiting=text.number(family + "most_waiting"),
-        messages_most=int(text.number(family + "messages_most", 0)),
-        counted_over=text.span(family + "counted_over", 10.0),
-        transit=micros(transit),
-        worst_transit=text.span(family + "worst_transit", transit * 3),
-        bare=text.span(family + "bare"),
-        drain_grace=text.span("rules.drain_grace"),
-        gone_is_advice=text.flag("rules.gone_is_advice"),
-        cold_from=text.number("rules.cold_from"),
-        warm_up=max(1, text.span("rules.warm_up")),
-        fall=text.span("rules.fall"),
-        fall_multiple=text.number("rules.fall_multiple"),
-        pick=text.choice(family + "pick", PICK, "random"),
-        outlier_after=int(text.number(family + "outlier_after", 0)),
-        initial_set=int(text.number(family + "initial_set", 0)),
+        message_overhead_lines=text.number(family + "overhead"),
+        max_waiting_lines=text.number(family + "most_waiting"),
+        max_messages_per_proxy=int(text.number(family + "messages_most", 0)),
+        message_count_window_us=text.span(family + "counted_over", 10.0),
+        transit_us=micros(transit),
+        max_transit_us=text.span(family + "worst_transit", transit * 3),
+        empty_table_limit_us=text.span(family + "bare"),
+        drain_grace_us=text.span("rules.drain_grace"),
+        removal_is_advisory=text.flag("rules.gone_is_advice"),
+        cold_capacity_fraction=text.number("rules.cold_from"),
+        warm_up_us=max(1, text.span("rules.warm_up")),
+        overload_window_us=text.span("rules.fall"),
+        overload_multiple=text.number("rules.fall_multiple"),
+        balancing_policy=text.choice(family + "pick", PICK, "random"),
+        proxy_ejection_failures=int(text.number(family + "outlier_after", 0)),
+        initial_table_size=int(text.number(family + "initial_set", 0)),
         admission=text.choice(family + "admit", ADMIT, "off"),
-        retry_default=int(text.number(family + "retry_default", 0)),
-        per_try=text.number(family + "per_try", 1.0),
-        partitions=int(text.number(family + "partitions_n", 0)),
-        one_owner=text.flag(family + "one_owner"),
-        load_names=tuple(text.names("report.names")),
-        cross_zone_price=text.number("tariffs.cross_zone", 0.0),
+        default_retry_mode=int(text.number(family + "retry_default", 0)),
+        attempt_timeout_factor=text.number(family + "per_try", 1.0),
+        slices=int(text.number(family + "partitions_n", 0)),
+        exclusive_slices=text.flag(family + "one_owner"),
+        load_metric_names=tuple(text.names("report.names")),
+        cross_zone_cost=text.number("tariffs.cross_zone", 0.0),
     )
     if text.faults:
         raise SettingsError(text.faults)
-    return boot
+    return config
--- a/hollyridge/resp/messages.py
+++ b/hollyridge/resp/messages.py
@@ -105,11 +105,11 @@
 class MessageReader:
     """Reads messages by the names and terms of one deployment."""
 
-    def __init__(self, names: ProtocolNames, boot: AssignerConfig) -> None:
+    def __init__(self, names: ProtocolNames, config: AssignerConfig) -> None:
         self.zones = {name.encode(): z for z, name in enumerate(names.zones)}
         self.methods = {name.encode(): k for k, name in enumerate(names.methods)}
-        self.proxies, self.loads = names.proxies, boot.load_names
-        self.longest = LATE * max(m.deadline for m in boot.methods) / 1000
+        self.proxies, self.loads = names.proxies, config.load_metric_names
+        self.longest = LATE * max(m.deadline_us for m in config.methods) / 1000
         self.kinds = {
             b"hb": self.beat,
             b"telemetry": self.collector,
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -81,11 +81,11 @@
 
     COLLECTORS = 2  # connections of one zone's: a new one may come before the old one is seen to end
 
-    def __init__(self, loop: EventLoop, terms: RespConfig, boot: api.AssignerConfig, log) -> None:
+    def __init__(self, loop: EventLoop, terms: RespConfig, config: api.AssignerConfig, log) -> None:
         super().__init__(loop, terms.host, terms.port)
         self.log = log
         self.abilities = ServerCapabilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
-        self.reading = messages.MessageReader(terms.names, boot)
+        self.reading = messages.MessageReader(terms.names, config)
         self.scribe = UpdateEncoder(terms.names.methods, self.name_of)
         self.room = max(16, terms.descriptors - terms.kept)  # connections in all
         self.pending = PendingConnections(terms.patience)
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -51,10 +51,10 @@
         fleet: PeerConfig | None = None,
     ) -> None:
         self.terms, self.log = terms, log
-        boot = terms.bootstrap()
+        config = terms.bootstrap()
         now = clock()
         members = MemberRegistry(terms.members_terms(), now)
-        self.machine = Engine(boot, terms.assigner.seed, terms.limits(), members, now, log, make)
+        self.machine = Engine(config, terms.assigner.seed, terms.limits(), members, now, log, make)
         self.loop = EventLoop(self.machine, clock)
         sasp, channel, names = terms.sasp, terms.channel, self.names()
         self.fleet = self.link = None
@@ -78,7 +78,7 @@
             sasp.requests_per_s,
             channel.messages_most / channel.messages_over_s,
         )
-        presence = SessionTracker(boot.drain_grace, boot.bare)
+        presence = SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
         self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
         secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
@@ -104,7 +104,7 @@
             self.clone = ChpServer(
                 self.loop,
                 terms.clone_terms(),
-                SessionTracker(boot.drain_grace, boot.bare),
+                SessionTracker(config.drain_grace_us, config.empty_table_limit_us),
                 keeper,
                 terms.zone_finder(),
                 self.task_name,
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -14,8 +14,8 @@
 def fleet_of(module: Assigner, now: int, handshake: float, connections: float) -> Fleet | None:
     """None where nothing is known yet of what tasks can do. One method stands for all: a zone's table is theirs in
     common, and levels stay with the module. What others send to a task, as its load tells, is not ours to share out."""
-    boot, est, roster, tables = module.boot, module.est, module.roster, module.tables
-    period, known = boot.period / 1e6, [i for i in roster.open() if i < len(est.does) and est.does[i] > 0]
+    config, est, roster, tables = module.config, module.est, module.roster, module.tables
+    period, known = config.report_period_us / 1e6, [i for i in roster.open() if i < len(est.does) and est.does[i] > 0]
     if not known:
         return None
     usual = sum(est.does[i] for i in known) / sum(roster.hint[i] for i in known)
@@ -23,7 +23,7 @@
     for i, state in enumerate(roster.state):
         does = est.does[i] if i < len(est.does) and est.does[i] > 0 else usual * roster.hint[i]
         mine = est.failing([i])[0] / does if i < len(est.load) else 0.0
-        others = max(0.0, est.load[i] - mine) if i < len(est.load) and boot.assigners > 1 else 0.0
+        others = max(0.0, est.load[i] - mine) if i < len(est.load) and config.assigners > 1 else 0.0
         heard = est.busy[i] if i < len(est.busy) else 0.0
         health = max((row[i] for row in module.health.factor if i < len(row)), default=1.0)
         tasks.append(
@@ -32,29 +32,29 @@
                 max(0, roster.zone[i]),
                 does * health * max(0.05, 1 - others) / period,
                 DOUBT / (1 + heard),
-                stated_part(boot, now, roster.started[i]),
+                stated_part(config, now, roster.started[i]),
                 connections,
                 state == api.TaskState.READY,
             )
         )
     zones = []
-    for z in range(boot.zones):
+    for z in range(config.zones):
         proxies = [p for p, zone in tables.zone.items() if zone == z]
         comes = sum(est.offered(p) or tables.rate[p] * period for p in proxies) / period
         tries, bad, slow = (sum(column) for column in zip(*est.met[z])) if est.met[z] else (0.0, 0.0, 0.0)
         stays = slow / max(tries - bad, 1.0) / 1e6
         zones.append(Zone(str(z), len(proxies), (comes,), comes * stays / max(len(proxies), 1)))
-    held = tuple(dict(tables.lines[z]) if tables.bound[z] else {} for z in range(boot.zones))
-    pick = "p2c" if boot.pick == api.BalancingPolicy.P2C else "random"
+    held = tuple(dict(tables.lines[z]) if tables.bound[z] else {} for z in range(config.zones))
+    pick = "p2c" if config.balancing_policy == api.BalancingPolicy.P2C else "random"
     return Fleet(
         (Method("all", 1.0),),
         tuple(zones),
         tuple(tasks),
         held,
-        boot.cross_zone_price,
+        config.cross_zone_cost,
         handshake,
         pick=pick,
-        least_lines=max(2, 2 * boot.initial_set),
+        least_lines=max(2, 2 * config.initial_table_size),
     )
 
 
@@ -66,11 +66,13 @@
     return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), held=held)
 
 
-def stated_part(boot: api.AssignerConfig, now: int, started: int) -> float:
+def stated_part(config: api.AssignerConfig, now: int, started: int) -> float:
     """Of what it can do when warm, by the stated floor and time."""
-    if started <= 0 or now - started >= boot.warm_up:
+    if started <= 0 or now - started >= config.warm_up_us:
         return 1.0
-    return boot.cold_from + (1 - boot.cold_from) * max(0, now - started) / boot.warm_up
+    return (
+        config.cold_capacity_fraction + (1 - config.cold_capacity_fraction) * max(0, now - started) / config.warm_up_us
+    )
 
 
 def proposals(plan: Plan, pushes_back: bool) -> list[api.WeightProposal]:
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -46,13 +46,13 @@
 
 
 def sane(row: TaskEstimate) -> bool:
-    figures = (row.does, row.heard, row.skill, row.weight)
+    figures = (row.capacity, row.busy_periods, row.efficiency, row.weight_ratio)
     return (
         all(map(isfinite, figures))
-        and 0 < row.does < 1e9
-        and row.heard > 0
-        and SKILLS[0] <= row.skill <= SKILLS[1]
-        and WEIGHTS[0] <= row.weight <= WEIGHTS[1]
+        and 0 < row.capacity < 1e9
+        and row.busy_periods > 0
+        and SKILLS[0] <= row.efficiency <= SKILLS[1]
+        and WEIGHTS[0] <= row.weight_ratio <= WEIGHTS[1]
     )
 
 
@@ -70,7 +70,7 @@
 ) -> RestoredEstimates:
     """A peer's. It may be wrong or lie: each figure is taken within twice of one's own median task, for no longer than
     a busy period of one's own news, only once there is some of that; and its price not at all."""
-    usual = median([row.does for row in own] or [0.0])
+    usual = median([row.capacity for row in own] or [0.0])
     if not usual:
         return RestoredEstimates(None, {"nothing of one's own yet": 1})
     near = []
@@ -91,6 +91,8 @@
             why = "not listed" if task is None else "no sensible figure"
             left_out[why] = left_out.get(why, 0) + 1
         else:
-            found.append(LearnedEstimate(task, row.does, min(row.heard, longest), row.skill, row.weight))
+            found.append(
+                LearnedEstimate(task, row.capacity, min(row.busy_periods, longest), row.efficiency, row.weight_ratio)
+            )
     price = price if isfinite(price) and 0 <= price < 1e6 else 0.0
     return RestoredEstimates(EstimatesRestored(tuple(found), price, max(age, 0)) if found else None, left_out)
--- a/hollyridge/store/state_file.py
+++ b/hollyridge/store/state_file.py
@@ -29,10 +29,10 @@
     """What is known of a task by name (`host:port`); figures as in `interface.Learnt`."""
 
     name: str
-    does: float
-    heard: float
-    skill: float = 1.0
-    weight: float = 1.0
+    capacity: float
+    busy_periods: float
+    efficiency: float = 1.0
+    weight_ratio: float = 1.0
 
 
 class SavedState(msgspec.Struct):
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -60,7 +60,7 @@
     >>> news.take(0, tries), news.take(0, tries)
     ('', 'counted before')
     >>> news.gather(10)
-    [TrafficReport(zone=0, task=3, tries=12, bad=0, latency=0, over=1000000, load=(-1.0, -1.0))]
+    [TrafficReport(zone=0, task=3, attempts=12, failed=0, latency_us=0, interval_us=1000000, load=(-1.0, -1.0))]
     """
 
     def __init__(self, most_series: int, most_each: int, per_s: float, lines: int, forget: int) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,13 +9,13 @@
 
 def method(repeat=api.Idempotency.IDEMPOTENT, group=api.IdempotencyScope.ALL, **terms):
     row = dict(
-        soft_deadline=SECOND // 2,
-        deadline=3 * SECOND // 2,
+        soft_deadline_us=SECOND // 2,
+        deadline_us=3 * SECOND // 2,
         criticality=1.0,
-        repeat=repeat,
-        group=group,
-        window=2 * SECOND,
-        own_zone=False,
+        idempotency=repeat,
+        idempotency_scope=group,
+        idempotency_window_us=2 * SECOND,
+        same_zone_only=False,
     )
     return api.MethodConfig(**{**row, **terms})
 
@@ -26,32 +26,32 @@
         zones=2,
         assigners=1,
         subscribe=False,
-        ask_within=10 * SECOND,
-        period=SECOND,
+        refresh_within_us=10 * SECOND,
+        report_period_us=SECOND,
         lines_per_s=1000.0,
-        overhead=3.0,
-        most_waiting=2000.0,
-        messages_most=0,
-        counted_over=10 * SECOND,
-        transit=SECOND // 5,
-        worst_transit=SECOND // 2,
-        bare=5 * SECOND,
-        drain_grace=3 * SECOND,
-        gone_is_advice=False,
-        cold_from=0.2,
-        warm_up=16 * SECOND,
-        fall=2 * SECOND,
-        fall_multiple=4.0,
-        pick=api.BalancingPolicy.P2C,
+        message_overhead_lines=3.0,
+        max_waiting_lines=2000.0,
+        max_messages_per_proxy=0,
+        message_count_window_us=10 * SECOND,
+        transit_us=SECOND // 5,
+        max_transit_us=SECOND // 2,
+        empty_table_limit_us=5 * SECOND,
+        drain_grace_us=3 * SECOND,
+        removal_is_advisory=False,
+        cold_capacity_fraction=0.2,
+        warm_up_us=16 * SECOND,
+        overload_window_us=2 * SECOND,
+        overload_multiple=4.0,
+        balancing_policy=api.BalancingPolicy.P2C,
         admission=api.Admission.FRACTION,
-        retry_default=0,
-        per_try=1.2,
-        partitions=0,
-        one_owner=False,
-        load_names=("util", "queue"),
-        outlier_after=3,
-        initial_set=5,
-        cross_zone_price=0.1,
+        default_retry_mode=0,
+        attempt_timeout_factor=1.2,
+        slices=0,
+        exclusive_slices=False,
+        load_metric_names=("util", "queue"),
+        proxy_ejection_failures=3,
+        initial_table_size=5,
+        cross_zone_cost=0.1,
     )
     return api.AssignerConfig(**{**row, **terms})
 
@@ -68,8 +68,8 @@
     """An assigner with a clock, and the tables its proxies would hold after its orders."""
 
     def __init__(self, tasks=8, proxies=4, seed=7, **terms):
-        self.boot = bootstrap(**terms)
-        self.assigner = Assigner(self.boot, seed)
+        self.config = bootstrap(**terms)
+        self.assigner = Assigner(self.config, seed)
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
         self.bound: dict[int, int] = {}
@@ -91,7 +91,7 @@
             elif isinstance(o, api.BindTable):
                 self.bound[o.proxy] = o.table
             elif isinstance(o, api.SetAdmission):
-                self.levels[o.table, o.methods] = (o.amount, o.retry)
+                self.levels[o.table, o.methods] = (o.amount, o.retry_mode)
         return self.orders
 
     def period(self, *reports, receipts=True):
@@ -99,7 +99,7 @@
         events = [api.TimerFired(0), *reports]
         if receipts:
             events += [api.Ack(0, o.mark, SECOND // 5) for o in self.orders if isinstance(o, api.RequestAck)]
-        return self.feed(*events, after=self.boot.period / SECOND)
+        return self.feed(*events, after=self.config.report_period_us / SECOND)
 
     def met(self, zone, task, latency=0.1, tries=10, bad=0):
         return api.TrafficReport(zone, task, tries, bad, round(latency * SECOND), SECOND, ())
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -44,14 +44,16 @@
     """A front on loopback with a machine of its own, in this process."""
 
     def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
-        boot, self.now = bootstrap(**terms), START
+        config, self.now = bootstrap(**terms), START
         listing = EndpointListTracker(lambda name: self.machine.tasks.enter(self.now, name), 0)
-        limits = EngineLimits(boot.lines_per_s, boot.overhead, boot.most_waiting, 1000, 150, 0, 0, 0.0, 0, 1000)
-        self.machine = Engine(boot, 7, limits, listing, START, structlog.get_logger(), make)
+        limits = EngineLimits(
+            config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
+        )
+        self.machine = Engine(config, 7, limits, listing, START, structlog.get_logger(), make)
         self.tell(1, [f"s-{k}" for k in range(tasks)])
         self.loop = EventLoop(self.machine, clock=lambda: self.now)
         self.front = RespServer(
-            self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), boot, structlog.get_logger()
+            self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), config, structlog.get_logger()
         )
         self.machine.holds = self.front.holds
         self.port = self.front.start()
--- /dev/null
+++ b/tests/test_formats_messages.py
@@ -0,0 +1,341 @@
+"""Formats written from field and class names: state file, CHP, peer packets, RPCs of the laboratory, bench wire.
+
+Where the bytes hold fields by position alone the objects are made by keywords, so that a field which moves is seen.
+"""
+
+import socket
+import struct
+
+import msgspec
+import pytest
+from cryptography.hazmat.primitives.ciphers.aead import ChaCha20Poly1305
+from cryptography.hazmat.primitives.hashes import SHA256
+from cryptography.hazmat.primitives.kdf.hkdf import HKDF
+from stored import as_text, stored
+from test_wire import CONF
+
+from hollyridge import interface as api
+from hollyridge.benchlink import wire
+from hollyridge.benchlink.link import Instance
+from hollyridge.chp import codec as chp
+from hollyridge.chp.key_space import KeySpace
+from hollyridge.lab import rpc
+from hollyridge.membership import messages
+from hollyridge.peers import codec as peers
+from hollyridge.store import learned_estimates, state_file
+
+# State file.
+
+LEARNT = [
+    api.LearnedEstimate(task=0, capacity=20.0, busy_periods=5.0, efficiency=1.25, weight_ratio=0.9),
+    api.LearnedEstimate(task=1, capacity=40.5, busy_periods=4.0, efficiency=0.75, weight_ratio=1.5),
+]
+TASKS = ["127.1.0.1:9000", "127.1.0.2:9000"]
+STATE = state_file.SavedState(
+    "a,b/read",
+    1_700_000_000_123,
+    [
+        state_file.TaskEstimate(name=TASKS[0], capacity=20.0, busy_periods=5.0, efficiency=1.25, weight_ratio=0.9),
+        state_file.TaskEstimate(name=TASKS[1], capacity=40.5, busy_periods=4.0, efficiency=0.75, weight_ratio=1.5),
+    ],
+    0.625,
+)
+
+
+def state_files() -> dict[str, str]:
+    return {"whole": state_file.pack(STATE).hex(), "no rows": state_file.pack(state_file.SavedState("f", 7, [])).hex()}
+
+
+def test_state_file_is_read_and_written_as_before():
+    files = stored("state.json")
+    assert state_file.unpack(bytes.fromhex(files["whole"])) == STATE
+    assert state_file.unpack(bytes.fromhex(files["no rows"])) == state_file.SavedState("f", 7, [], 0.0, 1)
+    assert state_files() == files
+
+
+def test_members_of_the_state_file_by_name():
+    raw = bytes.fromhex(stored("state.json")["whole"])
+    assert raw[:8] == b"HRSTATE1"
+    assert msgspec.msgpack.decode(raw[20:]) == {
+        "fleet": "a,b/read",
+        "saved": 1_700_000_000_123,
+        "price": 0.625,
+        "layout": 1,
+        "rows": [[TASKS[0], 20.0, 5.0, 1.25, 0.9], [TASKS[1], 40.5, 4.0, 0.75, 1.5]],
+    }
+
+
+def test_what_a_module_learnt_is_the_state_file_and_back():
+    raw = bytes.fromhex(stored("state.json")["whole"])
+    assert (
+        state_file.pack(learned_estimates.noted("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)) == raw
+    )
+    told = learned_estimates.recalled(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
+    assert told == api.EstimatesRestored(tuple(LEARNT), 0.625, 2_000_000)
+
+
+# Clustered Hashmap Protocol.
+
+VALUES = {
+    "head": chp.Head("e1", 7, 12, 9, 2, 5, 500),
+    "line": chp.Line(0.5),
+    "level": chp.Level(0.75, 2),
+    "bind": chp.Bind(3),
+    "out": chp.Out(),
+    "own": chp.Own(15_289_307, "a1", 3000),
+    "go": chp.Go("127.0.0.1:6000", "a0"),
+    "ack": chp.Ack("e1", {"/proxy/gw-1/": 12, "/out/all/": 3}, 4),
+}
+DEFAULTS = {
+    "head": (b"{}", chp.Head("", 0, 0, 0, 0, 0, 1000, 1)),
+    "line": (b"{}", chp.Line(0.0, 1)),
+    "level": (b"{}", chp.Level(1.0, 0, 1)),
+    "bind": (b'{"table":3}', chp.Bind(3, 1)),
+    "out": (b"{}", chp.Out(True, 1)),
+    "own": (b"{}", chp.Own(0, "", 0, 1)),
+    "go": (b'{"to":"a"}', chp.Go("a", "", 1)),
+    "ack": (b"{}", chp.Ack("", {}, 0, 1)),
+}
+MESSAGES = {
+    "icanhaz": chp.Icanhaz("/table/0/"),
+    "kvsync": chp.Kvsync("/table/0/line/127.1.0.1:80", 12, b'{"w":0.5,"v":1}'),
+    "kthxbai": chp.Kthxbai(12, "/table/0/"),
+    "kvpub": chp.Kvpub("/out/all/127.1.0.1:80", 13, chp.uuid_of("e1"), "v=1\n", b'{"out":true,"v":1}'),
+    "kvset": chp.Kvset("/proxy/gw-1/ack", chp.uuid_of("e1"), "", b'{"epoch":"e1"}'),
+    "hugz": chp.Hugz(),
+}
+
+
+def chp_values() -> dict[str, str]:
+    return {name: chp.json(value).decode() for name, value in VALUES.items()}
+
+
+def chp_messages() -> dict[str, list[str]]:
+    return {name: [part.hex() for part in chp.encode(message)] for name, message in MESSAGES.items()}
+
+
+def chp_ledger() -> list:
+    ledger = KeySpace("e1", 500)
+    sent = ledger.set("/table/0/", 4, {"/table/0/line/127.1.0.1:80": b'{"w":1.0,"v":1}'})
+    sent += ledger.set("/table/0/", 5, {"/table/0/line/127.1.0.2:80": b'{"w":2.0,"v":1}'})
+    sent += [ledger.beat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
+    return [[part.hex() for part in chp.encode(message)] for message in sent]
+
+
+@pytest.mark.parametrize("name", VALUES)
+def test_chp_values_are_read_and_written_as_before(name):
+    raw, value = stored("chp-values.json")[name].encode(), VALUES[name]
+    assert msgspec.json.decode(raw, type=type(value)) == value
+    assert chp.json(value) == raw
+    default, expected = DEFAULTS[name]
+    assert msgspec.json.decode(default, type=type(value)) == expected
+    if name != "out":  # no one reads its members: that the key is there says all
+        assert chp.value_of(type(value), raw) == value
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_chp_messages_are_read_and_written_as_before(name):
+    parts = [bytes.fromhex(part) for part in stored("chp-messages.json")[name]]
+    assert chp.decode(parts, collector=name == "kvset") == MESSAGES[name]
+    assert chp.encode(MESSAGES[name]) == parts
+
+
+def test_chp_changes_and_snapshots_are_written_as_before():
+    rows = stored("chp-ledger.json")
+    assert chp_ledger() == rows
+    heads = [chp.decode([bytes.fromhex(part) for part in row]) for row in rows]
+    found = [chp.value_of(chp.Head, m.value) for m in heads if getattr(m, "key", "").endswith("/head")]
+    assert found[1] == chp.Head("e1", 5, 5, 2, 2, 1, 500) and found[1:] == [found[1]] * 3
+
+
+def test_identities_of_chp_sessions_are_read_and_written_as_before():
+    raw = bytes.fromhex("02000000000000000901") + b"random"
+    assert chp.question_of(raw) == chp.Question(9, True) and chp.identity_of(chp.Question(9, True), b"random") == raw
+
+
+# Peers.
+
+SECRET = b"k" * 32
+FACTS = messages.MemberFacts(
+    address="127.0.0.1:6006",
+    run="61" * 16,
+    zone="abdali",
+    weight=2.0,
+    drains=True,
+    serves=(("clone", "127.0.0.1:6000"),),
+)
+NEWS = tuple(
+    messages.GossipMessage(name=f"a{k}", status=status, incarnation=k, facts=FACTS)
+    for k, status in enumerate(messages.Status)
+)
+PACKETS = {
+    "ping": messages.Ping(number=7, target="a1", words=NEWS),
+    "ack": messages.Ack(7, NEWS[:1]),
+    "relay": messages.Relay(number=8, target="a2", words=NEWS[1:2]),
+    "join": messages.Join(NEWS[:1]),
+    "whole": messages.FullState(NEWS[2:]),
+    "claimed": messages.ClaimedProxies(rows=(("gw-1", 15_289_307), ("gw-2", 9)), first=True),
+    "learnt": messages.SharedEstimates(rows=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), price=0.625, age=250),
+}
+
+
+def guard(name: str) -> peers.PacketGuard:
+    return peers.PacketGuard(SECRET, name, lambda size: name[-1:].encode() * size)
+
+
+def exchange() -> dict[str, str]:
+    """All kinds of packets as one exchange between two assigners, in order."""
+    one, two = guard("a0"), guard("a1")
+    sent = {"first": one.seal(messages.Ping(1, "a1", ()))}
+    sent["prove"] = two.open(sent["first"]).answer
+    sent["proof"] = one.open(sent["prove"]).answer
+    sent.update((name, one.seal(message)) for name, message in PACKETS.items())
+    return {name: raw.hex() for name, raw in sent.items()}
+
+
+def unsealed(raw: bytes):
+    """As `peers/codec.py` describes a packet, without its code."""
+    magic, run, number = struct.unpack_from(">4s16sQ", raw)
+    assert magic == b"HRP1"
+    box = ChaCha20Poly1305(HKDF(SHA256(), 32, run, b"hollyridge peers 1").derive(SECRET))
+    return msgspec.msgpack.decode(box.decrypt(bytes(4) + number.to_bytes(8, "big"), raw[28:], raw[:28]))
+
+
+def unsealed_packets() -> dict:
+    return {name: plain(unsealed(bytes.fromhex(raw))) for name, raw in exchange().items()}
+
+
+def plain(value):
+    if isinstance(value, bytes):
+        return value.hex()
+    return [plain(one) for one in value] if isinstance(value, list) else value
+
+
+def test_peer_packets_are_written_as_before():
+    assert exchange() == stored("peer-packets.json")
+    assert unsealed_packets() == stored("peer-packets-unsealed.json")
+
+
+def test_peer_packets_are_read_as_before():
+    sent = {name: bytes.fromhex(raw) for name, raw in stored("peer-packets.json").items()}
+    two = guard("a1")
+    assert two.open(sent["first"]).answer == sent["prove"]
+    assert guard("a0").open(sent["prove"]).name == "a1"
+    assert two.open(sent["proof"]) == peers.OpenedPacket("a0", None)
+    for name, message in PACKETS.items():
+        assert two.open(sent[name]) == peers.OpenedPacket("a0", message), name
+
+
+def test_states_of_members_by_name_and_number():
+    """The names stand on the status page and in the log (`status`), the numbers in packets."""
+    assert [(one.name.lower(), int(one)) for one in messages.Status] == [
+        ("alive", 0),
+        ("suspect", 1),
+        ("gone", 2),
+        ("left", 3),
+    ]
+
+
+# RPCs between stand-ins of the laboratory.
+
+RPCS = {
+    "call": rpc.Call(number=7, proxy="gw-1", method=2, token="gw-1/7", work=1.5, key=40),
+    "call without a key": rpc.Call(8, "gw-1", 0, "t", 1.0),
+    "answer": rpc.Answer(number=7, outcome=rpc.PUSHED_BACK, util=0.5, queue=3),
+}
+
+
+def rpc_frames() -> dict[str, str]:
+    found = {}
+    for name, message in RPCS.items():
+        one, two = socket.socketpair()
+        with one, two:
+            rpc.send(one, message)
+            found[name] = two.recv(4096).hex()
+    return found
+
+
+def test_rpcs_of_the_laboratory_are_read_and_written_as_before():
+    frames = stored("lab-rpcs.json")
+    assert rpc_frames() == frames
+    for name, message in RPCS.items():
+        one, two = socket.socketpair()
+        with one, two:
+            one.sendall(bytes.fromhex(frames[name]))
+            assert next(rpc.receive(two, name.startswith("call"))) == message
+
+
+# The bench's wire: which class stands for which code, and in which order its fields stand there.
+
+ENTRY = (7, 1, 2, 5, 2, 1.5, 4.0)
+EVENTS = {
+    "ROSTER_CHANGE": (
+        1,
+        (41, 3, (ENTRY,)),
+        api.EndpointListUpdate(41, 3, (api.Endpoint(0, 1, 2, 5, 2, 1.5, 4_000_000),)),
+    ),
+    "WAKE": (2, (77,), api.TimerFired(77)),
+    "PING_RESULT": (3, (7, 10, 0.5, (2.0,)), api.ProbeResult(0, 10, 500_000, (2.0,))),
+    "PEER_DATA": (4, (1, b"hi"), api.PeerMessage(1, b"hi")),
+    "JOINED": (6, (6.5, 1, 41, 2), api.ProxyJoined(6.5, True, 41, 2)),
+    "DISCONNECTED": (7, (41,), api.ProxyLeft(41)),
+    "RECEIPT": (8, (41, 3, 0.5), api.Ack(41, 3, 500_000)),
+    "TRAFFIC_REPORT": (9, (2, 7, 14, 1, 0.5, 1.0, (2.0,)), api.TrafficReport(2, 0, 14, 1, 500_000, 1_000_000, (2.0,))),
+    "OFFERED_LOAD": (10, (9, 2.0, 41, 1, 3), api.OfferedLoad(9, 2_000_000, 41, 1, 3)),
+    "HEAT": (11, (4, 1, 9, 2, 2.0), api.SliceLoad(4, 1, 9, 2, 2_000_000)),
+    "TENURE": (12, (1, 4), api.SliceCharge(True, 4)),
+    "LEDGER_LINE": (13, (7, 0.5, 4), api.SliceLine(0, 0.5, 4)),
+}
+ORDERS = {
+    "RELOAD": api.RefreshEndpoints(),
+    "BENCH": api.SetEjected(0, True),
+    "NOTE_DOWN": api.LogNote("two tasks known"),
+    "TOUCH": api.Probe(0),
+    "BROADCAST_TO": api.SendToPeer(3, b"hi"),
+    "WATCH": api.WatchEndpoints(True),
+    "SET_LEVEL": api.SetAdmission(table=117, methods=2, amount=0.5, retry_mode=1),
+    "ASK_RECEIPT": api.RequestAck(5, True),
+    "ATTACH_TABLE": api.BindTable(proxy=41, table=117, methods=3),
+    "WAKE_AT": api.SetTimer(77, 500_000),
+    "PUT_LINE": api.SetWeight(0.5, 0, 117),
+    "DROP_LINES": api.DeleteTable(117),
+}
+
+
+def instance() -> Instance:
+    one = Instance(9, CONF)
+    one.task(7)
+    return one
+
+
+def wire_records() -> dict[str, str]:
+    found = {name: wire.pack(code, fields, wire.EVENTS).hex() for name, (code, fields, _) in EVENTS.items()}
+    return found | {name: instance().order(order).hex() for name, order in ORDERS.items()}
+
+
+def test_records_of_the_wire_stand_for_the_same_events_and_orders():
+    records = stored("wire.json")
+    assert wire_records() == records
+    for name, (code, _, event) in EVENTS.items():
+        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENTS)
+        assert found == code and wire.EVENTS[code].name == name and instance().event(code, fields) == event, name
+    for name in ORDERS:
+        ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.ORDERS)
+        assert wire.ORDERS[code].name == name
+
+
+def test_every_event_and_order_that_the_wire_has_is_among_them():
+    names = {shape.name for shape in (*wire.EVENTS.values(), *wire.ORDERS.values())}
+    assert names - {"ENLIST", "KILLED", "CONTEXT", "BAIL_OUT", "ON_BEHALF"} == {*EVENTS, *ORDERS}
+
+
+WRITERS = {
+    "state.json": lambda: as_text(state_files()),
+    "chp-values.json": lambda: as_text(chp_values()),
+    "chp-messages.json": lambda: as_text(chp_messages()),
+    "chp-ledger.json": lambda: as_text(chp_ledger()),
+    "peer-packets.json": lambda: as_text(exchange()),
+    "peer-packets-unsealed.json": lambda: as_text(unsealed_packets()),
+    "lab-rpcs.json": lambda: as_text(rpc_frames()),
+    "wire.json": lambda: as_text(wire_records()),
+}
--- /dev/null
+++ b/tests/test_formats_outputs.py
@@ -0,0 +1,370 @@
+"""What commands print with `--json`, scripts and settings by key, and log lines that hold names of classes."""
+
+import io
+import subprocess
+import threading
+from contextlib import chdir, redirect_stdout
+from http.server import BaseHTTPRequestHandler, HTTPServer
+from pathlib import Path
+from tempfile import TemporaryDirectory
+from unittest.mock import patch
+
+import msgspec
+import pytest
+import structlog
+from click.testing import CliRunner
+from helpers import SECOND
+from stored import FOLDER, ROOT, as_text, shape, stored, text_of
+from test_formats_records import played
+from test_machine import House
+
+from hollyridge import interface as api
+from hollyridge.cli.day import show
+from hollyridge.cli.main import main
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.delivery.update_builder import ServerCapabilities, UpdateBuilder
+from hollyridge.lab import hunt, profiler, scenario, takeover
+from hollyridge.lab.checker import Verdict
+from hollyridge.lab.day import Outcome
+from hollyridge.lab.ownership import Gap
+from hollyridge.settings import assigner
+from hollyridge.settings import solve as solving
+from hollyridge.solver.fleet import Fleet, Method, Task, Zone
+from hollyridge.store.table_versions import TableStore
+
+# Commands.
+
+
+def printed(*words: str) -> str:
+    result = CliRunner().invoke(main, list(words))
+    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
+    return result.stdout
+
+
+OUTCOME = Outcome(
+    [Verdict(rule=1, kept=True, nearest=0.25, where="gw-1 at 3.0 s"), Verdict(5, False, 1.5, "gw-2: 31 messages")],
+    {"rpcs": 9, "served": 0.75, "worst_10s": 0.5},
+    [{"name": "r", "kind": "release"}],
+    (3, 1, "gw-1"),
+)
+
+
+def day() -> str:
+    raw = io.BytesIO()
+    with redirect_stdout(io.TextIOWrapper(raw, write_through=True)):
+        show(OUTCOME, True, False)
+        return raw.getvalue().decode()
+
+
+def kept_rows() -> str:
+    rows = []
+    for seed in range(1, 9):
+        for variant, served in (("module", 0.5 + seed / 100), ("even", 0.4 + seed / 50)):
+            rows.append(
+                {
+                    "variant": variant,
+                    "script": "tests/formats/day.ini",
+                    "seed": seed,
+                    "served": served,
+                    "worst_10s": 0.25,
+                    "decisions_sent": 3,
+                    "messages": 9,
+                    "lines": 40,
+                    "tries": 50,
+                    "broken": 0,
+                }
+            )
+    return "".join(msgspec.json.encode(row).decode() + "\n" for row in rows)
+
+
+def comparison(kept: str | None = None) -> str:
+    """Of two variants whose days are all kept: nothing is played."""
+    with TemporaryDirectory() as folder, chdir(folder):
+        Path("tests/formats").mkdir(parents=True)
+        Path("tests/formats/day.ini").touch()
+        Path("kept").write_text(kept_rows() if kept is None else kept)
+        return printed(
+            "lab",
+            "compare",
+            "module",
+            "even",
+            "--days",
+            "tests/formats/day.ini",
+            "--seeds",
+            "8",
+            "--keep",
+            "kept",
+            "--at-once",
+            "1",
+            "--json",
+        )
+
+
+def takeovers() -> str:
+    days = [
+        takeover.Told(1, ("assigner_killed",), (Gap("gw-1", 1.5), Gap("gw-2", 0.5)), 0, 0.25, 7, (), 0.875, 1),
+        takeover.Told(2, ("peers_cut",), (), 1, 0.75, 2, (3, 5), 0.5, 0),
+    ]
+    with patch.object(takeover, "many", lambda *words: days):
+        return printed("lab", "takeover", str(ROOT / "examples/fleet/takeover.ini"), "--seeds", "2", "--json")
+
+
+def sweep() -> str:
+    told = {
+        **msgspec.json.decode(day()),
+        "tasks": 3,
+        "proxies": 6,
+        "messages": 9,
+        "lines": 40,
+        "drains": {"worst_s": 0.5},
+        "cost": {"cpu_s": 2.5, "parts": {"core": 0.5}},
+    }
+    ran = subprocess.CompletedProcess([], 0, msgspec.json.encode(told), b"")
+    with patch("subprocess.run", lambda *words, **terms: ran):
+        return printed("lab", "sweep", str(FOLDER / "day.ini"), "--sizes", "1", "--json")
+
+
+def hunted() -> str:
+    found = played()[1].script
+    with (
+        patch.object(hunt, "hunt", lambda *words: (7, found, OUTCOME)),
+        patch.object(hunt, "cut_down", lambda *words: (found, OUTCOME)),
+    ):
+        return printed("lab", "hunt", str(FOLDER / "day.ini"), "--seeds", "1", "--json")
+
+
+def fleet(pages: dict[str, dict] | None = None) -> str:
+    """As told by two assigners; their pages are those of the simulated day."""
+    raws = [msgspec.json.encode(page) for page in (pages or peers_pages()).values()]
+
+    class Answers(BaseHTTPRequestHandler):
+        def do_GET(self):  # noqa: N802
+            raw = raws[self.server.server_port != ports[0]]
+            self.send_response(200)
+            self.send_header("Content-Length", str(len(raw)))
+            self.end_headers()
+            self.wfile.write(raw)
+
+        def log_message(self, *words):
+            pass
+
+    servers = [HTTPServer(("127.0.0.1", 0), Answers) for _ in raws]
+    ports = [server.server_port for server in servers]
+    for server in servers:
+        threading.Thread(target=server.serve_forever, daemon=True).start()
+    try:
+        return printed("fleet", *(f"http://127.0.0.1:{port}" for port in ports), "--json")
+    finally:
+        for server in servers:
+            server.shutdown()
+            server.server_close()
+
+
+def peers_pages() -> dict[str, dict]:
+    pages = [status["peers"] for status in played()[0].status[-2:]]
+    return {page["name"]: msgspec.json.decode(msgspec.json.encode(page)) for page in pages}
+
+
+COMMANDS = {
+    "day": day,
+    "lab compare": comparison,
+    "lab takeover": takeovers,
+    "lab sweep": sweep,
+    "lab hunt": hunted,
+    "fleet": lambda: fleet(stored("peers-pages.json")),
+}
+
+
+@pytest.mark.parametrize("command", COMMANDS)
+def test_commands_print_the_same_json(command):
+    assert COMMANDS[command]() == stored("commands.json")[command]
+
+
+def test_kept_rows_of_a_comparison_are_read_as_before():
+    assert comparison(text_of("compare.rows")) == stored("commands.json")["lab compare"]
+
+
+def test_keys_of_the_page_that_fleet_reads():
+    assert [shape(page) for page in peers_pages().values()] == [shape(p) for p in stored("peers-pages.json").values()]
+
+
+def solved() -> dict:
+    return shape(msgspec.json.decode(printed("solve", str(ROOT / "examples/solve/lost-zone.ini"), "--json")))
+
+
+def test_keys_of_solve():
+    assert as_text(solved()) == as_text(stored("solve-keys.json"))
+
+
+def parts() -> list[str]:
+    """Names of the program's parts as `lab run --cost --json` and `lab sweep --json` tell them."""
+    package = profiler.ROOT
+    found = set()
+    for path in sorted(package.rglob("*.py")):
+        code = compile("import sys\nframe = sys._getframe()", str(path), "exec")
+        seen: dict = {}
+        exec(code, seen)
+        found.add(profiler.part_of(seen["frame"]))
+    return sorted(found - {"__init__"})
+
+
+def test_parts_of_the_cost_keep_their_names():
+    assert set(stored("cost-parts.json")) <= set(parts())
+
+
+# Scripts and settings.
+
+FLEET = Fleet(
+    (Method("read", 3.0, 1.5), Method("redeem", 2.0)),
+    (Zone("khalda", 2, (9.0, 4.0), 2.5), Zone("sahab", 3, (7.0, 2.0))),
+    (Task("127.1.0.1:80", 0, 30.0, 0.2, 0.5, 40, True), Task("127.1.0.2:80", 1, 20.0, 0.0, 1.0, 50, False)),
+    ({0: 1.0}, {0: 0.25, 1: 0.75}),
+    0.2,
+    0.1,
+    3.0,
+    0.75,
+    4,
+    9,
+    "rotate",
+)
+
+
+def test_a_described_fleet_is_read_and_written_as_before():
+    text = text_of("fleet.ini")
+    assert solving.write(FLEET) == text
+    tasks = tuple(task._replace(name=task.name.replace(":", "-") + "-1") for task in FLEET.tasks)
+    assert solving.read_text(text.encode(), "fleet.ini")[0] == FLEET._replace(tasks=tasks)
+
+
+def found_script(source: Path, target: Path) -> str:
+    hunt.write(target, 7, scenario.load(source), OUTCOME)
+    return target.read_text().replace(str(ROOT), "ROOT")
+
+
+def found_day() -> str:
+    """Written twice: only a script that was read has all figures as its sections type them."""
+    with TemporaryDirectory() as folder:
+        path = Path(folder) / "day.ini"
+        hunt.write(path, 7, scenario.load(FOLDER / "day.ini"), OUTCOME)
+        return found_script(path, Path(folder) / "again.ini")
+
+
+def test_a_script_that_was_found_is_read_and_written_as_before(tmp_path):
+    (tmp_path / "day.ini").write_text(text_of("found.ini").replace("ROOT", str(ROOT)))
+    assert found_script(tmp_path / "day.ini", tmp_path / "again.ini") == text_of("found.ini")
+    assert found_day() == text_of("found.ini")
+
+
+SETTINGS = {
+    **{name: (model, {}) for name, model in assigner.SECTIONS.items()},
+    "method NAME": (assigner.MethodSection, {"soft_deadline_ms": 1.0, "deadline_ms": 2.0}),
+    "access NAME": (assigner.AccessSection, {}),
+    "solve": (solving.SolveSection, {}),
+    "solve: method NAME": (solving.MethodSection, {}),
+    "solve: zone NAME": (solving.ZoneSection, {"demand": [1.0]}),
+    "solve: tasks NAME": (solving.TasksSection, {"zone": "a", "rate": 1.0}),
+    "script: day": (scenario.DaySection, {"settings": "x.ini", "length_s": 9.0}),
+    "script: fleet": (scenario.FleetSection, {}),
+    "script: load": (scenario.LoadSection, {}),
+    "script: net": (scenario.NetSection, {}),
+    "script: trouble NAME": (scenario.TroubleSection, {"kind": "release", "at_s": 1.0}),
+}
+
+
+def sections() -> dict[str, dict]:
+    return {
+        name: model.model_validate(values).model_dump(mode="json", by_alias=True)
+        for name, (model, values) in SETTINGS.items()
+    }
+
+
+@pytest.mark.parametrize("name", SETTINGS)
+def test_sections_have_the_same_keys_and_defaults(name):
+    row, model = stored("sections.json")[name], SETTINGS[name][0]
+    assert model.model_validate(row).model_dump(mode="json", by_alias=True) == row
+    assert sections()[name] == row and list(sections()[name]) == list(row)
+
+
+def test_there_are_no_other_sections():
+    assert set(stored("sections.json")) == set(SETTINGS)
+
+
+# Log lines and reasons that hold names of classes.
+
+EVENTS = [
+    api.EndpointListUpdate(41, 1, (api.Endpoint(0, 1, 2, 5, 1, 1.5, 4_000_000),)),
+    api.ProbeResult(0, 10, 500_000, (2.0,)),
+    api.PeerMessage(1, b"hi"),
+    api.ProxyJoined(6.5, True, 41, 2),
+    api.ProxyLeft(41),
+    api.Ack(41, 3, 500_000),
+    api.TrafficReport(2, 0, 14, 1, 500_000, 1_000_000, (2.0,)),
+    api.OfferedLoad(9, 2_000_000, 41, 1, 3),
+    api.SliceLoad(4, 1, 9, 2, 2_000_000),
+    api.SliceCharge(True, 4),
+    api.SliceLine(0, 0.5, 4),
+    api.WeightProposal(0, ((0, 1.5),)),
+    api.EstimatesRestored((api.LearnedEstimate(0, 20.0, 5.0, 1.25, 0.9),), 0.625, 7),
+]
+
+
+class Fails(Assigner):
+    def decide(self, now, events):
+        if any(type(event) is api.PeerMessage for event in events):
+            raise ValueError("a fault of the module")
+        return super().decide(now, events)
+
+
+def told_of_a_failure() -> list[str]:
+    house = House(Fails)
+    house.run(0.01)
+    house.machine.trail.clear()
+    with structlog.testing.capture_logs() as logs:
+        house.machine.log = structlog.get_logger()
+        for event in EVENTS:
+            house.machine.tell(house.now, event)
+        house.run(0.01)
+    (entry,) = [row for row in logs if row["event"] == "module failed"]
+    assert entry["error"] == "ValueError: a fault of the module"
+    return [row.partition(", ")[2][:-1] for row in entry["events"]]  # without the time that stands before each
+
+
+def test_a_failure_of_the_module_is_logged_with_events_as_before():
+    assert told_of_a_failure() == stored("failure-events.json")
+
+
+def refusals() -> list[str]:
+    """Reasons on the status page (`refused` of `core`) and in the log."""
+    desk, able = UpdateBuilder(2, TableStore(4)), ServerCapabilities(False, False, False, False, 1)
+    orders = [
+        api.SetWeight(1.0, 0, 0),
+        api.BindTable(9, 0, 0),
+        api.BindTable(8, 0, 0),
+        api.SetAdmission(0, 0, 0.5, 1),
+        api.SetEjected(0, True),
+        api.RefreshEndpoints(),
+        api.LogNote("x"),
+        api.Probe(0),
+        api.SendToPeer(1, b"x"),
+        api.WatchEndpoints(True),
+        api.SetTimer(1, SECOND),
+    ]
+    return list(desk.carry(1, 5, orders, {9: able}).refused)
+
+
+def test_reasons_of_refused_orders_keep_their_names():
+    assert refusals() == stored("refusals.json")
+
+
+WRITERS = {
+    "peers-pages.json": lambda: as_text(peers_pages()),
+    "commands.json": lambda: as_text({name: command() for name, command in COMMANDS.items()}),
+    "compare.rows": kept_rows,
+    "solve-keys.json": lambda: as_text(solved()),
+    "cost-parts.json": lambda: as_text(parts()),
+    "fleet.ini": lambda: solving.write(FLEET),
+    "found.ini": found_day,
+    "sections.json": lambda: as_text(sections()),
+    "failure-events.json": lambda: as_text(told_of_a_failure()),
+    "refusals.json": lambda: as_text(refusals()),
+}
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -70,18 +70,18 @@
 )
 def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
     told = learned_estimates.recalled(state, "f", now, INDEX)
-    assert (len(told.event.rows), told.event.age) == (rows, age_s * SECOND) if rows else told.event is None
+    assert (len(told.event.estimates), told.event.age_us) == (rows, age_s * SECOND) if rows else told.event is None
 
 
 def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
     own = [api.LearnedEstimate(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
     told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
-    assert [(r.does, r.heard, r.skill, r.weight) for r in told.event.rows] == [
+    assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in told.event.estimates] == [
         (24.0, 1.0, 1.0, 1.0),
         (6.0, 1.0, 1.0, 1.0),
     ]
-    assert told.event.price == 0.0 and told.left_out == {"not listed": 1}
+    assert told.event.push_price == 0.0 and told.left_out == {"not listed": 1}
     assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
 
 
@@ -97,7 +97,7 @@
 
 def test_recalled_sizes_stand_at_once_and_the_less_the_older_they_are():
     rows, price = taught().learnt()
-    assert len(rows) == 4 and rows[3].does < 0.6 * rows[0].does
+    assert len(rows) == 4 and rows[3].capacity < 0.6 * rows[0].capacity
     found = {}
     for age_s in (0, 30, 3600):
         module, now = started(), START + SECOND
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -39,11 +39,11 @@
 
 class House:
     def __init__(self, make=Assigner, tasks=6, proxies=4, seed=7, **terms):
-        boot = bootstrap(admission=api.Admission.SILENT, **terms)
+        config = bootstrap(admission=api.Admission.SILENT, **terms)
         limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.front = START, Front()
         self.machine = Engine(
-            boot, seed, limits, members.MemberRegistry(TERMS, START), START, structlog.get_logger(), make
+            config, seed, limits, members.MemberRegistry(TERMS, START), START, structlog.get_logger(), make
         )
         self.register({f"t{k}": ("run=a up=100", k % 2) for k in range(tasks)})
         self.proxies = [self.machine.join(self.now, self.front, f"gw-{k}", k % 2, 5.0) for k in range(proxies)]
@@ -148,7 +148,7 @@
         house.run(0.3)
         heard, waits = house.machine.module.heard, house.machine.channel.waiting
         assert type(heard[-1]) is api.QueueDepth and sum(type(event) is api.QueueDepth for event in heard) == 1
-        assert house.machine.module.outbox.sent - house.machine.module.outbox.left >= heard[-1].lines - 1e-6
+        assert house.machine.module.outbox.sent - house.machine.module.outbox.left >= heard[-1].waiting_lines - 1e-6
     assert house.machine.channel.merged > 0 and waits > 0
 
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -336,5 +336,5 @@
         )
     hall.until(lambda: hall.front.counts["messages_in"] == 3)
     assert hall.front.counts["spoilt"] == 1  # s-99 was never listed
-    assert [event.task for _, event in hall.machine.inbox if hasattr(event, "tries")] == [5]
+    assert [event.task for _, event in hall.machine.inbox if hasattr(event, "attempts")] == [5]
     hall.front.stop()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -27,11 +27,11 @@
 def test_starts_are_turned_to_the_monotonic_clock_once():
     desk = ListingDesk()
     change = desk.take(news(1, ("a", READY, 0), ("b", READY, 49_998_000), ("c", READY, 60_000_000), full=True))
-    assert [entry.started_at for entry in change.entries] == [0, NOW - 2 * SECOND, NOW]
+    assert [entry.started_at_us for entry in change.endpoints] == [0, NOW - 2 * SECOND, NOW]
     later = desk.take(news(2, ("c", DRAINING, 60_000_000)), NOW + SECOND)
-    assert later.entries[0].started_at == NOW  # the same start, not a restart a second later
+    assert later.endpoints[0].started_at_us == NOW  # the same start, not a restart a second later
     again = desk.take(news(3, ("b", READY, 50_001_000)), NOW + 2 * SECOND)
-    assert again.entries[0].started_at == NOW + SECOND and desk.listing.starts == 1
+    assert again.endpoints[0].started_at_us == NOW + SECOND and desk.listing.starts == 1
 
 
 def test_changes_and_whole_lists():
@@ -41,9 +41,9 @@
         == UpdateKind.CACHED
     )
     change = desk.take(news(6, ("a", GONE, 0), ("never", GONE, 0)))
-    assert change.kind == UpdateKind.DELTA and [(e.task, e.state) for e in change.entries] == [(0, GONE)]
+    assert change.kind == UpdateKind.DELTA and [(e.task, e.state) for e in change.endpoints] == [(0, GONE)]
     assert desk.take(news(7, ("c", READY, 0), full=True)).kind == UpdateKind.FULL and set(desk.listing.rows) == {"c"}
-    assert [e.task for e in desk.listing.whole(UpdateKind.CACHED).entries] == [2]
+    assert [e.task for e in desk.listing.whole(UpdateKind.CACHED).endpoints] == [2]
     assert desk.take(WatchFailed()).kind == UpdateKind.FAILED and desk.take(RefreshRequested()) is None
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -75,15 +75,15 @@
 
 @pytest.mark.parametrize("known", [False, True])
 def test_a_cold_task_gets_its_part_of_what_a_warm_one_carries_also_when_its_id_is_known(known):
-    rig = Rig(outlier_after=0)
+    rig = Rig(proxy_ejection_failures=0)
     task = 3 if known else 8
     rig.feed(roster([entry(task, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
     for zone in (0, 1):
-        assert 0 < rig.share(zone, task) <= rig.boot.fall_multiple / 2 * 0.25 / 7
+        assert 0 < rig.share(zone, task) <= rig.config.overload_multiple / 2 * 0.25 / 7
 
 
 def test_many_cold_tasks_leave_the_rest_room_and_all_cold_are_held_alike():
-    rig = Rig(outlier_after=0)
+    rig = Rig(proxy_ejection_failures=0)
     rig.feed(roster([entry(i, started_at=rig.now) for i in range(2, 8)], api.UpdateKind.DELTA), after=1)
     assert all(rig.share(z, 0) + rig.share(z, 1) > 0.5 for z in (0, 1))
     rig.feed(roster([entry(i, started_at=rig.now) for i in (0, 1)], api.UpdateKind.DELTA), after=1)
@@ -92,13 +92,13 @@
 
 @pytest.mark.parametrize("ejects, listed", [(3, False), (0, True)])
 def test_in_a_jam_a_fresh_line_is_not_the_only_one_left_where_proxies_eject(ejects, listed):
-    rig = Rig(outlier_after=ejects)
+    rig = Rig(proxy_ejection_failures=ejects)
     for _ in range(5):
         rig.period(*[rig.met(z, i, bad=8) for z in (0, 1) for i in range(8)])
     usual = rig.share(0, 0)
     rig.feed(roster([entry(8, started_at=rig.now)], api.UpdateKind.DELTA), after=0.1)
     assert (8 in rig.tables[0]) is listed
-    assert not listed or rig.share(0, 8) <= rig.boot.fall_multiple / 2 * 0.2 * usual
+    assert not listed or rig.share(0, 8) <= rig.config.overload_multiple / 2 * 0.2 * usual
 
 
 def test_cold_tasks_wait_after_a_start_until_tries_could_have_run_out():
@@ -130,7 +130,7 @@
 
 
 def test_a_drain_goes_out_though_receipts_of_stalled_proxies_come_late():
-    rig = Rig(messages_most=30)
+    rig = Rig(max_messages_per_proxy=30)
     for _ in range(5):
         marks = [o.mark for o in rig.orders if isinstance(o, api.RequestAck)]
         rig.period(*[rig.met(z, i, latency=0.1 + i / 10) for z in (0, 1) for i in range(8)], receipts=False)
@@ -289,7 +289,7 @@
     assert rig.assigner.health.factor[1] == [1.0] * 8 and rig.share(1, 1) > rig.share(1, 0)
 
 
-HOMELY = method(own_zone=True, criticality=0.5)
+HOMELY = method(same_zone_only=True, criticality=0.5)
 
 
 @pytest.mark.parametrize("admission", [api.Admission.FRACTION, api.Admission.OFF])
@@ -312,7 +312,11 @@
         for proxy, row in held.items():
             for k, table in row.items():
                 ready = set(rig.assigner.roster.open())
-                assert not methods[k].own_zone or all(i % 2 == proxy % 2 for i in tables[table]), (proxy, k, table)
+                assert not methods[k].same_zone_only or all(i % 2 == proxy % 2 for i in tables[table]), (
+                    proxy,
+                    k,
+                    table,
+                )
                 assert not any(i % 2 == proxy % 2 for i in ready) or tables[table]
 
     look()
@@ -334,15 +338,15 @@
         i
         for row in held.values()
         for k, table in row.items()
-        if not methods[k].own_zone
+        if not methods[k].same_zone_only
         for i in tables[table]
         if table == 0 and i % 2
     }
-    assert bool(elsewhere) is any(not m.own_zone for m in methods)  # the others go on reaching into other zones
+    assert bool(elsewhere) is any(not m.same_zone_only for m in methods)  # the others go on reaching into other zones
 
 
 def test_what_one_reply_says_to_a_proxy_by_two_tables_is_one_message():
-    box = BacklogEstimator(bootstrap(messages_most=2))
+    box = BacklogEstimator(bootstrap(max_messages_per_proxy=2))
     for _ in range(2):
         assert box.spare(START, [5], True) > 0
         box.book(START, [5], 10)
@@ -361,7 +365,7 @@
 
 
 def test_backlog_and_messages_stay_within_limits_when_nobody_answers():
-    rig = Rig(tasks=40, proxies=10, most_waiting=900.0, messages_most=20, lines_per_s=200.0)
+    rig = Rig(tasks=40, proxies=10, max_waiting_lines=900.0, max_messages_per_proxy=20, lines_per_s=200.0)
     box, times = rig.assigner.outbox, []
     for k in range(40):
         rig.period(*[rig.met(z, i, latency=0.1 + (i * k % 7) / 5) for z in (0, 1) for i in range(40)], receipts=False)
@@ -491,7 +495,7 @@
         return out
 
     assert day(5) == day(5) != day(6)
-    assert Assigner(bootstrap(partitions=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
+    assert Assigner(bootstrap(slices=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -500,10 +504,10 @@
     rig = Rig(
         tasks=chance.choice((0, 1, 6)),
         subscribe=seed % 2 == 0,
-        messages_most=seed % 3 * 15,
+        max_messages_per_proxy=seed % 3 * 15,
         admission=list(api.Admission)[seed % 3],
-        outlier_after=seed % 2 * 3,
-        pick=list(api.BalancingPolicy)[seed % 3],
+        proxy_ejection_failures=seed % 2 * 3,
+        balancing_policy=list(api.BalancingPolicy)[seed % 3],
     )
 
     def event():
@@ -551,18 +555,18 @@
 
 
 def test_a_task_that_starts_again_under_its_id_gets_its_cold_line_though_the_channel_is_full():
-    rig = Rig(outlier_after=0)
+    rig = Rig(proxy_ejection_failures=0)
     usual, box = rig.share(0, 2), rig.assigner.outbox
     box.book(rig.now, [0], int(box.usual))  # what can wait is held
     rig.feed(roster([entry(2, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
     rig.feed(api.TimerFired(0), after=1)
-    assert rig.share(0, 2) <= rig.boot.fall_multiple / 2 * rig.boot.cold_from * usual
+    assert rig.share(0, 2) <= rig.config.overload_multiple / 2 * rig.config.cold_capacity_fraction * usual
 
 
 def test_what_can_wait_never_delays_a_drain_past_half_its_grace_and_joins_not_past_it():
-    rig = Rig(tasks=60, proxies=20, lines_per_s=200.0, most_waiting=2000.0)
+    rig = Rig(tasks=60, proxies=20, lines_per_s=200.0, max_waiting_lines=2000.0)
     box = rig.assigner.outbox
-    in_time = 200 * (rig.boot.drain_grace - rig.boot.worst_transit) / SECOND
+    in_time = 200 * (rig.config.drain_grace_us - rig.config.max_transit_us) / SECOND
     assert box.usual == in_time / 2 and box.sent - box.left <= in_time / 2 + 80
     for _ in range(8):
         rig.feed(api.TimerFired(0), after=0.2)
@@ -587,7 +591,7 @@
         step(0.6)
     assert reach[0][1] < 0.05
     far = [i for i in rig.tables[0] if i % 2]
-    assert len(far) == rig.boot.initial_set  # felt by a standing table's worth of lines
+    assert len(far) == rig.config.initial_table_size  # felt by a standing table's worth of lines
 
 
 def test_methods_part_in_a_jam_only_not_for_some_sick_tasks():
@@ -603,10 +607,10 @@
     rig = Rig(
         tasks=0,
         proxies=0,
-        most_waiting=3000.0,
-        messages_most=30,
+        max_waiting_lines=3000.0,
+        max_messages_per_proxy=30,
         lines_per_s=1000.0,
-        outlier_after=0,
+        proxy_ejection_failures=0,
         admission=admission,
     )
     box, tables = rig.assigner.outbox, rig.assigner.tables
@@ -614,7 +618,7 @@
     joins = [api.ProxyJoined(5.0, False, p, p % 2) for p in range(160)]
     for k in range(12):
         news = [
-            rig.met(z, i, bad=i % 11)._replace(over=(k % 4) * SECOND, load=(k / 6, float("inf")))
+            rig.met(z, i, bad=i % 11)._replace(interval_us=(k % 4) * SECOND, load=(k / 6, float("inf")))
             for z in (0, 1)
             for i in range(0, 300, 7)
         ]
@@ -646,7 +650,7 @@
 def test_a_wave_of_joins_gets_slices_at_once_and_whole_tables_later():
     """Found on a recorded day of the bench (a zone and an assigner lost within a second): whole tables for 83 joins
     held up the removals behind them past the grace."""
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, most_waiting=4000.0)
+    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
     for _ in range(12):
         rig.period()
     assert not rig.assigner.tables.joining
@@ -675,7 +679,7 @@
 
 def test_in_a_wave_of_joins_methods_that_keep_to_their_zone_cost_no_second_table():
     """Slices of all zones and whole home tables for 187 joins held up the removals behind them past the grace."""
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, most_waiting=4000.0, methods=(method(), HOMELY))
+    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0, methods=(method(), HOMELY))
     for _ in range(12):
         rig.period()
     tables = rig.assigner.tables
@@ -701,11 +705,11 @@
 @pytest.mark.parametrize("grace, lines", [(3, 1250), (20, 2000), (1, 250)])
 def test_what_can_wait_fills_the_channel_by_two_periods_at_most_however_long_the_grace(grace, lines):
     """On the whole fleet's days the grace is 20 s: weights and levels waited 9 s behind others of their kind."""
-    assert BacklogEstimator(bootstrap(drain_grace=grace * SECOND, most_waiting=50_000.0)).usual == lines
+    assert BacklogEstimator(bootstrap(drain_grace_us=grace * SECOND, max_waiting_lines=50_000.0)).usual == lines
 
 
 def test_a_start_that_would_fill_the_channel_twice_over_is_a_wave():
-    rig = Rig(tasks=96, proxies=0, lines_per_s=700.0, most_waiting=40_000.0, drain_grace=20 * SECOND)
+    rig = Rig(tasks=96, proxies=0, lines_per_s=700.0, max_waiting_lines=40_000.0, drain_grace_us=20 * SECOND)
     rig.feed(*[api.ProxyJoined(5.0, True, proxy, proxy % 2) for proxy in range(80)], after=0.1)
     tables = rig.assigner.tables
     assert tables.crowded and not any(tables.bound[:2])
@@ -715,6 +719,6 @@
 
 
 def test_a_start_is_no_wave():
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, most_waiting=4000.0)
+    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
     assert not rig.assigner.tables.crowded
     assert not any(rig.assigner.tables.bound[rig.assigner.tables.excess + 1 :])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -382,7 +382,7 @@
         status, answer = r.report(figures(r), packed=packed)
         assert status == 200 and answer.partial_success.rejected_data_points == rejected
         assert bool(answer.partial_success.error_message) == bool(rejected)
-    assert sum(e.tries for e in r.machine.news.gather(0) if hasattr(e, "tries")) == counted
+    assert sum(e.attempts for e in r.machine.news.gather(0) if hasattr(e, "attempts")) == counted
 
 
 def test_bad_http(rig):
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -257,8 +257,8 @@
     def take(self, what, after=0.0):
         self.now += round(after * SECOND)
         outcome = self.book.take(self.now, what)
-        for entry in outcome.change.entries if outcome.change else ():
-            self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at
+        for entry in outcome.change.endpoints if outcome.change else ():
+            self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at_us
         return outcome.refusal
 
     def register(self, task, stream=1, label="run=a up=100", own=False, after=0.0):
@@ -282,7 +282,7 @@
 def test_an_empty_fleet_settles_in_the_end():
     fleet = Fleet()
     assert fleet.book.take(2 * SECOND, Tick()).change is None
-    assert fleet.book.take(3 * SECOND, Tick()).change.entries == ()
+    assert fleet.book.take(3 * SECOND, Tick()).change.endpoints == ()
 
 
 RUNS = [
@@ -364,7 +364,7 @@
     fleet.register(1, stream=2)
     assert fleet.states[1] == TaskState.READY
     full = fleet.book.take(fleet.now, RefreshRequested()).change
-    assert full.kind == api.UpdateKind.FULL and len(full.entries) == 2
+    assert full.kind == api.UpdateKind.FULL and len(full.endpoints) == 2
 
 
 # Presence.
@@ -433,7 +433,7 @@
     book = news()
     for row in points:
         book.take(0, row)
-    assert sum(event.tries for event in book.gather(1)) == counted
+    assert sum(event.attempts for event in book.gather(1)) == counted
     assert book.gather(2) == []
 
 
@@ -474,8 +474,8 @@
     book.take(0, point(7, 0, 1, kind=Kind.FAILED, source="b"))
     book.take(0, point(14.6, 0, 1, kind=Kind.TIME, source="b"))
     (event,) = book.gather(1)
-    assert event.tries == 80 and event.tries / event.over * SECOND == pytest.approx(40)
-    assert event.bad == 7 and event.latency == 200_000
+    assert event.attempts == 80 and event.attempts / event.interval_us * SECOND == pytest.approx(40)
+    assert event.failed == 7 and event.latency_us == 200_000
 
 
 def test_floods_of_names_stay_bounded():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hollyridge.benchlink import link, wire
-from hollyridge.platform_settings.reader import read_bootstrap
+from hollyridge.platform_settings.reader import read_assigner_config
 
 CONF = b"""balancers=1
 discovery=subscribe
@@ -137,13 +137,18 @@
 
 
 def test_settings():
-    boot = read_bootstrap(CONF)
-    assert (boot.zones, boot.period, boot.subscribe, boot.methods[1].window) == (3, 10**6, True, 2 * 10**6)
+    config = read_assigner_config(CONF)
+    assert (config.zones, config.report_period_us, config.subscribe, config.methods[1].idempotency_window_us) == (
+        3,
+        10**6,
+        True,
+        2 * 10**6,
+    )
     for key in ("rules.fall", "family_info.period", "profiles.1.slo"):
         with pytest.raises(wire.WireError, match=key):
-            read_bootstrap(b"\n".join(x for x in CONF.splitlines() if not x.startswith(key.encode() + b"=")))
+            read_assigner_config(b"\n".join(x for x in CONF.splitlines() if not x.startswith(key.encode() + b"=")))
     with pytest.raises(wire.WireError, match="rules.fall"):
-        read_bootstrap(CONF.replace(b"rules.fall=2.0", b"rules.fall=nan"))
+        read_assigner_config(CONF.replace(b"rules.fall=2.0", b"rules.fall=nan"))
 
 
 @pytest.mark.parametrize(
