--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -98,10 +98,10 @@
         zone_name: Callable[[int], str] = str,
     ) -> None:
         self.fleet, self.zone_name = fleet, zone_name
-        self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
+        self.loop, self.engine, self.clock = loop, loop.engine, loop.clock
         self.terms, self.presence, self.keeper = terms, presence, keeper
         self.zone_of, self.name_of, self.log, self.access, self.curve = zone_of, name_of, log, access, curve
-        self.abilities = ServerCapabilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
+        self.capabilities = ServerCapabilities(admission=True, retries=True, ejection=True, acks=True, line_copies=1)
         self.ledger = KeySpace(epoch or os.urandom(8).hex(), terms.beat_ms)
         self.ledger.set(codec.OUT, 0, {})
         self.readers: dict[str, SubscriberSession] = {}
@@ -225,11 +225,11 @@
             return
         else:  # a repair: the channel has not counted it
             size = len(self.ledger.held.get(subtree, ()))
-            self.machine.channel.charge(now, size + self.machine.channel.head)
+            self.engine.queue.charge(now, size + self.engine.queue.overhead_lines)
         self.send(reader, subtree)
 
     def wanted(self, reader: SubscriberSession) -> set[str]:
-        return {f"/table/{table}/" for table in self.machine.desk.bound.get(reader.proxy, {}).values()}
+        return {f"/table/{table}/" for table in self.engine.update_builder.bindings.get(reader.proxy, {}).values()}
 
     def hello(self, now: int, identity: bytes, uid: str, address: str, user: str) -> None:
         why = self.access.may_be(user, uid)
@@ -260,7 +260,7 @@
             self.leave(now, reader, "its name came again in a newer session", ours=True)
         reader = self.readers[uid] = SubscriberSession(uid, user, self.number, identity, self.keeper.answers())
         reader.fence = fence
-        proxy = self.machine.join(now, self, uid, zone, self.terms.usual_rate)
+        proxy = self.engine.join(now, self, uid, zone, self.terms.usual_rate)
         if proxy is None:
             del self.readers[uid]
             self.presence.left(self.number)
@@ -268,7 +268,7 @@
         reader.proxy = proxy
         self.by_proxy[proxy] = self.by_number[reader.number] = self.by_identity[identity] = reader
         self.log.info("joined", uid=uid, proxy=proxy, zone=zone, front="clone")
-        self.loop.nudge()
+        self.loop.wake()
 
     def turn_away(self, now: int, identity: bytes, uid: str, told: StaleToken | ForwardProxy) -> None:
         """Say who should be asked, in the place of a table."""
@@ -286,7 +286,7 @@
     def go(self, name: str) -> bytes:
         return codec.json(codec.Go(self.fleet.address_of(name, "clone"), name))
 
-    def send_on(self, proxy: int, to: str, why: str) -> None:
+    def redirect(self, proxy: int, to: str, why: str) -> None:
         reader = self.by_proxy.get(proxy)
         if reader is not None:
             if to:
@@ -309,9 +309,9 @@
         self.ledger.drop(reader.home)
         if self.by_proxy.get(reader.proxy) is reader:
             del self.by_proxy[reader.proxy]
-            self.machine.leave(now, reader.proxy)
+            self.engine.leave(now, reader.proxy)
         self.log.info("stream ended", uid=reader.uid, why=why, front="clone")
-        self.loop.nudge()
+        self.loop.wake()
 
     def collect(self) -> None:
         while True:
@@ -343,8 +343,8 @@
         reader.seqs = word.seqs
         while reader.marks and self.reached(reader, reader.marks[0][0]):
             _, mark, at = reader.marks.popleft()
-            self.machine.receipt(now, reader.proxy, mark, now - at)
-            self.loop.nudge()
+            self.engine.acknowledge(now, reader.proxy, mark, now - at)
+            self.loop.wake()
 
     @staticmethod
     def reached(reader: SubscriberSession, needed: dict[str, int]) -> bool:
@@ -418,47 +418,49 @@
         self.counts["bytes_out"] += sum(map(len, parts))
         return True
 
-    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
-        tables = set(self.machine.desk.bound.get(proxy, {}).values())
+    def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
+        tables = set(self.engine.update_builder.bindings.get(proxy, {}).values())
         return (
-            sum(lines for _, lines in parcel.counts),
-            sum(1 + len(self.machine.desk.store.latest(table)) for table in tables),
+            sum(lines for _, lines in update.line_counts),
+            sum(1 + len(self.engine.update_builder.store.latest(table)) for table in tables),
         )
 
-    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
+    def write(self, proxy: int, update: ProxyUpdate) -> None:
         reader = self.by_proxy.get(proxy)
-        if parcel.out:
-            out = sorted(self.machine.desk.out)
+        if update.ejections:
+            out = sorted(self.engine.update_builder.ejected)
             self.publish(
                 self.ledger.set(
-                    codec.OUT, parcel.number, {codec.OUT + self.name_of(task): codec.json(codec.Out()) for task in out}
+                    codec.OUT,
+                    update.decision,
+                    {codec.OUT + self.name_of(task): codec.json(codec.Out()) for task in out},
                 )
             )
-        for table, value in parcel.tables:
+        for table, value in update.tables:
             self.say(table, value)
         if reader is None:
             return
-        if parcel.binds:
-            bound = self.machine.desk.bound.get(proxy, {})
+        if update.bindings:
+            bound = self.engine.update_builder.bindings.get(proxy, {})
             keys = {
                 f"{reader.home}bind/{self.terms.methods[k]}": codec.json(codec.Bind(table))
                 for k, table in sorted(bound.items())
             }
             for table in set(bound.values()):
                 if f"/table/{table}/" not in self.ledger.heads:
-                    self.say(table, self.machine.desk.store.latest(table))
-            reader.credit.update(f"/table/{table}/" for table, _ in parcel.binds)
+                    self.say(table, self.engine.update_builder.store.latest(table))
+            reader.credit.update(f"/table/{table}/" for table, _ in update.bindings)
             if reader.fence:
                 lease = self.fleet.terms.lease.length // 1000
                 keys[reader.home + "own"] = codec.json(codec.Own(reader.fence, self.fleet.terms.name, lease))
-            told = self.ledger.set(reader.home, parcel.number, keys)
+            told = self.ledger.set(reader.home, update.decision, keys)
             if reader.waits_for_home:
                 reader.waits_for_home = False
                 self.send(reader, reader.home)
             else:
                 self.publish(told)
-        if parcel.mark >= 0:
-            reader.marks.append((self.heads_of(reader), parcel.mark, parcel.at))
+        if update.mark >= 0:
+            reader.marks.append((self.heads_of(reader), update.mark, update.decided_at_us))
             while len(reader.marks) > 32:
                 reader.marks.popleft()
 
@@ -471,7 +473,7 @@
         keys = {
             f"{start}line/{self.name_of(task)}": codec.json(codec.Line(round(weight, 6)))
             for task, weight in value.lines.items()
-            if not self.machine.closed(task)
+            if not self.engine.is_closed(task)
         }
         keys.update(
             (f"{start}level/{mask}", codec.json(codec.Level(round(amount, 4), retry)))
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -22,27 +22,27 @@
     """Runs a machine until `stop`. `nudge` after anything was told to it. `spawn` and `sleep` are for the fronts."""
 
     spawn, sleep = staticmethod(gevent.spawn), staticmethod(gevent.sleep)
-    LEAST = 0.0005  # s between two runs, so that what comes together is decided together
+    MIN_INTERVAL_S = 0.0005  # s between two runs, so that what comes together is decided together
 
-    def __init__(self, machine: Engine, clock=monotonic_us, least: float = LEAST) -> None:
-        self.machine, self.clock, self.least = machine, clock, least
-        self.news = Event()
-        self.turns = HdrHistogram(1, 60_000_000, 3)  # us that each run of the machine took
+    def __init__(self, engine: Engine, clock=monotonic_us, min_interval_s: float = MIN_INTERVAL_S) -> None:
+        self.engine, self.clock, self.min_interval_s = engine, clock, min_interval_s
+        self.work_available = Event()
+        self.run_durations = HdrHistogram(1, 60_000_000, 3)  # us that each run of the machine took
         self.stopping = False
 
-    def nudge(self) -> None:
-        self.news.set()
+    def wake(self) -> None:
+        self.work_available.set()
 
     def run(self) -> None:
         """Blocks. Raises what the machine raises when it gives up."""
         while not self.stopping:
-            self.news.clear()
+            self.work_available.clear()
             begun = time.perf_counter_ns()
-            due = self.machine.run(self.clock())
-            self.turns.record_value(max(1, (time.perf_counter_ns() - begun) // 1000))
-            self.news.wait(max(self.least, (due - self.clock()) / 1e6))
-            gevent.sleep(self.least)
+            due = self.engine.run(self.clock())
+            self.run_durations.record_value(max(1, (time.perf_counter_ns() - begun) // 1000))
+            self.work_available.wait(max(self.min_interval_s, (due - self.clock()) / 1e6))
+            gevent.sleep(self.min_interval_s)
 
     def stop(self) -> None:
         self.stopping = True
-        self.news.set()
+        self.work_available.set()
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -36,7 +36,7 @@
         apply: Callable,
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
+        self.loop, self.engine, self.terms, self.log = loop, loop.engine, terms, log
         self.name_of, self.index_of, self.apply, self.wall_ms = name_of, index_of, apply, wall_ms
         self.write, self.read = state_file.write, state_file.read
         self.stopped = False
@@ -45,7 +45,7 @@
     def run(self) -> None:
         """Tells what was kept once the list has settled, then writes again and again."""
         state = self.load()
-        while state is not None and not self.machine.started and not self.stopped:
+        while state is not None and not self.engine.started and not self.stopped:
             self.loop.sleep(0.05)
         if state is not None:
             self.recall(state)
@@ -69,8 +69,8 @@
         self.counts["left_out"] += sum(told.left_out.values())
         if told.event is not None:
             self.counts["recalled"] += len(told.event.estimates)
-            self.machine.tell(self.loop.clock(), told.event)
-            self.loop.nudge()
+            self.engine.submit(self.loop.clock(), told.event)
+            self.loop.wake()
         self.log.info(
             "recalled",
             tasks=len(told.event.estimates) if told.event else 0,
@@ -79,7 +79,7 @@
         )
 
     def save(self) -> None:
-        learnt = getattr(self.machine.module, "learnt", None)
+        learnt = getattr(self.engine.assigner, "learnt", None)
         if learnt is None:
             return
         rows, price = learnt()
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -38,20 +38,20 @@
     """`apply(call, words)` runs a call elsewhere and waits for what it returns."""
 
     def __init__(self, loop: EventLoop, terms: SolverConfig, log, apply: Callable) -> None:
-        self.loop, self.machine, self.terms, self.log, self.apply = loop, loop.machine, terms, log, apply
+        self.loop, self.engine, self.terms, self.log, self.apply = loop, loop.engine, terms, log, apply
         self.planner = Planner(terms.deadline_s)
         load_solver_library()
         self.counts = {"asked": 0, "proposed": 0, "unknown": 0, "too_little": 0}
-        self.pushes_back = self.machine.config.admission not in (api.Admission.OFF, api.Admission.SILENT)
+        self.pushes_back = self.engine.config.admission not in (api.Admission.OFF, api.Admission.SILENT)
 
     def run(self) -> None:
         while True:
-            self.loop.sleep(self.machine.config.report_period_us / 1e6)
+            self.loop.sleep(self.engine.config.report_period_us / 1e6)
             self.ask(self.loop.clock())
 
     def ask(self, now: int) -> None:
         self.counts["asked"] += 1
-        fleet = fleet_of(self.machine.module, now, self.terms.handshake, self.terms.connections)
+        fleet = fleet_of(self.engine.assigner, now, self.terms.handshake, self.terms.connections)
         if fleet is None:
             self.counts["unknown"] += 1
             return
@@ -61,9 +61,9 @@
             return  # an old proposal runs out, then the loop goes on alone
         now, told = self.loop.clock(), proposals(plan, self.pushes_back)
         for proposal in told:
-            self.machine.tell(now, proposal)
+            self.engine.submit(now, proposal)
         self.counts["proposed" if told else "too_little"] += 1
-        self.loop.nudge()
+        self.loop.wake()
 
     def status(self) -> dict:
         return {**self.counts, **self.planner.counts}
--- a/hollyridge/core/stream_server.py
+++ b/hollyridge/core/stream_server.py
@@ -15,7 +15,7 @@
     as something with `sock`, `closed` (why, empty while it stands) and `proxy` (-1 for none)."""
 
     def __init__(self, loop: EventLoop, host: str, port: int) -> None:
-        self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
+        self.loop, self.engine, self.clock = loop, loop.engine, loop.clock
         self.streams: dict = {}
         self.by_proxy: dict = {}
         self.number = 0
@@ -44,7 +44,7 @@
         if stream.proxy < 0 or self.by_proxy.get(stream.proxy) is not stream:
             return False
         del self.by_proxy[stream.proxy]
-        self.machine.leave(now, stream.proxy)
+        self.engine.leave(now, stream.proxy)
         return True
 
 
--- a/hollyridge/delivery/paced_queue.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -17,7 +17,7 @@
 class QueuedUpdate(NamedTuple):
     """A message, what it costs with its head, and what it would cost with all its tables in full."""
 
-    parcel: ProxyUpdate
+    update: ProxyUpdate
     lines: float
     whole: float
 
@@ -30,38 +30,38 @@
     >>> channel.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
     >>> channel.take(199_999), channel.due
     (None, 200000)
-    >>> channel.take(200_000).proxy, channel.waiting
+    >>> channel.take(200_000).proxy, channel.waiting_lines
     (4, 0.0)
     """
 
     def __init__(self, lines_per_s: float, head: float, most: float) -> None:
-        self.per_line, self.head, self.most = 1e6 / lines_per_s, head, most
+        self.per_line, self.overhead_lines, self.max_lines = 1e6 / lines_per_s, head, most
         self.queue: OrderedDict[int, QueuedUpdate] = OrderedDict()  # by proxy
-        self.waiting = 0.0
+        self.waiting_lines = 0.0
         self.free_at = 0
-        self.merged = self.over = self.lost_lines = self.highest = 0
+        self.merged_updates = self.overflows = self.lost_lines = self.peak_lines = 0
 
-    def put(self, now: int, parcel: ProxyUpdate, lines: int, whole: int) -> None:
-        extra = self.head + (parcel.mark >= 0)
-        if parcel.proxy in self.queue:
-            self.merge(parcel, lines, whole + extra)
+    def put(self, now: int, update: ProxyUpdate, lines: int, whole: int) -> None:
+        extra = self.overhead_lines + (update.mark >= 0)
+        if update.proxy in self.queue:
+            self.merge(update, lines, whole + extra)
             return
         cost = lines + extra
-        self.over += self.waiting + cost > self.most
+        self.overflows += self.waiting_lines + cost > self.max_lines
         if not self.queue:
             self.free_at = max(self.free_at, now)
-        self.queue[parcel.proxy] = QueuedUpdate(parcel, cost, max(whole, lines) + extra)
-        self.waiting += cost
-        self.highest = max(self.highest, round(self.waiting))
+        self.queue[update.proxy] = QueuedUpdate(update, cost, max(whole, lines) + extra)
+        self.waiting_lines += cost
+        self.peak_lines = max(self.peak_lines, round(self.waiting_lines))
 
-    def merge(self, parcel: ProxyUpdate, lines: int, whole: float) -> None:
+    def merge(self, update: ProxyUpdate, lines: int, whole: float) -> None:
         """Into a message that waits: it costs no more than all its tables in full."""
-        old, cost, before = self.queue[parcel.proxy]
+        old, cost, before = self.queue[update.proxy]
         whole = max(whole, before)
-        joint = min(cost + lines + (parcel.mark >= 0 > old.mark), max(whole, cost))
-        self.queue[parcel.proxy] = QueuedUpdate(merge_updates(old, parcel), joint, whole)
-        self.waiting += joint - cost
-        self.merged += 1
+        joint = min(cost + lines + (update.mark >= 0 > old.mark), max(whole, cost))
+        self.queue[update.proxy] = QueuedUpdate(merge_updates(old, update), joint, whole)
+        self.waiting_lines += joint - cost
+        self.merged_updates += 1
 
     @property
     def due(self) -> int | None:
@@ -78,18 +78,18 @@
         due = self.due
         if due is None or now < due:
             return None
-        _, (parcel, lines, _) = self.queue.popitem(last=False)
-        self.waiting = max(0.0, self.waiting - lines) if self.queue else 0.0
+        _, (update, lines, _) = self.queue.popitem(last=False)
+        self.waiting_lines = max(0.0, self.waiting_lines - lines) if self.queue else 0.0
         self.free_at = due  # not `now`: a sender that woke late must not slow the pace
         if now - due > 1_000_000:
             self.free_at = now  # nor may one that stood still send a second's worth at once
-        return parcel
+        return update
 
-    def lose(self, proxy: int) -> int:
+    def discard(self, proxy: int) -> int:
         """The proxy's stream broke: what waited for it is gone. Returns the number of messages."""
         gone = self.queue.pop(proxy, None)
         if gone is None:
             return 0
-        self.waiting -= gone.lines
+        self.waiting_lines -= gone.lines
         self.lost_lines += round(gone.lines)
         return 1
--- a/hollyridge/delivery/update_builder.py
+++ b/hollyridge/delivery/update_builder.py
@@ -31,14 +31,18 @@
 }
 
 
+# And commands that a server can't carry by these reasons.
+UNSUPPORTED = {"admission": "front has no levels", "ejection": "front has no withdrawals"}
+
+
 class ServerCapabilities(NamedTuple):
     """What a front can carry. `groups`: how often a line is said to a proxy, once for each group of methods."""
 
-    levels: bool
-    further_tries: bool
-    withdrawals: bool
-    receipts: bool
-    groups: int
+    admission: bool
+    retries: bool
+    ejection: bool
+    acks: bool
+    line_copies: int
 
 
 class ProxyUpdate(NamedTuple):
@@ -47,70 +51,70 @@
     `mark` -1 for none."""
 
     proxy: int
-    number: int
-    at: int
-    binds: tuple[tuple[int, int], ...]
+    decision: int
+    decided_at_us: int
+    bindings: tuple[tuple[int, int], ...]
     tables: tuple[tuple[int, Table], ...]
-    counts: tuple[tuple[int, int], ...]
+    line_counts: tuple[tuple[int, int], ...]
     mark: int
-    out: tuple[tuple[int, bool], ...] = ()
+    ejections: tuple[tuple[int, bool], ...] = ()
 
 
 def merge_updates(old: ProxyUpdate, new: ProxyUpdate) -> ProxyUpdate:
     """One message for two: only the newest value of each table matters."""
     tables = {**dict(old.tables), **dict(new.tables)}
-    counts = dict(old.counts)
-    for table, lines in new.counts:
+    counts = dict(old.line_counts)
+    for table, lines in new.line_counts:
         counts[table] = min(counts.get(table, 0) + lines, 1 + len(tables[table]))
     return ProxyUpdate(
         new.proxy,
-        new.number,
-        old.at,
-        (*old.binds, *new.binds),
+        new.decision,
+        old.decided_at_us,
+        (*old.bindings, *new.bindings),
         tuple(tables.items()),
         tuple(counts.items()),
         new.mark if new.mark >= 0 else old.mark,
-        (*old.out, *new.out),
+        (*old.ejections, *new.ejections),
     )
 
 
 class PendingUpdate:
     """What one proxy is owed while a decision is being read."""
 
-    __slots__ = ("binds", "counts", "out")
+    __slots__ = ("bindings", "line_counts", "ejections")
 
     def __init__(self) -> None:
-        self.binds: list[tuple[int, int]] = []
-        self.counts: dict[int, int] = {}
-        self.out: list[tuple[int, bool]] = []
+        self.bindings: list[tuple[int, int]] = []
+        self.line_counts: dict[int, int] = {}
+        self.ejections: list[tuple[int, bool]] = []
 
 
 class UpdateBuilder:
     """Tables as ordered, and who uses which.
 
     >>> desk, can = UpdateBuilder(methods=2, store=TableStore(4)), ServerCapabilities(False, False, False, True, 1)
-    >>> carried = desk.carry(1, 5, [SetWeight(1.0, 3, 0), BindTable(9, 0, 0), RequestAck(1, False)], {9: can})
-    >>> for p in carried.parcels:
-    ...     print(p.proxy, p.binds, dict(p.tables[0][1].lines), p.counts, p.mark)
+    >>> carried = desk.build(1, 5, [SetWeight(1.0, 3, 0), BindTable(9, 0, 0), RequestAck(1, False)], {9: can})
+    >>> for p in carried.updates:
+    ...     print(p.proxy, p.bindings, dict(p.tables[0][1].lines), p.line_counts, p.mark)
     9 ((0, 3),) {3: 1.0} ((0, 2),) 1
     """
 
     def __init__(self, methods: int, store: TableStore) -> None:
         self.every = (1 << methods) - 1
         self.store = store
-        self.bound: dict[int, dict[int, int]] = {}  # proxy: table by method
+        self.bindings: dict[int, dict[int, int]] = {}  # proxy: table by method
         self.users: dict[int, dict[int, None]] = {}  # table: proxies, in the order they came
-        self.out: set[int] = set()
+        self.ejected: set[int] = set()
 
     def forget(self, proxy: int) -> None:
-        for table in set(self.bound.pop(proxy, {}).values()):
+        for table in set(self.bindings.pop(proxy, {}).values()):
             self.users[table].pop(proxy, None)
 
-    def names(self, task: int) -> bool:
+    def mentions(self, task: int) -> bool:
         """Whether any table as it is now holds this task."""
         return any(task in history[-1].lines for history in self.store.history.values() if history)
 
-    def carry(
+    def build(
         self, now: int, number: int, orders: Iterable[Command], fronts: dict[int, ServerCapabilities]
     ) -> UpdateBatch:
         """Take the orders about tables. An order that a proxy's front can't carry is refused with a reason;
@@ -127,9 +131,9 @@
         def count(table: int, needs: str = "") -> None:
             for proxy in self.users.get(table, ()):
                 if needs and not getattr(fronts[proxy], needs):
-                    refuse(f"front has no {needs}")
+                    refuse(UNSUPPORTED[needs])
                 else:
-                    counts = owed.setdefault(proxy, PendingUpdate()).counts
+                    counts = owed.setdefault(proxy, PendingUpdate()).line_counts
                     counts[table] = counts.get(table, 0) + 1
 
         for order in orders:
@@ -139,7 +143,7 @@
                 count(order.table)
             elif kind is SetAdmission:
                 edits.setdefault(order.table, ({}, {}))[1][order.methods] = order.amount, order.retry_mode
-                count(order.table, "levels")
+                count(order.table, "admission")
             elif kind is DeleteTable:
                 edits[order.table] = ({}, {})
                 cleared.add(order.table)
@@ -151,16 +155,16 @@
                 mask = (order.methods or self.every) & self.every
                 self.bind(order.proxy, order.table, mask)
                 mine = owed.setdefault(order.proxy, PendingUpdate())
-                mine.binds.append((order.table, mask))
+                mine.bindings.append((order.table, mask))
                 size = len(self.store.latest(order.table)) + sum(map(len, edits.get(order.table, ())))
-                mine.counts[order.table] = 1 + size
+                mine.line_counts[order.table] = 1 + size
             elif kind is SetEjected:
-                (self.out.add if order.ejected else self.out.discard)(order.task)
-                for proxy in self.bound:
-                    if fronts[proxy].withdrawals:
-                        owed.setdefault(proxy, PendingUpdate()).out.append((order.task, order.ejected))
+                (self.ejected.add if order.ejected else self.ejected.discard)(order.task)
+                for proxy in self.bindings:
+                    if fronts[proxy].ejection:
+                        owed.setdefault(proxy, PendingUpdate()).ejections.append((order.task, order.ejected))
                     else:
-                        refuse("front has no withdrawals")
+                        refuse(UNSUPPORTED["ejection"])
             elif kind is RequestAck:
                 mark, everyone = order.mark, order.from_all
             else:
@@ -170,16 +174,18 @@
         if everyone:
             for proxy in fronts:
                 owed.setdefault(proxy, PendingUpdate())
-        parcels = []
+        updates = []
         for proxy, mine in owed.items():
-            used = set(self.bound.get(proxy, {}).values())
-            tables = tuple((table, self.store.latest(table)) for table in mine.counts if table in used)
-            counts = tuple((table, lines) for table, lines in mine.counts.items() if table in used)
-            parcels.append(ProxyUpdate(proxy, number, now, tuple(mine.binds), tables, counts, mark, tuple(mine.out)))
-        return UpdateBatch(parcels, refused)
+            used = set(self.bindings.get(proxy, {}).values())
+            tables = tuple((table, self.store.latest(table)) for table in mine.line_counts if table in used)
+            counts = tuple((table, lines) for table, lines in mine.line_counts.items() if table in used)
+            updates.append(
+                ProxyUpdate(proxy, number, now, tuple(mine.bindings), tables, counts, mark, tuple(mine.ejections))
+            )
+        return UpdateBatch(updates, refused)
 
     def bind(self, proxy: int, table: int, mask: int) -> None:
-        mine = self.bound.setdefault(proxy, {})
+        mine = self.bindings.setdefault(proxy, {})
         before = set(mine.values())
         mine.update((k, table) for k in range(mask.bit_length()) if mask >> k & 1)
         for old in before - set(mine.values()):
@@ -188,5 +194,5 @@
 
 
 class UpdateBatch(NamedTuple):
-    parcels: list[ProxyUpdate]
+    updates: list[ProxyUpdate]
     refused: dict[str, int]
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
 """Which tasks are listed, from what discovery tells: versions that grow, starts on the monotonic clock. No I/O.
 
-Fulfils `core.machine.Source`. Starts are turned to the monotonic clock once, so that a task told of twice has started
+Fulfils `core.engine.Source`. Starts are turned to the monotonic clock once, so that a task told of twice has started
 once. A change that is older than what is held changes nothing. A whole list that is older may come from a copy that
 lags, and would bring back tasks that have left; or discovery counts anew, and nothing it says would be heard again. So
 it is kept up beside the list that is held, and taken in its place if after `TOLD` none as new as that has come: all
--- a/hollyridge/discovery/watch_client.py
+++ b/hollyridge/discovery/watch_client.py
@@ -34,7 +34,7 @@
         zones: dict[str, int],
         log,
     ) -> None:
-        self.loop, self.machine, self.clock = loop, loop.machine, loop.clock
+        self.loop, self.engine, self.clock = loop, loop.engine, loop.clock
         self.listing, self.caller, self.address, self.zones, self.log = listing, caller, address, zones, log
         self.stirred = Event()
         self.call: gevent.Greenlet | None = None
@@ -97,8 +97,8 @@
                 version=self.listing.version,
                 failures=self.caller.failures,
             )
-        self.machine.happened(now, WatchFailed())
-        self.loop.nudge()
+        self.engine.update_endpoints(now, WatchFailed())
+        self.loop.wake()
         self.stirred.set()
 
     def ask(self, sock) -> None:
@@ -150,8 +150,8 @@
             raise
         self.caller.take(now, WatchInput.LIST)
         self.counts["lists"] += 1
-        self.machine.happened(now, EndpointListReceived(news))
-        self.loop.nudge()
+        self.engine.update_endpoints(now, EndpointListReceived(news))
+        self.loop.wake()
 
     def status(self) -> dict:
         return {**self.counts, "watching": self.caller.stands}
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -114,9 +114,9 @@
             self.consumed += size
             now = self.stage.world.now()
             for mark, at in marks:
-                self.front.machine.receipt(now, self.stream.proxy, mark, now - at)
+                self.front.engine.acknowledge(now, self.stream.proxy, mark, now - at)
             if marks:
-                self.front.loop.nudge()
+                self.front.loop.wake()
 
 
 class Mailbox:
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -224,7 +224,7 @@
         )
         if service.fleet is not None:
             service.fleet.send = self.send
-        service.loop.nudge, service.loop.spawn = self.nudge, self.world.spawn
+        service.loop.wake, service.loop.spawn = self.nudge, self.world.spawn
         service.loop.sleep = lambda seconds: self.sleep(service, seconds)
         self.service, self.names = service, service.names()
         if service.clone is not None:
@@ -309,7 +309,7 @@
     def run_machine(self, turn: int) -> None:
         if turn != self.turn or self.service is None or self.stalls(self.run_machine, turn):
             return
-        due = self.service.machine.run(self.world.now())
+        due = self.service.engine.run(self.world.now())
         self.turn += 1
         self.world.when(max(due, self.world.now() + 500), self.world.start, self.run_machine, (self.turn,))
 
@@ -323,7 +323,7 @@
                 continue
             if now >= told:
                 told = now + STATE_EVERY
-                status = service.machine.status()
+                status = service.engine.status()
                 self.stage.record(
                     "state", assigner=self.number, **{key: status[key] for key in STATE}, **status["module"]
                 )
@@ -352,7 +352,7 @@
             else:
                 place = names.zone(told.get("zone", "")) or 0, names.task(told["task"])
             if None not in place:
-                self.service.machine.report(
+                self.service.engine.report(
                     now,
                     DataPoint(
                         source,
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -48,11 +48,11 @@
         )
         now = clock()
         listing = EndpointListTracker(
-            lambda name: self.machine.tasks.enter(self.machine.ran_at, name), now - time.time_ns() // 1000
+            lambda name: self.engine.task_indices.enter(self.engine.ran_at, name), now - time.time_ns() // 1000
         )
-        self.machine = Engine(config, terms.seed, limits, listing, now, log, detail=False)
-        self.loop = EventLoop(self.machine, clock, terms.round_s)
-        self.machine.happened(now, EndpointListReceived(terms.known, stale=True))
+        self.engine = Engine(config, terms.seed, limits, listing, now, log, log_decisions=False)
+        self.loop = EventLoop(self.engine, clock, terms.round_s)
+        self.engine.update_endpoints(now, EndpointListReceived(terms.known, stale=True))
         zones = {name: z for z, name in enumerate(terms.names.zones)}
         self.watch = WatchClient(
             self.loop, listing, WatchState(BEAT, Random(terms.seed ^ 1)), terms.discovery, zones, log
@@ -61,7 +61,7 @@
         self.front = RespServer(
             self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), config, log
         )
-        self.machine.holds = self.front.holds
+        self.engine.task_in_use = self.front.holds
 
     def start(self) -> int:
         port = self.front.start()
@@ -109,10 +109,10 @@
 
     def status(self) -> dict:
         return {
-            "core": self.machine.status(),
+            "core": self.engine.status(),
             "front": self.front.status(),
             "discovery": self.watch.status(),
-            "turn_us": list(spread(self.loop.turns).values()),
+            "turn_us": list(spread(self.loop.run_durations).values()),
             "cpu_s": round(time.process_time(), 2),
             "rss_mb": resident_mb(),
         }
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -131,7 +131,7 @@
     ) -> None:
         self.access, self.deeds = access, deeds or {}
         self.loop, self.terms, self.names, self.pages, self.log = loop, terms, names, pages, log
-        self.running = CumulativeState(loop.machine.limits.most_series)
+        self.running = CumulativeState(loop.engine.limits.max_series)
         self.fair = FairShareLimiter(terms.points_per_s, 1_000_000, terms.connections_most)
         self.counts = dict.fromkeys(("requests", "points", "rejected", "bad", "slowed"), 0)
         self.why: dict[str, int] = {}
@@ -242,7 +242,7 @@
         now, rejected, total = self.loop.clock(), {}, 0
         for point in read(request, peer, self.names_for(bearer), self.running):
             total += 1
-            why = point if isinstance(point, str) else self.loop.machine.report(now, point)
+            why = point if isinstance(point, str) else self.loop.engine.report(now, point)
             if why and why != "counted before":  # a repeat after a lost answer is a success to its sender
                 rejected[why] = rejected.get(why, 0) + 1
             if why:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -58,7 +58,7 @@
         task_of: Callable[[str], int | None],
     ) -> None:
         self.task_name, self.task_of = task_name, task_of
-        self.loop, self.machine, self.terms, self.log = loop, loop.machine, terms, log
+        self.loop, self.engine, self.terms, self.log = loop, loop.engine, terms, log
         self.guard = PacketGuard(terms.secret, terms.name, fresh)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
         facts = MemberFacts(
@@ -70,7 +70,7 @@
         self.since: dict[str, int] = {}
         self.claims_at, self.stopped = 0, False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
-        self.machine.owned = self.owned
+        self.engine.may_command = self.owned
 
     # Life.
 
@@ -99,7 +99,7 @@
 
     def lend(self, now: int) -> None:
         """What was learnt of tasks goes to the others: an heir knows the sizes of what it begins to use."""
-        learnt = getattr(self.machine.module, "learnt", None)
+        learnt = getattr(self.engine.assigner, "learnt", None)
         rows, price = learnt() if learnt is not None else ([], 0.0)
         some = self.swim.alive()
         for at in range(0, len(rows), ROWS // 2):
@@ -110,12 +110,12 @@
                 self.put(some[name].facts.address, SharedEstimates(named, round(price, 4), 0))
 
     def borrow(self, now: int, message: SharedEstimates) -> None:
-        learnt = getattr(self.machine.module, "learnt", None)
+        learnt = getattr(self.engine.assigner, "learnt", None)
         if learnt is not None:
             told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
             if told.event is not None:
                 self.counts["borrowed"] += len(told.event.estimates)
-                self.machine.tell(now, told.event)
+                self.engine.submit(now, told.event)
 
     def leave(self) -> None:
         """Said at a planned end: others need not find out."""
@@ -208,11 +208,11 @@
     def carry(self, now: int, some: list) -> None:
         for one in some:
             if isinstance(one, ReleaseProxy):
-                proxy = self.machine.proxies.index.get(one.uid)
-                front = self.machine.fronts.get(proxy)
+                proxy = self.engine.proxy_indices.index.get(one.uid)
+                front = self.engine.servers.get(proxy)
                 self.log.info("proxy let go", uid=one.uid, why=one.why, to=one.to or None)
                 if front is not None:
-                    front.send_on(proxy, one.to, one.why)
+                    front.redirect(proxy, one.to, one.why)
 
     # Watchers.
 
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -84,7 +84,7 @@
     def __init__(self, loop: EventLoop, terms: RespConfig, config: api.AssignerConfig, log) -> None:
         super().__init__(loop, terms.host, terms.port)
         self.log = log
-        self.abilities = ServerCapabilities(levels=True, further_tries=True, withdrawals=True, receipts=True, groups=1)
+        self.capabilities = ServerCapabilities(admission=True, retries=True, ejection=True, acks=True, line_copies=1)
         self.reading = messages.MessageReader(terms.names, config)
         self.scribe = UpdateEncoder(terms.names.methods, self.name_of)
         self.room = max(16, terms.descriptors - terms.kept)  # connections in all
@@ -187,7 +187,7 @@
         if stream in self.collectors.get(stream.zone, ()):
             self.collectors[stream.zone].remove(stream)
         if self.forget(self.clock(), stream):
-            self.loop.nudge()
+            self.loop.wake()
 
     # In.
 
@@ -239,12 +239,12 @@
         if len(self.streams) - len(self.pending.waiting) >= self.room:  # it would take the last descriptors
             raise messages.MalformedMessageError("no room for another stream")
         self.pending.left(stream.number)
-        proxy = self.machine.join(now, self, word.node, word.zone, word.rate, word.cold)
+        proxy = self.engine.join(now, self, word.node, word.zone, word.rate, word.cold)
         if proxy is None:
             raise messages.MalformedMessageError("no room for another proxy")
         stream.zone, stream.node, stream.proxy = word.zone, word.node, proxy
         self.by_proxy[proxy] = stream
-        self.loop.nudge()
+        self.loop.wake()
 
     def collector(self, stream: Connection, word: messages.CollectorHello) -> None:
         if stream.joined:
@@ -257,60 +257,62 @@
             self.close(min(row, key=lambda one: one.heard), "a newer collector of its zone came")
 
     def news(self, stream: Connection, word: messages.InboundMessage) -> None:
-        now, machine = self.clock(), self.machine
+        now, engine = self.clock(), self.engine
         if type(word) is messages.TrafficSample:
             if stream.proxy >= 0:
                 raise messages.MalformedMessageError("not for a proxy to say")
-            task = machine.tasks.find(word.endpoint)  # also one that has just gone: its last tries are news of then
+            task = engine.task_indices.find(
+                word.endpoint
+            )  # also one that has just gone: its last tries are news of then
             if task is None:
                 raise messages.MalformedMessageError("names no task that was listed")
-            machine.tell(
+            engine.submit(
                 now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over, word.load)
             )
         else:
-            proxy = machine.proxies.index.get(word.node)
+            proxy = engine.proxy_indices.index.get(word.node)
             if stream.proxy >= 0 and stream.node != word.node:
                 raise messages.MalformedMessageError("speaks for another proxy")
             if proxy is None or proxy not in self.by_proxy:
                 return  # it has left meanwhile
             if type(word) is messages.OfferedLoadSample:
-                machine.tell(now, api.OfferedLoad(word.rpcs, word.over, proxy, word.method, word.unanswered))
+                engine.submit(now, api.OfferedLoad(word.rpcs, word.over, proxy, word.method, word.unanswered))
             elif stream.proxy < 0:
                 raise messages.MalformedMessageError("not for a collector to say")
             elif word.mark in stream.marks:
                 del stream.marks[word.mark]
-                machine.receipt(now, proxy, word.mark, word.took)
+                engine.acknowledge(now, proxy, word.mark, word.took)
             else:  # of an earlier stream, perhaps to an earlier process whose marks had the same numbers
                 self.counts["stray_receipts"] += 1
-        self.loop.nudge()
+        self.loop.wake()
 
     # Out.
 
     def name_of(self, task: int) -> str:
-        return self.machine.tasks.names[task]
+        return self.engine.task_indices.names[task]
 
-    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
+    def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
         stream = self.by_proxy[proxy]
-        lines = self.scribe.lines(stream.planned, parcel)
+        lines = self.scribe.lines(stream.planned, update)
         return lines, sum(1 + len(value) for value in stream.planned.told.values())
 
-    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
+    def write(self, proxy: int, update: ProxyUpdate) -> None:
         stream = self.by_proxy.get(proxy)
         if stream is None or stream.closed:
             return
         if stream.unsent:
-            stream.owed = parcel if stream.owed is None else merge_updates(stream.owed, parcel)
+            stream.owed = update if stream.owed is None else merge_updates(stream.owed, update)
             self.counts["merged"] += 1
             return
-        self.send(stream, self.written(stream, parcel))
+        self.send(stream, self.written(stream, update))
 
-    def written(self, stream: Connection, parcel: ProxyUpdate) -> bytes:
+    def written(self, stream: Connection, update: ProxyUpdate) -> bytes:
         self.named = None
-        if parcel.mark >= 0:
-            stream.marks[parcel.mark] = None
+        if update.mark >= 0:
+            stream.marks[update.mark] = None
             if len(stream.marks) > MARKS_MOST:
                 del stream.marks[next(iter(stream.marks))]
-        return self.scribe.write(stream.sheet, parcel)
+        return self.scribe.write(stream.sheet, update)
 
     def holds(self, task: int) -> bool:
         """Whether a stream was told of this task last, however long it has taken nothing: its index is not free."""
@@ -344,8 +346,8 @@
                 self.counts["bytes_out"] += sent
                 stream.unsent = stream.unsent[sent:]
                 if not stream.unsent and stream.owed is not None:
-                    parcel, stream.owed = stream.owed, None
-                    stream.unsent = self.written(stream, parcel)
+                    update, stream.owed = stream.owed, None
+                    stream.unsent = self.written(stream, update)
         except OSError:
             self.close(stream, "connection lost")
 
@@ -354,7 +356,7 @@
         if stream is not None:
             self.close(stream, why)
 
-    def send_on(self, proxy: int, to: str, why: str) -> None:
+    def redirect(self, proxy: int, to: str, why: str) -> None:
         self.detach(proxy, why)  # the protocol names nobody to go to
 
     def status(self) -> dict:
--- a/hollyridge/resp/update_encoder.py
+++ b/hollyridge/resp/update_encoder.py
@@ -32,27 +32,27 @@
         self.memo: OrderedDict[tuple, tuple[TableUpdate, ...]] = OrderedDict()
         self.last: tuple[tuple, bytes] = ((), b"")  # what the message written last was made of
 
-    def lines(self, sheet: ProxyView, parcel: ProxyUpdate) -> int:
+    def lines(self, sheet: ProxyView, update: ProxyUpdate) -> int:
         """What the channel counts for this message if it left now, and the sheet as it will be: for a sheet that runs
         ahead of what is written."""
-        return sum(part.size for part in self.parts(sheet, parcel))
+        return sum(part.size for part in self.parts(sheet, update))
 
-    def write(self, sheet: ProxyView, parcel: ProxyUpdate) -> bytes:
+    def write(self, sheet: ProxyView, update: ProxyUpdate) -> bytes:
         """The message that brings the sheet's proxy up to date."""
-        key = self.parts(sheet, parcel), parcel.mark
+        key = self.parts(sheet, update), update.mark
         if self.last[0] != key:
             self.last = key, b"".join(encode(message) for message in order(*key))
         return self.last[1]
 
-    def parts(self, sheet: ProxyView, parcel: ProxyUpdate) -> tuple[TableUpdate, ...]:
+    def parts(self, sheet: ProxyView, update: ProxyUpdate) -> tuple[TableUpdate, ...]:
         fresh: set[int] = set()
-        for table, mask in parcel.binds:
+        for table, mask in update.bindings:
             for k in range(len(self.methods)):
                 if mask >> k & 1:
                     sheet.bound[k] = table
                     fresh.add(k)
         parts: tuple[TableUpdate, ...] = ()
-        for table, value in parcel.tables:
+        for table, value in update.tables:
             users = [k for k, bound in sheet.bound.items() if bound == table]
             old = sheet.told.get(table)
             anew = tuple(sorted(k for k in users if k in fresh or old is None))
@@ -63,7 +63,7 @@
                 parts += self.known(table, old, value, rest)
             if users:
                 sheet.told[table] = value
-        out = dict(parcel.out)
+        out = dict(update.ejections)
         if out:
             parts += (
                 TableUpdate(
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -121,8 +121,8 @@
         super().__init__(loop, terms.host, terms.port)
         self.terms, self.presence, self.keeper, self.zone_of = terms, presence, keeper, zone_of
         self.log = log
-        self.abilities = ServerCapabilities(
-            levels=False, further_tries=False, withdrawals=False, receipts=True, groups=len(terms.groups)
+        self.capabilities = ServerCapabilities(
+            admission=False, retries=False, ejection=False, acks=True, line_copies=len(terms.groups)
         )
         self.bearers: dict[int, codec.Member] = {}  # task: its member
         self.agents: dict[tuple, bool] = {}
@@ -191,9 +191,9 @@
         if self.forget(now, stream) and self.fleet is not None:
             self.fleet.ended(stream.uid)
         if stream.speaks_of_members:
-            self.machine.happened(now, members.StreamLost(stream.number))
+            self.engine.update_endpoints(now, members.StreamLost(stream.number))
         self.log.info("stream ended", peer=stream.address[0], uid=stream.uid or None, why=stream.closed)
-        self.loop.nudge()
+        self.loop.wake()
 
     # In.
 
@@ -244,7 +244,7 @@
         if self.fleet is not None and stream.proxy >= 0:
             self.fleet.acked(stream.uid, stream.fence)
         for _, mark, at in stream.marks if not stream.push else ():  # it took the last answer: it asks again
-            self.machine.receipt(now, stream.proxy, mark, now - at)
+            self.engine.acknowledge(now, stream.proxy, mark, now - at)
         if not stream.push:
             stream.marks.clear()
         kind = type(message)
@@ -273,7 +273,7 @@
         except ValueError as trouble:
             self.log.warning("answer too long", peer=stream.address[0], why=str(trouble))
             self.answer(stream, codec.encode(number, codec.reply_to(message, Code.NOT_FROM_YOU)))
-        self.loop.nudge()
+        self.loop.wake()
 
     def answer(self, stream: Connection, frame: bytes) -> None:
         stream.replies.append(frame)
@@ -332,7 +332,7 @@
             self.unbind(now, older)
         if came.joined:
             zone = self.zone_of(stream.address[0])
-            proxy = -1 if zone < 0 else self.machine.join(now, self, stream.uid, zone, self.terms.usual_rate)
+            proxy = -1 if zone < 0 else self.engine.join(now, self, stream.uid, zone, self.terms.usual_rate)
             if proxy is None or proxy < 0:
                 self.presence.left(stream.number)
                 return Code.NOT_FROM_YOU
@@ -364,10 +364,10 @@
         """Its proxy, if it has one, is ordered by this stream no more."""
         if stream.proxy >= 0:
             self.by_proxy.pop(stream.proxy, None)
-            self.machine.leave(now, stream.proxy)
+            self.engine.leave(now, stream.proxy)
             stream.proxy = -1
 
-    def send_on(self, proxy: int, to: str, why: str) -> None:
+    def redirect(self, proxy: int, to: str, why: str) -> None:
         stream = self.by_proxy.get(proxy)
         if stream is None:
             return
@@ -390,9 +390,9 @@
         for group in groups:
             sheet = stream.sheets.setdefault(group.name, SaspProxyView())
             if sheet.value is None and stream.proxy >= 0:  # a later group of a proxy that has its tables
-                bound = self.machine.desk.bound.get(stream.proxy, {}).get(self.terms.groups[group.name])
+                bound = self.engine.update_builder.bindings.get(stream.proxy, {}).get(self.terms.groups[group.name])
                 if bound is not None:
-                    self.lay(stream, sheet, bound, self.machine.desk.store.latest(bound))
+                    self.lay(stream, sheet, bound, self.engine.update_builder.store.latest(bound))
         return self.attend(stream) if groups else Code.OK
 
     def weights(self, stream: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
@@ -403,13 +403,13 @@
         if code != Code.OK:
             return codec.GetWeightsReply(code, self.presence.interval, ())
         if stream.proxy >= 0 and not stream.given.is_set():  # one that asks only once should not go without
-            self.loop.nudge()
+            self.loop.wake()
             stream.given.wait(self.presence.first_answer / 1e6)
         rows = []
         for group in message.groups:
             entries = self.entries(stream, stream.sheets[group.name], whole=True)
             rows.append(codec.WeightsOf(group, entries))
-        self.machine.channel.charge(self.clock(), sum(len(r.weights) for r in rows) + self.machine.channel.head)
+        self.engine.queue.charge(self.clock(), sum(len(r.weights) for r in rows) + self.engine.queue.overhead_lines)
         if not stream.push:
             stream.marks.extend((0, *row) for row in stream.pending)
             stream.pending.clear()
@@ -459,9 +459,9 @@
         own = len(rows) == 1 and rows[0].host == stream.address[0]
         applicants, entered = [], []
         for member in rows:
-            new = member.key not in self.machine.tasks.index
+            new = member.key not in self.engine.task_indices.index
             zone = self.zone_of(member.host)
-            task = self.machine.tasks.enter(now, member.key) if zone >= 0 else -1
+            task = self.engine.task_indices.enter(now, member.key) if zone >= 0 else -1
             task = -1 if task is None else task
             if task >= 0:
                 entered += [member.key] * new
@@ -469,10 +469,10 @@
             applicants.append(
                 members.MemberRequest(member.key, max(task, 0) if zone < 0 else task, zone, member.label, own)
             )
-        refusal = self.machine.happened(now, members.Registered(stream.number, tuple(applicants)))
+        refusal = self.engine.update_endpoints(now, members.Registered(stream.number, tuple(applicants)))
         if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
             for key in entered:
-                self.machine.tasks.leave(now, key)
+                self.engine.task_indices.leave(now, key)
         else:
             stream.speaks_of_members = True
             for row in applicants:
@@ -498,7 +498,7 @@
         keys = tuple(member.key for _, some in message.groups for member in some)
         everyone = not message.by_balancer and any(not some for _, some in message.groups)
         what = members.Deregistered(stream.number, None if everyone else keys)
-        return self.CODES[self.machine.happened(self.clock(), what)]
+        return self.CODES[self.engine.update_endpoints(self.clock(), what)]
 
     def set_members(self, stream: Connection, message: codec.SetMembers) -> int:
         code = Code.OK
@@ -508,40 +508,40 @@
                 return code
             for state in states:
                 what = members.Quiesced(stream.number, state.member.key, state.quiesce)
-                refusal = self.machine.happened(self.clock(), what)
+                refusal = self.engine.update_endpoints(self.clock(), what)
                 code = self.CODES[refusal] or code
         return code
 
     # Out: what the core asks of a front.
 
-    def lines(self, proxy: int, parcel: ProxyUpdate) -> tuple[int, int]:
+    def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
         stream = self.by_proxy.get(proxy)
         if stream is None:
             return 0, 0
-        bound = self.machine.desk.bound.get(proxy, {})
+        bound = self.engine.update_builder.bindings.get(proxy, {})
         tables = [bound.get(method) for name, method in self.terms.groups.items() if name in stream.sheets]
-        whole = sum(len(self.machine.desk.store.latest(table)) for table in tables if table is not None)
+        whole = sum(len(self.engine.update_builder.store.latest(table)) for table in tables if table is not None)
         if not stream.flags & Wants.NO_CHANGE:  # it is sent its groups in full, whatever changed
             return whole, whole
-        return sum(lines * tables.count(table) for table, lines in parcel.counts), whole
+        return sum(lines * tables.count(table) for table, lines in update.line_counts), whole
 
-    def write(self, proxy: int, parcel: ProxyUpdate) -> None:
+    def write(self, proxy: int, update: ProxyUpdate) -> None:
         stream = self.by_proxy.get(proxy)
         if stream is None:
             return
-        stream.version = parcel.number
-        values = dict(parcel.tables)
+        stream.version = update.decision
+        values = dict(update.tables)
         for name, method in self.terms.groups.items():
             sheet = stream.sheets.get(name)
             if sheet is None:
                 continue
-            for table, mask in parcel.binds:
+            for table, mask in update.bindings:
                 if mask >> method & 1:
-                    self.lay(stream, sheet, table, values.get(table) or self.machine.desk.store.latest(table))
+                    self.lay(stream, sheet, table, values.get(table) or self.engine.update_builder.store.latest(table))
             if sheet.value is not None and sheet.table in values:
                 sheet.value = values[sheet.table]
-        if parcel.mark >= 0:
-            stream.pending.append((parcel.mark, parcel.at))
+        if update.mark >= 0:
+            stream.pending.append((update.mark, update.decided_at_us))
             del stream.pending[:-32]  # a later mark covers the earlier ones
         stream.due.set()
 
@@ -558,22 +558,22 @@
     def entries(self, stream: Connection, sheet: SaspProxyView, whole: bool) -> tuple[codec.Weight, ...]:
         if sheet.value is None:
             return ()
-        now, machine = self.clock(), self.machine
+        now, engine = self.clock(), self.engine
         whole = whole or sheet.whole or not stream.flags & Wants.NO_CHANGE
-        changed = () if whole else machine.desk.store.change(sheet.table, sheet.told, sheet.value).lines
+        changed = () if whole else engine.update_builder.store.change(sheet.table, sheet.told, sheet.value).lines
         told = sheet.advice.advise(
             sheet.value.lines,
             [task for task, _ in changed],
             whole,
-            lambda task: machine.cold(now, task),
-            machine.closed,
+            lambda task: engine.is_warming_up(now, task),
+            engine.is_closed,
         )
         sheet.told, sheet.whole = sheet.value, False
         entries = []
         for task, figure in told.figures.items():
             member = self.bearers[task]
-            flags = Told.CONTACT * machine.running(task) | Told.QUIESCE * machine.closed(task)
-            flags |= Told.CONFIDENT * machine.confident(now, task)
+            flags = Told.CONTACT * engine.is_running(task) | Told.QUIESCE * engine.is_closed(task)
+            flags |= Told.CONFIDENT * engine.is_confident(now, task)
             flags |= Told.REGISTERED_BY_BALANCER * self.agents.get(member.key, False)
             entries.append(codec.Weight(member, figure, int(flags)))
         return tuple(entries)
@@ -652,8 +652,8 @@
                 if stream.push:
                     while stream.marks and stream.marks[0][0] <= taken:
                         _, mark, at = stream.marks.popleft()
-                        self.machine.receipt(now, stream.proxy, mark, now - at)
-                        self.loop.nudge()
+                        self.engine.acknowledge(now, stream.proxy, mark, now - at)
+                        self.loop.wake()
                 if waits == 0:
                     self.unsettled.pop(number, None)
             turn += 1
@@ -664,9 +664,9 @@
                 for task in [
                     t
                     for t in self.bearers
-                    if len(self.bearers) > 4 * len(self.machine.tasks) + 1024
-                    and self.machine.tasks.names[t] not in self.machine.tasks.index
-                    and not self.machine.desk.names(t)
+                    if len(self.bearers) > 4 * len(self.engine.task_indices) + 1024
+                    and self.engine.task_indices.names[t] not in self.engine.task_indices.index
+                    and not self.engine.update_builder.mentions(t)
                 ]:
                     self.agents.pop(self.bearers.pop(task).key, None)
 
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -54,8 +54,8 @@
         config = terms.bootstrap()
         now = clock()
         members = MemberRegistry(terms.members_terms(), now)
-        self.machine = Engine(config, terms.assigner.seed, terms.limits(), members, now, log, make)
-        self.loop = EventLoop(self.machine, clock)
+        self.engine = Engine(config, terms.assigner.seed, terms.limits(), members, now, log, make)
+        self.loop = EventLoop(self.engine, clock)
         sasp, channel, names = terms.sasp, terms.channel, self.names()
         self.fleet = self.link = None
         fleet = fleet or terms.fleet_terms()
@@ -135,12 +135,12 @@
         self.intake = MetricsServer(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
 
     def task_name(self, task: int) -> str:
-        address, port, _ = self.machine.tasks.names[task]
+        address, port, _ = self.engine.task_indices.names[task]
         return f"{Member(address, port).host}:{port}"
 
     def described(self) -> bytes | None:
         """What the weight solver would be told now, as `hollyridge solve` reads it; None if nothing is known."""
-        module, solver = self.machine.module, self.terms.solver
+        module, solver = self.engine.assigner, self.terms.solver
         if not isinstance(module, Assigner):  # a baseline of the laboratory knows nothing of the kind
             return None
         fleet = fleet_of(module, self.loop.clock(), solver.handshake, solver.connections or math.inf)
@@ -165,9 +165,9 @@
                     return None
                 if len(known) < 100_000:
                     known[name] = key
-            return self.machine.tasks.index.get(key)
+            return self.engine.task_indices.index.get(key)
 
-        return AttributeNames(zones.get, task, self.machine.proxies.index.get, methods.get)
+        return AttributeNames(zones.get, task, self.engine.proxy_indices.index.get, methods.get)
 
     def start(self) -> tuple[int, int]:
         """The ports that SASP and OTLP listen on."""
@@ -232,7 +232,7 @@
         solver = {"solver": self.solving.status()} if self.solving is not None else {}
         peers = {"peers": self.fleet.status()} if self.fleet is not None else {}
         kept = {"kept": self.keeping.status()} if self.keeping is not None else {}
-        core = {**self.machine.status(), "turn_us": spread(self.loop.turns)}
+        core = {**self.engine.status(), "turn_us": spread(self.loop.run_durations)}
         return {"core": core, **fronts, "otlp": self.intake.status(), **solver, **peers, **kept}
 
     def tell_status(self) -> None:
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -45,31 +45,31 @@
 
     def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
         config, self.now = bootstrap(**terms), START
-        listing = EndpointListTracker(lambda name: self.machine.tasks.enter(self.now, name), 0)
+        listing = EndpointListTracker(lambda name: self.engine.task_indices.enter(self.now, name), 0)
         limits = EngineLimits(
             config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
         )
-        self.machine = Engine(config, 7, limits, listing, START, structlog.get_logger(), make)
+        self.engine = Engine(config, 7, limits, listing, START, structlog.get_logger(), make)
         self.tell(1, [f"s-{k}" for k in range(tasks)])
-        self.loop = EventLoop(self.machine, clock=lambda: self.now)
+        self.loop = EventLoop(self.engine, clock=lambda: self.now)
         self.front = RespServer(
             self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), config, structlog.get_logger()
         )
-        self.machine.holds = self.front.holds
+        self.engine.task_in_use = self.front.holds
         self.port = self.front.start()
 
     def tell(self, version, names):
         entries = tuple(ListedEndpoint(name, k % 2, 0, 1, 1.0, 0.0) for k, name in enumerate(names))
-        self.machine.happened(self.now, EndpointListReceived(WatchEvent(version, True, entries), version == 1))
+        self.engine.update_endpoints(self.now, EndpointListReceived(WatchEvent(version, True, entries), version == 1))
 
     def proxy(self, node, buffer=0):
         sock = green.socket()
         if buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
         sock.connect(("127.0.0.1", self.port))
-        joins = self.machine.counts["joins"]
+        joins = self.engine.counts["joins"]
         sock.sendall(encode([b"attach", b"node", b"%d" % node, b"locality", b"khalda", b"w", b"5", b"cold", b"1"]))
-        self.until(lambda: self.machine.counts["joins"] > joins)
+        self.until(lambda: self.engine.counts["joins"] > joins)
         return sock
 
     @staticmethod
@@ -79,11 +79,11 @@
                 gevent.sleep(0.002)
 
 
-class ToldMachine:
+class RecordingEngine:
     def __init__(self):
         self.told = []
 
-    def happened(self, now, what):
+    def update_endpoints(self, now, what):
         self.told.append(what)
 
 
@@ -112,16 +112,16 @@
 
 
 def watch_of(script, beat=200_000):
-    machine, desk = ToldMachine(), ListingDesk()
+    engine, desk = RecordingEngine(), ListingDesk()
 
     class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
 
-        def nudge(self):
+        def wake(self):
             pass
 
     loop = EventLoop()
-    loop.machine = machine
+    loop.engine = engine
     watch = WatchClient(
         loop,
         desk.listing,
@@ -130,7 +130,7 @@
         ZONES,
         structlog.get_logger(),
     )
-    return watch, machine
+    return watch, engine
 
 
 def chunked(*lines):
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -215,19 +215,19 @@
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway))
     receipts = []
-    tell = r.machine.receipt
-    r.machine.receipt = lambda now, proxy, mark, took: (receipts.append(mark), tell(now, proxy, mark, took))
+    tell = r.engine.acknowledge
+    r.engine.acknowledge = lambda now, proxy, mark, took: (receipts.append(mark), tell(now, proxy, mark, took))
     from hollyridge import interface as api
 
-    r.machine.carry(r.machine.number, r.service.loop.clock(), [])
-    r.machine.number += 1
+    r.engine.apply_commands(r.engine.decision_number, r.service.loop.clock(), [])
+    r.engine.decision_number += 1
     now = r.service.loop.clock()
-    r.machine.carry(now, now, [api.SetAdmission(0, 0, 0.5, 1), api.RequestAck(77, False)])
-    r.service.loop.nudge()
+    r.engine.apply_commands(now, now, [api.SetAdmission(0, 0, 0.5, 1), api.RequestAck(77, False)])
+    r.service.loop.wake()
     assert wait_for(lambda: gateway.level_for("redeem-code") == (0.5, 1), 2)
     assert wait_for(lambda: 77 in receipts, 2)
     gateway.stop()
-    assert wait_for(lambda: not r.machine.fronts, 4) and r.clone.counts["cut"] == 1
+    assert wait_for(lambda: not r.engine.servers, 4) and r.clone.counts["cut"] == 1
 
 
 def test_a_withdrawn_task_leaves_all_tables_till_it_is_allowed_again(rig):  # noqa: F811
@@ -238,10 +238,10 @@
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
     for out, left in ((True, {2, 3, 4}), (False, {1, 2, 3, 4})):
-        r.machine.number += 1
+        r.engine.decision_number += 1
         now = r.service.loop.clock()
-        r.machine.carry(now, now, [api.SetEjected(0, out)])
-        r.service.loop.nudge()
+        r.engine.apply_commands(now, now, [api.SetEjected(0, out)])
+        r.service.loop.wake()
         assert wait_for(lambda left=left: hosts(gateway) == left, 2)
     late = open_gateway(r, "late")
     assert wait_for(lambda: hosts(late) == {1, 2, 3, 4})
@@ -278,7 +278,7 @@
         gevent.sleep(0.4)
 
     def settled():  # removals may wait a little for more of them
-        newest = {r.service.task_name(task) for task in r.machine.desk.store.latest(1).lines}
+        newest = {r.service.task_name(task) for task in r.engine.update_builder.store.latest(1).lines}
         return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
 
     assert wait_for(settled, 8)
@@ -287,19 +287,22 @@
 
 def test_a_snapshot_larger_than_what_may_wait_while_changes_go_on(rig):  # noqa: F811
     r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
-    r.machine.members.terms, r.machine.tasks.most = r.machine.members.terms._replace(most=1000), 1000
+    r.engine.endpoint_source.terms, r.engine.task_indices.most = (
+        r.engine.endpoint_source.terms._replace(most=1000),
+        1000,
+    )
     agent = r.agent()
     crowd = [Member.at(f"127.{1 + k % 3}.2.{k // 3}", 9000, "run=a up=100") for k in range(300)]
     agent.register(crowd)
-    assert wait_for(lambda: len(r.machine.members.rows) == 304)
+    assert wait_for(lambda: len(r.engine.endpoint_source.rows) == 304)
     gateway = open_gateway(r)
     for k in range(20):
         agent.quiesce([crowd[k]])
         gevent.sleep(0.05)
 
     def newest():
-        lines = r.machine.desk.store.latest(0).lines
-        return {r.service.task_name(task) for task in lines if not r.machine.closed(task)}
+        lines = r.engine.update_builder.store.latest(0).lines
+        return {r.service.task_name(task) for task in lines if not r.engine.is_closed(task)}
 
     assert wait_for(lambda: len(newest()) > 101 and set(gateway.table_for("read-chapter")) == newest(), 8)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -52,16 +52,16 @@
 
 
 def events(hall, kind):
-    return [event for _, event in hall.machine.inbox if type(event) is kind]
+    return [event for _, event in hall.engine.pending_events if type(event) is kind]
 
 
 def turn(hall, seconds=0.0):
     """Let time pass on the hall's clock, and the machine do what is due."""
     until = hall.now + round(seconds * SECOND)
-    due = hall.machine.run(hall.now)
+    due = hall.engine.run(hall.now)
     while due < until:
         hall.now = max(hall.now + 1, due)
-        due = hall.machine.run(hall.now)
+        due = hall.engine.run(hall.now)
     hall.now = until
 
 
@@ -108,17 +108,17 @@
         pass
     hall.until(lambda: len(hall.front.streams) == 1)
     assert not events(hall, api.Ack)
-    kinds = [type(event) for _, event in hall.machine.inbox if type(event) in (api.ProxyJoined, api.ProxyLeft)]
+    kinds = [type(event) for _, event in hall.engine.pending_events if type(event) in (api.ProxyJoined, api.ProxyLeft)]
     assert kinds == [api.ProxyLeft, api.ProxyJoined]
     newer.close()
 
 
 def test_a_message_that_waits_for_the_older_stream_is_never_written_on_the_newer(hall):
     older = hall.proxy(3)
-    hall.machine.run(hall.now)  # a whole table is ordered and waits
-    assert len(hall.machine.channel.queue) == 1
+    hall.engine.run(hall.now)  # a whole table is ordered and waits
+    assert len(hall.engine.queue.queue) == 1
     newer = hall.proxy(3)
-    assert not hall.machine.channel.queue and orders(older) is None
+    assert not hall.engine.queue.queue and orders(older) is None
     turn(hall, 2)
     first = orders(newer)[0]
     assert first[b"whole"] == b"1" and len(first[b"lines"].split(b",")) == 6
@@ -127,7 +127,7 @@
 def test_a_receipt_for_a_mark_of_an_earlier_stream_is_not_taken_for_one_of_this(hall):
     """An earlier process gave its marks the same numbers: what it wrote says nothing of this one's channel."""
     sock = hall.proxy(3)
-    hall.machine.run(hall.now)
+    hall.engine.run(hall.now)
     sock.sendall(message("done", node=3, nonce=1, latency=5) + message("hb"))
     hall.until(lambda: hall.front.counts["messages_in"] == 3)
     assert not events(hall, api.Ack) and hall.front.counts["stray_receipts"] == 1
@@ -144,7 +144,7 @@
     for sock in (older, newer) if first == "older" else (newer, older):
         sock.close()
     hall.until(lambda: not hall.front.streams)
-    assert not hall.machine.fronts and not hall.front.by_proxy and not hall.machine.places
+    assert not hall.engine.servers and not hall.front.by_proxy and not hall.engine.proxy_details
     again = hall.proxy(3)
     turn(hall, 2)
     assert orders(again)[0][b"whole"] == b"1"
@@ -161,7 +161,7 @@
     crowd = [green.create_connection(("127.0.0.1", hall.port)) for _ in range(60)]
     hall.until(lambda: hall.front.counts["connections"] == 61)
     slow.sendall(attach(9)[11:])
-    hall.until(lambda: 9 in hall.machine.proxies.index)
+    hall.until(lambda: 9 in hall.engine.proxy_indices.index)
     hall.until(lambda: len(hall.front.streams) <= 20)
     assert hall.front.counts["overdue"] >= 40 and len(hall.front.by_proxy) == 1
     for sock in crowd:
@@ -243,7 +243,7 @@
         hall.until(lambda: len(hall.front.streams) == 1)
         before = before or held()
     hall.until(lambda: not any(now - then for now, then in zip(held(), before)))  # the last ones are just ending
-    assert not hall.front.pending.waiting and not hall.front.pending.silent and len(hall.machine.proxies) == 1
+    assert not hall.front.pending.waiting and not hall.front.pending.silent and len(hall.engine.proxy_indices) == 1
     turn(hall, 1)
     assert orders(good)
     hall.front.stop()
@@ -278,31 +278,31 @@
     """The change from one bearer to the other would be none: the proxy would keep sending to the one that left."""
     hall.proxy(3)
     turn(hall, 2)
-    table = hall.machine.desk.store.latest(0)
+    table = hall.engine.update_builder.store.latest(0)
     stream = hall.front.by_proxy[0]
     assert 5 in stream.sheet.told[0].lines
     stream.unsent = b"x"  # the reader stands still from here: what comes is owed
     hall.tell(2, TASKS[:5])
     turn(hall, 100)
-    assert 5 in stream.sheet.told[0].lines and 5 not in hall.machine.desk.store.latest(0).lines
+    assert 5 in stream.sheet.told[0].lines and 5 not in hall.engine.update_builder.store.latest(0).lines
     hall.tell(3, [*TASKS[:5], "s-new"])
-    assert hall.machine.tasks.index["s-new"] == 6
-    assert table is not hall.machine.desk.store.latest(0)
+    assert hall.engine.task_indices.index["s-new"] == 6
+    assert table is not hall.engine.update_builder.store.latest(0)
     hall.front.close(stream, "it ended")
     hall.until(lambda: not hall.front.by_proxy)
     hall.tell(4, TASKS[:5])
     turn(hall, 100)
     hall.tell(5, [*TASKS[:5], "s-newer"])
-    assert hall.machine.tasks.index["s-newer"] == 5  # nobody can mean the old one any more
+    assert hall.engine.task_indices.index["s-newer"] == 5  # nobody can mean the old one any more
 
 
 def test_a_task_that_a_whole_list_leaves_out_leaves_nothing_behind(hall):
     for week in range(2, 30):
         hall.tell(week, [f"week-{week}-{k}" for k in range(6)])
         turn(hall, 40)
-        assert sorted(hall.machine.listed) == sorted(hall.machine.tasks.index.values())
-        assert not any(hall.machine.running(task) for task in range(100) if task not in hall.machine.listed)
-    assert len(hall.machine.tasks.names) <= 18
+        assert sorted(hall.engine.endpoints) == sorted(hall.engine.task_indices.index.values())
+        assert not any(hall.engine.is_running(task) for task in range(100) if task not in hall.engine.endpoints)
+    assert len(hall.engine.task_indices.names) <= 18
 
 
 class Flaky(Module):
@@ -326,13 +326,13 @@
     obey()
     assert all(len(rows) == 6 for rows in held.values())
     hall.tell(2, TASKS[:4])
-    hall.machine.run(hall.now)
-    assert hall.machine.channel.queue  # removals wait, and are lost with the channel
+    hall.engine.run(hall.now)
+    assert hall.engine.queue.queue  # removals wait, and are lost with the channel
     socks.pop(3).close()
     held.pop(3)
     hall.until(lambda: len(hall.front.by_proxy) == 2)
-    hall.machine.run(hall.now)
-    assert hall.machine.counts["module_failures"] == 1
+    hall.engine.run(hall.now)
+    assert hall.engine.counts["module_failures"] == 1
     turn(hall, 3)
     obey()
     assert all(set(rows) == set(TASKS[:4]) for rows in held.values())
@@ -345,10 +345,10 @@
 def test_a_watch_that_beats_but_never_brings_its_first_list_is_dropped():
     beats = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     script = Script([beats, *[b"1\r\n\n\r\n"] * 100], chunked(line(4, ("a",))))
-    watch, machine = watch_of(script, beat=100_000)
+    watch, engine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is EndpointListReceived for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in engine.told):
             assert not watch.caller.stands
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["beats"] > 2
@@ -357,10 +357,10 @@
 
 def test_bytes_that_end_no_line_do_not_keep_a_watch_alive():
     script = Script([chunked(line(4, ("a",))), *[b"1\r\nx\r\n"] * 1000], chunked(line(5, ("b",), full=False)))
-    watch, machine = watch_of(script, beat=100_000)
+    watch, engine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while [one.news.version for one in machine.told if type(one) is EndpointListReceived] != [4, 5]:
+        while [one.news.version for one in engine.told if type(one) is EndpointListReceived] != [4, 5]:
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["ended"] == 1
     job.kill()
@@ -369,11 +369,11 @@
 def test_a_first_list_that_comes_slowly_is_heard_out():
     whole = chunked(line(4, *[(f"s-{k}",) for k in range(40)]))
     script = Script([whole[at : at + len(whole) // 20] for at in range(0, len(whole), len(whole) // 20)])
-    watch, machine = watch_of(script, beat=200_000)
+    watch, engine = watch_of(script, beat=200_000)
     assert 0.3 < (len(script.acts[0]) - 1) * Script.PAUSE < 0.6  # longer than an answer may take that does not move
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is EndpointListReceived for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.005)
     assert len(script.asked) == 1
     job.kill()
@@ -383,7 +383,7 @@
     """The first move still waits for the old call to end when the second comes, and the new call stands by then."""
     here = Script(["hang", b""])
     there = Script([chunked(line(7, ("a",))), *[b"1\r\n\n\r\n"] * 100], [chunked(line(7, ("a",)))])
-    watch, machine = watch_of(here, beat=2_000_000)
+    watch, engine = watch_of(here, beat=2_000_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while not here.asked:
@@ -398,7 +398,7 @@
         moves = [gevent.spawn(watch.moved, ("127.0.0.1", script.server.server_port)) for script in (here, there)]
         while not there.asked:
             gevent.sleep(0.005)
-        while not any(type(one) is EndpointListReceived for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.005)
         watch.ended = end
         stood.set()
@@ -406,7 +406,7 @@
         gevent.sleep(0.05)
     assert watch.caller.calling and watch.caller.stands and watch.call is not None
     assert len(there.asked) == 1 and len(here.asked) == 1
-    assert sum(type(one) is WatchFailed for one in machine.told) == 1
+    assert sum(type(one) is WatchFailed for one in engine.told) == 1
     job.kill()
 
 
@@ -417,7 +417,7 @@
         sock.setblocking(False)
         sock.connect_ex(deaf.getsockname())
     there = Script([chunked(line(7, ("a",)))])
-    watch, machine = watch_of(there, beat=4_000_000)
+    watch, engine = watch_of(there, beat=4_000_000)
     address, watch.address = watch.address, deaf.getsockname()
     job = gevent.spawn(watch.run)
     gevent.sleep(0)
@@ -427,7 +427,7 @@
             gevent.sleep(0.001)
         gevent.sleep(0.01)
         watch.moved(address)
-        while not any(type(one) is EndpointListReceived for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.005)
     assert time.monotonic() - begun < 1.5 and len(there.asked) == 1 and watch.counts["calls"] == 2
     job.kill()
@@ -438,9 +438,9 @@
 def test_discovery_that_counts_anew_is_heard_again_and_a_copy_that_lags_brings_nothing_back():
     news = [line(50, ("a",), ("b",)), line(3, ("b",), ("c",)), line(4, ("c", 0, "terminated"), ("d",), full=False)]
     script = Script([chunked(news[0])], [chunked(news[1], news[2]), *[b"1\r\n\n\r\n"] * 100])
-    watch, machine = watch_of(script, beat=2_000_000)
+    watch, engine = watch_of(script, beat=2_000_000)
     changes = []
-    machine.happened = lambda now, what: changes.append(watch.listing.take(now, what).change)
+    engine.update_endpoints = lambda now, what: changes.append(watch.listing.take(now, what).change)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.older < 2:
@@ -460,9 +460,11 @@
         [chunked(line(50, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))],
         [chunked(line(49, ("a",), ("b",)), line(51, ("b", 0, "terminated"), full=False))],
     )
-    watch, machine = watch_of(script, beat=2_000_000)
+    watch, engine = watch_of(script, beat=2_000_000)
     seen = []
-    machine.happened = lambda now, what: seen.append((watch.listing.take(now, what).change, set(watch.listing.rows)))
+    engine.update_endpoints = lambda now, what: seen.append(
+        (watch.listing.take(now, what).change, set(watch.listing.rows))
+    )
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.counted_anew + (watch.listing.older > 0) < 2:
@@ -624,7 +626,7 @@
     """An order half written, another owed: the newer stream gets neither's rest, and their marks prove nothing."""
     older = hall.proxy(3, buffer=4096)
     stream = hall.front.by_proxy[0]
-    value = hall.machine.desk.store.put(1, 0, {task: 1.0 + task for task in range(6)})
+    value = hall.engine.update_builder.store.put(1, 0, {task: 1.0 + task for task in range(6)})
     stream.unsent = b"*2\r\n$6\r\nassign"
     hall.front.write(0, ProxyUpdate(0, 1, hall.now, ((0, 3),), ((0, value),), (), 77))
     assert stream.owed is not None and 77 not in stream.marks
@@ -638,10 +640,10 @@
 
 
 def test_an_end_that_comes_after_a_newer_call_stands_ends_nothing():
-    watch, machine = watch_of(Script())
+    watch, engine = watch_of(Script())
     watch.caller.take(watch.clock(), WatchInput.DIALLED)
     old, watch.call = gevent.spawn(watch.speak), gevent.spawn(gevent.sleep, 1)
     old.kill()
     watch.ended(old)
-    assert watch.caller.calling and watch.call is not None and not machine.told
+    assert watch.caller.calling and watch.call is not None and not engine.told
     watch.call.kill()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -283,7 +283,7 @@
     before = dict(one.table_for("read-chapter"))
     fleet.owners.mine["gw-1"].heard -= 10_000_000
     agent.deregister([Member.at("127.1.0.1", 9000)])
-    assert wait_for(lambda: service.machine.counts["withheld"])
+    assert wait_for(lambda: service.engine.counts["withheld"])
     gevent.sleep(0.3)
     assert dict(one.table_for("read-chapter")) == before
     fleet.tick(service.loop.clock())
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -318,11 +318,11 @@
 def told_of_a_failure() -> list[str]:
     house = House(Fails)
     house.run(0.01)
-    house.machine.trail.clear()
+    house.engine.recent_events.clear()
     with structlog.testing.capture_logs() as logs:
-        house.machine.log = structlog.get_logger()
+        house.engine.log = structlog.get_logger()
         for event in EVENTS:
-            house.machine.tell(house.now, event)
+            house.engine.submit(house.now, event)
         house.run(0.01)
     (entry,) = [row for row in logs if row["event"] == "module failed"]
     assert entry["error"] == "ValueError: a fault of the module"
@@ -349,7 +349,7 @@
         api.WatchEndpoints(True),
         api.SetTimer(1, SECOND),
     ]
-    return list(desk.carry(1, 5, orders, {9: able}).refused)
+    return list(desk.build(1, 5, orders, {9: able}).refused)
 
 
 def test_reasons_of_refused_orders_keep_their_names():
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -127,14 +127,14 @@
     path = tmp_path / "kept.state"
     one = rig(kept__file=str(path), kept__every_s=0.2)
     one.agent()
-    assert wait_for(lambda: len(one.machine.module.roster.state) == 4)
+    assert wait_for(lambda: len(one.engine.assigner.roster.state) == 4)
     for i in range(4):
-        one.machine.module.est.served[i], one.machine.module.est.busy[i] = 30.0 - i, 1.0
+        one.engine.assigner.est.served[i], one.engine.assigner.est.busy[i] = 30.0 - i, 1.0
     assert wait_for(path.exists)
     gevent.sleep(0.3)
     two = rig(kept__file=str(path), kept__every_s=60)
     two.agent()
-    assert wait_for(lambda: any(two.machine.module.est.busy))
+    assert wait_for(lambda: any(two.engine.assigner.est.busy))
     assert two.service.status()["kept"]["recalled"] == 4
     three = rig(kept__file=str(tmp_path / "spoilt"), kept__every_s=60)
     (tmp_path / "spoilt").write_bytes(WHOLE[:-3])
@@ -166,4 +166,4 @@
         outcome = Day(loaded, stage, 3).play()
         assert all(v.kept for v in outcome.verdicts) and stage.status[-1]["kept"]["recalled"] > 0
         told.append(stage.record.rows)
-    assert told[0] == told[1] and isinstance(stage.seats[0].service.machine.module, Assigner)
+    assert told[0] == told[1] and isinstance(stage.seats[0].service.engine.assigner, Assigner)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -118,7 +118,7 @@
         plain = open_gateway(r, uid)
         gevent.sleep(0.5)
         assert not hosts(gateway) and not hosts(plain)
-    assert not r.machine.fronts
+    assert not r.engine.servers
 
 
 def test_reports_for_ones_own_zone_only(rig, keys):  # noqa: F811
@@ -169,8 +169,8 @@
     with pytest.raises(ConnectionLostError):
         while gate.receive(1):
             pass
-    assert wait_for(lambda: not r.machine.fronts, 3)
-    assert agent.call is not None and len(r.machine.members.rows) == 4
+    assert wait_for(lambda: not r.engine.servers, 3)
+    assert agent.call is not None and len(r.engine.endpoint_source.rows) == 4
 
 
 KEY_FAULTS = [
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -20,19 +20,19 @@
 class Front:
     """Keeps the tables that proxies would hold."""
 
-    abilities = ServerCapabilities(False, False, False, True, 1)
+    capabilities = ServerCapabilities(False, False, False, True, 1)
 
     def __init__(self):
         self.tables, self.bound, self.log = {}, {}, []
 
-    def lines(self, proxy, parcel):
-        return sum(lines for _, lines in parcel.counts), sum(len(value) for _, value in parcel.tables)
+    def count_lines(self, proxy, update):
+        return sum(lines for _, lines in update.line_counts), sum(len(value) for _, value in update.tables)
 
-    def write(self, proxy, parcel):
-        self.log.append(parcel)
-        for table, _ in parcel.binds:
+    def write(self, proxy, update):
+        self.log.append(update)
+        for table, _ in update.bindings:
             self.bound[proxy] = table
-        for table, value in parcel.tables:
+        for table, value in update.tables:
             if table == self.bound.get(proxy):
                 self.tables[proxy] = dict(value.lines)
 
@@ -42,32 +42,32 @@
         config = bootstrap(admission=api.Admission.SILENT, **terms)
         limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.front = START, Front()
-        self.machine = Engine(
+        self.engine = Engine(
             config, seed, limits, members.MemberRegistry(TERMS, START), START, structlog.get_logger(), make
         )
         self.register({f"t{k}": ("run=a up=100", k % 2) for k in range(tasks)})
-        self.proxies = [self.machine.join(self.now, self.front, f"gw-{k}", k % 2, 5.0) for k in range(proxies)]
+        self.proxies = [self.engine.join(self.now, self.front, f"gw-{k}", k % 2, 5.0) for k in range(proxies)]
         self.run(5)
 
     def register(self, rows, stream=1):
         found = tuple(
-            MemberRequest((name,), self.machine.tasks.enter(self.now, (name,)), zone, label, False)
+            MemberRequest((name,), self.engine.task_indices.enter(self.now, (name,)), zone, label, False)
             for name, (label, zone) in rows.items()
         )
-        return self.machine.happened(self.now, Registered(stream, found))
+        return self.engine.update_endpoints(self.now, Registered(stream, found))
 
     def task(self, name):
-        return self.machine.tasks.index[(name,)]
+        return self.engine.task_indices.index[(name,)]
 
     def run(self, seconds, receipts=True):
         """Let time pass, with receipts 50 ms after each message."""
         until = self.now + round(seconds * SECOND)
         told = len(self.front.log)
         while self.now < until:
-            due = self.machine.run(self.now)
-            for parcel in self.front.log[told:] if receipts else ():
-                if parcel.mark >= 0:
-                    self.machine.receipt(self.now, parcel.proxy, parcel.mark, 50_000)
+            due = self.engine.run(self.now)
+            for update in self.front.log[told:] if receipts else ():
+                if update.mark >= 0:
+                    self.engine.acknowledge(self.now, update.proxy, update.mark, 50_000)
             told = len(self.front.log)
             self.now = max(self.now + 1000, min(due, until, self.now + 50_000))
 
@@ -75,7 +75,7 @@
         end = self.now * 1000
         rows = ((Kind.TRIES, tries), (Kind.FAILED, bad), (Kind.TIME, (tries - bad) * 0.1))
         for kind, value in rows:
-            self.machine.report(self.now, DataPoint("gw", kind, (zone, task), 0, value, end - round(span * 1e9), end))
+            self.engine.report(self.now, DataPoint("gw", kind, (zone, task), 0, value, end - round(span * 1e9), end))
 
     def held(self):
         return {proxy: set(table) for proxy, table in self.front.tables.items()}
@@ -91,10 +91,10 @@
 def test_a_drain_is_everywhere_within_the_grace(make):
     house = House(make)
     for how in (Quiesced(1, ("t1",), True), Deregistered(1, (("t2",),))):
-        house.machine.happened(house.now, how)
+        house.engine.update_endpoints(house.now, how)
         house.run(0.5)
     assert all(not held & {house.task("t1"), 2} for held in house.held().values())
-    late = house.machine.join(house.now, house.front, "late", 0, 5.0)
+    late = house.engine.join(house.now, house.front, "late", 0, 5.0)
     house.run(2)
     assert house.held()[late] == {0, 3, 4, 5}
 
@@ -109,7 +109,7 @@
     house.register({"t0": ("run=b up=0.1", 0)}, stream=2)
     house.run(1.5)
     assert house.front.tables[0].get(0, 0.0) < warm * 0.6
-    assert house.machine.members.restarts == 1
+    assert house.engine.endpoint_source.restarts == 1
 
 
 def test_started_over_in_the_middle_of_a_release():
@@ -117,7 +117,7 @@
     house = House(tasks=4)
     fresh = {f"n{k}": (f"run=n up={k * 0.5}", k % 2) for k in range(3)}
     house.register(fresh)
-    house.machine.happened(house.now, Quiesced(1, ("t0",), True))
+    house.engine.update_endpoints(house.now, Quiesced(1, ("t0",), True))
     house.run(3)
     for proxy, table in house.front.tables.items():
         assert {1, 2, 3} <= set(table) and 0 not in table
@@ -142,28 +142,28 @@
 
 def test_the_module_is_told_last_what_waits_though_a_joined_message_tells_its_mark_early():
     house = House(Listening, lines_per_s=40.0)
-    house.machine.channel.per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
+    house.engine.queue.per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
     for k in range(3):
-        house.machine.happened(house.now, Quiesced(1, (f"t{k}",), True))
+        house.engine.update_endpoints(house.now, Quiesced(1, (f"t{k}",), True))
         house.run(0.3)
-        heard, waits = house.machine.module.heard, house.machine.channel.waiting
+        heard, waits = house.engine.assigner.heard, house.engine.queue.waiting_lines
         assert type(heard[-1]) is api.QueueDepth and sum(type(event) is api.QueueDepth for event in heard) == 1
-        assert house.machine.module.outbox.sent - house.machine.module.outbox.left >= heard[-1].waiting_lines - 1e-6
-    assert house.machine.channel.merged > 0 and waits > 0
+        assert house.engine.assigner.outbox.sent - house.engine.assigner.outbox.left >= heard[-1].waiting_lines - 1e-6
+    assert house.engine.queue.merged_updates > 0 and waits > 0
 
 
 def test_a_failure_of_the_module_is_told_and_outlived():
     house = House(Flaky)
     held = house.held()
     with structlog.testing.capture_logs() as logs:
-        house.machine.log = structlog.get_logger()
-        house.machine.leave(house.now, house.proxies[0])
+        house.engine.log = structlog.get_logger()
+        house.engine.leave(house.now, house.proxies[0])
         house.run(0.01)
         assert house.held() == held  # they keep what they hold
         house.run(3)
     (entry,) = [row for row in logs if row["event"] == "module failed"]
     assert "a fault of the module" in entry["error"] and any("Left" in row for row in entry["events"])
-    house.machine.happened(house.now, Quiesced(1, ("t3",), True))
+    house.engine.update_endpoints(house.now, Quiesced(1, ("t3",), True))
     house.run(1)
     assert all(3 not in house.held()[p] for p in house.proxies[1:])
 
@@ -172,16 +172,16 @@
     house = House(Flaky)
     with pytest.raises(DecisionModuleError):
         for proxy in house.proxies:
-            house.machine.leave(house.now, proxy)
+            house.engine.leave(house.now, proxy)
             house.run(0.2)
 
 
 def test_a_flood_of_reports_never_displaces_the_list():
     house = House()
     for _ in range(10_000):
-        house.machine.tell(house.now, api.TrafficReport(0, 1, 1, 0, 1000, SECOND, ()))
-    house.machine.happened(house.now, Quiesced(1, ("t1",), True))
-    assert house.machine.counts["events_dropped"] >= 6000
+        house.engine.submit(house.now, api.TrafficReport(0, 1, 1, 0, 1000, SECOND, ()))
+    house.engine.update_endpoints(house.now, Quiesced(1, ("t1",), True))
+    assert house.engine.counts["events_dropped"] >= 6000
     house.run(0.5)
     assert all(1 not in held for held in house.held().values())
 
@@ -191,10 +191,10 @@
     for week in range(300):
         house.register({f"x{week}": (f"run=x{week} up=100", 0)}, stream=9)
         house.run(0.3)
-        house.machine.happened(house.now, StreamLost(9))
-        house.machine.happened(house.now, Deregistered(9, ((f"x{week}",),)))
+        house.engine.update_endpoints(house.now, StreamLost(9))
+        house.engine.update_endpoints(house.now, Deregistered(9, ((f"x{week}",),)))
         house.run(0.3)
-    assert len(house.machine.tasks.names) < 150
+    assert len(house.engine.task_indices.names) < 150
     assert all(len(held) == 3 for held in house.held().values())
 
 
@@ -205,7 +205,8 @@
             house.met(k, bad=20 if k == 3 and second < 4 else 0, zone=k % 2)
         house.run(1)
     return [
-        (p.proxy, p.number, p.at, p.binds, [(t, sorted(v.lines.items())) for t, v in p.tables]) for p in house.front.log
+        (p.proxy, p.decision, p.decided_at_us, p.bindings, [(t, sorted(v.lines.items())) for t, v in p.tables])
+        for p in house.front.log
     ]
 
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -188,8 +188,8 @@
         return self.store.put(version, table, dict(lines), dict(levels))
 
     def told(self, *tables, binds=(), mark=-1, out=()):
-        parcel = ProxyUpdate(3, 1, 0, binds, tuple(tables), (), mark, tuple(out))
-        lines, data = self.scribe.lines(self.planned, parcel), self.scribe.write(self.sheet, parcel)
+        update = ProxyUpdate(3, 1, 0, binds, tuple(tables), (), mark, tuple(out))
+        lines, data = self.scribe.lines(self.planned, update), self.scribe.write(self.sheet, update)
         return [[part.decode() for part in one] for one in FrameReader().feed(data)], lines
 
 
@@ -278,8 +278,8 @@
 def test_a_reader_that_stands_still_is_owed_the_newest_state_only():
     hall = Hall(tasks=900)
     sock = hall.proxy(3, buffer=4096)
-    proxy = hall.machine.proxies.index[3]
-    store, stream = hall.machine.desk.store, hall.front.by_proxy[proxy]
+    proxy = hall.engine.proxy_indices.index[3]
+    store, stream = hall.engine.update_builder.store, hall.front.by_proxy[proxy]
     for version in range(1, 400):
         value = store.put(version, 0, {task: 1.0 + version / 1000 for task in range(900)})
         binds = ALL if version == 1 else ()
@@ -303,9 +303,9 @@
     second = hall.proxy(3)
     assert first.recv(100) == b""  # the newer stream replaced it
     hall.until(lambda: len(hall.front.streams) == 1)
-    assert len(hall.machine.fronts) == 1
+    assert len(hall.engine.servers) == 1
     second.close()
-    hall.until(lambda: not hall.machine.fronts)
+    hall.until(lambda: not hall.engine.servers)
     hall.front.stop()
 
 
@@ -336,5 +336,5 @@
         )
     hall.until(lambda: hall.front.counts["messages_in"] == 3)
     assert hall.front.counts["spoilt"] == 1  # s-99 was never listed
-    assert [event.task for _, event in hall.machine.inbox if hasattr(event, "attempts")] == [5]
+    assert [event.task for _, event in hall.engine.pending_events if hasattr(event, "attempts")] == [5]
     hall.front.stop()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -119,21 +119,21 @@
 @pytest.mark.parametrize("answer", ANSWERS.values(), ids=ANSWERS)
 def test_a_bad_answer_is_told_and_asked_again(answer):
     script = Script(answer, chunked(line(4, ("a",)), b"", line(5, ("b",), full=False)))
-    watch, machine = watch_of(script)
+    watch, engine = watch_of(script)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while len([one for one in machine.told if type(one) is EndpointListReceived]) < 2:
+        while len([one for one in engine.told if type(one) is EndpointListReceived]) < 2:
             gevent.sleep(0.01)
     job.kill()
-    assert type(machine.told[0]) is WatchFailed and len(script.asked) == 2
-    assert [one.news.version for one in machine.told if type(one) is EndpointListReceived] == [4, 5]
+    assert type(engine.told[0]) is WatchFailed and len(script.asked) == 2
+    assert [one.news.version for one in engine.told if type(one) is EndpointListReceived] == [4, 5]
 
 
 def test_after_a_move_it_asks_there_from_the_version_it_holds():
     there = Script(chunked(line(8, ("b",), full=False)))
     here = Script(chunked(line(7, ("a",)), b"", b""))
-    watch, machine = watch_of(here, beat=2_000_000)
-    machine.happened = lambda now, what: (machine.told.append(what), watch.listing.take(now, what))
+    watch, engine = watch_of(here, beat=2_000_000)
+    engine.update_endpoints = lambda now, what: (engine.told.append(what), watch.listing.take(now, what))
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.version != 7:
@@ -147,7 +147,7 @@
 
 def test_a_move_before_a_call_has_begun_does_not_end_the_asking():
     script = Script(chunked(line(4, ("a",))))
-    watch, machine = watch_of(script)
+    watch, engine = watch_of(script)
     watch.caller.take(watch.clock(), WatchInput.TICK)
     watch.caller.take(watch.clock(), WatchInput.DIALLED)
     watch.call = gevent.spawn(watch.speak)  # has not run yet
@@ -155,7 +155,7 @@
     assert watch.call is None and not watch.caller.calling
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is EndpointListReceived for one in machine.told):
+        while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.01)
     job.kill()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -43,7 +43,7 @@
         quick.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
         self.service = Service(assigner.load(LOOPBACK, quick), structlog.get_logger())
         self.sasp, self.otlp = self.service.start()
-        self.machine, self.front = self.service.machine, self.service.front
+        self.engine, self.front = self.service.engine, self.service.front
         self.job = gevent.spawn(self.service.run)
         self.clients = []
 
@@ -155,7 +155,7 @@
     gevent.sleep(0.4)
     r.agent()
     held, _ = r.holds(gw, book, 1.2)
-    assert held == ALL and r.machine.members.returns == 4 and not r.machine.members.restarts
+    assert held == ALL and r.engine.endpoint_source.returns == 4 and not r.engine.endpoint_source.restarts
 
 
 def test_one_that_asks_once_gets_a_table_and_is_let_go(rig):
@@ -167,7 +167,7 @@
     assert len(r.front.by_proxy) == 1
     with pytest.raises(ConnectionLostError):
         gw._read(4)
-    assert not r.front.by_proxy and not r.machine.fronts
+    assert not r.front.by_proxy and not r.engine.servers
 
 
 def test_one_that_goes_on_asking_stays_and_sees_a_drain(rig):
@@ -180,7 +180,7 @@
     (row, *_) = gw.weights(GROUPS).groups
     assert {w.member.host: w.weight > 0 for w in row.weights if w.flags & Told.QUIESCE}.get("127.1.0.1") is not True
     gevent.sleep(1.5)
-    assert gw.weights(GROUPS).code == Code.OK and len(r.machine.fronts) == 1
+    assert gw.weights(GROUPS).code == Code.OK and len(r.engine.servers) == 1
     with pytest.raises(RefusedError):
         for _ in range(30):
             gw.weights(GROUPS)
@@ -203,7 +203,7 @@
     for _ in range(20):  # the quick one sees it all
         held, book = (held, book) if held == ALL else r.holds(quick, book, 0.25)
     assert held == ALL
-    assert wait_for(lambda: "slow" not in r.machine.proxies.index) and "quick" in r.machine.proxies.index
+    assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index) and "quick" in r.engine.proxy_indices.index
 
 
 def wait_for(what, seconds=5.0):
@@ -217,7 +217,7 @@
 def test_quiesce_between_a_computed_and_a_sent_table(rig):
     r = rig(channel__lines_per_s=15, channel__most_waiting=2000, channel__worst_transit_s=1)
     agent, gw = r.agent(), r.balancer()  # its table takes a second to leave
-    assert wait_for(lambda: r.machine.channel.waiting, 0.9)
+    assert wait_for(lambda: r.engine.queue.waiting_lines, 0.9)
     agent.quiesce([r.members()[0]])
     first = gw.receive(5)[1]
     told = [w for row in first.groups for w in row.weights]
@@ -303,7 +303,7 @@
     r.agent()
     client = r.open(kind, source="127.1.0.200")
     assert client.call(message).code == code
-    assert len(r.machine.members.rows) == 4
+    assert len(r.engine.endpoint_source.rows) == 4
 
 
 def test_another_groups_message_and_a_second_stream_of_one_name(rig):
@@ -318,7 +318,7 @@
     with pytest.raises(ConnectionLostError):
         while first.receive(1):
             pass
-    assert len(r.machine.fronts) == 1
+    assert len(r.engine.servers) == 1
     other = r.open(MemberRegistrar, "shelf")
     with pytest.raises(RefusedError):
         other.deregister([r.members()[0]])  # it is the agent's
@@ -347,12 +347,12 @@
     gw = r.balancer()
     r.holds(gw)
     real, real_ns = time.time, time.time_ns
-    before = dict(r.machine.counts)
+    before = dict(r.engine.counts)
     for hours in (1, -1):
         monkeypatch.setattr(time, "time", lambda hours=hours: real() + 3600 * hours)
         monkeypatch.setattr(time, "time_ns", lambda hours=hours: real_ns() + 3600 * 10**9 * hours)
         assert gw.receive(0.7) is None
-    assert r.machine.counts["messages"] == before["messages"] and len(r.machine.fronts) == 1
+    assert r.engine.counts["messages"] == before["messages"] and len(r.engine.servers) == 1
 
 
 def tries(r, value=10.0, begun=0.0, end=1.0, **words):
@@ -382,7 +382,7 @@
         status, answer = r.report(figures(r), packed=packed)
         assert status == 200 and answer.partial_success.rejected_data_points == rejected
         assert bool(answer.partial_success.error_message) == bool(rejected)
-    assert sum(e.attempts for e in r.machine.news.gather(0) if hasattr(e, "attempts")) == counted
+    assert sum(e.attempts for e in r.engine.reports.gather(0) if hasattr(e, "attempts")) == counted
 
 
 def test_bad_http(rig):
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -281,8 +281,8 @@
     thread = gevent.get_hub().threadpool
     empty = thread.apply(runner.invoke, (main, ["solve", address]))
     assert empty.exit_code == 1 and "no description yet" in empty.output
-    assert wait_for(lambda: len(r.machine.module.roster.state) == 4)
-    module = r.machine.module
+    assert wait_for(lambda: len(r.engine.assigner.roster.state) == 4)
+    module = r.engine.assigner
     for i in range(4):
         module.est.does[i], module.est.served[i], module.est.busy[i] = 20.0, 20.0, 1.0
     module.est.came = {0: {0: (10.0, 0)}}
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -116,7 +116,7 @@
 # The channel.
 
 
-def parcel(proxy, lines=1, mark=-1, number=1, table=0):
+def update(proxy, lines=1, mark=-1, number=1, table=0):
     value = TableStore(1).put(number, table, {i: 1.0 for i in range(lines)})
     return ProxyUpdate(proxy, number, 0, (), ((table, value),), ((table, lines),), mark)
 
@@ -124,12 +124,12 @@
 def test_messages_leave_in_order_at_the_stated_pace():
     channel, left = PacedQueue(lines_per_s=1000, head=3, most=10_000), []
     for k in range(50):
-        channel.put(0, parcel(k, 7), 7, 7)
+        channel.put(0, update(k, 7), 7, 7)
     for now in range(0, SECOND, 1000):
         while (sent := channel.take(now)) is not None:
             left.append((now, sent.proxy))
     assert [p for _, p in left] == list(range(50))
-    assert left[0][0] == 10_000 and left[-1][0] == 500_000 and channel.waiting == 0
+    assert left[0][0] == 10_000 and left[-1][0] == 500_000 and channel.waiting_lines == 0
 
 
 def test_what_comes_for_a_proxy_that_waits_joins_its_message_at_its_place():
@@ -138,7 +138,7 @@
         for proxy in (7, 8, 9):
             value = store.put(number, 0, {task: float(number) for task in range(3)})
             channel.put(number, ProxyUpdate(proxy, number, number, (), ((0, value),), ((0, 3),), mark), 3, 6)
-    assert channel.waiting == 3 * (10 + 1 + 6)  # not 28 each: one head and one mark
+    assert channel.waiting_lines == 3 * (10 + 1 + 6)  # not 28 each: one head and one mark
     sent = [channel.take(SECOND) for _ in range(3)]
     assert [one.proxy for one in sent] == [7, 8, 9] and {one.mark for one in sent} == {5}
     assert all(dict(one.tables[0][1].lines) == {0: 2.0, 1: 2.0, 2: 2.0} for one in sent)
@@ -155,8 +155,8 @@
             marks[proxy] = number
         mark = number if number % 7 == 0 else -1
         channel.put(0, ProxyUpdate(proxy, number, 0, ((table, 1),), ((table, value),), ((table, 4),), mark), 4, 24)
-        highest = max(highest, channel.waiting)
-    assert highest <= 10 * (24 + 4) + 200 and channel.merged > 300
+        highest = max(highest, channel.waiting_lines)
+    assert highest <= 10 * (24 + 4) + 200 and channel.merged_updates > 300
     got, told = {}, {}
     while channel.due is not None:
         sent = channel.take(channel.due)
@@ -168,15 +168,15 @@
 def test_what_waits_for_a_broken_stream_is_lost_and_counted():
     channel = PacedQueue(1000, 3, 1000)
     for proxy in (1, 2, 1):
-        channel.put(0, parcel(proxy, 5), 5, 5)
-    assert channel.lose(1) == 1 and channel.waiting == 8 and channel.lost_lines == 8
+        channel.put(0, update(proxy, 5), 5, 5)
+    assert channel.discard(1) == 1 and channel.waiting_lines == 8 and channel.lost_lines == 8
     assert channel.take(SECOND).proxy == 2
 
 
 def test_a_sender_that_stood_still_does_not_burst():
     channel = PacedQueue(100, 0, 10_000)
     for k in range(100):
-        channel.put(0, parcel(k, 10), 10, 10)
+        channel.put(0, update(k, 10), 10, 10)
     sent = 0
     while channel.take(5 * SECOND) is not None:
         sent += 1
@@ -189,15 +189,15 @@
 def test_one_message_a_proxy_with_what_its_tables_are_in_the_end():
     desk = UpdateBuilder(2, TableStore(4))
     fronts = {1: PLAIN, 2: PLAIN}
-    desk.carry(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0), BindTable(2, 0, 0)], fronts)
+    desk.build(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0), BindTable(2, 0, 0)], fronts)
     orders = [SetWeight(2.0, 6, 0), BindTable(2, 1, 2), SetWeight(0.0, 5, 0), RequestAck(4, False)]
-    carried = desk.carry(1, 2, orders, fronts)
-    parcels = {p.proxy: p for p in carried.parcels}
-    assert {p: dict(dict(row.tables)[0].lines) for p, row in parcels.items()} == {1: {6: 2.0}, 2: {6: 2.0}}
-    assert parcels[1].counts == ((0, 2),) and parcels[2].counts == ((0, 2), (1, 1))
-    assert parcels[2].binds == ((1, 2),) and all(p.mark == 4 for p in carried.parcels)
+    carried = desk.build(1, 2, orders, fronts)
+    updates = {p.proxy: p for p in carried.updates}
+    assert {p: dict(dict(row.tables)[0].lines) for p, row in updates.items()} == {1: {6: 2.0}, 2: {6: 2.0}}
+    assert updates[1].line_counts == ((0, 2),) and updates[2].line_counts == ((0, 2), (1, 1))
+    assert updates[2].bindings == ((1, 2),) and all(p.mark == 4 for p in carried.updates)
     desk.forget(2)
-    assert [p.proxy for p in desk.carry(2, 3, [SetWeight(1.0, 7, 0), SetWeight(1.0, 7, 1)], fronts).parcels] == [1]
+    assert [p.proxy for p in desk.build(2, 3, [SetWeight(1.0, 7, 0), SetWeight(1.0, 7, 1)], fronts).updates] == [1]
 
 
 @pytest.mark.parametrize(
@@ -212,8 +212,8 @@
 )
 def test_what_cannot_be_carried_is_refused_and_counted(order, why):
     desk = UpdateBuilder(1, TableStore(4))
-    desk.carry(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0)], {1: PLAIN})
-    assert desk.carry(0, 2, [order], {1: PLAIN}).refused == {why: 1}
+    desk.build(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0)], {1: PLAIN})
+    assert desk.build(0, 2, [order], {1: PLAIN}).refused == {why: 1}
 
 
 # Indices.
