--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -220,7 +220,7 @@
             return
         if subtree in reader.credit:
             reader.credit.discard(subtree)
-        elif not reader.asks.draw(now):
+        elif not reader.asks.take(now):
             self.counts["refused"] += 1
             return
         else:  # a repair: the channel has not counted it
@@ -237,7 +237,7 @@
             raise ChpError(why or "no proxy has such a name")
         reader = self.readers.get(uid)
         if reader is not None and reader.identity == identity:  # it lost something of its own subtree
-            if not reader.waits_for_home and reader.asks.draw(now):
+            if not reader.waits_for_home and reader.asks.take(now):
                 self.send(reader, reader.home)
             return
         zone = self.zone_of(address)
@@ -252,18 +252,18 @@
                 return
             fence = told.fence
         self.number += 1
-        came = self.presence.came(now, self.number, uid, push=False)
+        came = self.presence.start(now, self.number, uid, push=False)
         if came.turned_away:
             self.counts["refused"] += 1
             return
         if reader is not None:
             self.leave(now, reader, "its name came again in a newer session", ours=True)
-        reader = self.readers[uid] = SubscriberSession(uid, user, self.number, identity, self.keeper.answers())
+        reader = self.readers[uid] = SubscriberSession(uid, user, self.number, identity, self.keeper.reply_bucket())
         reader.fence = fence
         proxy = self.engine.join(now, self, uid, zone, self.terms.usual_rate)
         if proxy is None:
             del self.readers[uid]
-            self.presence.left(self.number)
+            self.presence.end(self.number)
             return
         reader.proxy = proxy
         self.by_proxy[proxy] = self.by_number[reader.number] = self.by_identity[identity] = reader
@@ -305,7 +305,7 @@
             del self.readers[reader.uid]
         self.by_number.pop(reader.number, None)
         self.by_identity.pop(reader.identity, None)
-        self.presence.left(reader.number)
+        self.presence.end(reader.number)
         self.ledger.drop(reader.home)
         if self.by_proxy.get(reader.proxy) is reader:
             del self.by_proxy[reader.proxy]
@@ -333,7 +333,7 @@
     def ack(self, now: int, reader: SubscriberSession, word: codec.Ack) -> None:
         """What it has applied: a sign of life, a receipt, and how far it lags."""
         self.counts["acks"] += 1
-        self.presence.asked(now, reader.number)
+        self.presence.polled(now, reader.number)
         if self.fleet is not None:
             self.fleet.acked(reader.uid, word.asked if reader.fence else 0)
             if reader.number not in self.by_number:
@@ -361,7 +361,7 @@
                 needed = self.heads_of(reader)
                 behind = bool(needed) and not self.reached(reader, needed)
                 taken = sum(reader.seqs.get(subtree, 0) for subtree in needed)
-                self.presence.unread(now, reader.number, taken, behind)
+                self.presence.check_backlog(now, reader.number, taken, behind)
             for number, why in self.presence.overdue(now):
                 reader = self.by_number.get(number)
                 if reader is not None:
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -45,18 +45,18 @@
     """Where the list of tasks comes from. It is `settled` once there is a first list to hand on."""
 
     settled: bool
-    rows: dict
+    entries: dict
 
-    def take(self, now: int, what: object) -> members.RegistrationOutcome:
+    def handle(self, now: int, what: object) -> members.RegistrationOutcome:
         """Something about the list, `members.RefreshRequested` and `members.Tick` included; what follows."""
 
-    def whole(self, kind: api.UpdateKind) -> api.EndpointListUpdate:
+    def full_list(self, kind: api.UpdateKind) -> api.EndpointListUpdate:
         """All of it, as it stands."""
 
-    def next_at(self, now: int) -> int | None:
+    def next_deadline(self, now: int) -> int | None:
         """When a `Tick` is due next."""
 
-    def figures(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Counts for the status."""
 
 
@@ -161,14 +161,14 @@
     ) -> int | None:
         """A proxy's stream stands; its index, or None where no more are taken. `standing_only`: it holds no table that
         was ever ordered."""
-        proxy = self.proxy_indices.enter(now, name)
+        proxy = self.proxy_indices.allocate(now, name)
         if proxy is None:
             return None
         older = self.servers.get(proxy)
         if older is not None:  # by another front or a newer stream: it must not be ordered by two
             older.detach(proxy, "its name came again")
             self.leave(now, proxy)
-            proxy = self.proxy_indices.enter(now, name)
+            proxy = self.proxy_indices.allocate(now, name)
         self.servers[proxy], self.proxy_details[proxy] = front, (name, zone, rate)
         self.counts["joins"] += 1
         self.submit(now, api.ProxyJoined(rate, standing_only, proxy, zone))
@@ -178,7 +178,7 @@
         if self.servers.pop(proxy, None) is None:
             return
         name, _, _ = self.proxy_details.pop(proxy)
-        self.proxy_indices.leave(now, name)
+        self.proxy_indices.release(now, name)
         self.queue.discard(proxy)
         self.update_builder.forget(proxy)
         self.submit(now, api.ProxyLeft(proxy))
@@ -188,14 +188,14 @@
 
     def report(self, now: int, point: DataPoint) -> str:
         """Take one reported figure; empty if it counts, else why not."""
-        why = self.reports.take(now, point)
+        why = self.reports.add(now, point)
         if not why and point.place[1] in self.endpoints and point.kind <= 2:
             self.last_report_at[point.place[1]] = now
         return why
 
     def update_endpoints(self, now: int, what: object) -> members.Refusal | None:
         """Something about the list; why it was turned down, or None."""
-        outcome = self.endpoint_source.take(now, what)
+        outcome = self.endpoint_source.handle(now, what)
         if outcome.change is not None:
             for entry in outcome.change.endpoints:
                 self.endpoints[entry.task] = entry
@@ -203,7 +203,7 @@
             task = self.task_indices.index.get(key)
             self.endpoints.pop(task, None)
             self.last_report_at.pop(task, None)
-            self.task_indices.leave(now, key)
+            self.task_indices.release(now, key)
         if outcome.change is not None:
             self.log.info(
                 "list",
@@ -239,11 +239,11 @@
     def run(self, now: int) -> int:
         """Do all that is due; returns when to be called next, sooner if something comes in. Raises ModuleError."""
         self.ran_at = now
-        due = self.endpoint_source.next_at(now)
+        due = self.endpoint_source.next_deadline(now)
         if due is not None and (due <= now or not self.endpoint_source.settled):
             self.update_endpoints(now, members.Tick())
         if now >= self.next_gather_at:
-            for event in self.reports.gather(now):
+            for event in self.reports.collect(now):
                 self.submit(now, event)
             self.next_gather_at = max(
                 self.next_gather_at + self.config.report_period_us, now + self.config.report_period_us // 2
@@ -264,7 +264,7 @@
                 front.write(update.proxy, update)
                 self.counts["messages"] += 1
                 self.latency.record_value(min(max(now - update.decided_at_us, 1), 60_000_000))
-        times = [self.next_gather_at, self.endpoint_source.next_at(now), self.queue.due]
+        times = [self.next_gather_at, self.endpoint_source.next_deadline(now), self.queue.due]
         if self.timers and self.endpoint_source.settled:
             times.append(self.timers[0][0])
         return min(at for at in times if at is not None)
@@ -371,7 +371,7 @@
         )
         self.timers.clear()
         self.recent_events.clear()
-        self.pending_events.append((now, self.endpoint_source.whole(api.UpdateKind.CACHED)))
+        self.pending_events.append((now, self.endpoint_source.full_list(api.UpdateKind.CACHED)))
         for proxy, (_, zone, rate) in self.proxy_details.items():
             self.pending_events.append((now, api.ProxyJoined(rate, False, proxy, zone)))
 
@@ -389,8 +389,8 @@
             "over_limit": self.queue.overflows,
             "lost_lines": self.queue.lost_lines,
             "proxies": len(self.servers),
-            "tasks": len(self.endpoint_source.rows),
-            **self.endpoint_source.figures(),
-            "turned_down": self.reports.turned_down,
+            "tasks": len(self.endpoint_source.entries),
+            **self.endpoint_source.counters(),
+            "turned_down": self.reports.rejected,
             "news_to_frame_us": spread(self.latency),
         }
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -43,13 +43,13 @@
 
     def __init__(self, enter: Callable[[str], int | None], ahead: int) -> None:
         self.enter, self.ahead = enter, ahead
-        self.rows: dict[str, TrackedEndpoint] = {}
+        self.entries: dict[str, TrackedEndpoint] = {}
         self.version = -1
         self.older_list: dict[str, ListedEndpoint] | None = None  # a whole list with a lower version, kept up
         self.older_version, self.older_since = -1, 0
         self.failed = self.older = self.too_many = self.starts = self.counted_anew = 0
 
-    def take(self, now: int, what: object) -> RegistrationOutcome:
+    def handle(self, now: int, what: object) -> RegistrationOutcome:
         if type(what) is EndpointListReceived:
             return self.hear(now, what)
         if type(what) is WatchFailed:
@@ -96,12 +96,12 @@
         listed: list[Endpoint] = []
         left: list[str] = []
         for entry in news.entries:
-            before = self.rows.get(entry.name)
+            before = self.entries.get(entry.name)
             if entry.state == TaskState.GONE:
                 if before is not None:
                     listed.append(before.listed._replace(state=TaskState.GONE))
                     left.append(entry.name)
-                    del self.rows[entry.name]
+                    del self.entries[entry.name]
                 continue
             task = before.listed.task if before is not None else self.enter(entry.name)
             if task is None:
@@ -113,13 +113,13 @@
                 started = self.start_of(now, entry.started_ms)
                 self.starts += before is not None
             row = TrackedEndpoint(entry, Endpoint(task, entry.zone, 0, entry.cell, entry.state, entry.weight, started))
-            self.rows[entry.name] = row
+            self.entries[entry.name] = row
             listed.append(row.listed)
         if news.full:
             told = {entry.name for entry in news.entries}
-            for name in [name for name in self.rows if name not in told]:
+            for name in [name for name in self.entries if name not in told]:
                 left.append(name)
-                del self.rows[name]
+                del self.entries[name]
         kind = UpdateKind.CACHED if what.stale else UpdateKind.FULL if news.full else UpdateKind.DELTA
         return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), kind, tuple(listed)), left=tuple(left))
 
@@ -127,13 +127,13 @@
         """On the monotonic clock; 0 for long ago, now for what is yet to come."""
         return 0 if started_ms <= 0 else min(now, max(1, round(started_ms * 1000) + self.ahead))
 
-    def whole(self, kind: UpdateKind) -> EndpointListUpdate:
-        return EndpointListUpdate(max(self.version, 0), kind, tuple(row.listed for row in self.rows.values()))
+    def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
+        return EndpointListUpdate(max(self.version, 0), kind, tuple(row.listed for row in self.entries.values()))
 
-    def next_at(self, now: int) -> int | None:
+    def next_deadline(self, now: int) -> int | None:
         return None if self.older_list is None else self.older_since + TOLD
 
-    def figures(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         return {
             "list_version": self.version,
             "list_calls_failed": self.failed,
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -42,7 +42,7 @@
         self.seat, self.stage, self.host, self.got, self.open = seat, seat.stage, host, got, True
         front = seat.service.front
         front.number += 1
-        self.stream = Connection(front.number, self, (host, 0), front.keeper.answers())
+        self.stream = Connection(front.number, self, (host, 0), front.keeper.reply_bucket())
         self.stream.due = Signal(self.wake)
         front.streams[self.stream.number] = self.stream
         self.front = front
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -330,7 +330,7 @@
                 if service.fleet is not None:
                     self.stage.record("claims", assigner=self.number, uids=list(service.fleet.owners.mine))
             for number, stream in list(front.streams.items()):
-                front.presence.unread(
+                front.presence.check_backlog(
                     now,
                     number,
                     stream.sock.consumed,
--- a/hollyridge/limits/connection_limiter.py
+++ b/hollyridge/limits/connection_limiter.py
@@ -13,7 +13,7 @@
     """A pace with room for `burst` at once.
 
     >>> bucket = TokenBucket(per_s=2, burst=2)
-    >>> [bucket.draw(at) for at in (0, 0, 0, 500_000)]
+    >>> [bucket.take(at) for at in (0, 0, 0, 500_000)]
     [True, True, False, True]
     """
 
@@ -22,7 +22,7 @@
     def __init__(self, per_s: float, burst: float) -> None:
         self.per_s, self.burst, self.left, self.at = per_s, burst, burst, 0
 
-    def draw(self, now: int, amount: float = 1.0) -> bool:
+    def take(self, now: int, amount: float = 1.0) -> bool:
         self.left = min(self.burst, self.left + (now - self.at) * self.per_s / 1e6)
         self.at = now
         if self.left < amount:
@@ -37,9 +37,9 @@
     in them on each, a third of ten seconds' worth at once (0: no limit).
 
     >>> keeper = ConnectionLimiter(most=2, most_each=1, per_s=100, requests_per_s=1)
-    >>> [keeper.knock(0, who) for who in ("a", "a", "b", "c")]
+    >>> [keeper.admit(0, who) for who in ("a", "a", "b", "c")]
     ['', 'too many connections from one address', '', 'too many connections']
-    >>> keeper.gone("a"); keeper.knock(0, "c")
+    >>> keeper.release("a"); keeper.admit(0, "c")
     ''
     """
 
@@ -57,9 +57,9 @@
         self.each: OrderedDict[str, TokenBucket] = OrderedDict()
         self.refused: dict[str, int] = {}
 
-    def knock(self, now: int, address: str) -> str:
+    def admit(self, now: int, address: str) -> str:
         """Empty if the connection is taken, else why not."""
-        why = self.judge(now, address)
+        why = self.rejection_reason(now, address)
         if why:
             self.refused[why] = self.refused.get(why, 0) + 1
         else:
@@ -67,7 +67,7 @@
             self.open[address] = self.open.get(address, 0) + 1
         return why
 
-    def judge(self, now: int, address: str) -> str:
+    def rejection_reason(self, now: int, address: str) -> str:
         if self.total >= self.most:
             return "too many connections"
         if self.open.get(address, 0) >= self.most_each:
@@ -78,21 +78,21 @@
             if len(self.each) > self.ADDRESSES:
                 self.each.popitem(last=False)
         self.each.move_to_end(address)
-        if not pace.draw(now):
+        if not pace.take(now):
             return "connects too often"
-        return "" if self.whole.draw(now) else "too many connects a second"
+        return "" if self.whole.take(now) else "too many connects a second"
 
-    def gone(self, address: str) -> None:
+    def release(self, address: str) -> None:
         self.total -= 1
         self.open[address] -= 1
         if not self.open[address]:
             del self.open[address]
 
-    def requests(self) -> TokenBucket:
+    def request_bucket(self) -> TokenBucket:
         """The pace of one connection's requests."""
         return TokenBucket(self.requests_per_s, max(2.0, 2 * self.requests_per_s))
 
-    def answers(self) -> TokenBucket:
+    def reply_bucket(self) -> TokenBucket:
         """The pace of the answers with weights to one who asks: the messages a proxy may get count them too."""
         pace = self.answers_per_s or 1e9
         return TokenBucket(pace * 2 / 3, pace * 10 / 3)
--- a/hollyridge/limits/fair_share.py
+++ b/hollyridge/limits/fair_share.py
@@ -41,8 +41,10 @@
     """`per_period` points are read of all senders together, `most` senders are told apart, the rest share as one.
 
     >>> fair = FairShareLimiter(100.0, 1_000_000, 10)
-    >>> fair.wait(0, "loud"), fair.spent(0, "loud", 500), fair.wait(1, "loud") > 0, fair.wait(2, "quiet")
-    (0, None, True, 0)
+    >>> fair.retry_after_us(0, "loud"), fair.record(0, "loud", 500)
+    (0, None)
+    >>> fair.retry_after_us(1, "loud") > 0, fair.retry_after_us(2, "quiet")
+    (True, 0)
     """
 
     def __init__(self, per_period: float, period: int, most: int) -> None:
@@ -51,10 +53,10 @@
         self.begins, self.share, self.left = -1, per_period, CREDIT * per_period
         self.counts = {"periods": 0, "heard": 0, "turned_away": 0, "limited": 0}
 
-    def wait(self, now: int, sender: str) -> int:
+    def retry_after_us(self, now: int, sender: str) -> int:
         """0 if a request of this sender is to be read now, else microseconds after which it may come again."""
-        self.turn(now)
-        one = self.of(now, sender)
+        self.start_period(now)
+        one = self.source_for(now, sender)
         if one.balance > 0 and (self.left > 0 or one.now + one.usual <= self.share):
             return 0
         one.refused += 1
@@ -64,17 +66,17 @@
             due += int(-one.balance / max(self.share, 1e-9)) * self.period
         return max(due, 1)
 
-    def spent(self, now: int, sender: str, points: int) -> None:
+    def record(self, now: int, sender: str, points: int) -> None:
         """So many points of a sender were read."""
-        self.turn(now)
-        one = self.of(now, sender)
+        self.start_period(now)
+        one = self.source_for(now, sender)
         one.balance -= points
         one.now += points
         one.usual += (points - one.usual) / 4
         self.left -= points
         self.counts["heard"] += points
 
-    def of(self, now: int, sender: str) -> ReportSource:
+    def source_for(self, now: int, sender: str) -> ReportSource:
         one = self.senders.get(sender)
         if one is None:
             if len(self.senders) >= self.most:
@@ -85,7 +87,7 @@
         one.heard = now
         return one
 
-    def turn(self, now: int) -> None:
+    def start_period(self, now: int) -> None:
         """A new period: what senders wanted sets the level, balances rise by it."""
         if self.begins < 0:
             self.begins = now
--- a/hollyridge/limits/pending_connections.py
+++ b/hollyridge/limits/pending_connections.py
@@ -15,11 +15,11 @@
     """Connections by number, times in microseconds.
 
     >>> pending = PendingConnections(patience=2_000_000)
-    >>> [pending.came(at, at, 2) for at in (1, 2)]
+    >>> [pending.add(at, at, 2) for at in (1, 2)]
     [[], []]
-    >>> pending.spoke(1); pending.came(3, 3, 2), pending.next_at
+    >>> pending.heard_from(1); pending.add(3, 3, 2), pending.next_deadline
     ([2], 2000001)
-    >>> pending.left(1); pending.overdue(2_000_003), pending.next_at
+    >>> pending.remove(1); pending.overdue(2_000_003), pending.next_deadline
     ([3], None)
     """
 
@@ -28,21 +28,21 @@
         self.waiting: OrderedDict[int, int] = OrderedDict()  # all, and till when
         self.silent: OrderedDict[int, None] = OrderedDict()  # those of them that have sent nothing
 
-    def came(self, now: int, number: int, room: int) -> list[int]:
+    def add(self, now: int, number: int, room: int) -> list[int]:
         """A connection stands, with `room` for so many that wait, itself included; which are to be closed for it."""
         self.waiting[number] = now + self.patience
         self.silent[number] = None
         gone = []
         while len(self.waiting) > max(1, room):
             gone.append(next(iter(self.silent if len(self.silent) > 1 else self.waiting)))
-            self.left(gone[-1])
+            self.remove(gone[-1])
         return gone
 
-    def spoke(self, number: int) -> None:
+    def heard_from(self, number: int) -> None:
         """Bytes came that can be read so far."""
         self.silent.pop(number, None)
 
-    def left(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """It joined, or ended."""
         self.waiting.pop(number, None)
         self.silent.pop(number, None)
@@ -52,9 +52,9 @@
         due = []
         while self.waiting and next(iter(self.waiting.values())) <= now:
             due.append(next(iter(self.waiting)))
-            self.left(due[-1])
+            self.remove(due[-1])
         return due
 
     @property
-    def next_at(self) -> int | None:
+    def next_deadline(self) -> int | None:
         return next(iter(self.waiting.values()), None)
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -48,7 +48,7 @@
         )
         now = clock()
         listing = EndpointListTracker(
-            lambda name: self.engine.task_indices.enter(self.engine.ran_at, name), now - time.time_ns() // 1000
+            lambda name: self.engine.task_indices.allocate(self.engine.ran_at, name), now - time.time_ns() // 1000
         )
         self.engine = Engine(config, terms.seed, limits, listing, now, log, log_decisions=False)
         self.loop = EventLoop(self.engine, clock, terms.round_s)
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -218,7 +218,7 @@
         if packing not in ("identity", "gzip"):
             raise BadRequestError(415, "gzip is the only content encoding spoken")
         sender = environ.get(BEARER, "") or environ.get("REMOTE_ADDR", "?")
-        wait = self.fair.wait(self.loop.clock(), sender)
+        wait = self.fair.retry_after_us(self.loop.clock(), sender)
         if wait:
             raise BadRequestError(429, "more points a second than are read of one sender now; come again", wait)
         raw, most = self.body(environ), 8 * self.terms.body_most
@@ -249,7 +249,7 @@
                 self.why[why] = self.why.get(why, 0) + 1
             if total % 500 == 0:
                 gevent.sleep(0)
-        self.fair.spent(now, sender, total)
+        self.fair.record(now, sender, total)
         self.counts["requests"] += 1
         self.counts["points"] += total
         self.counts["rejected"] += sum(rejected.values())
--- a/hollyridge/registration/index_allocator.py
+++ b/hollyridge/registration/index_allocator.py
@@ -13,11 +13,11 @@
 class IndexAllocator:
     """
     >>> indices = IndexAllocator(rest=10, most=3)
-    >>> indices.enter(0, "a"), indices.enter(0, "b"), indices.enter(0, "a")
+    >>> indices.allocate(0, "a"), indices.allocate(0, "b"), indices.allocate(0, "a")
     (0, 1, 0)
-    >>> indices.leave(5, "a"); indices.enter(6, "c"), indices.enter(15, "d")
+    >>> indices.release(5, "a"); indices.allocate(6, "c"), indices.allocate(15, "d")
     (2, 0)
-    >>> indices.enter(15, "e") is None
+    >>> indices.allocate(15, "e") is None
     True
     """
 
@@ -27,7 +27,7 @@
         self.names: list[Hashable] = []
         self.resting: dict[Hashable, tuple[int, int]] = {}  # until when, in the order they left
 
-    def enter(self, now: int, name: Hashable) -> int | None:
+    def allocate(self, now: int, name: Hashable) -> int | None:
         """The bearer's index, its old one if it comes back while that rests; None if all are taken."""
         at = self.index.get(name)
         if at is not None:
@@ -50,12 +50,12 @@
         self.names.append(name)
         return self.index[name]
 
-    def leave(self, now: int, name: Hashable) -> None:
+    def release(self, now: int, name: Hashable) -> None:
         at = self.index.pop(name, None)
         if at is not None:
             self.resting[name] = now + self.rest, at
 
-    def find(self, name: Hashable) -> int | None:
+    def lookup(self, name: Hashable) -> int | None:
         """The index of a bearer that is in, or has left and still rests."""
         at = self.index.get(name)
         return at if at is not None else self.resting.get(name, (0, None))[1]
--- a/hollyridge/registration/members.py
+++ b/hollyridge/registration/members.py
@@ -128,14 +128,14 @@
 class MemberRegistry:
     def __init__(self, terms: RegistrationConfig, now: int) -> None:
         self.terms = terms
-        self.rows: dict[tuple, RegisteredMember] = {}
+        self.entries: dict[tuple, RegisteredMember] = {}
         self.version = 0
         self.opened = now
         self.settled = False
         self.newest = now
         self.restarts = self.returns = self.lapsed = 0
 
-    def take(self, now: int, what: RegistrationEvent) -> RegistrationOutcome:
+    def handle(self, now: int, what: RegistrationEvent) -> RegistrationOutcome:
         """One thing that happened; what follows from it."""
         if type(what) is Registered:
             outcome = self.register(now, what)
@@ -148,21 +148,21 @@
         elif type(what) is Tick:
             outcome = self.tick(now)
         else:
-            return RegistrationOutcome(self.whole(UpdateKind.FULL)) if self.settled else RegistrationOutcome()
+            return RegistrationOutcome(self.full_list(UpdateKind.FULL)) if self.settled else RegistrationOutcome()
         if not self.settled:  # nothing is handed on before the first list
             return outcome._replace(change=self.first(now))
         return outcome
 
     def first(self, now: int) -> EndpointListUpdate | None:
-        quiet = self.rows and now - self.newest >= self.terms.settle
+        quiet = self.entries and now - self.newest >= self.terms.settle
         if not quiet and now - self.opened < self.terms.settle_most:
             return None
         self.settled = True
-        return self.whole(UpdateKind.CACHED)
+        return self.full_list(UpdateKind.CACHED)
 
-    def whole(self, kind: UpdateKind) -> EndpointListUpdate:
+    def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
         self.version += 1
-        return EndpointListUpdate(self.version, kind, tuple(map(self.listed, self.rows.values())))
+        return EndpointListUpdate(self.version, kind, tuple(map(self.listed, self.entries.values())))
 
     def delta(self, entries: Iterable[Endpoint]) -> EndpointListUpdate | None:
         rows = tuple(entries)
@@ -185,8 +185,8 @@
     def register(self, now: int, what: Registered) -> RegistrationOutcome:
         if len({who.key for who in what.members}) < len(what.members):
             return RegistrationOutcome(refusal=Refusal.TWICE)
-        new = [who for who in what.members if who.key not in self.rows]
-        if len(self.rows) + len(new) > self.terms.most or any(who.task < 0 for who in what.members):
+        new = [who for who in what.members if who.key not in self.entries]
+        if len(self.entries) + len(new) > self.terms.most or any(who.task < 0 for who in what.members):
             return RegistrationOutcome(refusal=Refusal.FULL)
         if any(who.zone < 0 for who in what.members):
             return RegistrationOutcome(refusal=Refusal.NO_ZONE)
@@ -194,7 +194,7 @@
         for who in what.members:
             words = read_label(who.label)
             run = words.get("run", "")
-            row = self.rows.get(who.key)
+            row = self.entries.get(who.key)
             if row is not None and run and run == row.run:
                 same += row.stream == what.stream
                 self.returns += row.stream != what.stream
@@ -207,7 +207,7 @@
                 continue
             else:
                 self.restarts += row is not None
-                row = self.rows[who.key] = RegisteredMember(who)
+                row = self.entries[who.key] = RegisteredMember(who)
                 row.run, row.stream, row.started = run, what.stream, self.started(now, words)
                 row.weight = figure(words, "size", 1e-6, 1e6) or 1.0
             changed.append(row)
@@ -220,21 +220,21 @@
 
     def remove(self, keys: Iterable[tuple]) -> tuple[EndpointListUpdate | None, tuple[tuple, ...]]:
         gone = tuple(keys)
-        entries = [self.listed(self.rows.pop(key))._replace(state=TaskState.GONE) for key in gone]
+        entries = [self.listed(self.entries.pop(key))._replace(state=TaskState.GONE) for key in gone]
         return (self.delta(entries) if self.settled else None), gone
 
     def deregister(self, now: int, what: Deregistered) -> RegistrationOutcome:
         if what.keys is None:
-            keys = [key for key, row in self.rows.items() if row.stream == what.stream]
+            keys = [key for key, row in self.entries.items() if row.stream == what.stream]
         else:
-            keys = [key for key in what.keys if key in self.rows and self.mine(what.stream, self.rows[key])]
+            keys = [key for key in what.keys if key in self.entries and self.mine(what.stream, self.entries[key])]
             if len(keys) < len(set(what.keys)):
                 return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
         change, left = self.remove(dict.fromkeys(keys))
         return RegistrationOutcome(change, None, left)
 
     def quiesce(self, now: int, what: Quiesced) -> RegistrationOutcome:
-        row = self.rows.get(what.key)
+        row = self.entries.get(what.key)
         if row is None or not self.mine(what.stream, row):
             return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
         state = TaskState.DRAINING if what.on else TaskState.READY
@@ -244,23 +244,23 @@
         return RegistrationOutcome(self.delta([self.listed(row)]) if self.settled else None)
 
     def lose(self, now: int, stream: int) -> RegistrationOutcome:
-        for row in self.rows.values():
+        for row in self.entries.values():
             if row.stream == stream:
                 row.stream = -1
                 row.until = now + (self.terms.hold_own if row.own else self.terms.hold_agent)
         return self.tick(now)
 
     def tick(self, now: int) -> RegistrationOutcome:
-        over = [key for key, row in self.rows.items() if 0 <= row.until <= now]
+        over = [key for key, row in self.entries.items() if 0 <= row.until <= now]
         self.lapsed += len(over)
         change, left = self.remove(over)
         return RegistrationOutcome(change, None, left)
 
-    def next_at(self, now: int) -> int | None:
+    def next_deadline(self, now: int) -> int | None:
         """When a `Tick` is due next."""
         if not self.settled:
             return now + max(1000, self.terms.settle // 4)
-        return min((row.until for row in self.rows.values() if row.until >= 0), default=None)
+        return min((row.until for row in self.entries.values() if row.until >= 0), default=None)
 
-    def figures(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         return {"restarts": self.restarts, "returns": self.returns, "lapsed": self.lapsed}
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -120,7 +120,7 @@
     def sweep(self) -> None:
         """Close who has not joined in time."""
         while True:
-            at = self.pending.next_at
+            at = self.pending.next_deadline
             if at is None:
                 self.came.clear()
                 self.came.wait()
@@ -155,7 +155,7 @@
         self.counts["connections"] += 1
         stream = self.streams[self.number] = Connection(self.number, sock, address, now)
         taken = len(self.streams) - 1 - len(self.pending.waiting)
-        for number in self.pending.came(now, stream.number, max(PENDING_LEAST, self.room - taken)):
+        for number in self.pending.add(now, stream.number, max(PENDING_LEAST, self.room - taken)):
             self.turn_out(number, "no room for more who have not joined")
         self.came.set()
         try:
@@ -181,7 +181,7 @@
 
     def end(self, stream: Connection) -> None:
         """Tell of the stream's end; an older stream of a proxy that has a newer one ends nothing."""
-        self.pending.left(stream.number)
+        self.pending.remove(stream.number)
         self.named = None
         stream.owed, stream.unsent = None, b""
         if stream in self.collectors.get(stream.zone, ()):
@@ -198,7 +198,7 @@
             if not chunk or stream.closed:
                 return
             stream.heard = self.clock()
-            self.pending.spoke(stream.number)
+            self.pending.heard_from(stream.number)
             for message in reader.feed(chunk):
                 self.counts["messages_in"] += 1
                 self.take(stream, message)
@@ -238,7 +238,7 @@
         now = self.clock()
         if len(self.streams) - len(self.pending.waiting) >= self.room:  # it would take the last descriptors
             raise messages.MalformedMessageError("no room for another stream")
-        self.pending.left(stream.number)
+        self.pending.remove(stream.number)
         proxy = self.engine.join(now, self, word.node, word.zone, word.rate, word.cold)
         if proxy is None:
             raise messages.MalformedMessageError("no room for another proxy")
@@ -249,7 +249,7 @@
     def collector(self, stream: Connection, word: messages.CollectorHello) -> None:
         if stream.joined:
             raise messages.MalformedMessageError("joined already")
-        self.pending.left(stream.number)
+        self.pending.remove(stream.number)
         stream.zone = word.zone
         row = self.collectors.setdefault(word.zone, [])
         row.append(stream)
@@ -261,7 +261,7 @@
         if type(word) is messages.TrafficSample:
             if stream.proxy >= 0:
                 raise messages.MalformedMessageError("not for a proxy to say")
-            task = engine.task_indices.find(
+            task = engine.task_indices.lookup(
                 word.endpoint
             )  # also one that has just gone: its last tries are news of then
             if task is None:
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -148,7 +148,7 @@
 
     def serve(self, sock, address: tuple) -> None:
         now = self.clock()
-        why = self.keeper.knock(now, address[0])
+        why = self.keeper.admit(now, address[0])
         if why:
             self.counts["refused"] += 1
             if should_log(self.counts["refused"]):
@@ -157,7 +157,7 @@
             return
         self.number += 1
         self.counts["connections"] += 1
-        stream = self.streams[self.number] = Connection(self.number, sock, address, self.keeper.answers())
+        stream = self.streams[self.number] = Connection(self.number, sock, address, self.keeper.reply_bucket())
         writer = None
         try:
             sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
@@ -178,7 +178,7 @@
         finally:
             stream.closed = stream.closed or "closed by the other side"
             stream.due.set()
-            self.keeper.gone(address[0])
+            self.keeper.release(address[0])
             self.end(stream)
             if writer is not None:
                 writer.kill(block=False)
@@ -187,7 +187,7 @@
     def end(self, stream: Connection) -> None:
         now = self.clock()
         self.unsettled.pop(stream.number, None)
-        self.presence.left(stream.number)
+        self.presence.end(stream.number)
         if self.forget(now, stream) and self.fleet is not None:
             self.fleet.ended(stream.uid)
         if stream.speaks_of_members:
@@ -198,7 +198,7 @@
     # In.
 
     def read_on(self, stream: Connection) -> None:
-        framer, pace = codec.Framer(self.terms.message_most), self.keeper.requests()
+        framer, pace = codec.Framer(self.terms.message_most), self.keeper.request_bucket()
         begun = opened = self.clock()
         while not stream.closed:
             if framer.partial:  # a frame that was begun must end, however slowly bytes drip
@@ -219,7 +219,7 @@
             if not framer.partial:
                 begun = self.clock()
             for frame in framer.feed(chunk):
-                while not pace.draw(self.clock()) and not stream.closed:
+                while not pace.take(self.clock()) and not stream.closed:
                     gevent.sleep(0.02)  # the sender is slowed by its own full window
                 while len(stream.replies) >= self.REPLIES and not stream.closed:
                     gevent.sleep(0.02)
@@ -240,7 +240,7 @@
             self.answer(stream, trouble.reply)
             return
         now = self.clock()
-        self.presence.asked(now, stream.number)
+        self.presence.polled(now, stream.number)
         if self.fleet is not None and stream.proxy >= 0:
             self.fleet.acked(stream.uid, stream.fence)
         for _, mark, at in stream.marks if not stream.push else ():  # it took the last answer: it asks again
@@ -323,7 +323,7 @@
                 self.turn_away(stream, told)
                 return Code.NOT_FROM_YOU
             stream.fence, stream.fence_due = told.fence, told.fence > 0
-        came = self.presence.came(now, stream.number, stream.uid, stream.push)
+        came = self.presence.start(now, stream.number, stream.uid, stream.push)
         if came.turned_away:
             return Code.NOT_FROM_YOU
         if came.close >= 0 and came.close in self.streams:
@@ -334,7 +334,7 @@
             zone = self.zone_of(stream.address[0])
             proxy = -1 if zone < 0 else self.engine.join(now, self, stream.uid, zone, self.terms.usual_rate)
             if proxy is None or proxy < 0:
-                self.presence.left(stream.number)
+                self.presence.end(stream.number)
                 return Code.NOT_FROM_YOU
             stream.proxy = proxy
             self.by_proxy[proxy] = stream
@@ -374,7 +374,7 @@
         if to:  # it hangs up itself once it has read that; if not, its next question is not heard here
             self.say_where(stream, to)
             self.unbind(self.clock(), stream)
-            self.presence.left(stream.number)
+            self.presence.end(stream.number)
         else:
             self.let_go(stream, why)
 
@@ -397,7 +397,7 @@
 
     def weights(self, stream: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
         code = self.subscribe(stream, list(message.groups))
-        if code == Code.OK and not stream.answers.draw(self.clock()):
+        if code == Code.OK and not stream.answers.take(self.clock()):
             self.counts["asked_too_often"] += 1
             code = Code.NOT_FROM_YOU
         if code != Code.OK:
@@ -461,7 +461,7 @@
         for member in rows:
             new = member.key not in self.engine.task_indices.index
             zone = self.zone_of(member.host)
-            task = self.engine.task_indices.enter(now, member.key) if zone >= 0 else -1
+            task = self.engine.task_indices.allocate(now, member.key) if zone >= 0 else -1
             task = -1 if task is None else task
             if task >= 0:
                 entered += [member.key] * new
@@ -472,7 +472,7 @@
         refusal = self.engine.update_endpoints(now, members.Registered(stream.number, tuple(applicants)))
         if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
             for key in entered:
-                self.engine.task_indices.leave(now, key)
+                self.engine.task_indices.release(now, key)
         else:
             stream.speaks_of_members = True
             for row in applicants:
@@ -487,7 +487,7 @@
                 if not some:
                     del stream.sheets[group.name]
             if not stream.sheets and stream.proxy >= 0:
-                self.presence.left(stream.number)
+                self.presence.end(stream.number)
                 self.unbind(self.clock(), stream)
             if not any(some for _, some in message.groups):
                 return Code.OK
@@ -648,7 +648,7 @@
                     self.unsettled.pop(number, None)
                     continue
                 taken = stream.sent - waits if self.secure is None else stream.sent * (waits == 0)
-                self.presence.unread(now, number, taken, waits > 0)
+                self.presence.check_backlog(now, number, taken, waits > 0)
                 if stream.push:
                     while stream.marks and stream.marks[0][0] <= taken:
                         _, mark, at = stream.marks.popleft()
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -42,7 +42,7 @@
     >>> seen = SessionTracker(grace=3_000_000, bare=5_000_000)
     >>> seen.interval
     1
-    >>> seen.came(0, 7, "gw-1", push=False)
+    >>> seen.start(0, 7, "gw-1", push=False)
     SessionStarted(joined=True, close=-1, turned_away=False)
     >>> seen.overdue(2_600_000), seen.overdue(2_800_000)
     ([], [(7, 'asks no more')])
@@ -57,7 +57,7 @@
         self.by_uid: dict[str, int] = {}
         self.takeovers: dict[str, deque[int]] = {}
 
-    def came(self, now: int, stream: int, uid: str, push: bool) -> SessionStarted:
+    def start(self, now: int, stream: int, uid: str, push: bool) -> SessionStarted:
         known = self.streams.get(stream)
         if known is not None:
             known.push, known.heard = push, now
@@ -70,21 +70,21 @@
             if len(recent) >= TAKEOVERS:
                 return SessionStarted(False, turned_away=True)
             recent.append(now)
-            self.left(older)
+            self.end(older)
         self.streams[stream] = Stream(uid, push, now)
         self.by_uid[uid] = stream
         return SessionStarted(True, older)
 
-    def left(self, stream: int) -> None:
+    def end(self, stream: int) -> None:
         gone = self.streams.pop(stream, None)
         if gone is not None and self.by_uid.get(gone.uid) == stream:
             del self.by_uid[gone.uid]
 
-    def asked(self, now: int, stream: int) -> None:
+    def polled(self, now: int, stream: int) -> None:
         if stream in self.streams:
             self.streams[stream].heard = now
 
-    def unread(self, now: int, stream: int, taken: int, waits: bool) -> None:
+    def check_backlog(self, now: int, stream: int, taken: int, waits: bool) -> None:
         """`taken`: bytes the other side has acknowledged so far; `waits`: whether more are on their way."""
         row = self.streams.get(stream)
         if row is None:
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -57,9 +57,9 @@
 
     >>> news = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
     >>> tries = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * SECOND, 6 * SECOND)
-    >>> news.take(0, tries), news.take(0, tries)
+    >>> news.add(0, tries), news.add(0, tries)
     ('', 'counted before')
-    >>> news.gather(10)
+    >>> news.collect(10)
     [TrafficReport(zone=0, task=3, attempts=12, failed=0, latency_us=0, interval_us=1000000, load=(-1.0, -1.0))]
     """
 
@@ -73,13 +73,13 @@
         self.sums: dict[tuple, dict[tuple, Series]] = {}  # (kind, place): by (source, method)
         self.loads: dict[int, dict[Kind, float]] = {}
         self.swept = 0
-        self.turned_down: dict[str, int] = {}
+        self.rejected: dict[str, int] = {}
 
-    def take(self, now: int, point: DataPoint) -> str:
+    def add(self, now: int, point: DataPoint) -> str:
         """Empty if the point counts, else why it does not."""
         why = self.judge(now, point)
         if why:
-            self.turned_down[why] = self.turned_down.get(why, 0) + 1
+            self.rejected[why] = self.rejected.get(why, 0) + 1
             return why
         if point.kind in LOADS:
             self.loads.setdefault(point.place[1], {})[point.kind] = point.value
@@ -167,7 +167,7 @@
         rows = self.sums.get((kind, place), {}).values()
         return sum(row.value for row in rows), sum(row.value / max(row.span, 1) for row in rows)
 
-    def gather(self, now: int) -> list[Event]:
+    def collect(self, now: int) -> list[Event]:
         """All that came since, as the module reads it: most tries first where there are too many lines."""
         self.sweep(now) if now - self.swept > self.forget else None
         tried = sorted(((-self.rate(Kind.TRIES, place)[0], place) for kind, place in self.sums if kind == Kind.TRIES))[
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -31,12 +31,14 @@
 class ListingDesk:
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
-        self.listing = EndpointListTracker(lambda name: self.indices.enter(START, name), ahead=START - 50_000 * SECOND)
+        self.listing = EndpointListTracker(
+            lambda name: self.indices.allocate(START, name), ahead=START - 50_000 * SECOND
+        )
 
     def take(self, what, now=START):
-        outcome = self.listing.take(now, what)
+        outcome = self.listing.handle(now, what)
         for name in outcome.left:
-            self.indices.leave(now, name)
+            self.indices.release(now, name)
         return outcome.change
 
 
@@ -45,7 +47,7 @@
 
     def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
         config, self.now = bootstrap(**terms), START
-        listing = EndpointListTracker(lambda name: self.engine.task_indices.enter(self.now, name), 0)
+        listing = EndpointListTracker(lambda name: self.engine.task_indices.allocate(self.now, name), 0)
         limits = EngineLimits(
             config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
         )
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -294,7 +294,7 @@
     agent = r.agent()
     crowd = [Member.at(f"127.{1 + k % 3}.2.{k // 3}", 9000, "run=a up=100") for k in range(300)]
     agent.register(crowd)
-    assert wait_for(lambda: len(r.engine.endpoint_source.rows) == 304)
+    assert wait_for(lambda: len(r.engine.endpoint_source.entries) == 304)
     gateway = open_gateway(r)
     for k in range(20):
         agent.quiesce([crowd[k]])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -440,18 +440,18 @@
     script = Script([chunked(news[0])], [chunked(news[1], news[2]), *[b"1\r\n\n\r\n"] * 100])
     watch, engine = watch_of(script, beat=2_000_000)
     changes = []
-    engine.update_endpoints = lambda now, what: changes.append(watch.listing.take(now, what).change)
+    engine.update_endpoints = lambda now, what: changes.append(watch.listing.handle(now, what).change)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.older < 2:
             gevent.sleep(0.005)
     listing, now = watch.listing, watch.clock()
-    assert set(listing.rows) == {"a", "b"} and listing.version == 50  # for now: it may be a copy that lags
-    due = listing.next_at(now)
-    assert listing.take(due - 1, Tick()).change is None
-    change = listing.take(due, Tick()).change
-    assert due <= now + TOLD and change.kind == api.UpdateKind.FULL and set(listing.rows) == {"b", "d"}
-    assert listing.version == 4 and listing.next_at(due) is None
+    assert set(listing.entries) == {"a", "b"} and listing.version == 50  # for now: it may be a copy that lags
+    due = listing.next_deadline(now)
+    assert listing.handle(due - 1, Tick()).change is None
+    change = listing.handle(due, Tick()).change
+    assert due <= now + TOLD and change.kind == api.UpdateKind.FULL and set(listing.entries) == {"b", "d"}
+    assert listing.version == 4 and listing.next_deadline(due) is None
     job.kill()
 
 
@@ -463,14 +463,14 @@
     watch, engine = watch_of(script, beat=2_000_000)
     seen = []
     engine.update_endpoints = lambda now, what: seen.append(
-        (watch.listing.take(now, what).change, set(watch.listing.rows))
+        (watch.listing.handle(now, what).change, set(watch.listing.entries))
     )
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.counted_anew + (watch.listing.older > 0) < 2:
             gevent.sleep(0.005)
     assert seen[-1][1] == {"a"} and not any("b" in rows for _, rows in seen[2:])
-    assert watch.listing.version == 51 and watch.listing.next_at(0) is None
+    assert watch.listing.version == 51 and watch.listing.next_deadline(0) is None
     job.kill()
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -170,7 +170,7 @@
         while gate.receive(1):
             pass
     assert wait_for(lambda: not r.engine.servers, 3)
-    assert agent.call is not None and len(r.engine.endpoint_source.rows) == 4
+    assert agent.call is not None and len(r.engine.endpoint_source.entries) == 4
 
 
 KEY_FAULTS = [
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -51,7 +51,7 @@
 
     def register(self, rows, stream=1):
         found = tuple(
-            MemberRequest((name,), self.engine.task_indices.enter(self.now, (name,)), zone, label, False)
+            MemberRequest((name,), self.engine.task_indices.allocate(self.now, (name,)), zone, label, False)
             for name, (label, zone) in rows.items()
         )
         return self.engine.update_endpoints(self.now, Registered(stream, found))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -251,22 +251,22 @@
 
 def test_who_does_not_join_takes_no_place_for_long():
     pending = PendingConnections(patience=2 * SECOND)
-    closed = [number for at in range(500) for number in pending.came(at, at, 300)]
+    closed = [number for at in range(500) for number in pending.add(at, at, 300)]
     assert closed == list(range(200)) and len(pending.waiting) == 300
-    pending.left(499)
+    pending.remove(499)
     assert pending.overdue(2 * SECOND + 250) == list(range(200, 251))
-    assert pending.overdue(9 * SECOND)[-1] == 498 and pending.next_at is None and not pending.silent
+    assert pending.overdue(9 * SECOND)[-1] == 498 and pending.next_deadline is None and not pending.silent
 
 
 def test_who_has_begun_to_join_keeps_its_place_among_those_who_say_nothing():
     pending = PendingConnections(patience=2 * SECOND)
-    pending.came(0, 0, 8)
-    pending.spoke(0)
-    assert [number for at in range(1, 300) for number in pending.came(at, at, 8)] == list(range(1, 293))
+    pending.add(0, 0, 8)
+    pending.heard_from(0)
+    assert [number for at in range(1, 300) for number in pending.add(at, at, 8)] == list(range(1, 293))
     for at in range(300, 310):
-        pending.spoke(at - 1)
-        assert len(pending.came(at, at, 8)) == 1
-    assert pending.came(400, 400, 0) and len(pending.waiting) == 1  # no room at all is room for one
+        pending.heard_from(at - 1)
+        assert len(pending.add(at, at, 8)) == 1
+    assert pending.add(400, 400, 0) and len(pending.waiting) == 1  # no room at all is room for one
 
 
 def test_the_largest_message_is_within_the_platforms_limit():
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -42,8 +42,8 @@
     )
     change = desk.take(news(6, ("a", GONE, 0), ("never", GONE, 0)))
     assert change.kind == UpdateKind.DELTA and [(e.task, e.state) for e in change.endpoints] == [(0, GONE)]
-    assert desk.take(news(7, ("c", READY, 0), full=True)).kind == UpdateKind.FULL and set(desk.listing.rows) == {"c"}
-    assert [e.task for e in desk.listing.whole(UpdateKind.CACHED).endpoints] == [2]
+    assert desk.take(news(7, ("c", READY, 0), full=True)).kind == UpdateKind.FULL and set(desk.listing.entries) == {"c"}
+    assert [e.task for e in desk.listing.full_list(UpdateKind.CACHED).endpoints] == [2]
     assert desk.take(WatchFailed()).kind == UpdateKind.FAILED and desk.take(RefreshRequested()) is None
 
 
@@ -52,7 +52,7 @@
     desk.take(news(9, ("a", READY, 0), full=True))
     for old in (news(8, ("a", GONE, 0)), news(3, full=True)):
         assert desk.take(old) is None
-    assert set(desk.listing.rows) == {"a"} and desk.listing.older == 2
+    assert set(desk.listing.entries) == {"a"} and desk.listing.older == 2
 
 
 FAULTS = [
@@ -133,7 +133,7 @@
     there = Script(chunked(line(8, ("b",), full=False)))
     here = Script(chunked(line(7, ("a",)), b"", b""))
     watch, engine = watch_of(here, beat=2_000_000)
-    engine.update_endpoints = lambda now, what: (engine.told.append(what), watch.listing.take(now, what))
+    engine.update_endpoints = lambda now, what: (engine.told.append(what), watch.listing.handle(now, what))
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while watch.listing.version != 7:
@@ -142,7 +142,7 @@
         while watch.listing.version != 8:
             gevent.sleep(0.005)
     job.kill()
-    assert there.asked == [b"/v1/servers?stream=1&index=7"] and set(watch.listing.rows) == {"a", "b"}
+    assert there.asked == [b"/v1/servers?stream=1&index=7"] and set(watch.listing.entries) == {"a", "b"}
 
 
 def test_a_move_before_a_call_has_begun_does_not_end_the_asking():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -303,7 +303,7 @@
     r.agent()
     client = r.open(kind, source="127.1.0.200")
     assert client.call(message).code == code
-    assert len(r.engine.endpoint_source.rows) == 4
+    assert len(r.engine.endpoint_source.entries) == 4
 
 
 def test_another_groups_message_and_a_second_stream_of_one_name(rig):
@@ -382,7 +382,7 @@
         status, answer = r.report(figures(r), packed=packed)
         assert status == 200 and answer.partial_success.rejected_data_points == rejected
         assert bool(answer.partial_success.error_message) == bool(rejected)
-    assert sum(e.attempts for e in r.engine.reports.gather(0) if hasattr(e, "attempts")) == counted
+    assert sum(e.attempts for e in r.engine.reports.collect(0) if hasattr(e, "attempts")) == counted
 
 
 def test_bad_http(rig):
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -223,22 +223,22 @@
     used = set()
     indices, now = IndexAllocator(rest=100, most=200, still_used=used.__contains__), 0
     for week in range(2000):
-        at = indices.enter(now, f"task-{week}")
+        at = indices.allocate(now, f"task-{week}")
         assert at is not None and indices.names[at] == f"task-{week}"
         used = {at}
         now += 10
-        indices.leave(now, f"task-{week}")
+        indices.release(now, f"task-{week}")
     assert len(indices.names) <= 13
 
 
 def test_an_index_rests_while_an_order_may_name_it():
     used = {0}
     indices = IndexAllocator(rest=10, most=5, still_used=lambda i: i in used)
-    indices.enter(0, "a")
-    indices.leave(0, "a")
-    assert indices.enter(1000, "b") == 1
+    indices.allocate(0, "a")
+    indices.release(0, "a")
+    assert indices.allocate(1000, "b") == 1
     used.clear()
-    assert indices.enter(1000, "c") == 0
+    assert indices.allocate(1000, "c") == 0
 
 
 # Members.
@@ -256,7 +256,7 @@
 
     def take(self, what, after=0.0):
         self.now += round(after * SECOND)
-        outcome = self.book.take(self.now, what)
+        outcome = self.book.handle(self.now, what)
         for entry in outcome.change.endpoints if outcome.change else ():
             self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at_us
         return outcome.refusal
@@ -281,8 +281,8 @@
 
 def test_an_empty_fleet_settles_in_the_end():
     fleet = Fleet()
-    assert fleet.book.take(2 * SECOND, Tick()).change is None
-    assert fleet.book.take(3 * SECOND, Tick()).change.endpoints == ()
+    assert fleet.book.handle(2 * SECOND, Tick()).change is None
+    assert fleet.book.handle(3 * SECOND, Tick()).change.endpoints == ()
 
 
 RUNS = [
@@ -363,7 +363,7 @@
     fleet.take(Quiesced(1, (1,), True))
     fleet.register(1, stream=2)
     assert fleet.states[1] == TaskState.READY
-    full = fleet.book.take(fleet.now, RefreshRequested()).change
+    full = fleet.book.handle(fleet.now, RefreshRequested()).change
     assert full.kind == api.UpdateKind.FULL and len(full.endpoints) == 2
 
 
@@ -374,35 +374,35 @@
     for grace, bare in ((1, 5), (3, 5), (10, 30), (60, 20)):
         seen = SessionTracker(grace * SECOND, bare * SECOND)
         assert 1 <= seen.interval and (seen.interval * SECOND < seen.patience or grace == 1)
-        seen.came(0, 1, "gw", push=False)
+        seen.start(0, 1, "gw", push=False)
         asked = 0
         while asked < 20 * SECOND and seen.interval * SECOND < seen.patience:
             asked += seen.interval * SECOND
             assert not seen.overdue(asked)
-            seen.asked(asked, 1)
+            seen.polled(asked, 1)
         assert seen.overdue(asked + grace * SECOND)
 
 
 def test_unread_orders_end_a_stream_within_the_grace():
     seen = SessionTracker(3 * SECOND, 5 * SECOND)
-    seen.came(0, 1, "gw", push=True)
+    seen.start(0, 1, "gw", push=True)
     for now in range(0, 20 * SECOND, SECOND // 10):  # a slow reader goes on reading
-        seen.unread(now, 1, taken=now // 1000, waits=True)
+        seen.check_backlog(now, 1, taken=now // 1000, waits=True)
         assert not seen.overdue(now)
-    seen.unread(21 * SECOND, 1, taken=20_000, waits=True)
-    seen.unread(22 * SECOND, 1, taken=20_000, waits=True)
+    seen.check_backlog(21 * SECOND, 1, taken=20_000, waits=True)
+    seen.check_backlog(22 * SECOND, 1, taken=20_000, waits=True)
     assert seen.overdue(24 * SECOND) == [(1, "leaves orders unread")]
-    seen.unread(24 * SECOND, 1, taken=20_001, waits=False)
+    seen.check_backlog(24 * SECOND, 1, taken=20_001, waits=False)
     assert not seen.overdue(60 * SECOND)
 
 
 def test_two_of_one_name():
     seen = SessionTracker(3 * SECOND, 5 * SECOND)
-    assert seen.came(0, 1, "gw", True).joined
+    assert seen.start(0, 1, "gw", True).joined
     for k in range(TAKEOVERS):
-        assert seen.came(k, k + 2, "gw", True) == (True, k + 1, False)
-    assert seen.came(5, 99, "gw", True).turned_away
-    assert seen.came(4 * SECOND, 100, "gw", True).joined
+        assert seen.start(k, k + 2, "gw", True) == (True, k + 1, False)
+    assert seen.start(5, 99, "gw", True).turned_away
+    assert seen.start(4 * SECOND, 100, "gw", True).joined
 
 
 # News.
@@ -432,48 +432,48 @@
 def test_each_period_counts_once(points, counted):
     book = news()
     for row in points:
-        book.take(0, row)
-    assert sum(event.attempts for event in book.gather(1)) == counted
-    assert book.gather(2) == []
+        book.add(0, row)
+    assert sum(event.attempts for event in book.collect(1)) == counted
+    assert book.collect(2) == []
 
 
 def test_a_steady_sender_costs_one_span_and_gaps_are_bounded():
     book, steady, gappy = news(), point(), point(source="gw-2")
     for k in range(500):
-        book.take(k, point(start=k, end=k + 1))
-        book.take(k, point(start=1.6 * k, end=1.6 * k + 1, source="gw-2"))
-        book.take(k, point(0.5, k, k, kind=Kind.UTIL, source="gw-3"))
+        book.add(k, point(start=k, end=k + 1))
+        book.add(k, point(start=1.6 * k, end=1.6 * k + 1, source="gw-2"))
+        book.add(k, point(0.5, k, k, kind=Kind.UTIL, source="gw-3"))
     sizes = {key[0]: len(spans) for key, spans in book.spans.items()}
     assert sizes == {"gw-1": 1, "gw-2": 32, "gw-3": 1}
-    assert book.take(0, steady) and book.take(0, gappy)
-    assert book.take(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge says nothing new
+    assert book.add(0, steady) and book.add(0, gappy)
+    assert book.add(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge says nothing new
 
 
 def test_gaps_cost_no_more_than_the_time_that_counts():
     book = news()
     for k in range(0, 500, 20):
-        assert not book.take(k, point(start=k, end=k + 1))
+        assert not book.add(k, point(start=k, end=k + 1))
     assert [len(spans) for spans in book.spans.values()] == [3]
-    assert book.take(500, point(start=420, end=421, method=1))  # too late, whatever its series
-    assert not book.take(500, point(start=425, end=426, method=1))
+    assert book.add(500, point(start=420, end=421, method=1))  # too late, whatever its series
+    assert not book.add(500, point(start=425, end=426, method=1))
 
 
 def test_a_clock_that_was_set_back_is_believed_again():
     book = news()
-    book.take(0, point(start=3600, end=3601))
-    assert book.take(SECOND, point(start=1, end=2))
-    assert not book.take(62 * SECOND, point(start=61, end=62))
-    assert not book.take(63 * SECOND, point(start=62, end=63))
+    book.add(0, point(start=3600, end=3601))
+    assert book.add(SECOND, point(start=1, end=2))
+    assert not book.add(62 * SECOND, point(start=61, end=62))
+    assert not book.add(63 * SECOND, point(start=62, end=63))
 
 
 def test_rates_add_up_however_unequal_the_periods():
     book = news()
-    book.take(0, point(20, 0, 2, source="a"))
-    book.take(0, point(30, 0, 1, source="b"))
-    book.take(0, point(30, 1, 2, source="b"))
-    book.take(0, point(7, 0, 1, kind=Kind.FAILED, source="b"))
-    book.take(0, point(14.6, 0, 1, kind=Kind.TIME, source="b"))
-    (event,) = book.gather(1)
+    book.add(0, point(20, 0, 2, source="a"))
+    book.add(0, point(30, 0, 1, source="b"))
+    book.add(0, point(30, 1, 2, source="b"))
+    book.add(0, point(7, 0, 1, kind=Kind.FAILED, source="b"))
+    book.add(0, point(14.6, 0, 1, kind=Kind.TIME, source="b"))
+    (event,) = book.collect(1)
     assert event.attempts == 80 and event.attempts / event.interval_us * SECOND == pytest.approx(40)
     assert event.failed == 7 and event.latency_us == 200_000
 
@@ -481,27 +481,27 @@
 def test_floods_of_names_stay_bounded():
     book = news()
     for k in range(1000):
-        book.take(k, point(place=(0, k), source=f"s{k % 4}"))
-    assert len(book.spans) <= 50 and book.turned_down["too many series"] >= 950
-    assert len(book.gather(2000)) == 5  # the rest waits
+        book.add(k, point(place=(0, k), source=f"s{k % 4}"))
+    assert len(book.spans) <= 50 and book.rejected["too many series"] >= 950
+    assert len(book.collect(2000)) == 5  # the rest waits
     late = 10**9
-    book.gather(late)
-    assert book.take(late + 1, point(place=(1, 1), source="new")) == ""
+    book.collect(late)
+    assert book.add(late + 1, point(place=(1, 1), source="new")) == ""
 
 
 def test_doors_stay_open_for_others():
     keeper = ConnectionLimiter(most=100, most_each=10, per_s=80, requests_per_s=10)
-    taken = sum(not keeper.knock(at, "storm") for at in range(0, SECOND, 1000))
-    assert taken == 10 and not keeper.knock(SECOND, "quiet")
+    taken = sum(not keeper.admit(at, "storm") for at in range(0, SECOND, 1000))
+    assert taken == 10 and not keeper.admit(SECOND, "quiet")
 
 
 def test_a_load_counts_in_the_report_of_each_zone_that_met_the_task():
     """The module keeps what it hears last: a report without the figure would undo it."""
     seen = news()
     for zone in (0, 1, 2):
-        assert not seen.take(SECOND, point(source=f"gw-{zone}", place=(zone, 3)))
-    assert not seen.take(SECOND, point(kind=Kind.UTIL, value=0.5, place=(0, 3)))
-    reports = seen.gather(SECOND)
+        assert not seen.add(SECOND, point(source=f"gw-{zone}", place=(zone, 3)))
+    assert not seen.add(SECOND, point(kind=Kind.UTIL, value=0.5, place=(0, 3)))
+    reports = seen.collect(SECOND)
     assert [report.load[0] for report in reports] == [0.5, 0.5, 0.5]
-    assert not seen.take(2 * SECOND, point(start=1, end=2))
-    assert seen.gather(2 * SECOND)[0].load[0] == -1.0  # told once, not again
+    assert not seen.add(2 * SECOND, point(start=1, end=2))
+    assert seen.collect(2 * SECOND)[0].load[0] == -1.0  # told once, not again
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -21,9 +21,9 @@
     due = sorted((rng.random() * SECOND, name) for name in rates)
     while due and due[0][0] < seconds * SECOND:
         now, name = due.pop(0)
-        wait = fair.wait(int(now), name)
+        wait = fair.retry_after_us(int(now), name)
         if not wait:
-            fair.spent(int(now), name, size)
+            fair.record(int(now), name, size)
             heard[name] += size * (now > 5 * SECOND)
         gap = max(wait if rates[name] < 1e4 else 0, SECOND * size / rates[name])  # floods do not listen
         due.append((now + gap * rng.uniform(0.9, 1.1), name))
@@ -53,22 +53,22 @@
 def test_names_without_end_share_as_one():
     fair = FairShareLimiter(1000.0, SECOND, 8)
     for k in range(5000):
-        if not fair.wait(k * 400, f"name-{k}"):
-            fair.spent(k * 400, f"name-{k}", 10)
+        if not fair.retry_after_us(k * 400, f"name-{k}"):
+            fair.record(k * 400, f"name-{k}", 10)
     assert len(fair.senders) <= 9 and ALL in fair.senders
     for k in range(20):  # one of those told apart is heard all the same
         now = 2 * SECOND + k * SECOND
-        assert fair.wait(now, "name-0") == 0
-        fair.spent(now, "name-0", 10)
+        assert fair.retry_after_us(now, "name-0") == 0
+        fair.record(now, "name-0", 10)
 
 
 def test_one_huge_request_is_paid_off():
     fair = FairShareLimiter(100.0, SECOND, 10)
-    assert fair.wait(0, "a") == 0
-    fair.spent(0, "a", 1000)
-    waits = fair.wait(10, "a")
+    assert fair.retry_after_us(0, "a") == 0
+    fair.record(0, "a", 1000)
+    waits = fair.retry_after_us(10, "a")
     assert waits > 5 * SECOND
-    assert fair.wait(10 + waits + 2 * SECOND, "a") == 0
+    assert fair.retry_after_us(10 + waits + 2 * SECOND, "a") == 0
 
 
 @pytest.mark.parametrize("wanted, budget, share", [([], 5.0, 5.0), ([10.0, 10.0], 10.0, 5.0), ([0.0, 9.0], 6.0, 6.0)])
