--- a/hollyridge/lab/scenario.py
+++ b/hollyridge/lab/scenario.py
@@ -8,7 +8,7 @@
 from pydantic import Field, PositiveFloat, PositiveInt
 
 from hollyridge.settings import assigner
-from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_file
+from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check, read_file
 
 KINDS = {
     # kind: the forms it has, the first where none is named
@@ -39,7 +39,7 @@
     "peers_cut": ("halves", "one_way", "lossy"),
 }
 Part = Annotated[float, Field(gt=0, le=1)]
-Two = Annotated[list[float], Field(min_length=2, max_length=2), SEVERAL]
+Two = Annotated[list[float], Field(min_length=2, max_length=2), WORD_LIST]
 
 
 class DaySection(Section):
@@ -64,7 +64,7 @@
     cold_s: PositiveFloat = 10
     handshake_ms: Annotated[float, Field(ge=0)] = 5
     connections: PositiveInt = 200
-    fronts: Annotated[list[Literal["sasp", "clone"]], SEVERAL] = ["sasp"]
+    fronts: Annotated[list[Literal["sasp", "clone"]], WORD_LIST] = ["sasp"]
     cache_s: Annotated[float, Field(ge=0)] = 0
     cache_keys: PositiveInt = 200
     shared: bool = False
@@ -86,8 +86,8 @@
     """`work_ms` and `shares` in the order of the methods in the settings."""
 
     rpcs_per_s: PositiveFloat = 90
-    work_ms: Annotated[list[PositiveFloat], SEVERAL] = [100]
-    shares: Annotated[list[PositiveFloat], SEVERAL] = [1]
+    work_ms: Annotated[list[PositiveFloat], WORD_LIST] = [100]
+    shares: Annotated[list[PositiveFloat], WORD_LIST] = [1]
     client_retries: Annotated[int, Field(ge=0, le=10)] = 2
     reckless: bool = False
     try_share: Part = 0.7
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -33,7 +33,7 @@
 from hollyridge.peers.peer_service import PeerConfig
 from hollyridge.sasp.client import ConnectionLostError
 from hollyridge.service import Service
-from hollyridge.settings.assigner import ServiceConfig
+from hollyridge.settings.service_config import PeerAddress, ServiceConfig
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
 STATE_EVERY = 500_000  # us
@@ -245,12 +245,14 @@
             return None
         zones = terms.zone_names
         at = [self.stage.peer_at(number) for number in range(len(self.stage.seats))]
-        return terms.fleet_terms_of(
-            f"a{self.number}",
-            ("127.0.0.1", int(at[self.number].rpartition(":")[2])),
-            tuple(at),
-            b"simulated" * 4,
-            zones[self.number % len(zones)],
+        return terms.peer_config_for(
+            PeerAddress(
+                f"a{self.number}",
+                ("127.0.0.1", int(at[self.number].rpartition(":")[2])),
+                tuple(at),
+                b"simulated" * 4,
+                zones[self.number % len(zones)],
+            )
         )
 
     def send(self, address: str, raw: bytes) -> None:
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -28,7 +28,7 @@
 from hollyridge.sasp.server import SaspServer
 from hollyridge.sessions.access import AccessControl
 from hollyridge.sessions.session_tracker import SessionTracker
-from hollyridge.settings.assigner import ServiceConfig
+from hollyridge.settings.service_config import ServiceConfig
 from hollyridge.settings.solve import write
 from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
@@ -51,14 +51,14 @@
         fleet: PeerConfig | None = None,
     ) -> None:
         self.terms, self.log = terms, log
-        config = terms.bootstrap()
+        config = terms.assigner_config()
         now = clock()
-        members = MemberRegistry(terms.members_terms(), now)
-        self.engine = Engine(config, terms.assigner.seed, terms.limits(), members, now, log, make)
+        members = MemberRegistry(terms.registration_config(), now)
+        self.engine = Engine(config, terms.assigner.seed, terms.engine_limits(), members, now, log, make)
         self.loop = EventLoop(self.engine, clock)
         sasp, channel, names = terms.sasp, terms.channel, self.names()
         self.fleet = self.link = None
-        fleet = fleet or terms.fleet_terms()
+        fleet = fleet or terms.peer_config()
         if fleet is not None:
             fronts = {"sasp": sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
             self.fleet = PeerService(
@@ -79,12 +79,12 @@
             channel.messages_most / channel.messages_over_s,
         )
         presence = SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
-        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
+        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
         self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
         secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
         self.front = SaspServer(
             self.loop,
-            terms.sasp_terms(),
+            terms.sasp_config(),
             presence,
             keeper,
             terms.zone_finder(),
@@ -103,7 +103,7 @@
                 )
             self.clone = ChpServer(
                 self.loop,
-                terms.clone_terms(),
+                terms.chp_config(),
                 SessionTracker(config.drain_grace_us, config.empty_table_limit_us),
                 keeper,
                 terms.zone_finder(),
@@ -117,12 +117,17 @@
                 zone_name,
             )
         self.solving = None
-        if terms.solver_terms() is not None:
-            self.solving = SolverService(self.loop, terms.solver_terms(), log, gevent.get_hub().threadpool.apply)
+        if terms.solver_config() is not None:
+            self.solving = SolverService(self.loop, terms.solver_config(), log, gevent.get_hub().threadpool.apply)
         self.keeping = None
-        if terms.keeping_terms() is not None:
+        if terms.persistence_config() is not None:
             self.keeping = EstimatePersistence(
-                self.loop, terms.keeping_terms(), log, self.task_name, names.task, gevent.get_hub().threadpool.apply
+                self.loop,
+                terms.persistence_config(),
+                log,
+                self.task_name,
+                names.task,
+                gevent.get_hub().threadpool.apply,
             )
         pages = {
             "/status": ("application/json", lambda: msgspec.json.encode(self.status())),
@@ -132,7 +137,7 @@
         if self.fleet is not None:
             pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
             deeds = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        self.intake = MetricsServer(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
+        self.intake = MetricsServer(self.loop, terms.otlp_config(), names, pages, log, self.access, secure, deeds)
 
     def task_name(self, task: int) -> str:
         address, port, _ = self.engine.task_indices.names[task]
@@ -221,11 +226,11 @@
             self.curve.load(terms.curve_file())
             if self.curve.public != before:
                 self.clone.rebind()
-        self.access.replace(terms.bearers)
+        self.access.replace(terms.principals)
         self.front.recheck()
         if self.clone is not None:
             self.clone.recheck()
-        self.log.info("keys read again", bearers=len(terms.bearers))
+        self.log.info("keys read again", bearers=len(terms.principals))
 
     def status(self) -> dict:
         fronts = {"sasp": self.front.status(), **({"clone": self.clone.status()} if self.clone else {})}
--- a/hollyridge/settings/address.py
+++ b/hollyridge/settings/address.py
@@ -1,9 +1,14 @@
-"""Addresses as settings write them. Imported by the node too: standard library only."""
+"""Addresses as settings write them.
+
+The platform's node imports this module too: standard library only.
+"""
 
 from __future__ import annotations
 
 import ipaddress
 
+MAX_PORT = 65535
+
 
 def split(listen: str) -> tuple[str, int]:
     """Host and port; ValueError if it is not `address:port`.
@@ -15,8 +20,9 @@
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
-        if not 0 <= int(port) <= 65535:
-            raise ValueError
+        number = int(port)
     except ValueError:
-        raise ValueError("address:port is wanted") from None
-    return host, int(port)
+        number = -1
+    if not 0 <= number <= MAX_PORT:
+        raise ValueError("address:port is wanted")
+    return host, number
--- a/hollyridge/settings/solve.py
+++ b/hollyridge/settings/solve.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field, NonNegativeFloat, PositiveFloat, PositiveInt
 
-from hollyridge.settings.ini import SEVERAL, FaultsError, Section, check, read_bytes, read_file
+from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check, read_bytes, read_file
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 
 
@@ -33,7 +33,7 @@
     """`demand`: RPCs a second by method, in the order of the methods."""
 
     proxies: Annotated[int, Field(ge=0)] = 1
-    demand: Annotated[list[NonNegativeFloat], SEVERAL]
+    demand: Annotated[list[NonNegativeFloat], WORD_LIST]
     out: NonNegativeFloat = 1.0
 
 
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -27,7 +27,7 @@
 from hollyridge.lab.checker import Verdict
 from hollyridge.lab.day import Outcome
 from hollyridge.lab.ownership import Gap
-from hollyridge.settings import assigner
+from hollyridge.settings import sections
 from hollyridge.settings import solve as solving
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 from hollyridge.store.table_versions import TableStore
@@ -256,9 +256,9 @@
 
 
 SETTINGS = {
-    **{name: (model, {}) for name, model in assigner.SECTIONS.items()},
-    "method NAME": (assigner.MethodSection, {"soft_deadline_ms": 1.0, "deadline_ms": 2.0}),
-    "access NAME": (assigner.AccessSection, {}),
+    **{name: (model, {}) for name, model in sections.SECTIONS.items()},
+    "method NAME": (sections.MethodSection, {"soft_deadline_ms": 1.0, "deadline_ms": 2.0}),
+    "access NAME": (sections.AccessSection, {}),
     "solve": (solving.SolveSection, {}),
     "solve: method NAME": (solving.MethodSection, {}),
     "solve: zone NAME": (solving.ZoneSection, {"demand": [1.0]}),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -66,11 +66,11 @@
 
 def test_the_module_is_told_of_a_front_without_levels():
     terms = assigner.load(EXAMPLES / "loopback.ini")
-    config = terms.bootstrap()
+    config = terms.assigner_config()
     assert config.admission == Admission.SILENT and config.zones == 3
     assert config.lines_per_s == 1000 and config.max_waiting_lines == 2000 and config.message_overhead_lines == 1
     shared = assigner.load(EXAMPLES / "loopback.ini", {(f"method {m}", "group"): "all" for m in terms.methods})
-    assert shared.bootstrap().lines_per_s == 3000 and shared.groups() == {"all": 0}
+    assert shared.assigner_config().lines_per_s == 3000 and shared.groups() == {"all": 0}
 
 
 SCRIPTS = [
