--- /dev/null
+++ b/tests/limits/test_limits_connection_limiter.py
@@ -0,0 +1,11 @@
+"""One source of connections never shuts out the others."""
+
+from helpers import SECOND
+
+from hollyridge.limits.connection_limiter import ConnectionLimiter
+
+
+def test_doors_stay_open_for_others():
+    keeper = ConnectionLimiter(most=100, most_each=10, per_s=80, requests_per_s=10)
+    taken = sum(not keeper.admit(at, "storm") for at in range(0, SECOND, 1000))
+    assert taken == 10 and not keeper.admit(SECOND, "quiet")
--- /dev/null
+++ b/tests/registration/test_registration_members.py
@@ -0,0 +1,141 @@
+"""Members as they register, drain, deregister and lose their streams."""
+
+import pytest
+from helpers import SECOND
+
+from hollyridge import interface as api
+from hollyridge.interface import TaskState
+from hollyridge.registration import members
+from hollyridge.registration.members import (
+    Deregistered,
+    MemberRegistry,
+    Quiesced,
+    RefreshRequested,
+    Refusal,
+    Registered,
+    StreamLost,
+    Tick,
+)
+
+TERMS = members.RegistrationConfig(
+    warm_up=16 * SECOND, hold_own=SECOND, hold_agent=30 * SECOND, settle=SECOND // 2, settle_most=3 * SECOND, most=100
+)
+
+
+class Fleet:
+    """Members with a clock; `states` is what the module has been told."""
+
+    def __init__(self):
+        self.book, self.now, self.states, self.started = MemberRegistry(TERMS, 0), 0, {}, {}
+
+    def take(self, what, after=0.0):
+        self.now += round(after * SECOND)
+        outcome = self.book.handle(self.now, what)
+        for entry in outcome.change.endpoints if outcome.change else ():
+            self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at_us
+        return outcome.refusal
+
+    def register(self, task, stream=1, label="run=a up=100", own=False, after=0.0):
+        return self.take(Registered(stream, (members.MemberRequest((task,), task, 0, label, own),)), after)
+
+    def settled(self):
+        self.register(99, stream=50)
+        self.take(Tick(), after=4)
+        return self
+
+
+def test_the_first_list_waits_till_registrations_pause():
+    fleet = Fleet()
+    for task in range(5):
+        fleet.register(task, after=0.3)
+        assert not fleet.states
+    fleet.take(Tick(), after=0.6)
+    assert len(fleet.states) == 5
+
+
+def test_an_empty_fleet_settles_in_the_end():
+    fleet = Fleet()
+    assert fleet.book.handle(2 * SECOND, Tick()).change is None
+    assert fleet.book.handle(3 * SECOND, Tick()).change.endpoints == ()
+
+
+RUNS = [
+    # first label, seconds later on a new stream the second, whether it counts as a start
+    ("run=a up=100", "run=a up=105", False),
+    ("run=a up=100", "run=b up=0.5", True),
+    ("", "", True),
+    ("run=a up=100", "", True),
+]
+
+
+@pytest.mark.parametrize("first, second, starts", RUNS)
+def test_restart_or_reconnection(first, second, starts):
+    fleet = Fleet().settled()
+    fleet.register(1, stream=1, label=first)
+    before = fleet.started[1]
+    fleet.take(StreamLost(1))
+    fleet.register(1, stream=2, label=second, after=5)
+    assert (fleet.started[1] > before) == starts
+    assert fleet.states[1] == TaskState.READY
+
+
+def test_ages():
+    fleet = Fleet().settled()
+    fleet.register(1, label="run=a up=100")
+    fleet.register(2, label="run=b up=1.5")
+    fleet.register(3, label="run=c")
+    fleet.register(4, label="run=d up=-5e400")
+    assert fleet.started[1] == 0 and fleet.started[2] == fleet.now - 1_500_000
+    assert fleet.started[3] == fleet.started[4] == fleet.now
+
+
+def test_a_deregistration_overtaken_by_a_registration_ends_nothing():
+    fleet = Fleet().settled()
+    fleet.register(1, stream=1, label="run=a up=100")
+    fleet.register(1, stream=2, label="run=b up=0")
+    assert fleet.take(Deregistered(1, ((1,),))) == Refusal.NOT_REGISTERED
+    assert fleet.states[1] == TaskState.READY
+    assert fleet.take(Quiesced(1, (1,), True)) == Refusal.NOT_REGISTERED
+    assert fleet.take(Deregistered(2, ((1,),))) is None and fleet.states[1] == TaskState.GONE
+
+
+def test_streams_that_break():
+    fleet = Fleet().settled()
+    fleet.register(1, stream=1, own=True)
+    fleet.register(2, stream=2, own=False)
+    fleet.take(StreamLost(1))
+    fleet.take(StreamLost(2))
+    fleet.take(Tick(), after=2)
+    assert fleet.states[1] == TaskState.GONE and fleet.states[2] == TaskState.READY
+    fleet.register(2, stream=3, label="run=a up=105", after=20)
+    fleet.take(Tick(), after=60)
+    assert fleet.states[2] == TaskState.READY  # its list's bearer came back and said it again
+
+
+def test_refusals_leave_everything_as_it_was():
+    fleet = Fleet().settled()
+    row = members.MemberRequest((1,), 1, 0, "", False)
+    cases = [
+        (Registered(1, (row, row)), Refusal.TWICE),
+        (Registered(1, (row._replace(zone=-1),)), Refusal.NO_ZONE),
+        (Registered(1, (row._replace(task=-1),)), Refusal.FULL),
+        (Deregistered(1, ((7,),)), Refusal.NOT_REGISTERED),
+        (Registered(1, tuple(row._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL),
+    ]
+    for what, why in cases:
+        assert fleet.take(what) == why and set(fleet.states) == {99}
+    assert fleet.register(1) is None and fleet.register(1) == Refusal.ALREADY_REGISTERED
+
+
+def test_drains_end_by_word_or_by_a_new_registration():
+    fleet = Fleet().settled()
+    fleet.register(1)
+    fleet.take(Quiesced(1, (1,), True))
+    assert fleet.states[1] == TaskState.DRAINING
+    fleet.take(Quiesced(1, (1,), False))
+    assert fleet.states[1] == TaskState.READY
+    fleet.take(Quiesced(1, (1,), True))
+    fleet.register(1, stream=2)
+    assert fleet.states[1] == TaskState.READY
+    full = fleet.book.handle(fleet.now, RefreshRequested()).change
+    assert full.kind == api.UpdateKind.FULL and len(full.endpoints) == 2
--- /dev/null
+++ b/tests/store/test_store_learned_estimates.py
@@ -0,0 +1,44 @@
+"""What a former run or a peer has learned is believed within bounds."""
+
+import math
+
+import pytest
+from helpers import SECOND
+
+from hollyridge import interface as api
+from hollyridge.store import learned_estimates, state_file
+from hollyridge.store.state_file import SavedState, TaskEstimate
+
+ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
+WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
+
+
+INDEX = {"127.1.0.1:9000": 0, "127.1.0.2:9000": 1}.get
+
+
+@pytest.mark.parametrize(
+    "state, now, rows, age_s",
+    [
+        (SavedState("f", 1000, ROWS, 0.6), 3000, 2, 2),
+        (SavedState("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
+        (SavedState("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
+        (SavedState("f", 1000, [*ROWS, TaskEstimate("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
+        (SavedState("f", 1000, [ROWS[0], TaskEstimate("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
+        (SavedState("f", 1000, [TaskEstimate("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
+    ],
+)
+def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
+    told = learned_estimates.recalled(state, "f", now, INDEX)
+    assert (len(told.event.estimates), told.event.age_us) == (rows, age_s * SECOND) if rows else told.event is None
+
+
+def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
+    own = [api.LearnedEstimate(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
+    lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
+    told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
+    assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in told.event.estimates] == [
+        (24.0, 1.0, 1.0, 1.0),
+        (6.0, 1.0, 1.0, 1.0),
+    ]
+    assert told.event.push_price == 0.0 and told.left_out == {"not listed": 1}
+    assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -13,10 +13,10 @@
 import pytest
 import structlog
 from click.testing import CliRunner
+from engine_rig import House
 from helpers import SECOND
 from stored import FOLDER, ROOT, as_text, shape, stored, text_of
 from test_formats_records import played
-from test_machine import House
 
 from hollyridge import interface as api
 from hollyridge.cli.day import show
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,9 +1,6 @@
 """What was learnt, kept on disk and told again: whole or not at all, and believed the less the older it is."""
 
-import math
-
 import gevent
-import pytest
 from helpers import SECOND, START, entry, roster
 from test_service import rig, wait_for  # noqa: F401
 from test_solving import news, started
@@ -13,78 +10,13 @@
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
 from hollyridge.lab.virtual import VirtualStage
-from hollyridge.store import learned_estimates, state_file
-from hollyridge.store.state_file import SavedState, StateFileError, TaskEstimate
+from hollyridge.store import state_file
+from hollyridge.store.state_file import SavedState, TaskEstimate
 
 ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
-def test_a_file_cut_off_at_any_byte_is_refused_and_the_whole_one_read():
-    assert state_file.unpack(WHOLE).rows == ROWS
-    for size in range(len(WHOLE)):
-        with pytest.raises(StateFileError):
-            state_file.unpack(WHOLE[:size])
-
-
-def test_a_file_with_any_byte_turned_over_is_refused():
-    for at in range(len(WHOLE)):
-        with pytest.raises(StateFileError):
-            state_file.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
-
-
-def test_layouts_older_and_newer():
-    body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
-    raw = state_file.HEAD.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
-    old = state_file.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
-    assert old.price == 0.0 and old.rows == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
-    with pytest.raises(StateFileError, match="layout 9"):
-        state_file.unpack(state_file.pack(SavedState("f", 7, [], 0.0, 9)))
-
-
-def test_a_write_that_fails_leaves_the_former_file(tmp_path):
-    path = tmp_path / "kept.state"
-    state_file.write(path, WHOLE)
-    (tmp_path / "kept.state.new").mkdir()
-    with pytest.raises(OSError):
-        state_file.write(path, b"other")
-    assert state_file.read(path) == WHOLE
-    path.write_bytes(b"x" * (state_file.MOST + 1))
-    with pytest.raises(StateFileError, match="over"):
-        state_file.read(path)
-
-
-INDEX = {"127.1.0.1:9000": 0, "127.1.0.2:9000": 1}.get
-
-
-@pytest.mark.parametrize(
-    "state, now, rows, age_s",
-    [
-        (SavedState("f", 1000, ROWS, 0.6), 3000, 2, 2),
-        (SavedState("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
-        (SavedState("f", 9000, ROWS, 0.6), 3000, 2, 86_400),  # from the future: a clock was set back
-        (SavedState("f", 1000, [*ROWS, TaskEstimate("gone:1", 1.0, 1.0)], 0.6), 3000, 2, 2),
-        (SavedState("f", 1000, [ROWS[0], TaskEstimate("127.1.0.2:9000", math.nan, 1.0)], 0.6), 3000, 1, 2),
-        (SavedState("f", 1000, [TaskEstimate("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
-    ],
-)
-def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
-    told = learned_estimates.recalled(state, "f", now, INDEX)
-    assert (len(told.event.estimates), told.event.age_us) == (rows, age_s * SECOND) if rows else told.event is None
-
-
-def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
-    own = [api.LearnedEstimate(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
-    lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
-    told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
-    assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in told.event.estimates] == [
-        (24.0, 1.0, 1.0, 1.0),
-        (6.0, 1.0, 1.0, 1.0),
-    ]
-    assert told.event.push_price == 0.0 and told.left_out == {"not listed": 1}
-    assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
-
-
 def taught():
     """A module that has learnt that one of four tasks does half as much."""
     module, now = started(), START
