--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,18 +6,14 @@
 from helpers import SECOND, START, Rig, bootstrap, entry, lines, method, roster
 
 from hollyridge import interface as api
-from hollyridge.decisions.assigner import (
-    HMAX,
-    NO_LIMIT,
-    STEP,
-    AdmissionController,
-    Assigner,
-    BacklogEstimator,
-    EndpointDirectory,
-    Estimates,
-    PushGate,
-    SlowStart,
-)
+from hollyridge.decisions.admission import NO_LIMIT, AdmissionController
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.decisions.backlog import BacklogEstimator
+from hollyridge.decisions.endpoints import EndpointDirectory
+from hollyridge.decisions.estimates import Estimates
+from hollyridge.decisions.push_gate import HMAX, PushGate
+from hollyridge.decisions.slow_start import SlowStart
+from hollyridge.decisions.weights import STEP
 
 READY, DRAINING, GONE = api.TaskState.READY, api.TaskState.DRAINING, api.TaskState.GONE
 
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -18,7 +18,8 @@
 from hollyridge import interface as api
 from hollyridge.cli.main import main
 from hollyridge.client.picking import Picker
-from hollyridge.decisions.assigner import NOISE_FLOOR, Assigner
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.decisions.push_gate import NOISE_FLOOR
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
 from hollyridge.lab.virtual import VirtualStage
