--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -13,8 +13,8 @@
 
 from hollyridge.lab import scenario as scripts
 from hollyridge.lab.day import Day, DayError, Outcome
-from hollyridge.lab.live import LiveStage
-from hollyridge.lab.policies import POLICIES
+from hollyridge.lab.experiments.policies import POLICIES
+from hollyridge.lab.stand_ins.live import LiveStage
 from hollyridge.settings.ini import FaultsError
 
 RULES = {
@@ -71,7 +71,7 @@
             return 2
     show(outcome, as_json, len(script.fleet.fronts) > 1)
     if keep:
-        from hollyridge.lab.page import write
+        from hollyridge.lab.reports.page import write
 
         (folder / "outcome.json").write_bytes(msgspec.json.encode(outcome))
         click.echo(f"report: {write(folder, script, outcome)}", err=True)
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -63,10 +63,10 @@
         monkey.patch_all()
     from hollyridge.cli.day import show
     from hollyridge.lab.day import Day, DayError
-    from hollyridge.lab.page import write
-    from hollyridge.lab.policies import POLICIES
-    from hollyridge.lab.profiler import Meter
-    from hollyridge.lab.virtual import VirtualStage
+    from hollyridge.lab.experiments.policies import POLICIES
+    from hollyridge.lab.reports.page import write
+    from hollyridge.lab.reports.profiler import Meter
+    from hollyridge.lab.stand_ins.virtual import VirtualStage
 
     script = load(scenario, settings, fronts, times, assigners)
     if policy and policy not in POLICIES:
@@ -112,8 +112,8 @@
 ) -> None:
     """Play variants A and B on the same simulated days and seeds. A variant is `module`, another decision module of
     the laboratory, a settings file (.ini), or commit:REV."""
-    from hollyridge.lab import experiment
-    from hollyridge.lab.policies import POLICIES
+    from hollyridge.lab.experiments import experiment
+    from hollyridge.lab.experiments.policies import POLICIES
 
     for name in (a, b):
         if not (name.startswith("commit:") or name.endswith(".ini") or name in ("module", *POLICIES)):
@@ -157,7 +157,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def hunt(script: str, seeds: int, first: int, most: int, policy: str, out: str | None, as_json: bool) -> None:
     """Draw troubles by seed for the fleet and load of SCRIPT; keep the worst day, cut down to the fewest troubles."""
-    from hollyridge.lab import hunt as hunting
+    from hollyridge.lab.experiments import hunt as hunting
 
     loaded = load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
@@ -192,7 +192,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def sweep(script: str, sizes: str, assigners: str, seed: int, timeout_s: float, out: str | None, as_json: bool) -> None:
     """Play SCRIPT at growing sizes: how cost, lines and nearness to the rules grow, and where the time goes."""
-    from hollyridge.lab import sweep as sweeping
+    from hollyridge.lab.experiments import sweep as sweeping
 
     try:
         many, counts = [float(word) for word in sizes.split(",")], [int(word) for word in assigners.split(",")]
@@ -224,7 +224,7 @@
 def takeover(script: str, seeds: int, first: int, fronts: str, assigners: int, alone: bool, as_json: bool) -> None:
     """Strike the assigners of a shared fleet, simulated, by seed; count proxies without an owner and such as were
     ordered by two. Exit code 0 only if none was, and all rules were kept."""
-    from hollyridge.lab import takeover as taking
+    from hollyridge.lab.experiments import takeover as taking
 
     load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
@@ -251,7 +251,7 @@
 def flood(reports_per_s: float, seconds: float, budget: float, tasks: int, as_json: bool) -> None:
     """Flood a real assigner with load reports, half of them by one sender that does not listen, beside another that
     reads them all: what is kept, what it costs, how far their weights are apart."""
-    from hollyridge.lab import flood as flooding
+    from hollyridge.lab.experiments import flood as flooding
 
     try:
         told = flooding.flood(reports_per_s, seconds, budget, tasks=tasks)
@@ -267,7 +267,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def report(source: str, out: str, as_json: bool) -> None:
     """A page with plots of SOURCE: a recording, the folder of a day's recordings, or the kept file of a comparison."""
-    from hollyridge.lab.plots import page_of
+    from hollyridge.lab.reports.plots import page_of
 
     try:
         page = page_of(Path(source), Path(out))
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checks/checker.py
@@ -14,7 +14,7 @@
 
 from hollyridge.chp import codec as clone
 from hollyridge.chp.replica import Client
-from hollyridge.lab.record import frame_of, parts_of
+from hollyridge.lab.reports.record import frame_of, parts_of
 from hollyridge.membership.fencing import FencingChecker
 from hollyridge.registration.members import figure, read_label
 from hollyridge.sasp import codec, ownership_extension
--- a/hollyridge/lab/metrics.py
+++ b/hollyridge/lab/checks/metrics.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from itertools import takewhile
 
-from hollyridge.lab.checker import Evidence
+from hollyridge.lab.checks.checker import Evidence
 
 LATE_WORTH = 0.1  # of the criticality, for an answer after the soft deadline but in time for the client
 
--- a/hollyridge/lab/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -8,7 +8,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from hollyridge.lab.checker import Evidence
+from hollyridge.lab.checks.checker import Evidence
 
 
 class Gap(NamedTuple):
--- a/hollyridge/lab/parity.py
+++ b/hollyridge/lab/checks/parity.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from hollyridge.lab.checker import Evidence, Seen
+from hollyridge.lab.checks.checker import Evidence, Seen
 from hollyridge.sasp.weight_advice import LEAST
 
 CLOSE = 2 / LEAST  # of the largest line: what 16 bits and a cold task's rounding down may come to
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import NamedTuple
 
-from hollyridge.lab.checker import Evidence, Figures, Verdict, check
-from hollyridge.lab.metrics import figures_of
-from hollyridge.lab.ownership import of_day
-from hollyridge.lab.parity import compare
+from hollyridge.lab.checks.checker import Evidence, Figures, Verdict, check
+from hollyridge.lab.checks.metrics import figures_of
+from hollyridge.lab.checks.ownership import of_day
+from hollyridge.lab.checks.parity import compare
 from hollyridge.lab.scenario import Scenario, TroubleSection
 
 
--- a/hollyridge/lab/experiment.py
+++ b/hollyridge/lab/experiments/experiment.py
@@ -135,7 +135,7 @@
         with open(kept, "ab") as file:
             file.write(b"\n")  # ends a line that was cut off, so that the next one is whole
     have = {(row["variant"], row["script"], row["seed"]) for row in rows if "failed" not in row}
-    checkouts = Checkouts(Path(__file__).resolve().parents[2])
+    checkouts = Checkouts(Path(__file__).resolve().parents[3])
     folders = {variant: checkouts.of(variant) for variant in (a, b)}
     jobs = [(variant, script, seed) for seed in range(1, seeds + 1) for script in scripts for variant in (a, b)]
     wanted = [job for job in jobs if (job[0].name, job[1], job[2]) not in have]
--- a/hollyridge/lab/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -15,12 +15,12 @@
 import msgspec
 from gevent import socket, subprocess
 
-from hollyridge.lab.live import free_port
+from hollyridge.lab.stand_ins.live import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp.client import HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-SETTINGS = Path(__file__).parent.parent.parent / "examples" / "loopback.ini"
+SETTINGS = Path(__file__).resolve().parents[3] / "examples" / "loopback.ini"
 SOURCES = 20  # quiet ones, each at an address of its own; one more floods
 EACH = 60  # points in a request
 
--- a/hollyridge/lab/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -9,7 +9,7 @@
 
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.scenario import KINDS, Scenario, TroubleSection
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 
 RANGES = {
     # kind: for_s, part, size, extra; each from and to
--- a/hollyridge/lab/sweep.py
+++ b/hollyridge/lab/experiments/sweep.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hollyridge.lab.plots import picture, write
+from hollyridge.lab.reports.plots import picture, write
 
 
 def play(path: str, times: float, assigners: int, seed: int, timeout_s: float) -> dict:
--- a/hollyridge/lab/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -12,12 +12,12 @@
 from typing import NamedTuple
 
 from hollyridge.lab import scenario as scripts
-from hollyridge.lab.checker import Evidence
+from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.ownership import Gap, believed, doubles, gaps, moves
 from hollyridge.lab.day import Day
-from hollyridge.lab.hunt import drawn, with_troubles
-from hollyridge.lab.ownership import Gap, believed, doubles, gaps, moves
+from hollyridge.lab.experiments.hunt import drawn, with_troubles
 from hollyridge.lab.scenario import TroubleSection
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 
 RANGES = {
     # kind: for_s, part of assigners or of what it strikes, size, extra; each from and to
--- a/hollyridge/lab/plots.py
+++ b/hollyridge/lab/reports/plots.py
@@ -12,9 +12,9 @@
 from jinja2 import Environment
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402
+from matplotlib import pyplot  # noqa: E402 - the backend is chosen before
 
-from hollyridge.lab.checker import Evidence  # noqa: E402
+from hollyridge.lab.checks.checker import Evidence
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:15px/1.45 sans-serif;max-width:70em;margin:2em auto;padding:0 1em}img{max-width:100%}
@@ -206,7 +206,7 @@
         axes.set_xlabel("day and seed")
         axes.legend()
 
-    from hollyridge.lab.experiment import Variant, summary
+    from hollyridge.lab.experiments.experiment import Variant, summary
 
     table = [summary(rows, Variant(variant)) for variant in variants]
     return write(
@@ -226,7 +226,7 @@
 def page_of(source: Path, out: Path) -> Path:
     """Of a recording, a folder with recordings, or the kept file of a comparison. ValueError for what is neither."""
     if source.is_dir():
-        from hollyridge.lab.record import read_all
+        from hollyridge.lab.reports.record import read_all
 
         return day_page(read_all(source), out, source.name)
     rows = []
--- a/hollyridge/lab/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from types import FrameType
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 
 # Keys of `parts` in `lab run --cost --json` and `lab sweep --json`. They are a format: what packages are called today
 # is turned into the names that readers of older results know.
--- a/hollyridge/lab/agent.py
+++ b/hollyridge/lab/stand_ins/agent.py
@@ -9,7 +9,7 @@
 import gevent
 from gevent.event import Event
 
-from hollyridge.lab.record import Recorder
+from hollyridge.lab.reports.record import Recorder
 from hollyridge.sasp.client import ConnectionLostError, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 
--- a/hollyridge/lab/assigner.py
+++ b/hollyridge/lab/stand_ins/assigner.py
@@ -1,9 +1,9 @@
-"""An assigner with another decision module: `python -m hollyridge.lab.assigner POLICY FILE.ini`."""
+"""An assigner with another decision module: `python -m hollyridge.lab.stand_ins.assigner POLICY FILE.ini`."""
 
 import sys
 
 from hollyridge.cli.main import load, run
-from hollyridge.lab.policies import POLICIES
+from hollyridge.lab.experiments.policies import POLICIES
 
 if __name__ == "__main__":
     run(load(sys.argv[2]), sys.argv[2], POLICIES[sys.argv[1]])
--- a/hollyridge/lab/command_handler.py
+++ b/hollyridge/lab/stand_ins/command_handler.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from hollyridge.lab.proxy import Proxy
-from hollyridge.lab.task import Task
+from hollyridge.lab.stand_ins.proxy import Proxy
+from hollyridge.lab.stand_ins.task import Task
 
 
 class CommandHandler:
--- a/hollyridge/lab/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -15,12 +15,12 @@
 from gevent import subprocess
 
 from hollyridge.core.event_loop import CLOCK_ABOVE
-from hollyridge.lab.agent import Agent
 from hollyridge.lab.day import Day, DayError
-from hollyridge.lab.record import STATE, Recorder, now_us, read_all
-from hollyridge.lab.relay import Relay
+from hollyridge.lab.reports.record import STATE, Recorder, now_us, read_all
 from hollyridge.lab.scenario import Scenario
-from hollyridge.lab.world import LiveWorld
+from hollyridge.lab.stand_ins.agent import Agent
+from hollyridge.lab.stand_ins.relay import Relay
+from hollyridge.lab.stand_ins.world import LiveWorld
 
 
 class WorkerHandle:
@@ -28,7 +28,7 @@
 
     def __init__(self, folder: Path, name: str, heard: Callable[[dict], None]) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.lab.worker_process", str(folder / f"{name}.jsonl")],
+            [sys.executable, "-m", "hollyridge.lab.stand_ins.worker_process", str(folder / f"{name}.jsonl")],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=open(folder / f"{name}.log", "wb"),
@@ -152,7 +152,9 @@
     def start_assigner(self, number: int) -> None:
         self.starts += 1
         program = (
-            ["-m", "hollyridge.lab.assigner", self.policy] if self.policy else ["-m", "hollyridge.cli.main", "serve"]
+            ["-m", "hollyridge.lab.stand_ins.assigner", self.policy]
+            if self.policy
+            else ["-m", "hollyridge.cli.main", "serve"]
         )
         log = open(self.folder / f"assigner-{number}-{self.starts}.log", "wb")
         assigner = self.assigners[number] = subprocess.Popen(
--- a/hollyridge/lab/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -14,8 +14,8 @@
 from gevent.event import AsyncResult
 
 from hollyridge.client import ChpGateway, Gateway, Reporter, SaspGateway
-from hollyridge.lab import rpc
-from hollyridge.lab.record import Recorder
+from hollyridge.lab.reports.record import Recorder
+from hollyridge.lab.stand_ins import rpc
 from hollyridge.otlp.sender import Figure
 
 
--- a/hollyridge/lab/sockets.py
+++ b/hollyridge/lab/stand_ins/sockets.py
@@ -10,7 +10,7 @@
 
 import zmq
 
-from hollyridge.lab.world import VirtualWorld
+from hollyridge.lab.stand_ins.world import VirtualWorld
 
 
 class Frame(bytes):
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -8,8 +8,8 @@
 
 from hollyridge.client import ChpGateway
 from hollyridge.client.sasp import BEATS, SaspTables
-from hollyridge.lab.proxy import Proxy
-from hollyridge.lab.world import VirtualWorld
+from hollyridge.lab.stand_ins.proxy import Proxy
+from hollyridge.lab.stand_ins.world import VirtualWorld
 from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import (
     ConnectionLostError,
@@ -22,7 +22,7 @@
 from hollyridge.sasp.server import Connection
 
 if TYPE_CHECKING:
-    from hollyridge.lab.virtual import SimulatedProcess, VirtualStage
+    from hollyridge.lab.stand_ins.virtual import SimulatedProcess, VirtualStage
 
 
 class Signal:
--- a/hollyridge/lab/task.py
+++ b/hollyridge/lab/stand_ins/task.py
@@ -10,9 +10,9 @@
 import gevent
 from gevent.server import StreamServer
 
-from hollyridge.lab import rpc
-from hollyridge.lab.record import Recorder
-from hollyridge.lab.task_model import Budget, Build, Busy, Cache, Warmth, service_us
+from hollyridge.lab.reports.record import Recorder
+from hollyridge.lab.stand_ins import rpc
+from hollyridge.lab.stand_ins.task_model import Budget, Build, Busy, Cache, Warmth, service_us
 
 TOKENED, NON_IDEMPOTENT = "tokened", "non-idempotent"
 
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -15,19 +15,19 @@
 
 from hollyridge.client.gateway import Gateway
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.lab import rpc
-from hollyridge.lab.agent import Agent
-from hollyridge.lab.command_handler import CommandHandler
 from hollyridge.lab.day import Day, DayError
-from hollyridge.lab.policies import POLICIES
-from hollyridge.lab.proxy import Proxy
-from hollyridge.lab.record import STATE, Recorder
+from hollyridge.lab.experiments.policies import POLICIES
+from hollyridge.lab.reports.record import STATE, Recorder
 from hollyridge.lab.scenario import Scenario
-from hollyridge.lab.sockets import Context, Library, Network
-from hollyridge.lab.streams import VirtualChpGateway, VirtualRegistrar, VirtualSaspGateway
-from hollyridge.lab.task import Task
-from hollyridge.lab.task_model import Build
-from hollyridge.lab.world import VirtualWorld
+from hollyridge.lab.stand_ins import rpc
+from hollyridge.lab.stand_ins.agent import Agent
+from hollyridge.lab.stand_ins.command_handler import CommandHandler
+from hollyridge.lab.stand_ins.proxy import Proxy
+from hollyridge.lab.stand_ins.sockets import Context, Library, Network
+from hollyridge.lab.stand_ins.streams import VirtualChpGateway, VirtualRegistrar, VirtualSaspGateway
+from hollyridge.lab.stand_ins.task import Task
+from hollyridge.lab.stand_ins.task_model import Build
+from hollyridge.lab.stand_ins.world import VirtualWorld
 from hollyridge.otlp.reading import METRICS
 from hollyridge.otlp.sender import Figure
 from hollyridge.peers.peer_service import PeerConfig
--- a/hollyridge/lab/worker_process.py
+++ b/hollyridge/lab/stand_ins/worker_process.py
@@ -1,5 +1,5 @@
 """A process that houses stand-in tasks or proxies: commands as JSON lines on standard input, answers on standard
-output, recordings in a file of its own. `python -m hollyridge.lab.worker_process FILE.jsonl`."""
+output, recordings in a file of its own. `python -m hollyridge.lab.stand_ins.worker_process FILE.jsonl`."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 monkey.patch_all()
 
-import sys  # noqa: E402
+import sys  # noqa: E402 - after the patch
 
-import gevent  # noqa: E402
-import msgspec  # noqa: E402
-from gevent.fileobject import FileObject  # noqa: E402
+import gevent  # noqa: E402 - after the patch
+import msgspec  # noqa: E402 - after the patch
+from gevent.fileobject import FileObject  # noqa: E402 - after the patch
 
-from hollyridge.lab.command_handler import CommandHandler  # noqa: E402
-from hollyridge.lab.proxy import Proxy  # noqa: E402
-from hollyridge.lab.record import Recorder  # noqa: E402
-from hollyridge.lab.task import Task, TaskServer  # noqa: E402
-from hollyridge.lab.task_model import Build  # noqa: E402
-from hollyridge.lab.world import LiveWorld  # noqa: E402
+from hollyridge.lab.reports.record import Recorder  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.command_handler import CommandHandler  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.proxy import Proxy  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.task import Task, TaskServer  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.task_model import Build  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.world import LiveWorld  # noqa: E402 - after the patch
 
 
 class WorkerProcess(CommandHandler):
--- a/hollyridge/lab/world.py
+++ b/hollyridge/lab/stand_ins/world.py
@@ -17,7 +17,7 @@
 import gevent.lock
 from greenlet import getcurrent, greenlet
 
-from hollyridge.lab.record import now_us
+from hollyridge.lab.reports.record import now_us
 
 
 class LiveWorld:
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -16,8 +16,8 @@
 from hollyridge.chp.key_space import KeySpace
 from hollyridge.chp.replica import Client, Replica
 from hollyridge.client import ChpGateway, GatewayState, SaspGateway
-from hollyridge.lab.record import parts_of
-from hollyridge.lab.update_model_check import World, explore
+from hollyridge.lab.checks.update_model_check import World, explore
+from hollyridge.lab.reports.record import parts_of
 from hollyridge.sasp.codec import Member
 
 STREAMS = Path(__file__).parent / "streams"
@@ -157,7 +157,7 @@
 
 
 def clone_rig(rig, **overrides):  # noqa: F811
-    from hollyridge.lab.live import free_ports
+    from hollyridge.lab.stand_ins.live import free_ports
 
     r = rig(**{"clone__listen": f"127.0.0.1:{free_ports(3)}", "clone__beat_ms": 100, **overrides})
     r.clone, r.context = r.service.clone, zmq.Context()
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from hollyridge.lab.parity import compare
-from hollyridge.lab.record import parts_of, read_all
+from hollyridge.lab.checks.parity import compare
+from hollyridge.lab.reports.record import parts_of, read_all
 
 ROOT = Path(__file__).parent.parent
 SMALL, UNFORGIVING = ROOT / "examples" / "small-day.ini", ROOT / "tests" / "days" / "unforgiving.ini"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,8 +16,9 @@
 from hollyridge.chp import codec as clone
 from hollyridge.cli.main import main
 from hollyridge.client import ChpGateway, SaspGateway
-from hollyridge.lab import ownership, takeover
-from hollyridge.lab.live import free_port, free_ports
+from hollyridge.lab.checks import ownership
+from hollyridge.lab.experiments import takeover
+from hollyridge.lab.stand_ins.live import free_port, free_ports
 from hollyridge.membership.leases import rightful
 from hollyridge.membership.messages import ClaimedProxies, GossipMessage, Join, MemberFacts, Ping
 from hollyridge.peers.codec import HEAD, MOST, PacketGuard, PeerError
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -19,7 +19,7 @@
 from hollyridge.benchlink.link import Instance
 from hollyridge.chp import codec as chp
 from hollyridge.chp.key_space import KeySpace
-from hollyridge.lab import rpc
+from hollyridge.lab.stand_ins import rpc
 from hollyridge.membership import messages
 from hollyridge.peers import codec as peers
 from hollyridge.store import learned_estimates, state_file
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -23,10 +23,12 @@
 from hollyridge.cli.main import main
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.update_builder import ServerCapabilities, UpdateBuilder
-from hollyridge.lab import hunt, profiler, scenario, takeover
-from hollyridge.lab.checker import Verdict
+from hollyridge.lab import scenario
+from hollyridge.lab.checks.checker import Verdict
+from hollyridge.lab.checks.ownership import Gap
 from hollyridge.lab.day import Outcome
-from hollyridge.lab.ownership import Gap
+from hollyridge.lab.experiments import hunt, takeover
+from hollyridge.lab.reports import profiler
 from hollyridge.settings import assigner
 from hollyridge.settings import solve as solving
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -10,12 +10,12 @@
 from hollyridge.client import chp as client_chp
 from hollyridge.client import gateway
 from hollyridge.lab import scenario
-from hollyridge.lab.checker import Evidence
+from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.metrics import figures_of
+from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.day import Day, Outcome
-from hollyridge.lab.metrics import figures_of
-from hollyridge.lab.ownership import of_day
-from hollyridge.lab.record import Recorder, frame_of, parts_of, read_all
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.reports.record import Recorder, frame_of, parts_of, read_all
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 from hollyridge.sasp import client as sasp_client
 
 KINDS = {
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -12,7 +12,7 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 from hollyridge.store import learned_estimates, state_file
 from hollyridge.store.state_file import SavedState, StateFileError, TaskEstimate
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,13 +14,15 @@
 
 from hollyridge.cli.main import main
 from hollyridge.client.picking import Picker
-from hollyridge.lab import experiment, hunt, rpc, scenario, sockets, takeover
+from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.record import Recorder
-from hollyridge.lab.task import Task
-from hollyridge.lab.task_model import Budget, Build, Warmth
-from hollyridge.lab.virtual import VirtualStage
-from hollyridge.lab.world import VirtualWorld
+from hollyridge.lab.experiments import experiment, hunt, takeover
+from hollyridge.lab.reports.record import Recorder
+from hollyridge.lab.stand_ins import rpc, sockets
+from hollyridge.lab.stand_ins.task import Task
+from hollyridge.lab.stand_ins.task_model import Budget, Build, Warmth
+from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.world import VirtualWorld
 
 ROOT = Path(__file__).parent.parent
 SMALL = ROOT / "examples" / "small-day.ini"
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -8,7 +8,7 @@
 from hollyridge.core.engine import DecisionModuleError, Engine, EngineLimits
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.update_builder import ServerCapabilities
-from hollyridge.lab.policies import Even
+from hollyridge.lab.experiments.policies import Even
 from hollyridge.registration import members
 from hollyridge.registration.members import Deregistered, MemberRequest, Quiesced, Registered, StreamLost
 from hollyridge.telemetry.report_aggregator import DataPoint, Kind
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hollyridge.lab.lease_model_check import explore
+from hollyridge.lab.checks.lease_model_check import explore
 from hollyridge.membership import leases, swim
 from hollyridge.membership.leases import (
     Claims,
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -21,7 +21,7 @@
 from hollyridge.decisions.assigner import NOISE_FLOOR, Assigner
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 from hollyridge.settings.solve import load
 from hollyridge.solver import linear_program
 from hollyridge.solver.engine_adapter import fleet_of, proposals
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from test_service import rig, tries  # noqa: F401
 
-from hollyridge.lab.flood import flood
+from hollyridge.lab.experiments.flood import flood
 from hollyridge.limits.fair_share import ALL, FairShareLimiter, level
 from hollyridge.otlp.sender import post, request_of
 
