--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -8,7 +8,7 @@
 from hollyridge import interface as api
 from hollyridge.core.engine import DecisionModuleError
 from hollyridge.decisions.assigner import Assigner
-from hollyridge.lab.policies import Even
+from hollyridge.lab.experiments.policies import Even
 from hollyridge.registration.members import Deregistered, Quiesced, StreamLost
 
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,7 +9,7 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import VirtualStage
 from hollyridge.store import state_file
 from hollyridge.store.state_file import SavedState, TaskEstimate
 
