--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -31,11 +31,11 @@
 
     def take(self, message: codec.SendWeights) -> None:
         """SentOnError where another assigner should be asked. Not applied: what comes from who is not to be obeyed."""
-        word = ownership_extension.word_in(message.groups)
+        word = ownership_extension.read_reply(message.groups)
         if isinstance(word, ownership_extension.Redirected):
-            raise RedirectedError(word.to)
+            raise RedirectedError(word.address)
         self.own = word or self.own
-        self.lease = self.own.lease or self.lease
+        self.lease = self.own.lease_s or self.lease
         if not self.judge.obeys(self.own.fence):
             return
         self.held.take(message.groups)
@@ -84,13 +84,15 @@
         self.alive()
         beat = self.clock()
         while not self.stopped:
-            pushed = client.receive(min(self.receive_s, self.own.lease / BEATS) if self.own.lease else self.receive_s)
+            pushed = client.receive(
+                min(self.receive_s, self.own.lease_s / BEATS) if self.own.lease_s else self.receive_s
+            )
             if pushed is not None:
                 self.before(pushed[1].groups)
                 self.version = pushed[0]
                 self.take(pushed[1])
-            if self.own.lease and self.clock() - beat >= self.own.lease / BEATS:
-                beat, client.timeout = self.clock(), self.own.lease / 2
+            if self.own.lease_s and self.clock() - beat >= self.own.lease_s / BEATS:
+                beat, client.timeout = self.clock(), self.own.lease_s / 2
                 client.alive()
             self.alive()
 
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -176,7 +176,7 @@
                     continue
                 who = row["who"]
                 question = asked.get((who, row["stream"], number), (0, None))[1]
-                if isinstance(question, codec.Register) and ownership_extension.question_in(
+                if isinstance(question, codec.Register) and ownership_extension.read_request(
                     question.groups[0].group.name
                 ):
                     continue  # it has said its number, and is not joined yet
--- a/hollyridge/lab/parity.py
+++ b/hollyridge/lab/parity.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 
 from hollyridge.lab.checker import Evidence, Seen
-from hollyridge.sasp.weight_advice import LEAST
+from hollyridge.sasp.weight_advice import MIN_LARGEST_FIGURE
 
-CLOSE = 2 / LEAST  # of the largest line: what 16 bits and a cold task's rounding down may come to
+CLOSE = 2 / MIN_LARGEST_FIGURE  # of the largest line: what 16 bits and a cold task's rounding down may come to
 
 
 def compare(rows: Iterable[dict]) -> tuple[int, int, str]:
--- a/hollyridge/lab/streams.py
+++ b/hollyridge/lab/streams.py
@@ -18,7 +18,7 @@
     MemberRegistrar,
     RefusedError,
 )
-from hollyridge.sasp.codec import Group, Wants
+from hollyridge.sasp.codec import BalancerFlags, Group
 from hollyridge.sasp.server import Connection
 
 if TYPE_CHECKING:
@@ -161,16 +161,16 @@
         mail, proxy, asked = Mailbox(self.stage.world), self.proxy, self.begin()
         line = self.line = Line(seat, proxy.host, mail.put)
         groups = tuple(codec.MembersOf(Group(self.uid, name), ()) for name in dict.fromkeys(self.groups.values()))
-        hello = codec.SetBalancer(self.uid, 0x7F, int(Wants.PUSH | Wants.NO_CHANGE))
+        hello = codec.SetBalancer(self.uid, 0x7F, int(BalancerFlags.PUSH | BalancerFlags.NO_CHANGE))
         registration = 3
         for number, message in enumerate(
-            (hello, ownership_extension.question(self.uid, asked, self.pleads), codec.Register(True, groups)), 1
+            (hello, ownership_extension.write_request(self.uid, asked, self.pleads), codec.Register(True, groups)), 1
         ):
             self.say(line, number, message)
         number, beat, answered, hello_s = registration, self.clock(), False, self.patience(5.0)
         while not self.stopped:
             try:
-                frame = mail.take(self.own.lease / BEATS if self.own.lease else None if answered else hello_s)
+                frame = mail.take(self.own.lease_s / BEATS if self.own.lease_s else None if answered else hello_s)
             except TimeoutError:
                 frame = b""
             if frame is None:
@@ -187,9 +187,9 @@
                 if replied >= registration or isinstance(message, codec.SendWeights):
                     self.alive()
             waited = self.clock() - beat
-            if not answered and waited >= (self.own.lease / 2 if number > registration else hello_s):
+            if not answered and waited >= (self.own.lease_s / 2 if number > registration else hello_s):
                 raise HeartbeatTimeoutError("no answer in time")
-            if self.own.lease and waited >= self.own.lease / BEATS:
+            if self.own.lease_s and waited >= self.own.lease_s / BEATS:
                 if answered:
                     beat, answered, number = self.clock(), False, number + 1
                     self.say(line, number, hello)
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from hollyridge.sasp import codec, ownership_extension
-from hollyridge.sasp.codec import Code, Group, Member, Told, Wants
+from hollyridge.sasp.codec import BalancerFlags, Code, Group, Member, WeightFlags
 
 
 class RefusedError(Exception):
@@ -120,11 +120,11 @@
         """Say who it is and which groups it wants; with `push`, changes come by themselves. `asked`: the number of this
         question, for assigners that share a fleet; then RefusedError may come with a word of who should be asked
         waiting in `receive`."""
-        self.flags = (Wants.PUSH if push else 0) | Wants.NO_CHANGE
+        self.flags = (BalancerFlags.PUSH if push else 0) | BalancerFlags.NO_CHANGE
         self.alive()
         if asked:
             self.call(
-                ownership_extension.question(self.uid, asked, plea)
+                ownership_extension.write_request(self.uid, asked, plea)
             )  # one that shares nothing refuses it, which is no harm
         self.ask(codec.Register(True, tuple(codec.MembersOf(Group(self.uid, name), ()) for name in groups)))
 
@@ -194,7 +194,7 @@
     >>> held.take((codec.WeightsOf(Group("g", "a"), (codec.Weight(m, 9),)),))
     >>> [(member.host, entry.weight) for member, entry in held.lines("a").items()]
     [('127.1.0.1', 9)]
-    >>> held.take((codec.WeightsOf(Group("g", "a"), (codec.Weight(m, 0, Told.QUIESCE),)),)); held.lines("a")
+    >>> held.take((codec.WeightsOf(Group("g", "a"), (codec.Weight(m, 0, WeightFlags.QUIESCE),)),)); held.lines("a")
     {}
     """
 
@@ -209,12 +209,12 @@
         """Apply one message; `whole` for the answer to a question, which tells all of each group."""
         tables, fresh = dict(self.tables), set(self.fresh)
         for group, weights in groups:
-            if not weights or group.name == ownership_extension.NAME:
+            if not weights or group.name == ownership_extension.GROUP_NAME:
                 continue
             start = group.name not in (fresh - self.fresh if whole else fresh)
             table = {} if start else dict(tables.get(group.name, {}))
             for entry in weights:
-                if entry.weight > 0 and not entry.flags & Told.QUIESCE:
+                if entry.weight > 0 and not entry.flags & WeightFlags.QUIESCE:
                     table[entry.member] = Entry(entry.weight, entry.flags)
                 else:
                     table.pop(entry.member, None)
--- a/hollyridge/sasp/codec.py
+++ b/hollyridge/sasp/codec.py
@@ -47,7 +47,7 @@
     NOT_CONTACTED_YET = 0x61
 
 
-class Wants(IntFlag):
+class BalancerFlags(IntFlag):
     """Flags of Set LB State."""
 
     PUSH = 0x80
@@ -55,7 +55,7 @@
     NO_CHANGE = 0x20  # only entries that changed are to be sent
 
 
-class Told(IntFlag):
+class WeightFlags(IntFlag):
     """Flags of a weight entry."""
 
     CONTACT = 0x80
@@ -123,7 +123,7 @@
 class Weight(NamedTuple):
     member: Member
     weight: int
-    flags: int = Told.CONTACT
+    flags: int = WeightFlags.CONTACT
     state: int = 0
 
 
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -1,76 +1,109 @@
-"""How a shared fleet speaks through SASP without changing it: a group that only clients which know it name.
-
-A load balancer registers the group `.owner/NUMBER/PLEA` before its own ones: the number of its question, and 1 if whom
-it was sent to could not be reached. A service that shares nothing refuses that group, which is no harm. One that does
-sends, ahead of its weights, one entry of the group `.owner`, quiesced and of weight 0, so that no RPC could ever go
-there: its address carries the fencing number (`fd`, seven bytes of zero, eight of the number) and its port the lease in
-tenths of a second, or else it is the address of another service that should be asked. From then on the load balancer
-says Set LB State a few times a lease: its answer is the service's sign of life, and it is the load balancer's.
+"""How assigners that share a fleet use SASP without changing it: a group that only clients which know it name.
+
+A load balancer registers the group `.owner/NUMBER/INSIST` before its own ones: the number of its request, and 1 if the
+assigner it was redirected to could not be reached. A service that shares no fleet refuses that group, which does no
+harm. One that does sends, ahead of its weights, one entry of the group `.owner`, quiesced and of weight 0, so that no
+RPC could ever be sent there: its address carries the fencing token (`fd`, seven bytes of zero, eight of the token) and
+its port the lease in tenths of a second, or else it is the address of another service that should be asked. From then
+on the load balancer sends Set LB State a few times a lease: a heartbeat both ways.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple, Union
 
-from hollyridge.sasp import codec
-from hollyridge.sasp.codec import Group, Member, Told, Weight
+from hollyridge.sasp.codec import Group, Member, MembersOf, Register, Weight, WeightFlags, WeightsOf
 
-NAME = ".owner"
-MARK = b"\xfd" + b"\0" * 7
+GROUP_NAME = ".owner"
+TOKEN_PREFIX = b"\xfd" + b"\0" * 7  # marks an address that carries a fencing token
+TOKEN_BYTES = 8
+MAX_NUMBER = (1 << 63) - 1
+LEASE_TICKS_PER_S = 10
+MAX_LEASE_TICKS = 0xFFFF  # it travels as a port
+MAX_OWNER_CHARS = 64
 
 
 class Owned(NamedTuple):
-    """`lease` in seconds."""
+    """The assigner owns the load balancer.
+
+    Attributes:
+        fence: Fencing token; whoever shows a lower one is not to be obeyed.
+        lease_s: How long the claim holds without a renewal.
+        owner: Name of the assigner.
+    """
 
     fence: int
-    lease: float
-    by: str = ""
+    lease_s: float
+    owner: str = ""
 
 
 class Redirected(NamedTuple):
-    to: str
+    """Another service should be asked, at `address` (`host:port`)."""
+
+    address: str
+
+
+class OwnershipRequest(NamedTuple):
+    """A load balancer asks to be owned.
+
+    Attributes:
+        number: Number of the request; 0 where none was made.
+        insist: Whether to be taken in even if another assigner seems to be the owner: that one can't be reached.
+    """
+
+    number: int = 0
+    insist: bool = False
 
 
 OwnershipReply = Union[Owned, Redirected]
 
 
-def question(uid: str, asked: int, plea: bool) -> codec.Register:
-    return codec.Register(True, (codec.MembersOf(Group(uid, f"{NAME}/{asked}/{int(plea)}"), ()),))
+def write_request(uid: str, number: int, insist: bool) -> Register:
+    """The registration by which a load balancer asks to be owned."""
+    return Register(True, (MembersOf(Group(uid, f"{GROUP_NAME}/{number}/{int(insist)}"), ()),))
 
 
-def question_in(name: str) -> tuple[int, bool] | None:
-    """
-    >>> question_in(question("gw", 7, True).groups[0].group.name), question_in("read"), question_in(".owner/x/1")
-    ((7, True), None, None)
+def read_request(group_name: str) -> OwnershipRequest | None:
+    """The request in the name of a group, None if there is none.
+
+    >>> read_request(write_request("gw", 7, True).groups[0].group.name)
+    OwnershipRequest(number=7, insist=True)
+    >>> read_request("read"), read_request(".owner/x/1")
+    (None, None)
     """
-    words = name.split("/")
-    if len(words) != 3 or words[0] != NAME or not words[1].isdigit() or words[2] not in ("0", "1"):
+    name, _, rest = group_name.partition("/")
+    digits, _, insist = rest.partition("/")
+    if name != GROUP_NAME or not digits.isdigit() or insist not in ("0", "1"):
         return None
-    asked = int(words[1])
-    return (asked, words[2] == "1") if 0 < asked < 1 << 63 else None
+    number = int(digits)
+    return OwnershipRequest(number, insist == "1") if 0 < number <= MAX_NUMBER else None
 
 
-def entry(uid: str, word: OwnershipReply) -> codec.WeightsOf:
-    """
-    >>> told = entry("gw", Owned(9, 3.0, "a"))
-    >>> word_in((told,))
-    Owned(fence=9, lease=3.0, by='a')
-    >>> word_in((entry("gw", Redirected("127.0.0.1:3861")),))
-    Redirected(to='127.0.0.1:3861')
+def write_reply(uid: str, reply: OwnershipReply) -> WeightsOf:
+    """The group that tells a load balancer who owns it.
+
+    >>> read_reply((write_reply("gw", Owned(9, 3.0, "a")),))
+    Owned(fence=9, lease_s=3.0, owner='a')
+    >>> read_reply((write_reply("gw", Redirected("127.0.0.1:3861")),))
+    Redirected(address='127.0.0.1:3861')
     """
-    if isinstance(word, Owned):
-        member = Member(MARK + word.fence.to_bytes(8, "big"), min(round(word.lease * 10), 65535), 0, word.by[:64])
+    if isinstance(reply, Owned):
+        lease_ticks = min(round(reply.lease_s * LEASE_TICKS_PER_S), MAX_LEASE_TICKS)
+        token = reply.fence.to_bytes(TOKEN_BYTES, "big")
+        member = Member(TOKEN_PREFIX + token, lease_ticks, 0, reply.owner[:MAX_OWNER_CHARS])
     else:
-        host, _, port = word.to.rpartition(":")
+        host, _, port = reply.address.rpartition(":")
         member = Member.at(host.strip("[]"), int(port), protocol=0)
-    return codec.WeightsOf(Group(uid, NAME), (Weight(member, 0, int(Told.QUIESCE)),))
+    return WeightsOf(Group(uid, GROUP_NAME), (Weight(member, 0, int(WeightFlags.QUIESCE)),))
 
 
-def word_in(groups: tuple[codec.WeightsOf, ...]) -> OwnershipReply | None:
+def read_reply(groups: tuple[WeightsOf, ...]) -> OwnershipReply | None:
+    """Who owns the load balancer, None if these groups do not tell."""
     for group, weights in groups:
-        if group.name == NAME and weights:
+        if group.name == GROUP_NAME and weights:
             member = weights[0].member
-            if member.address.startswith(MARK):
-                return Owned(int.from_bytes(member.address[8:], "big"), member.port / 10, member.label)
+            if member.address.startswith(TOKEN_PREFIX):
+                fence = int.from_bytes(member.address[len(TOKEN_PREFIX) :], "big")
+                return Owned(fence, member.port / LEASE_TICKS_PER_S, member.label)
             return Redirected(f"{member.host}:{member.port}")
     return None
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -27,7 +27,7 @@
 from hollyridge.peers.peer_service import PeerService
 from hollyridge.registration import members
 from hollyridge.sasp import codec, ownership_extension
-from hollyridge.sasp.codec import Code, Told, Wants
+from hollyridge.sasp.codec import BalancerFlags, Code, WeightFlags
 from hollyridge.sasp.weight_advice import GroupWeights
 from hollyridge.sessions.access import AccessControl
 from hollyridge.sessions.session_tracker import SessionTracker
@@ -89,7 +89,7 @@
 
     @property
     def push(self) -> bool:
-        return bool(self.flags & Wants.PUSH)
+        return bool(self.flags & BalancerFlags.PUSH)
 
 
 OPEN = AccessControl(False, ())
@@ -352,7 +352,7 @@
     def say_where(self, stream: Connection, name: str) -> None:
         to = self.fleet.address_of(name, "sasp")
         if to:
-            word = ownership_extension.entry(stream.uid, ownership_extension.Redirected(to))
+            word = ownership_extension.write_reply(stream.uid, ownership_extension.Redirected(to))
             self.answer(stream, codec.encode(stream.version & 0xFFFFFFFF, codec.SendWeights((word,))))
 
     def let_go(self, stream: Connection, why: str) -> None:
@@ -439,7 +439,7 @@
 
     def register(self, stream: Connection, message: codec.Register) -> int:
         if message.by_balancer:
-            asked = [ownership_extension.question_in(row.group.name) for row in message.groups]
+            asked = [ownership_extension.read_request(row.group.name) for row in message.groups]
             if self.fleet is not None and asked and asked[0] is not None and stream.proxy < 0:
                 stream.question = asked[0]
                 return self.name(stream, message.groups[0].group.uid)
@@ -521,7 +521,7 @@
         bound = self.engine.update_builder.bindings.get(proxy, {})
         tables = [bound.get(method) for name, method in self.terms.groups.items() if name in stream.sheets]
         whole = sum(len(self.engine.update_builder.store.latest(table)) for table in tables if table is not None)
-        if not stream.flags & Wants.NO_CHANGE:  # it is sent its groups in full, whatever changed
+        if not stream.flags & BalancerFlags.NO_CHANGE:  # it is sent its groups in full, whatever changed
             return whole, whole
         return sum(lines * tables.count(table) for table, lines in update.line_counts), whole
 
@@ -559,7 +559,7 @@
         if sheet.value is None:
             return ()
         now, engine = self.clock(), self.engine
-        whole = whole or sheet.whole or not stream.flags & Wants.NO_CHANGE
+        whole = whole or sheet.whole or not stream.flags & BalancerFlags.NO_CHANGE
         changed = () if whole else engine.update_builder.store.change(sheet.table, sheet.told, sheet.value).lines
         told = sheet.advice.advise(
             sheet.value.lines,
@@ -572,9 +572,9 @@
         entries = []
         for task, figure in told.figures.items():
             member = self.bearers[task]
-            flags = Told.CONTACT * engine.is_running(task) | Told.QUIESCE * engine.is_closed(task)
-            flags |= Told.CONFIDENT * engine.is_confident(now, task)
-            flags |= Told.REGISTERED_BY_BALANCER * self.agents.get(member.key, False)
+            flags = WeightFlags.CONTACT * engine.is_running(task) | WeightFlags.QUIESCE * engine.is_closed(task)
+            flags |= WeightFlags.CONFIDENT * engine.is_confident(now, task)
+            flags |= WeightFlags.REGISTERED_BY_BALANCER * self.agents.get(member.key, False)
             entries.append(codec.Weight(member, figure, int(flags)))
         return tuple(entries)
 
@@ -585,7 +585,7 @@
             stream.fence_due = False
             lease = self.fleet.terms.lease.length / 1e6
             rows.append(
-                ownership_extension.entry(
+                ownership_extension.write_reply(
                     stream.uid, ownership_extension.Owned(stream.fence, lease, self.fleet.terms.name)
                 )
             )
--- a/hollyridge/sasp/weight_advice.py
+++ b/hollyridge/sasp/weight_advice.py
@@ -1,8 +1,8 @@
 """A table's weights as the 16-bit whole numbers of SASP.
 
-A group's scale is chosen so that its largest line stands at a quarter of the range, and kept until that line
-leaves the range or sinks to a sixteenth of it; only then is the whole group said again. So a line's figure
-changes only when its weight does, and rounding moves a line by at most half a part in 4096 of the largest.
+A group's scale is chosen so that its largest weight becomes a quarter of the range, and kept until that weight leaves
+the range or falls to a sixteenth of it; only then is the whole group sent again. So a task's figure changes only when
+its weight does, and rounding moves a weight by at most half a part in 4096 of the largest.
 """
 
 from __future__ import annotations
@@ -10,35 +10,38 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-MOST = 0xFFFF
-AIM = (MOST + 1) // 4
-LEAST = (MOST + 1) // 16
+MAX_FIGURE = 0xFFFF
+TARGET_LARGEST_FIGURE = (MAX_FIGURE + 1) // 4  # where a new scale puts the largest weight
+MIN_LARGEST_FIGURE = (MAX_FIGURE + 1) // 16  # where the scale is chosen anew
 
 
 def shown_methods(methods: Iterable[tuple[str, float]]) -> dict[str, int]:
-    """Group name to the method whose table it shows, of (group, criticality) by method: where methods share a
-    group, the one of most criticality, since a table laid out for lesser ones may be narrow on purpose.
+    """Which method's table each group shows, of (group, criticality) by method.
+
+    Where methods share a group it is the one of most criticality, since a table made for less critical ones may be
+    narrow on purpose.
 
     >>> shown_methods([("read", 1.0), ("write", 2.0), ("read", 3.0)])
     {'read': 2, 'write': 1}
     """
-    rows = list(methods)
-    found: dict[str, int] = {}
-    for k, (group, criticality) in enumerate(rows):
-        if group not in found or criticality > rows[found[group]][1]:
-            found[group] = k
-    return found
+    criticalities = []
+    shown: dict[str, int] = {}
+    for method, (group, criticality) in enumerate(methods):
+        criticalities.append(criticality)
+        if group not in shown or criticality > criticalities[shown[group]]:
+            shown[group] = method
+    return shown
 
 
 class AdvisedWeights(NamedTuple):
-    """Figures to send by task; `whole` if they replace all that was said of the group before."""
+    """Figures to send by task; `whole` if they replace all that was sent of the group before."""
 
     figures: dict[int, int]
     whole: bool
 
 
 class GroupWeights:
-    """What one load balancer was told of one group.
+    """What one load balancer was sent of one group.
 
     >>> group = GroupWeights()
     >>> group.advise({1: 1.0, 2: 0.25}, [1, 2], True, lambda task: task == 2, lambda task: False)
@@ -51,45 +54,58 @@
 
     def __init__(self) -> None:
         self.scale = 0.0
-        self.said: dict[int, int] = {}
-        self.withheld: set[int] = set()  # told 0 because they were closed, whatever the table says
+        self.sent: dict[int, int] = {}
+        self.withheld: set[int] = set()  # sent as 0 because they were closed, whatever the table holds
 
-    def advise(
+    def advise(  # noqa: PLR0913, PLR0917 - the table, its change and two questions about tasks; asked for each message
         self,
-        lines: Mapping[int, float],
+        weights: Mapping[int, float],
         changed: Iterable[int],
         whole: bool,
-        cold: Callable[[int], bool],
-        closed: Callable[[int], bool],
+        is_warming_up: Callable[[int], bool],
+        is_closed: Callable[[int], bool],
     ) -> AdvisedWeights:
-        """Figures for the tasks in `changed`, or for all if `whole`; `lines` is the table after the change.
-
-        A closed task is told 0 whatever an older order says: an order overtaken by a drain on its way must not
-        open the task again. It may hurt where a list wrongly says closed; the next list puts it right."""
-        largest = max(lines.values(), default=0.0)
-        if largest > 0 and not LEAST <= largest * self.scale <= MOST:
-            whole, self.scale = True, AIM / largest
-        tasks = {**dict.fromkeys(lines), **dict.fromkeys(self.said)} if whole else dict.fromkeys(changed)
-        tasks.update((task, None) for task in sorted(self.withheld) if not closed(task))
+        """Figures for the tasks in `changed`, or for all if `whole`; `weights` is the table after the change.
+
+        A closed task is sent as 0 whatever the table holds: a table that a drain has overtaken must not open the task
+        again. That is wrong where the endpoint list closes a task by mistake; its next change corrects it.
+        """
+        largest = max(weights.values(), default=0.0)
+        if largest > 0 and not MIN_LARGEST_FIGURE <= largest * self.scale <= MAX_FIGURE:
+            whole = True
+            self.scale = TARGET_LARGEST_FIGURE / largest
+        tasks = {**dict.fromkeys(weights), **dict.fromkeys(self.sent)} if whole else dict.fromkeys(changed)
+        tasks.update((task, None) for task in sorted(self.withheld) if not is_closed(task))
         figures = {}
         for task in tasks:
-            weight, shut = lines.get(task, 0.0), closed(task)
-            (self.withheld.add if shut and weight > 0 else self.withheld.discard)(task)
-            weight = 0.0 if shut else weight
-            figures[task] = self.figure(weight, cold(task), len(lines) == 1)
+            weight = self._open_weight(task, weights.get(task, 0.0), is_closed(task))
+            figures[task] = self.figure_of(weight, is_warming_up(task), len(weights) == 1)
+        self._remember(figures)
+        return AdvisedWeights(figures, whole)
+
+    def _open_weight(self, task: int, weight: float, closed: bool) -> float:
+        if closed and weight > 0:
+            self.withheld.add(task)
+        else:
+            self.withheld.discard(task)
+        return 0.0 if closed else weight
+
+    def _remember(self, figures: Mapping[int, int]) -> None:
         for task, figure in figures.items():
             if figure:
-                self.said[task] = figure
+                self.sent[task] = figure
             else:
-                self.said.pop(task, None)
-        return AdvisedWeights(figures, whole)
+                self.sent.pop(task, None)
+
+    def figure_of(self, weight: float, warming_up: bool, alone: bool) -> int:
+        """The figure of one weight.
 
-    def figure(self, weight: float, cold: bool, alone: bool) -> int:
-        """A cold task's part is never rounded up, to nothing rather than above it, unless nothing else is
-        listed; any other line that counts at all keeps at least 1."""
+        That of a task in slow start is never rounded up, to 0 rather than above it, unless it is alone in the table;
+        any other positive weight keeps at least 1.
+        """
         if weight <= 0:
             return 0
         exact = weight * self.scale
-        if cold and not alone:
+        if warming_up and not alone:
             return int(exact)
-        return max(1, min(MOST, round(exact)))
+        return max(1, min(MAX_FIGURE, round(exact)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -223,7 +223,7 @@
     )
     old.start(METHODS)
     got = old.receive(3)
-    assert got and all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
+    assert got and all(group.name != ownership_extension.GROUP_NAME for group, _ in got[1].groups)
     dealer = zmq.Context.instance().socket(zmq.DEALER)
     dealer.identity, dealer.linger = b"\x01" + os.urandom(12), 0
     dealer.connect(f"tcp://127.1.0.201:0;127.0.0.1:{three.ports[2][2]}")
@@ -299,7 +299,7 @@
     )
     with pytest.raises(RefusedError):
         asking.start(METHODS, asked=5)
-    told = ownership_extension.word_in(asking.pushed[0][1].groups)
+    told = ownership_extension.read_reply(asking.pushed[0][1].groups)
     assert told == ownership_extension.Redirected(f"127.0.0.1:{three.ports[2][0]}")
     asking.close()
     pleading = LoadBalancerClient(
@@ -307,8 +307,8 @@
     )
     pleading.start(METHODS, asked=6, plea=True)
     first = pleading.receive(3)[1].groups
-    assert ownership_extension.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
-    assert not any(w.weight for row in first if row.group.name == ownership_extension.NAME for w in row.weights)
+    assert ownership_extension.read_reply(first).fence == 6 and any(row.group.name in METHODS for row in first)
+    assert not any(w.weight for row in first if row.group.name == ownership_extension.GROUP_NAME for w in row.weights)
     pleading.close()
 
 
@@ -318,7 +318,7 @@
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
 def test_questions_that_are_none(name):
-    assert ownership_extension.question_in(name) is None
+    assert ownership_extension.read_request(name) is None
 
 
 def test_operators_see_who_owns_what(three):
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -6,7 +6,7 @@
 
 from hollyridge.sasp import codec
 from hollyridge.sasp.client import HeldWeights, MemberRegistrar
-from hollyridge.sasp.codec import Code, Group, Member, MembersOf, StatesOf, Told, Weight, WeightsOf
+from hollyridge.sasp.codec import Code, Group, Member, MembersOf, StatesOf, Weight, WeightFlags, WeightsOf
 
 u8, u16 = st.integers(0, 255), st.integers(0, 0xFFFF)
 texts = st.text(max_size=60)
@@ -109,7 +109,8 @@
 def told(group, **figures):
     rows = {"a": A, "b": B}
     return WeightsOf(
-        Group("gw", group), tuple(Weight(rows[k], v, Told.CONTACT if v else Told.QUIESCE) for k, v in figures.items())
+        Group("gw", group),
+        tuple(Weight(rows[k], v, WeightFlags.CONTACT if v else WeightFlags.QUIESCE) for k, v in figures.items()),
     )
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -22,7 +22,7 @@
     MemberRegistrar,
     RefusedError,
 )
-from hollyridge.sasp.codec import Code, Group, Member, MembersOf, Told
+from hollyridge.sasp.codec import Code, Group, Member, MembersOf, WeightFlags
 from hollyridge.service import Service
 from hollyridge.settings import assigner
 
@@ -178,7 +178,9 @@
     agent.quiesce([r.members()[0]])
     gevent.sleep(1.0)
     (row, *_) = gw.weights(GROUPS).groups
-    assert {w.member.host: w.weight > 0 for w in row.weights if w.flags & Told.QUIESCE}.get("127.1.0.1") is not True
+    assert {w.member.host: w.weight > 0 for w in row.weights if w.flags & WeightFlags.QUIESCE}.get(
+        "127.1.0.1"
+    ) is not True
     gevent.sleep(1.5)
     assert gw.weights(GROUPS).code == Code.OK and len(r.engine.servers) == 1
     with pytest.raises(RefusedError):
@@ -222,7 +224,7 @@
     first = gw.receive(5)[1]
     told = [w for row in first.groups for w in row.weights]
     closed = [w for w in told if w.member.host == "127.1.0.1"]  # mostly it is not told of at all
-    assert len(told) > len(closed) and all(w.weight == 0 and w.flags & Told.QUIESCE for w in closed)
+    assert len(told) > len(closed) and all(w.weight == 0 and w.flags & WeightFlags.QUIESCE for w in closed)
 
 
 NONSENSE = [
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -21,7 +21,7 @@
     StreamLost,
     Tick,
 )
-from hollyridge.sasp.weight_advice import LEAST, MOST, GroupWeights
+from hollyridge.sasp.weight_advice import MAX_FIGURE, MIN_LARGEST_FIGURE, GroupWeights
 from hollyridge.sessions.session_tracker import TAKEOVERS, SessionTracker
 from hollyridge.store.table_versions import EMPTY, TableStore, difference
 from hollyridge.telemetry.report_aggregator import SECOND as NS
@@ -43,16 +43,16 @@
         changed = rng.sample(sorted(lines), rng.randrange(1, len(lines) + 1))
         lines.update((i, lines[i] * rng.uniform(0.5, 2)) for i in changed)
         group.advise(lines, changed, False, cold.__contains__, lambda i: False)
-        largest, whole, said = max(lines.values()), sum(lines.values()), sum(group.said.values())
-        assert LEAST // 2 <= max(group.said.values()) <= MOST
+        largest, whole, said = max(lines.values()), sum(lines.values()), sum(group.sent.values())
+        assert MIN_LARGEST_FIGURE // 2 <= max(group.sent.values()) <= MAX_FIGURE
         for i, weight in lines.items():
-            figure, unit = group.said.get(i, 0), largest / LEAST
+            figure, unit = group.sent.get(i, 0), largest / MIN_LARGEST_FIGURE
             assert abs(figure / group.scale - weight) <= unit  # no line drifts, so no sum does
             if i in cold and len(lines) > 1:
                 assert figure / group.scale <= weight  # never above its part
             elif weight > 0:
                 assert figure >= 1
-        assert abs(said / group.scale - whole) <= len(lines) * largest / LEAST
+        assert abs(said / group.scale - whole) <= len(lines) * largest / MIN_LARGEST_FIGURE
 
 
 def test_the_whole_group_is_said_again_only_when_its_scale_must_move():
