--- a/hollyridge/discovery/__init__.py
+++ b/hollyridge/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of tasks from a discovery service over HTTP."""
+"""Service discovery: the endpoint list, kept up to date by one HTTP watch of the discovery service."""
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -1,144 +1,221 @@
-"""Which tasks are listed, from what discovery tells: versions that grow, starts on the monotonic clock. No I/O.
+"""Tracks which endpoints are listed, from the events of discovery. No I/O.
 
-Fulfils `core.engine.Source`. Starts are turned to the monotonic clock once, so that a task told of twice has started
-once. A change that is older than what is held changes nothing. A whole list that is older may come from a copy that
-lags, and would bring back tasks that have left; or discovery counts anew, and nothing it says would be heard again. So
-it is kept up beside the list that is held, and taken in its place if after `TOLD` none as new as that has come: all
-that discovery has to tell counts as told by then. It may hurt where a copy lags by more than that.
+Implements `core.engine.EndpointSource`. Versions only grow: an event that is older than the current list changes
+nothing. Start times are converted to the monotonic clock once for each start, so that an endpoint listed twice has
+started once.
+
+A complete list with a lower version is ambiguous. It may come from a replica that lags, and would bring back endpoints
+that have left; or discovery has lost its versions, and nothing it sends would be accepted again. So it is kept up to
+date beside the current list and replaces it after `MAX_PROPAGATION_US` unless an event at least as new as the current
+list arrives first. A replica that lags by more than that is taken for the truth.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
 from hollyridge.discovery.schema import ListedEndpoint, WatchEvent
+from hollyridge.discovery.timing import MAX_PROPAGATION_US
 from hollyridge.interface import Endpoint, EndpointListUpdate, TaskState, UpdateKind
 from hollyridge.registration.members import RegistrationOutcome, Tick
 
-TOLD = 6_000_000  # us after which whatever discovery has to tell counts as told (the protocol page, Figures)
-
 
 class EndpointListReceived(NamedTuple):
-    """Discovery told this; `stale`: it is what was known before the start."""
+    """Discovery sent this event; `stale` if it was known before this process started."""
 
-    news: WatchEvent
+    event: WatchEvent
     stale: bool = False
 
 
 class WatchFailed(NamedTuple):
-    """Discovery could not be asked, or a watch of it broke."""
+    """Discovery could not be reached, or a watch of it ended."""
 
 
 class TrackedEndpoint(NamedTuple):
+    """An endpoint as discovery listed it last, and as it was handed on."""
+
     entry: ListedEndpoint
-    listed: Endpoint
+    endpoint: Endpoint
+
+
+class OlderList:
+    """A complete list with a lower version than the current one, kept up to date beside it."""
+
+    __slots__ = ("entries", "since_us", "version")
+
+    def __init__(self, since_us: int) -> None:
+        self.since_us = since_us
+        self.version = -1
+        self.entries: dict[str, ListedEndpoint] = {}
+
+    @property
+    def settled_at_us(self) -> int:
+        """When this list replaces the current one."""
+        return self.since_us + MAX_PROPAGATION_US
+
+    def apply(self, event: WatchEvent) -> None:
+        """Take a complete list, or a change that is no older than this list."""
+        if event.full:
+            self.entries = {}
+        elif event.version < self.version:
+            return
+        self.version = event.version
+        for entry in event.entries:
+            if entry.state == TaskState.GONE:
+                self.entries.pop(entry.name, None)
+            else:
+                self.entries[entry.name] = entry
+
+    def as_event(self) -> WatchEvent:
+        """This list as discovery would send it now."""
+        return WatchEvent(self.version, True, tuple(self.entries.values()))
 
 
 class EndpointListTracker:
-    """`enter(name)` is a task's index, None where no more are taken. `ahead`: microseconds by which the monotonic clock
-    is ahead of the Unix clock (mostly below 0)."""
+    """The current endpoint list.
+
+    Args:
+        allocate_index: Gives an endpoint's index by name, None when no more are accepted.
+        monotonic_offset_us: Monotonic clock minus Unix clock (usually negative).
+    """
 
-    settled = True
+    settled = True  # the engine need not wait for registrations to pause, as it does with members
 
-    def __init__(self, enter: Callable[[str], int | None], ahead: int) -> None:
-        self.enter, self.ahead = enter, ahead
+    def __init__(self, allocate_index: Callable[[str], int | None], monotonic_offset_us: int) -> None:
+        self.allocate_index = allocate_index
+        self.monotonic_offset_us = monotonic_offset_us
         self.entries: dict[str, TrackedEndpoint] = {}
         self.version = -1
-        self.older_list: dict[str, ListedEndpoint] | None = None  # a whole list with a lower version, kept up
-        self.older_version, self.older_since = -1, 0
-        self.failed = self.older = self.too_many = self.starts = self.counted_anew = 0
-
-    def handle(self, now: int, what: object) -> RegistrationOutcome:
-        if type(what) is EndpointListReceived:
-            return self.hear(now, what)
-        if type(what) is WatchFailed:
-            self.failed += 1
+        self.older_list: OlderList | None = None
+        self.failed_watches = 0
+        self.older_events = 0
+        self.rejected_endpoints = 0
+        self.restarts = 0
+        self.version_resets = 0
+
+    def handle(self, now_us: int, message: object) -> RegistrationOutcome:
+        """Take one message of discovery, or a tick of the engine's timer."""
+        if type(message) is EndpointListReceived:
+            return self.receive(now_us, message)
+        if type(message) is WatchFailed:
+            self.failed_watches += 1
             return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), UpdateKind.FAILED, ()))
-        if type(what) is Tick and self.older_list is not None and now >= self.older_since + TOLD:
-            return self.count_anew(now)
-        return RegistrationOutcome()  # asked again: a watch stands or is dialled already
-
-    def keep_older(self, now: int, news: WatchEvent) -> RegistrationOutcome:
-        """Something older than what is held."""
-        self.older += 1
-        if news.full:
-            if self.older_list is None:
-                self.older_since = now
-            self.older_list = {}
-        if self.older_list is not None and (news.full or news.version >= self.older_version):
-            self.older_version = news.version
-            for entry in news.entries:
-                if entry.state == TaskState.GONE:
-                    self.older_list.pop(entry.name, None)
-                else:
-                    self.older_list[entry.name] = entry
+        if type(message) is Tick and self.older_list is not None and now_us >= self.older_list.settled_at_us:
+            return self.accept_older_list(now_us)
+        # A refresh needs no action: a watch is open, or is being opened already.
         return RegistrationOutcome()
 
-    def count_anew(self, now: int) -> RegistrationOutcome:
-        """What was kept beside the list becomes the list."""
-        news = WatchEvent(self.older_version, True, tuple(self.older_list.values()))
-        self.version, self.older_list = -1, None
-        self.counted_anew += 1
-        return self.hear(now, EndpointListReceived(news))
-
-    def hear(self, now: int, what: EndpointListReceived) -> RegistrationOutcome:
-        news = what.news
-        if news.version < self.version or not news.full and self.version < 0:
-            return self.keep_older(now, news)
-        if self.older_list is not None and not news.full:  # it follows the older list, and is no older than ours
-            self.keep_older(now, news)
-            return self.count_anew(now)
+    def receive(self, now_us: int, message: EndpointListReceived) -> RegistrationOutcome:
+        """Apply an event to the current list, or to the older one beside it."""
+        event = message.event
+        no_list_yet = self.version < 0
+        if event.version < self.version or (no_list_yet and not event.full):
+            return self.keep_older_event(now_us, event)
+        if self.older_list is not None and not event.full:
+            # The change continues the older list and has caught up with ours: versions were reset for certain.
+            self.keep_older_event(now_us, event)
+            return self.accept_older_list(now_us)
         self.older_list = None
-        if news.version == self.version and not news.full and not news.entries:
+        if event.version == self.version and not event.full and not event.entries:
             return RegistrationOutcome(EndpointListUpdate(self.version, UpdateKind.DELTA, ()))
-        self.version = news.version
-        listed: list[Endpoint] = []
-        left: list[str] = []
-        for entry in news.entries:
-            before = self.entries.get(entry.name)
-            if entry.state == TaskState.GONE:
-                if before is not None:
-                    listed.append(before.listed._replace(state=TaskState.GONE))
-                    left.append(entry.name)
-                    del self.entries[entry.name]
-                continue
-            task = before.listed.task if before is not None else self.enter(entry.name)
-            if task is None:
-                self.too_many += 1
-                continue
-            if before is not None and before.entry.started_ms == entry.started_ms:
-                started = before.listed.started_at_us
+        return self.apply(now_us, message)
+
+    def keep_older_event(self, now_us: int, event: WatchEvent) -> RegistrationOutcome:
+        """Apply an event that is older than the current list to the older list."""
+        self.older_events += 1
+        if event.full and self.older_list is None:
+            self.older_list = OlderList(now_us)
+        if self.older_list is not None:
+            self.older_list.apply(event)
+        return RegistrationOutcome()
+
+    def accept_older_list(self, now_us: int) -> RegistrationOutcome:
+        """Make the older list the current one: discovery has reset its versions."""
+        event = self.older_list.as_event()
+        self.older_list = None
+        self.version = -1
+        self.version_resets += 1
+        return self.receive(now_us, EndpointListReceived(event))
+
+    def apply(self, now_us: int, message: EndpointListReceived) -> RegistrationOutcome:
+        """Apply an event to the current list."""
+        event = message.event
+        self.version = event.version
+        changed: list[Endpoint] = []
+        removed: list[str] = []
+        for entry in event.entries:
+            if entry.state != TaskState.GONE:
+                endpoint = self.add_or_update(now_us, entry)
             else:
-                started = self.start_of(now, entry.started_ms)
-                self.starts += before is not None
-            row = TrackedEndpoint(entry, Endpoint(task, entry.zone, 0, entry.cell, entry.state, entry.weight, started))
-            self.entries[entry.name] = row
-            listed.append(row.listed)
-        if news.full:
-            told = {entry.name for entry in news.entries}
-            for name in [name for name in self.entries if name not in told]:
-                left.append(name)
-                del self.entries[name]
-        kind = UpdateKind.CACHED if what.stale else UpdateKind.FULL if news.full else UpdateKind.DELTA
-        return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), kind, tuple(listed)), left=tuple(left))
-
-    def start_of(self, now: int, started_ms: float) -> int:
-        """On the monotonic clock; 0 for long ago, now for what is yet to come."""
-        return 0 if started_ms <= 0 else min(now, max(1, round(started_ms * 1000) + self.ahead))
+                endpoint = self.remove(entry.name)
+                if endpoint is not None:
+                    removed.append(entry.name)
+            if endpoint is not None:
+                changed.append(endpoint)
+        if event.full:
+            removed += self.remove_unlisted(event.entries)
+        update = EndpointListUpdate(max(self.version, 0), kind_of(message), tuple(changed))
+        return RegistrationOutcome(update, left=tuple(removed))
+
+    def add_or_update(self, now_us: int, entry: ListedEndpoint) -> Endpoint | None:
+        """Put an entry into the list; None if no more endpoints are accepted."""
+        tracked = self.entries.get(entry.name)
+        index = self.allocate_index(entry.name) if tracked is None else tracked.endpoint.task
+        if index is None:
+            self.rejected_endpoints += 1
+            return None
+        if tracked is not None and tracked.entry.started_ms == entry.started_ms:
+            started_at_us = tracked.endpoint.started_at_us
+        else:
+            started_at_us = self.started_at_us(now_us, entry.started_ms)
+            self.restarts += tracked is not None
+        endpoint = Endpoint(index, entry.zone, 0, entry.cell, entry.state, entry.weight, started_at_us)
+        self.entries[entry.name] = TrackedEndpoint(entry, endpoint)
+        return endpoint
+
+    def remove(self, name: str) -> Endpoint | None:
+        """Take an endpoint out; returns it in its last state, None if it was not listed."""
+        tracked = self.entries.pop(name, None)
+        return None if tracked is None else tracked.endpoint._replace(state=TaskState.GONE)
+
+    def remove_unlisted(self, entries: Iterable[ListedEndpoint]) -> list[str]:
+        """Take out what a complete list no longer names; returns their names."""
+        listed = {entry.name for entry in entries}
+        unlisted = [name for name in self.entries if name not in listed]
+        for name in unlisted:
+            del self.entries[name]
+        return unlisted
+
+    def started_at_us(self, now_us: int, started_ms: float) -> int:
+        """Convert a start to the monotonic clock: 0 if unknown, `now_us` if it lies in the future."""
+        if started_ms <= 0:
+            return 0
+        return min(now_us, max(1, round(started_ms * 1000) + self.monotonic_offset_us))
 
     def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
-        return EndpointListUpdate(max(self.version, 0), kind, tuple(row.listed for row in self.entries.values()))
+        """The current list as an update of the given kind."""
+        endpoints = tuple(tracked.endpoint for tracked in self.entries.values())
+        return EndpointListUpdate(max(self.version, 0), kind, endpoints)
 
-    def next_deadline(self, now: int) -> int | None:
-        return None if self.older_list is None else self.older_since + TOLD
+    def next_deadline(self, now_us: int) -> int | None:
+        """When a tick is due, in microseconds; None if there is nothing to wait for."""
+        return None if self.older_list is None else self.older_list.settled_at_us
 
     def counters(self) -> dict[str, int]:
+        """Counters for the status page; the keys are the page's."""
         return {
             "list_version": self.version,
-            "list_calls_failed": self.failed,
-            "older_lists": self.older,
-            "counted_anew": self.counted_anew,
-            "restarts": self.starts,
-            "tasks_refused": self.too_many,
+            "list_calls_failed": self.failed_watches,
+            "older_lists": self.older_events,
+            "counted_anew": self.version_resets,
+            "restarts": self.restarts,
+            "tasks_refused": self.rejected_endpoints,
         }
+
+
+def kind_of(message: EndpointListReceived) -> UpdateKind:
+    """How a received event is handed on."""
+    if message.stale:
+        return UpdateKind.CACHED
+    return UpdateKind.FULL if message.event.full else UpdateKind.DELTA
--- a/hollyridge/discovery/watch_client.py
+++ b/hollyridge/discovery/watch_client.py
@@ -1,7 +1,9 @@
-"""The socket side of discovery: one watch over HTTP/1.1, dialled and dropped as `caller.py` says."""
+"""The watch of discovery over HTTP/1.1: opens and closes it as `watch_state` decides and hands on what it brings."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, NamedTuple
+
 import gevent
 import h11
 from gevent import socket
@@ -10,148 +12,195 @@
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker, WatchFailed
 from hollyridge.discovery.schema import EndpointListError, read
-from hollyridge.discovery.watch_state import CONNECT, WatchAction, WatchInput, WatchState
+from hollyridge.discovery.watch_state import CONNECT_TIMEOUT, WatchAction, WatchInput, WatchState
+from hollyridge.errors import HollyridgeError
 from hollyridge.limits.log_sampling import should_log
 
-LINE_MOST = 8 << 20  # bytes of one line of a watch
-HEAD_MOST = 16384
-CHUNK = 65536
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+MAX_LINE_BYTES = 8 << 20  # bounds the memory of a line that does not end
+MAX_HEAD_BYTES = 16384  # status line and header of the response
+RECEIVE_BYTES = 65536  # read from the socket at once
+MIN_WAIT_S = 0.005  # between two looks at the state, however near its deadline
+HTTP_OK = 200
+
+
+class DiscoveryCallError(HollyridgeError):
+    """A watch could not be opened or has ended; the message says why."""
 
 
-class DiscoveryCallError(Exception):
-    """A call that came to nothing; the text says why."""
+class WatchConfig(NamedTuple):
+    """Where discovery listens, and the zone indices by name."""
+
+    address: tuple[str, int]
+    zones: dict[str, int]
 
 
 class WatchClient:
-    """Keeps `listing` (the machine's source) up to date from `host:port`. `zones`: indices by name."""
+    """Keeps an endpoint list up to date from discovery.
+
+    Args:
+        loop: Its engine receives the events; its clock is used.
+        endpoint_list: The engine's endpoint source; read for the version to continue from.
+        state: Decides when to connect and when a connection is lost.
+        config: Discovery's address and the zones.
+        log: A structlog logger.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
-        listing: EndpointListTracker,
-        caller: WatchState,
-        address: tuple[str, int],
-        zones: dict[str, int],
-        log,
+        endpoint_list: EndpointListTracker,
+        state: WatchState,
+        config: WatchConfig,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.loop, self.engine, self.clock = loop, loop.engine, loop.clock
-        self.listing, self.caller, self.address, self.zones, self.log = listing, caller, address, zones, log
-        self.stirred = Event()
-        self.call: gevent.Greenlet | None = None
-        self.why = ""
+        self.loop = loop
+        self.engine = loop.engine
+        self.clock = loop.clock
+        self.endpoint_list = endpoint_list
+        self.state = state
+        self.address = config.address
+        self.zones = config.zones
+        self.log = log
+        self.state_changed = Event()
+        self.connection: gevent.Greenlet | None = None  # runs `run_connection`
+        self.close_reason = ""
         self.counts = dict.fromkeys(("calls", "lists", "beats", "bad_lines", "ended"), 0)
 
-    def moved(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere: it is asked there at once, from the version that is held."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Watch discovery at another address at once, continuing from the current version."""
         self.address = address
-        if self.caller.take(self.clock(), WatchInput.MOVED) is WatchAction.DROP:
-            self.drop("discovery has moved")
-        self.stirred.set()
-
-    def drop(self, why: str) -> None:
-        call = self.call
-        if call is not None:
-            self.why = why
-            call.kill()  # its end is told by itself, unless it had not begun
-            self.ended(call)
+        if self.state.handle(self.clock(), WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT:
+            self.disconnect("the address of discovery has changed")
+        self.state_changed.set()
+
+    def disconnect(self, reason: str) -> None:
+        """Close the connection, if any, and report its end."""
+        connection = self.connection
+        if connection is not None:
+            self.close_reason = reason
+            connection.kill()
+            # A greenlet that is killed before it first runs does not report its own end.
+            self.on_connection_closed(connection)
 
     def run(self) -> None:
-        """Blocks for good."""
+        """Keep a watch open; blocks for ever."""
         while True:
-            self.stirred.clear()
-            action = self.caller.take(self.clock(), WatchInput.TICK)
-            if action is WatchAction.DIAL:
-                self.caller.take(self.clock(), WatchInput.DIALLED)
+            self.state_changed.clear()
+            action = self.state.handle(self.clock(), WatchInput.TICK)
+            if action is WatchAction.CONNECT:
+                self.state.handle(self.clock(), WatchInput.CONNECT_STARTED)
                 self.counts["calls"] += 1
-                self.call = gevent.spawn(self.speak)
-            elif action is WatchAction.DROP:
-                self.drop("no word in time")
-            self.stirred.wait(max(0.005, (self.caller.next_at - self.clock()) / 1e6))
-
-    def speak(self) -> None:
-        """One call, from dialling to its end."""
-        sock, self.why = None, ""
+                self.connection = gevent.spawn(self.run_connection)
+            elif action is WatchAction.DISCONNECT:
+                self.disconnect("no heartbeat in time")
+            self.state_changed.wait(max(MIN_WAIT_S, (self.state.next_at_us - self.clock()) / 1e6))
+
+    def run_connection(self) -> None:
+        """One connection, from connecting to its end."""
+        sock = None
+        self.close_reason = ""
+        connect_timeout_s = CONNECT_TIMEOUT * self.state.heartbeat_interval_us / 1e6
         try:
-            sock = socket.create_connection(self.address, timeout=CONNECT * self.caller.beat / 1e6)
+            sock = socket.create_connection(self.address, timeout=connect_timeout_s)
             sock.settimeout(None)
-            self.ask(sock)
-        except (OSError, DiscoveryCallError, EndpointListError, h11.ProtocolError) as trouble:
-            self.why = f"{type(trouble).__name__}: {trouble}"
+            self.receive_events(sock)
+        except (OSError, DiscoveryCallError, EndpointListError, h11.ProtocolError) as error:
+            self.close_reason = f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
                 sock.close()
-            self.ended(gevent.getcurrent())
+            self.on_connection_closed(gevent.getcurrent())
 
-    def ended(self, call: gevent.Greenlet) -> None:
-        """Once a call: another may have been dialled since."""
-        if self.call is not call:
+    def on_connection_closed(self, connection: gevent.Greenlet) -> None:
+        """Report the end of a connection, once: a newer one may stand by the time its end is noticed."""
+        if self.connection is not connection:
             return
-        now, self.call = self.clock(), None
+        now_us = self.clock()
+        self.connection = None
         self.counts["ended"] += 1
-        self.caller.take(now, WatchInput.ENDED)
-        if should_log(self.caller.failures):
+        self.state.handle(now_us, WatchInput.CONNECTION_CLOSED)
+        if should_log(self.state.failures):
             self.log.warning(
-                "discovery call ended",
+                "discovery_watch_ended",
                 address=f"{self.address[0]}:{self.address[1]}",
-                why=self.why,
-                version=self.listing.version,
-                failures=self.caller.failures,
+                reason=self.close_reason,
+                version=self.endpoint_list.version,
+                failures=self.state.failures,
             )
-        self.engine.update_endpoints(now, WatchFailed())
+        self.engine.update_endpoints(now_us, WatchFailed())
         self.loop.wake()
-        self.stirred.set()
+        self.state_changed.set()
 
-    def ask(self, sock) -> None:
+    def receive_events(self, sock: socket.socket) -> None:
+        """Request a watch and hand on its events until it ends, which raises."""
+        http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        sock.sendall(http.send(self.watch_request()) + http.send(h11.EndOfMessage()))
+        line = bytearray()
+        while True:
+            event = http.next_event()
+            if event is h11.NEED_DATA:
+                data = sock.recv(RECEIVE_BYTES)
+                self.state.handle(self.clock(), WatchInput.DATA_RECEIVED)
+                http.receive_data(data)
+                gevent.sleep(0)  # a long list must not hold up the other greenlets
+            else:
+                self.handle_http_event(event, line)
+
+    def watch_request(self) -> h11.Request:
+        """The request of a watch from the current version on."""
         host, port = self.address
-        speaker = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
-        known = f"&index={self.listing.version}" if self.listing.version >= 0 else ""
-        request = h11.Request(
+        version = self.endpoint_list.version
+        since = f"&index={version}" if version >= 0 else ""
+        return h11.Request(
             method="GET",
-            target=f"/v1/servers?stream=1{known}",
+            target=f"/v1/servers?stream=1{since}",
             headers=[("Host", f"{host}:{port}"), ("Accept", "application/json")],
         )
-        sock.sendall(speaker.send(request) + speaker.send(h11.EndOfMessage()))
-        line = bytearray()
-        while True:
-            event = speaker.next_event()
-            if event is h11.NEED_DATA:
-                chunk = sock.recv(CHUNK)
-                self.caller.take(self.clock(), WatchInput.HEARD)
-                speaker.receive_data(chunk)
-                gevent.sleep(0)
-            elif type(event) is h11.Response:
-                if event.status_code != 200:
-                    raise DiscoveryCallError(f"answered {event.status_code}")
-            elif type(event) is h11.Data:
-                line += event.data
-                while (stop := line.find(b"\n")) >= 0:
-                    self.hear(bytes(line[:stop]).strip())
-                    del line[: stop + 1]
-                if len(line) > LINE_MOST:
-                    raise DiscoveryCallError("a line without end")
-            elif type(event) is h11.EndOfMessage:
-                if line.strip():
-                    self.hear(bytes(line).strip())
-                raise DiscoveryCallError("the watch was ended")
-            elif type(event) is not h11.InformationalResponse:
-                raise DiscoveryCallError("the connection was closed")
-
-    def hear(self, line: bytes) -> None:
-        now = self.clock()
+
+    def handle_http_event(self, event: object, line: bytearray) -> None:
+        """Handle a part of the response; `line` holds the unfinished line and is updated."""
+        if type(event) is h11.Response:
+            if event.status_code != HTTP_OK:
+                raise DiscoveryCallError(f"discovery answered {event.status_code}")
+        elif type(event) is h11.Data:
+            line += event.data
+            self.handle_complete_lines(line)
+            if len(line) > MAX_LINE_BYTES:
+                raise DiscoveryCallError(f"a line of over {MAX_LINE_BYTES} bytes")
+        elif type(event) is h11.EndOfMessage:
+            if line.strip():
+                self.handle_line(bytes(line).strip())
+            raise DiscoveryCallError("discovery ended the watch")
+        elif type(event) is not h11.InformationalResponse:
+            raise DiscoveryCallError("discovery closed the connection")
+
+    def handle_complete_lines(self, line: bytearray) -> None:
+        """Handle and remove each line that has ended."""
+        while (end := line.find(b"\n")) >= 0:
+            self.handle_line(bytes(line[:end]).strip())
+            del line[: end + 1]
+
+    def handle_line(self, line: bytes) -> None:
+        """Hand on one event; an empty line is a heartbeat."""
+        now_us = self.clock()
         if not line:
             self.counts["beats"] += 1
-            if self.caller.stands:  # before the first list it says only that somebody is there
-                self.caller.take(now, WatchInput.LIST)
+            if self.state.watching:  # until the first list has arrived, heartbeats must not keep the watch open
+                self.state.handle(now_us, WatchInput.EVENT_RECEIVED)
             return
         try:
-            news = read(line, self.zones)
+            event = read(line, self.zones)
         except EndpointListError:
             self.counts["bad_lines"] += 1
             raise
-        self.caller.take(now, WatchInput.LIST)
+        self.state.handle(now_us, WatchInput.EVENT_RECEIVED)
         self.counts["lists"] += 1
-        self.engine.update_endpoints(now, EndpointListReceived(news))
+        self.engine.update_endpoints(now_us, EndpointListReceived(event))
         self.loop.wake()
 
-    def status(self) -> dict:
-        return {**self.counts, "watching": self.caller.stands}
+    def status(self) -> dict[str, int | bool]:
+        """Counters for the status page; the keys are the page's."""
+        return {**self.counts, "watching": self.state.watching}
--- a/hollyridge/discovery/watch_state.py
+++ b/hollyridge/discovery/watch_state.py
@@ -1,9 +1,10 @@
-"""When discovery is dialled, and when a call counts as lost. No I/O, no clock.
+"""Decides when discovery is connected to and when a watch counts as lost. No I/O, no clock.
 
-One watch is to stand at any time. It speaks every `beat`, changes or not, so one that has been silent for longer is
-dead, whatever its connection says; so is one whose line does not end, or whose first list has not come, within `TOLD`,
-for by then all that discovery has to tell counts as told. A call that fails is made again after a growing, jittered
-pause: discovery is shared and works through calls in turn, and many who all ask again at once would keep it down.
+Exactly one watch should be open at any time. Discovery sends a heartbeat on it whether or not anything changed, so a
+watch that has been silent for longer is dead, whatever the state of its TCP connection. A watch is also dead if its
+current line does not end, or its first list does not arrive, within `MAX_PROPAGATION_HEARTBEATS`: by then every change
+has been announced to those who listen. Failed attempts are retried with exponential backoff and jitter, because
+discovery is shared and handles requests in turn: clients that all reconnect at once would keep it overloaded.
 """
 
 from __future__ import annotations
@@ -11,68 +12,149 @@
 from enum import Enum
 from random import Random
 
-SILENT = 1.5  # beats without a word after which a watch is dead
-ANSWER = 1.5  # beats within which a call is answered: those before it in turn included
-TOLD = 3.0  # beats after which whatever discovery has to tell counts as told (the protocol page: 6 s)
-CONNECT = 0.5  # beats within which a connection stands
-FIRST, LONGEST = 0.1, 1.0  # beats: the first pause and the longest
+from hollyridge.discovery.timing import MAX_PROPAGATION_HEARTBEATS
+
+# All times below are in heartbeat intervals.
+SILENCE_TIMEOUT = 1.5  # without any data on an open watch
+RESPONSE_TIMEOUT = 1.5  # for a response, with the requests that discovery handles before this one
+CONNECT_TIMEOUT = 0.5  # for the TCP connection
+MIN_BACKOFF = 0.1  # before the first retry, doubled by each further one
+MAX_BACKOFF = 1.0
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power finite; the backoff is at its maximum long before
+MIN_JITTER = 0.5  # a backoff is multiplied by a factor drawn from [MIN_JITTER, MIN_JITTER + 1)
+
+
+class ConnectionPhase(Enum):
+    """What stands between this client and discovery."""
+
+    IDLE = 0  # nothing; waits for the next attempt
+    CONNECTING = 1  # a request is on its way or its first list is outstanding
+    WATCHING = 2  # the first list has arrived
 
 
 class WatchInput(Enum):
-    TICK = 0
-    DIALLED = 1
-    HEARD = 2  # anything at all on the call
-    LIST = 3  # a list or a change, or an empty line behind one: the watch stands
-    ENDED = 4
-    MOVED = 5  # discovery has another address
+    """What can happen to a watch."""
+
+    TICK = 0  # time has passed
+    CONNECT_STARTED = 1
+    DATA_RECEIVED = 2  # any bytes
+    EVENT_RECEIVED = 3  # a list or a change, or a heartbeat after the first list
+    CONNECTION_CLOSED = 4  # by either side, or an attempt failed
+    ADDRESS_CHANGED = 5  # the configuration names another address of discovery
 
 
 class WatchAction(Enum):
-    NOTHING = 0
-    DIAL = 1
-    DROP = 2  # the call is dead: close it
+    """What the caller has to do about an input."""
+
+    NONE = 0
+    CONNECT = 1
+    DISCONNECT = 2  # close the connection, then report CONNECTION_CLOSED
 
 
 class WatchState:
-    """Times in microseconds.
-
-    >>> caller = WatchState(2_000_000, Random(1))
-    >>> caller.take(0, WatchInput.TICK), caller.take(0, WatchInput.DIALLED), caller.next_at
-    (<WatchAction.DIAL: 1>, <WatchAction.NOTHING: 0>, 3000000)
-    >>> caller.take(2_900_000, WatchInput.LIST), caller.next_at, caller.take(5_900_001, WatchInput.TICK)
-    (<WatchAction.NOTHING: 0>, 5900000, <WatchAction.DROP: 2>)
-    >>> caller.take(5_900_002, WatchInput.ENDED), 100_000 <= caller.next_at - 5_900_002 <= 300_000
-    (<WatchAction.NOTHING: 0>, True)
+    """State machine of one watch.
+
+    >>> state = WatchState(2_000_000, Random(1))
+    >>> state.handle(0, WatchInput.TICK), state.handle(0, WatchInput.CONNECT_STARTED), state.next_at_us
+    (<WatchAction.CONNECT: 1>, <WatchAction.NONE: 0>, 3000000)
+    >>> state.handle(2_900_000, WatchInput.EVENT_RECEIVED), state.next_at_us, state.handle(5_900_001, WatchInput.TICK)
+    (<WatchAction.NONE: 0>, 5900000, <WatchAction.DISCONNECT: 2>)
+    >>> state.handle(5_900_002, WatchInput.CONNECTION_CLOSED), 100_000 <= state.next_at_us - 5_900_002 <= 300_000
+    (<WatchAction.NONE: 0>, True)
+
+    Attributes:
+        failures: Attempts that failed in a row.
+        next_at_us: When to connect (IDLE), or when the connection counts as lost.
     """
 
-    def __init__(self, beat: int, rng: Random) -> None:
-        self.beat, self.rng = beat, rng
-        self.calling = self.stands = False
-        self.moved = False  # while a call to the old address ends
+    def __init__(self, heartbeat_interval_us: int, rng: Random) -> None:
+        self.heartbeat_interval_us = heartbeat_interval_us
+        self.rng = rng
+        self.phase = ConnectionPhase.IDLE
+        self.address_changed = False  # until the connection to the old address has ended
+        self.failures = 0
+        self.next_at_us = 0
+        self.event_due_us = 0  # the connection counts as lost then, even if bytes keep arriving
+        self.handlers = {
+            WatchInput.TICK: self.on_tick,
+            WatchInput.CONNECT_STARTED: self.on_connect_started,
+            WatchInput.DATA_RECEIVED: self.on_data_received,
+            WatchInput.EVENT_RECEIVED: self.on_event_received,
+            WatchInput.CONNECTION_CLOSED: self.on_connection_closed,
+            WatchInput.ADDRESS_CHANGED: self.on_address_changed,
+        }
+
+    @property
+    def connected(self) -> bool:
+        """Whether a connection stands or is being made."""
+        return self.phase is not ConnectionPhase.IDLE
+
+    @property
+    def watching(self) -> bool:
+        """Whether the first list has arrived on the connection."""
+        return self.phase is ConnectionPhase.WATCHING
+
+    def handle(self, now_us: int, watch_input: WatchInput) -> WatchAction:
+        """Take one input; returns what is to be done about it."""
+        return self.handlers[watch_input](now_us)
+
+    def on_tick(self, now_us: int) -> WatchAction:
+        """A deadline may have passed."""
+        return self.reconnect_action() if now_us >= self.next_at_us else WatchAction.NONE
+
+    def on_connect_started(self, now_us: int) -> WatchAction:
+        """An attempt has begun."""
+        self.phase = ConnectionPhase.CONNECTING
+        self.next_at_us = self.after(now_us, RESPONSE_TIMEOUT)
+        self.event_due_us = self.after(now_us, MAX_PROPAGATION_HEARTBEATS)
+        return WatchAction.NONE
+
+    def on_data_received(self, now_us: int) -> WatchAction:
+        """Bytes defer the silence timeout, but not past the time by which an event is due."""
+        if self.connected:
+            alive_until_us = max(self.next_at_us, self.after(now_us, SILENCE_TIMEOUT))
+            self.next_at_us = min(alive_until_us, self.event_due_us)
+        return WatchAction.NONE
+
+    def on_event_received(self, now_us: int) -> WatchAction:
+        """The watch works."""
+        if self.connected:
+            self.phase = ConnectionPhase.WATCHING
         self.failures = 0
-        self.next_at = 0  # when to dial, or when the call is lost
-        self.line_by = 0  # when it is lost though bytes keep coming
-
-    def take(self, now: int, what: WatchInput) -> WatchAction:
-        """One thing that happened; what is to be done."""
-        if what is WatchInput.DIALLED:
-            self.calling, self.stands = True, False
-            self.next_at, self.line_by = now + round(ANSWER * self.beat), now + round(TOLD * self.beat)
-        elif what is WatchInput.LIST:
-            self.stands, self.failures = True, 0
-            self.next_at, self.line_by = now + round(SILENT * self.beat), now + round(TOLD * self.beat)
-        elif what is WatchInput.HEARD and self.calling:
-            self.next_at = min(max(self.next_at, now + round(SILENT * self.beat)), self.line_by)
-        elif what is WatchInput.ENDED:
-            self.calling = self.stands = False
-            pause = min(LONGEST, FIRST * 2 ** min(self.failures, 16)) * self.beat
+        self.next_at_us = self.after(now_us, SILENCE_TIMEOUT)
+        self.event_due_us = self.after(now_us, MAX_PROPAGATION_HEARTBEATS)
+        return WatchAction.NONE
+
+    def on_connection_closed(self, now_us: int) -> WatchAction:
+        """Schedule the next attempt: at once after a change of address, else after the backoff."""
+        self.phase = ConnectionPhase.IDLE
+        backoff_us = self.draw_backoff_us()
+        if self.address_changed:  # closed by this side: not a failure
+            self.address_changed = False
+            self.failures = 0
+            self.next_at_us = now_us
+        else:
             self.failures += 1
-            self.next_at = now + round(pause * (0.5 + self.rng.random()))
-            if self.moved:  # it was ended by us: no failure, and nothing to wait for
-                self.moved, self.failures, self.next_at = False, 0, now
-        elif what is WatchInput.MOVED:
-            self.failures, self.next_at, self.moved = 0, now, self.calling
-            return WatchAction.DROP if self.calling else WatchAction.DIAL
-        elif what is WatchInput.TICK and now >= self.next_at:
-            return WatchAction.DROP if self.calling else WatchAction.DIAL
-        return WatchAction.NOTHING
+            self.next_at_us = now_us + backoff_us
+        return WatchAction.NONE
+
+    def on_address_changed(self, now_us: int) -> WatchAction:
+        """Connect to the new address without delay."""
+        self.failures = 0
+        self.next_at_us = now_us
+        self.address_changed = self.connected
+        return self.reconnect_action()
+
+    def reconnect_action(self) -> WatchAction:
+        """The next step towards a new connection."""
+        return WatchAction.DISCONNECT if self.connected else WatchAction.CONNECT
+
+    def draw_backoff_us(self) -> int:
+        """Exponential backoff with jitter. One draw for each connection that ends, so that seeded runs repeat."""
+        doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
+        backoff_us = min(MAX_BACKOFF, MIN_BACKOFF * 2**doublings) * self.heartbeat_interval_us
+        return round(backoff_us * (MIN_JITTER + self.rng.random()))
+
+    def after(self, now_us: int, heartbeats: float) -> int:
+        """The time that is so many heartbeat intervals from now."""
+        return now_us + round(heartbeats * self.heartbeat_interval_us)
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -12,8 +12,8 @@
 from hollyridge.core.engine import Engine, EngineLimits, spread
 from hollyridge.core.event_loop import EventLoop, monotonic_us
 from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker
-from hollyridge.discovery.schema import TASKS_MOST
-from hollyridge.discovery.watch_client import WatchClient
+from hollyridge.discovery.schema import MAX_ENDPOINTS
+from hollyridge.discovery.watch_client import WatchClient, WatchConfig
 from hollyridge.discovery.watch_state import WatchState
 from hollyridge.node.config import ConfigError, NodeConfig
 from hollyridge.resp.server import RespConfig, RespServer
@@ -38,7 +38,7 @@
             config.lines_per_s,
             config.message_overhead_lines,
             config.max_waiting_lines,
-            TASKS_MOST,
+            MAX_ENDPOINTS,
             terms.names.proxies,
             0,
             0,
@@ -55,7 +55,7 @@
         self.engine.update_endpoints(now, EndpointListReceived(terms.known, stale=True))
         zones = {name: z for z, name in enumerate(terms.names.zones)}
         self.watch = WatchClient(
-            self.loop, listing, WatchState(BEAT, Random(terms.seed ^ 1)), terms.discovery, zones, log
+            self.loop, listing, WatchState(BEAT, Random(terms.seed ^ 1)), WatchConfig(terms.discovery, zones), log
         )
         descriptors = min(terms.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.front = RespServer(
@@ -96,7 +96,7 @@
         held = self.terms
         waits = [name for name in ("name", "listen", "limits", "values") if getattr(terms, name) != getattr(held, name)]
         if terms.discovery != held.discovery:
-            self.watch.moved(terms.discovery)
+            self.watch.change_address(terms.discovery)
         self.terms = held._replace(discovery=terms.discovery)
         self.log.info(
             "configuration read again", discovery=f"{terms.discovery[0]}:{terms.discovery[1]}", need_a_restart=waits
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -17,7 +17,7 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker
 from hollyridge.discovery.schema import ListedEndpoint, WatchEvent
-from hollyridge.discovery.watch_client import WatchClient
+from hollyridge.discovery.watch_client import WatchClient, WatchConfig
 from hollyridge.discovery.watch_state import WatchState
 from hollyridge.registration.index_allocator import IndexAllocator
 from hollyridge.resp import messages
@@ -32,7 +32,7 @@
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
         self.listing = EndpointListTracker(
-            lambda name: self.indices.allocate(START, name), ahead=START - 50_000 * SECOND
+            lambda name: self.indices.allocate(START, name), monotonic_offset_us=START - 50_000 * SECOND
         )
 
     def take(self, what, now=START):
@@ -128,8 +128,7 @@
         loop,
         desk.listing,
         WatchState(beat, Random(3)),
-        ("127.0.0.1", script.server.server_port),
-        ZONES,
+        WatchConfig(("127.0.0.1", script.server.server_port), ZONES),
         structlog.get_logger(),
     )
     return watch, engine
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,8 @@
 from hollyridge.core.logs import NonBlockingLogSink
 from hollyridge.decisions.assigner import Assigner as Module
 from hollyridge.delivery.update_builder import ProxyUpdate
-from hollyridge.discovery.endpoint_list import TOLD, EndpointListReceived, WatchFailed
+from hollyridge.discovery.endpoint_list import EndpointListReceived, WatchFailed
+from hollyridge.discovery.timing import MAX_PROPAGATION_US
 from hollyridge.discovery.watch_state import WatchInput
 from hollyridge.registration.members import Tick
 from hollyridge.resp.codec import FrameReader, encode
@@ -349,7 +350,7 @@
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while not any(type(one) is EndpointListReceived for one in engine.told):
-            assert not watch.caller.stands
+            assert not watch.state.watching
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["beats"] > 2
     job.kill()
@@ -360,7 +361,7 @@
     watch, engine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while [one.news.version for one in engine.told if type(one) is EndpointListReceived] != [4, 5]:
+        while [one.event.version for one in engine.told if type(one) is EndpointListReceived] != [4, 5]:
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["ended"] == 1
     job.kill()
@@ -388,23 +389,25 @@
     with gevent.Timeout(5):
         while not here.asked:
             gevent.sleep(0.005)
-        end, stood = watch.ended, gevent.event.Event()
+        end, stood = watch.on_connection_closed, gevent.event.Event()
 
         def ended(call):
             end(call)
             stood.wait()  # the old call is not dead before the new one stands
 
-        watch.ended = ended
-        moves = [gevent.spawn(watch.moved, ("127.0.0.1", script.server.server_port)) for script in (here, there)]
+        watch.on_connection_closed = ended
+        moves = [
+            gevent.spawn(watch.change_address, ("127.0.0.1", script.server.server_port)) for script in (here, there)
+        ]
         while not there.asked:
             gevent.sleep(0.005)
         while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.005)
-        watch.ended = end
+        watch.on_connection_closed = end
         stood.set()
         gevent.joinall(moves)
         gevent.sleep(0.05)
-    assert watch.caller.calling and watch.caller.stands and watch.call is not None
+    assert watch.state.connected and watch.state.watching and watch.connection is not None
     assert len(there.asked) == 1 and len(here.asked) == 1
     assert sum(type(one) is WatchFailed for one in engine.told) == 1
     job.kill()
@@ -423,10 +426,10 @@
     gevent.sleep(0)
     begun = time.monotonic()
     with gevent.Timeout(5):
-        while not watch.caller.calling:
+        while not watch.state.connected:
             gevent.sleep(0.001)
         gevent.sleep(0.01)
-        watch.moved(address)
+        watch.change_address(address)
         while not any(type(one) is EndpointListReceived for one in engine.told):
             gevent.sleep(0.005)
     assert time.monotonic() - begun < 1.5 and len(there.asked) == 1 and watch.counts["calls"] == 2
@@ -440,17 +443,17 @@
     script = Script([chunked(news[0])], [chunked(news[1], news[2]), *[b"1\r\n\n\r\n"] * 100])
     watch, engine = watch_of(script, beat=2_000_000)
     changes = []
-    engine.update_endpoints = lambda now, what: changes.append(watch.listing.handle(now, what).change)
+    engine.update_endpoints = lambda now, what: changes.append(watch.endpoint_list.handle(now, what).change)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while watch.listing.older < 2:
+        while watch.endpoint_list.older_events < 2:
             gevent.sleep(0.005)
-    listing, now = watch.listing, watch.clock()
+    listing, now = watch.endpoint_list, watch.clock()
     assert set(listing.entries) == {"a", "b"} and listing.version == 50  # for now: it may be a copy that lags
     due = listing.next_deadline(now)
     assert listing.handle(due - 1, Tick()).change is None
     change = listing.handle(due, Tick()).change
-    assert due <= now + TOLD and change.kind == api.UpdateKind.FULL and set(listing.entries) == {"b", "d"}
+    assert due <= now + MAX_PROPAGATION_US and change.kind == api.UpdateKind.FULL and set(listing.entries) == {"b", "d"}
     assert listing.version == 4 and listing.next_deadline(due) is None
     job.kill()
 
@@ -463,14 +466,14 @@
     watch, engine = watch_of(script, beat=2_000_000)
     seen = []
     engine.update_endpoints = lambda now, what: seen.append(
-        (watch.listing.handle(now, what).change, set(watch.listing.entries))
+        (watch.endpoint_list.handle(now, what).change, set(watch.endpoint_list.entries))
     )
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while watch.listing.counted_anew + (watch.listing.older > 0) < 2:
+        while watch.endpoint_list.version_resets + (watch.endpoint_list.older_events > 0) < 2:
             gevent.sleep(0.005)
     assert seen[-1][1] == {"a"} and not any("b" in rows for _, rows in seen[2:])
-    assert watch.listing.version == 51 and watch.listing.next_deadline(0) is None
+    assert watch.endpoint_list.version == 51 and watch.endpoint_list.next_deadline(0) is None
     job.kill()
 
 
@@ -641,9 +644,9 @@
 
 def test_an_end_that_comes_after_a_newer_call_stands_ends_nothing():
     watch, engine = watch_of(Script())
-    watch.caller.take(watch.clock(), WatchInput.DIALLED)
-    old, watch.call = gevent.spawn(watch.speak), gevent.spawn(gevent.sleep, 1)
+    watch.state.handle(watch.clock(), WatchInput.CONNECT_STARTED)
+    old, watch.connection = gevent.spawn(watch.run_connection), gevent.spawn(gevent.sleep, 1)
     old.kill()
-    watch.ended(old)
-    assert watch.caller.calling and watch.call is not None and not engine.told
-    watch.call.kill()
+    watch.on_connection_closed(old)
+    assert watch.state.connected and watch.connection is not None and not engine.told
+    watch.connection.kill()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -31,13 +31,13 @@
     later = desk.take(news(2, ("c", DRAINING, 60_000_000)), NOW + SECOND)
     assert later.endpoints[0].started_at_us == NOW  # the same start, not a restart a second later
     again = desk.take(news(3, ("b", READY, 50_001_000)), NOW + 2 * SECOND)
-    assert again.endpoints[0].started_at_us == NOW + SECOND and desk.listing.starts == 1
+    assert again.endpoints[0].started_at_us == NOW + SECOND and desk.listing.restarts == 1
 
 
 def test_changes_and_whole_lists():
     desk = ListingDesk()
     assert (
-        desk.take(EndpointListReceived(news(5, ("a", READY, 0), ("b", READY, 0), full=True).news, stale=True)).kind
+        desk.take(EndpointListReceived(news(5, ("a", READY, 0), ("b", READY, 0), full=True).event, stale=True)).kind
         == UpdateKind.CACHED
     )
     change = desk.take(news(6, ("a", GONE, 0), ("never", GONE, 0)))
@@ -52,7 +52,7 @@
     desk.take(news(9, ("a", READY, 0), full=True))
     for old in (news(8, ("a", GONE, 0)), news(3, full=True)):
         assert desk.take(old) is None
-    assert set(desk.listing.entries) == {"a"} and desk.listing.older == 2
+    assert set(desk.listing.entries) == {"a"} and desk.listing.older_events == 2
 
 
 FAULTS = [
@@ -80,29 +80,29 @@
 
 
 def test_calls_that_fail_are_made_again_after_growing_pauses():
-    caller, now, pauses = WatchState(2 * SECOND, Random(5)), 0, []
+    state, now, pauses = WatchState(2 * SECOND, Random(5)), 0, []
     for _ in range(12):
-        assert caller.take(now, WatchInput.TICK) is WatchAction.DIAL
-        caller.take(now, WatchInput.DIALLED)
-        caller.take(now, WatchInput.ENDED)
-        assert caller.take(now, WatchInput.TICK) is WatchAction.NOTHING
-        pauses.append(caller.next_at - now)
-        now = caller.next_at
+        assert state.handle(now, WatchInput.TICK) is WatchAction.CONNECT
+        state.handle(now, WatchInput.CONNECT_STARTED)
+        state.handle(now, WatchInput.CONNECTION_CLOSED)
+        assert state.handle(now, WatchInput.TICK) is WatchAction.NONE
+        pauses.append(state.next_at_us - now)
+        now = state.next_at_us
     assert all(1 * SECOND <= pause <= 3 * SECOND for pause in pauses[5:]) and max(pauses[:1]) <= 0.3 * SECOND
     assert len(set(pauses)) == len(pauses)
 
 
 def test_a_silent_watch_is_dead_and_a_moved_one_dialled_at_once():
-    caller = WatchState(2 * SECOND, Random(5))
-    caller.take(0, WatchInput.DIALLED)
+    state = WatchState(2 * SECOND, Random(5))
+    state.handle(0, WatchInput.CONNECT_STARTED)
     for second in range(1, 20):
-        caller.take(second * SECOND, WatchInput.LIST)
-        assert caller.take(second * SECOND + 1, WatchInput.TICK) is WatchAction.NOTHING
-    assert caller.take(22 * SECOND, WatchInput.TICK) is WatchAction.DROP
-    caller.take(22 * SECOND, WatchInput.ENDED)
-    assert caller.take(22 * SECOND, WatchInput.MOVED) is WatchAction.DIAL
-    caller.take(22 * SECOND, WatchInput.DIALLED)
-    assert caller.take(22 * SECOND, WatchInput.MOVED) is WatchAction.DROP
+        state.handle(second * SECOND, WatchInput.EVENT_RECEIVED)
+        assert state.handle(second * SECOND + 1, WatchInput.TICK) is WatchAction.NONE
+    assert state.handle(22 * SECOND, WatchInput.TICK) is WatchAction.DISCONNECT
+    state.handle(22 * SECOND, WatchInput.CONNECTION_CLOSED)
+    assert state.handle(22 * SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.CONNECT
+    state.handle(22 * SECOND, WatchInput.CONNECT_STARTED)
+    assert state.handle(22 * SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
 
 
 ANSWERS = {
@@ -126,33 +126,33 @@
             gevent.sleep(0.01)
     job.kill()
     assert type(engine.told[0]) is WatchFailed and len(script.asked) == 2
-    assert [one.news.version for one in engine.told if type(one) is EndpointListReceived] == [4, 5]
+    assert [one.event.version for one in engine.told if type(one) is EndpointListReceived] == [4, 5]
 
 
 def test_after_a_move_it_asks_there_from_the_version_it_holds():
     there = Script(chunked(line(8, ("b",), full=False)))
     here = Script(chunked(line(7, ("a",)), b"", b""))
     watch, engine = watch_of(here, beat=2_000_000)
-    engine.update_endpoints = lambda now, what: (engine.told.append(what), watch.listing.handle(now, what))
+    engine.update_endpoints = lambda now, what: (engine.told.append(what), watch.endpoint_list.handle(now, what))
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while watch.listing.version != 7:
+        while watch.endpoint_list.version != 7:
             gevent.sleep(0.005)
-        watch.moved(("127.0.0.1", there.server.server_port))
-        while watch.listing.version != 8:
+        watch.change_address(("127.0.0.1", there.server.server_port))
+        while watch.endpoint_list.version != 8:
             gevent.sleep(0.005)
     job.kill()
-    assert there.asked == [b"/v1/servers?stream=1&index=7"] and set(watch.listing.entries) == {"a", "b"}
+    assert there.asked == [b"/v1/servers?stream=1&index=7"] and set(watch.endpoint_list.entries) == {"a", "b"}
 
 
 def test_a_move_before_a_call_has_begun_does_not_end_the_asking():
     script = Script(chunked(line(4, ("a",))))
     watch, engine = watch_of(script)
-    watch.caller.take(watch.clock(), WatchInput.TICK)
-    watch.caller.take(watch.clock(), WatchInput.DIALLED)
-    watch.call = gevent.spawn(watch.speak)  # has not run yet
-    watch.moved(watch.address)
-    assert watch.call is None and not watch.caller.calling
+    watch.state.handle(watch.clock(), WatchInput.TICK)
+    watch.state.handle(watch.clock(), WatchInput.CONNECT_STARTED)
+    watch.connection = gevent.spawn(watch.run_connection)  # has not run yet
+    watch.change_address(watch.address)
+    assert watch.connection is None and not watch.state.connected
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
         while not any(type(one) is EndpointListReceived for one in engine.told):
@@ -161,11 +161,11 @@
 
 
 def test_a_call_that_a_move_ended_is_no_failure():
-    caller = WatchState(2 * SECOND, Random(5))
-    caller.take(0, WatchInput.DIALLED)
-    assert caller.take(SECOND, WatchInput.MOVED) is WatchAction.DROP
-    caller.take(SECOND + 7, WatchInput.ENDED)
-    assert caller.failures == 0 and caller.take(SECOND + 7, WatchInput.TICK) is WatchAction.DIAL
-    caller.take(SECOND + 7, WatchInput.DIALLED)
-    caller.take(SECOND + 9, WatchInput.ENDED)
-    assert caller.failures == 1 and caller.take(SECOND + 9, WatchInput.TICK) is WatchAction.NOTHING
+    state = WatchState(2 * SECOND, Random(5))
+    state.handle(0, WatchInput.CONNECT_STARTED)
+    assert state.handle(SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
+    state.handle(SECOND + 7, WatchInput.CONNECTION_CLOSED)
+    assert state.failures == 0 and state.handle(SECOND + 7, WatchInput.TICK) is WatchAction.CONNECT
+    state.handle(SECOND + 7, WatchInput.CONNECT_STARTED)
+    state.handle(SECOND + 9, WatchInput.CONNECTION_CLOSED)
+    assert state.failures == 1 and state.handle(SECOND + 9, WatchInput.TICK) is WatchAction.NONE
