--- /dev/null
+++ b/tests/discovery/test_discovery_watch_state.py
@@ -0,0 +1,44 @@
+"""When discovery is connected to, and when a watch counts as lost."""
+
+from random import Random
+
+from helpers import SECOND
+
+from hollyridge.discovery.watch_state import WatchAction, WatchInput, WatchState
+
+
+def test_failed_attempts_are_retried_with_growing_backoff():
+    state, now, pauses = WatchState(2 * SECOND, Random(5)), 0, []
+    for _ in range(12):
+        assert state.handle(now, WatchInput.TICK) is WatchAction.CONNECT
+        state.handle(now, WatchInput.CONNECT_STARTED)
+        state.handle(now, WatchInput.CONNECTION_CLOSED)
+        assert state.handle(now, WatchInput.TICK) is WatchAction.NONE
+        pauses.append(state.next_at_us - now)
+        now = state.next_at_us
+    assert all(1 * SECOND <= pause <= 3 * SECOND for pause in pauses[5:]) and max(pauses[:1]) <= 0.3 * SECOND
+    assert len(set(pauses)) == len(pauses)
+
+
+def test_a_silent_watch_is_closed_and_a_new_address_connected_to_at_once():
+    state = WatchState(2 * SECOND, Random(5))
+    state.handle(0, WatchInput.CONNECT_STARTED)
+    for second in range(1, 20):
+        state.handle(second * SECOND, WatchInput.EVENT_RECEIVED)
+        assert state.handle(second * SECOND + 1, WatchInput.TICK) is WatchAction.NONE
+    assert state.handle(22 * SECOND, WatchInput.TICK) is WatchAction.DISCONNECT
+    state.handle(22 * SECOND, WatchInput.CONNECTION_CLOSED)
+    assert state.handle(22 * SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.CONNECT
+    state.handle(22 * SECOND, WatchInput.CONNECT_STARTED)
+    assert state.handle(22 * SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
+
+
+def test_a_connection_closed_for_a_change_of_address_is_no_failure():
+    state = WatchState(2 * SECOND, Random(5))
+    state.handle(0, WatchInput.CONNECT_STARTED)
+    assert state.handle(SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
+    state.handle(SECOND + 7, WatchInput.CONNECTION_CLOSED)
+    assert state.failures == 0 and state.handle(SECOND + 7, WatchInput.TICK) is WatchAction.CONNECT
+    state.handle(SECOND + 7, WatchInput.CONNECT_STARTED)
+    state.handle(SECOND + 9, WatchInput.CONNECTION_CLOSED)
+    assert state.failures == 1 and state.handle(SECOND + 9, WatchInput.TICK) is WatchAction.NONE
