--- a/hollyridge/limits/__init__.py
+++ b/hollyridge/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on connections, log lines and report senders. No I/O, no clock."""
+"""Limits on connections, requests, log lines and report sources. No I/O, no clock."""
--- a/hollyridge/limits/connection_limiter.py
+++ b/hollyridge/limits/connection_limiter.py
@@ -1,98 +1,108 @@
-"""Which connections and requests are taken: counts and paces with a little room for bursts.
+"""Decides which connections are admitted, and the rates of requests and replies on each.
 
-Guards against one peer, or a storm of them, taking the hub from all others. It may hurt a fleet that comes back
-all at once: paces are stated in the settings, and a turned away client comes again after its own wait.
+Keeps one client, or a storm of reconnections, from taking the service away from all others. The limits also hold for a
+fleet that reconnects all at once: a rejected client retries after its own backoff.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
+from hollyridge.limits.token_bucket import TokenBucket
 
-class TokenBucket:
-    """A pace with room for `burst` at once.
-
-    >>> bucket = TokenBucket(per_s=2, burst=2)
-    >>> [bucket.take(at) for at in (0, 0, 0, 500_000)]
-    [True, True, False, True]
-    """
-
-    __slots__ = ("per_s", "burst", "left", "at")
-
-    def __init__(self, per_s: float, burst: float) -> None:
-        self.per_s, self.burst, self.left, self.at = per_s, burst, burst, 0
-
-    def take(self, now: int, amount: float = 1.0) -> bool:
-        self.left = min(self.burst, self.left + (now - self.at) * self.per_s / 1e6)
-        self.at = now
-        if self.left < amount:
-            return False
-        self.left -= amount
-        return True
+MAX_TRACKED_ADDRESSES = 4096  # rates kept by address; the least recently used is dropped
+CONNECT_BURST_S = 1 / 4  # seconds' worth of new connections that are admitted at once
+ADDRESS_SHARE = 1 / 8  # of the rate of new connections, for one address
+REQUEST_BURST_S = 2  # seconds' worth of requests that are admitted at once
+UNLIMITED_PER_S = 1e9
 
 
 class ConnectionLimiter:
-    """`most` connections in all and `most_each` from one address; `per_s` new ones in all, an eighth of it from
-    one address that already holds connections; `requests_per_s` on each connection; `answers_per_s` with weights
-    in them on each, a third of ten seconds' worth at once (0: no limit).
+    """Limits on connections.
 
-    >>> keeper = ConnectionLimiter(most=2, most_each=1, per_s=100, requests_per_s=1)
-    >>> [keeper.admit(0, who) for who in ("a", "a", "b", "c")]
+    >>> limiter = ConnectionLimiter(max_connections=2, max_per_address=1, connects_per_s=100, requests_per_s=1)
+    >>> [limiter.admit(0, address) for address in ("a", "a", "b", "c")]
     ['', 'too many connections from one address', '', 'too many connections']
-    >>> keeper.release("a"); keeper.admit(0, "c")
+    >>> limiter.release("a"); limiter.admit(0, "c")
     ''
-    """
 
-    ADDRESSES = 4096  # paces kept by address; the longest unused goes first
+    Args:
+        max_connections: Open at once in all.
+        max_per_address: Open at once from one address.
+        connects_per_s: New connections in all; one address gets `ADDRESS_SHARE` of it.
+        requests_per_s: Requests on one connection.
+        replies_per_s: Replies with weights on one connection; 0 for no limit.
+
+    Attributes:
+        refused: How often a connection was rejected, by reason.
+    """
 
     def __init__(
-        self, most: int, most_each: int, per_s: float, requests_per_s: float, answers_per_s: float = 0.0
+        self,
+        max_connections: int,
+        max_per_address: int,
+        connects_per_s: float,
+        requests_per_s: float,
+        replies_per_s: float = 0.0,
     ) -> None:
-        self.answers_per_s = answers_per_s
-        self.most, self.most_each = most, most_each
-        self.whole = TokenBucket(per_s, max(1.0, per_s / 4))
-        self.per_s, self.requests_per_s = per_s, requests_per_s
-        self.open: dict[str, int] = {}
-        self.total = 0
-        self.each: OrderedDict[str, TokenBucket] = OrderedDict()
+        self.max_connections = max_connections
+        self.max_per_address = max_per_address
+        self.connects_per_s = connects_per_s
+        self.requests_per_s = requests_per_s
+        self.replies_per_s = replies_per_s
+        self.connect_bucket = TokenBucket(connects_per_s, max(1.0, connects_per_s * CONNECT_BURST_S))
+        self.address_buckets: OrderedDict[str, TokenBucket] = OrderedDict()
+        self.connections = 0
+        self.connections_by_address: dict[str, int] = {}
         self.refused: dict[str, int] = {}
 
-    def admit(self, now: int, address: str) -> str:
-        """Empty if the connection is taken, else why not."""
-        why = self.rejection_reason(now, address)
-        if why:
-            self.refused[why] = self.refused.get(why, 0) + 1
+    def admit(self, now_us: int, address: str) -> str:
+        """Count a new connection; returns an empty string if it is admitted, else the reason of the rejection."""
+        reason = self.rejection_reason(now_us, address)
+        if reason:
+            self.refused[reason] = self.refused.get(reason, 0) + 1
         else:
-            self.total += 1
-            self.open[address] = self.open.get(address, 0) + 1
-        return why
+            self.connections += 1
+            self.connections_by_address[address] = self.connections_by_address.get(address, 0) + 1
+        return reason
 
-    def rejection_reason(self, now: int, address: str) -> str:
-        if self.total >= self.most:
+    def rejection_reason(self, now_us: int, address: str) -> str:
+        """Check all limits in turn; takes from the buckets, so it is to be called once for each connection."""
+        if self.connections >= self.max_connections:
             return "too many connections"
-        if self.open.get(address, 0) >= self.most_each:
+        if self.connections_by_address.get(address, 0) >= self.max_per_address:
             return "too many connections from one address"
-        pace = self.each.get(address)
-        if pace is None:
-            pace = self.each[address] = TokenBucket(self.per_s / 8, max(1.0, self.per_s / 8))
-            if len(self.each) > self.ADDRESSES:
-                self.each.popitem(last=False)
-        self.each.move_to_end(address)
-        if not pace.take(now):
+        if not self.address_bucket(address).take(now_us):
             return "connects too often"
-        return "" if self.whole.take(now) else "too many connects a second"
+        return "" if self.connect_bucket.take(now_us) else "too many connects a second"
+
+    def address_bucket(self, address: str) -> TokenBucket:
+        """The rate of new connections from one address."""
+        bucket = self.address_buckets.get(address)
+        if bucket is None:
+            rate_per_s = self.connects_per_s * ADDRESS_SHARE
+            bucket = self.address_buckets[address] = TokenBucket(rate_per_s, max(1.0, rate_per_s))
+            if len(self.address_buckets) > MAX_TRACKED_ADDRESSES:
+                self.address_buckets.popitem(last=False)
+        self.address_buckets.move_to_end(address)
+        return bucket
 
     def release(self, address: str) -> None:
-        self.total -= 1
-        self.open[address] -= 1
-        if not self.open[address]:
-            del self.open[address]
+        """An admitted connection has ended."""
+        self.connections -= 1
+        self.connections_by_address[address] -= 1
+        if not self.connections_by_address[address]:
+            del self.connections_by_address[address]
 
     def request_bucket(self) -> TokenBucket:
-        """The pace of one connection's requests."""
-        return TokenBucket(self.requests_per_s, max(2.0, 2 * self.requests_per_s))
+        """The rate of requests on a new connection."""
+        return TokenBucket(self.requests_per_s, max(2.0, REQUEST_BURST_S * self.requests_per_s))
 
     def reply_bucket(self) -> TokenBucket:
-        """The pace of the answers with weights to one who asks: the messages a proxy may get count them too."""
-        pace = self.answers_per_s or 1e9
-        return TokenBucket(pace * 2 / 3, pace * 10 / 3)
+        """The rate of replies with weights on a new connection; the platform counts them as messages to the proxy.
+
+        The platform counts over ten seconds. A third of that number may go out at once and two thirds at the sustained
+        rate, so that no ten seconds see more than the limit.
+        """
+        rate_per_s = self.replies_per_s or UNLIMITED_PER_S
+        return TokenBucket(rate_per_s * 2 / 3, rate_per_s * 10 / 3)
--- a/hollyridge/limits/fair_share.py
+++ b/hollyridge/limits/fair_share.py
@@ -1,112 +1,145 @@
-"""Which senders of reports are heard when all together say more than can be read: max-min fair, by points.
+"""Decides whose reports are read when all sources together send more than can be read: max-min fairness, by points.
 
-Each period the budget is shared out by a water level: who says less than the level is heard in full, the others up to
-it. So one that talks, or lies about who it is, takes from those that talk as much, never from the quiet ones. A
-request's points are known only once it has been read, so a sender may overdraw once, and waits until its share has made
-up for that.
+Each period a budget of data points is divided so that a source that wants less than the fair share is read in full, and
+each other one up to the share. A source that floods, or uses many names, thus takes from other heavy sources and never
+from light ones. The size of a request is known only once it has been read, so a source may overdraw once and then waits
+until its shares have made up for it.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MEMORY = 0.5  # part of what a sender wanted that still counts a period later
-CREDIT = 2.0  # periods of its share that a quiet sender may save up
-ALL = ""  # stands for the senders beyond those that are told apart
+DEMAND_RETENTION = 0.5  # part of a source's past demand that still counts one period later
+MAX_SAVED_PERIODS = 2.0  # periods' worth of its share that a light source, or of the budget that all, may save up
+SIZE_GAIN = 1 / 4  # weight of the newest request in the moving average of a source's request size
+MAX_PERIODS_AT_ONCE = 64  # counted as elapsed after a long silence
+FORGET_AFTER_PERIODS = 64  # without a request
+OVERFLOW_SOURCE = ""  # stands for all sources beyond those that are told apart
 
 
 class ReportSource:
-    __slots__ = ("balance", "wanted", "now", "usual", "refused", "heard")
+    """What is known of one source of reports; sizes and balances in data points."""
 
-    def __init__(self, share: float, now: int) -> None:
-        self.balance, self.wanted, self.now, self.usual, self.refused, self.heard = share, 0.0, 0.0, 1.0, 0, now
+    __slots__ = ("balance", "demand", "last_seen_us", "mean_request", "rejected_requests", "taken_this_period")
 
+    def __init__(self, balance: float, now_us: int) -> None:
+        self.balance = balance
+        self.demand = 0.0  # per period, smoothed
+        self.taken_this_period = 0.0
+        self.mean_request = 1.0
+        self.rejected_requests = 0  # this period
+        self.last_seen_us = now_us
 
-def level(wanted: list[float], budget: float) -> float:
-    """The largest share such that all wants, each cut off there, fit into the budget.
+    def end_period(self, elapsed_periods: int) -> float:
+        """Reset the period's figures; returns what the source wanted each period."""
+        wanted = (self.taken_this_period + self.rejected_requests * self.mean_request) / elapsed_periods
+        self.demand += (wanted - self.demand) * (1 - DEMAND_RETENTION**elapsed_periods)
+        self.taken_this_period = 0.0
+        self.rejected_requests = 0
+        return max(wanted, self.demand)
 
-    >>> level([1.0, 2.0, 50.0, 80.0], 33.0), level([1.0, 2.0], 33.0)
+
+def fair_share(demands: list[float], budget: float) -> float:
+    """The largest share such that all demands, each capped at the share, fit into the budget.
+
+    >>> fair_share([1.0, 2.0, 50.0, 80.0], 33.0), fair_share([1.0, 2.0], 33.0)
     (15.0, 32.0)
     """
-    rest, some = budget, sorted(wanted)
-    for at, want in enumerate(some):
-        part = rest / (len(some) - at)
-        if want >= part:
-            return part
-        rest -= want
-    return (some[-1] if some else 0.0) + rest
+    remaining = budget
+    ascending = sorted(demands)
+    for position, demand in enumerate(ascending):
+        equal_share = remaining / (len(ascending) - position)
+        if demand >= equal_share:
+            return equal_share
+        remaining -= demand
+    return (ascending[-1] if ascending else 0.0) + remaining
 
 
 class FairShareLimiter:
-    """`per_period` points are read of all senders together, `most` senders are told apart, the rest share as one.
+    """Limits data points by source.
 
-    >>> fair = FairShareLimiter(100.0, 1_000_000, 10)
-    >>> fair.retry_after_us(0, "loud"), fair.record(0, "loud", 500)
+    >>> limiter = FairShareLimiter(100.0, 1_000_000, 10)
+    >>> limiter.retry_after_us(0, "heavy"), limiter.record(0, "heavy", 500)
     (0, None)
-    >>> fair.retry_after_us(1, "loud") > 0, fair.retry_after_us(2, "quiet")
+    >>> limiter.retry_after_us(1, "heavy") > 0, limiter.retry_after_us(2, "light")
     (True, 0)
+
+    Args:
+        points_per_period: Data points read of all sources together in a period.
+        period_us: Length of a period.
+        max_sources: Sources told apart; all further ones share as one.
     """
 
-    def __init__(self, per_period: float, period: int, most: int) -> None:
-        self.budget, self.period, self.most = per_period, period, most
-        self.senders: OrderedDict[str, ReportSource] = OrderedDict()
-        self.begins, self.share, self.left = -1, per_period, CREDIT * per_period
+    def __init__(self, points_per_period: float, period_us: int, max_sources: int) -> None:
+        self.budget = points_per_period
+        self.period_us = period_us
+        self.max_sources = max_sources
+        self.sources: OrderedDict[str, ReportSource] = OrderedDict()
+        self.period_began_us = -1  # before the first request
+        self.share = points_per_period
+        self.remaining = MAX_SAVED_PERIODS * points_per_period
         self.counts = {"periods": 0, "heard": 0, "turned_away": 0, "limited": 0}
 
-    def retry_after_us(self, now: int, sender: str) -> int:
-        """0 if a request of this sender is to be read now, else microseconds after which it may come again."""
-        self.start_period(now)
-        one = self.source_for(now, sender)
-        if one.balance > 0 and (self.left > 0 or one.now + one.usual <= self.share):
+    def retry_after_us(self, now_us: int, name: str) -> int:
+        """Return 0 if a request of this source may be read now, else how long it has to wait."""
+        self.start_period(now_us)
+        source = self.source_for(now_us, name)
+        within_share = source.taken_this_period + source.mean_request <= self.share
+        if source.balance > 0 and (self.remaining > 0 or within_share):
             return 0
-        one.refused += 1
+        source.rejected_requests += 1
         self.counts["turned_away"] += 1
-        due = self.begins + self.period - now
-        if one.balance <= 0:  # each period gives it a share
-            due += int(-one.balance / max(self.share, 1e-9)) * self.period
-        return max(due, 1)
-
-    def record(self, now: int, sender: str, points: int) -> None:
-        """So many points of a sender were read."""
-        self.start_period(now)
-        one = self.source_for(now, sender)
-        one.balance -= points
-        one.now += points
-        one.usual += (points - one.usual) / 4
-        self.left -= points
+        wait_us = self.period_began_us + self.period_us - now_us
+        if source.balance <= 0:  # each period adds one share
+            wait_us += int(-source.balance / max(self.share, 1e-9)) * self.period_us
+        return max(wait_us, 1)
+
+    def record(self, now_us: int, name: str, points: int) -> None:
+        """Charge a source with the points of a request that was read."""
+        self.start_period(now_us)
+        source = self.source_for(now_us, name)
+        source.balance -= points
+        source.taken_this_period += points
+        source.mean_request += (points - source.mean_request) * SIZE_GAIN
+        self.remaining -= points
         self.counts["heard"] += points
 
-    def source_for(self, now: int, sender: str) -> ReportSource:
-        one = self.senders.get(sender)
-        if one is None:
-            if len(self.senders) >= self.most:
-                sender = ALL
-                one = self.senders.get(ALL)
-            if one is None:
-                one = self.senders[sender] = ReportSource(CREDIT * self.share, now)
-        one.heard = now
-        return one
-
-    def start_period(self, now: int) -> None:
-        """A new period: what senders wanted sets the level, balances rise by it."""
-        if self.begins < 0:
-            self.begins = now
-        if now < self.begins + self.period:
+    def source_for(self, now_us: int, name: str) -> ReportSource:
+        """The source of this name, or the one that stands for those beyond `max_sources`."""
+        source = self.sources.get(name)
+        if source is None:
+            if len(self.sources) >= self.max_sources:
+                name = OVERFLOW_SOURCE
+                source = self.sources.get(OVERFLOW_SOURCE)
+            if source is None:
+                source = self.sources[name] = ReportSource(MAX_SAVED_PERIODS * self.share, now_us)
+        source.last_seen_us = now_us
+        return source
+
+    def start_period(self, now_us: int) -> None:
+        """If a period has ended, compute the share from what sources wanted and add it to their balances."""
+        if self.period_began_us < 0:
+            self.period_began_us = now_us
+        if now_us < self.period_began_us + self.period_us:
             return
-        passed = min((now - self.begins) // self.period, 64)
-        self.begins = now
+        elapsed_periods = min((now_us - self.period_began_us) // self.period_us, MAX_PERIODS_AT_ONCE)
+        self.period_began_us = now_us
         self.counts["periods"] += 1
-        wants = []
-        for name, one in list(self.senders.items()):
-            want = (one.now + one.refused * one.usual) / passed
-            one.wanted += (want - one.wanted) * (1 - MEMORY**passed)
-            wants.append(max(want, one.wanted))
-            one.now, one.refused = 0.0, 0
-            if now - one.heard > 64 * self.period and one.balance >= 0:
-                del self.senders[name]
-        self.share = level(wants, self.budget)
-        self.counts["limited"] = sum(want > self.share for want in wants)
-        self.left = min(self.left, 0.0) + self.budget * passed
-        self.left = min(self.left, self.budget * CREDIT)
-        for one in self.senders.values():
-            one.balance = min(one.balance + self.share * passed, CREDIT * self.share)
+        demands = self.collect_demands(now_us, elapsed_periods)
+        self.share = fair_share(demands, self.budget)
+        self.counts["limited"] = sum(demand > self.share for demand in demands)
+        self.remaining = min(self.remaining, 0.0) + self.budget * elapsed_periods
+        self.remaining = min(self.remaining, self.budget * MAX_SAVED_PERIODS)
+        for source in self.sources.values():
+            source.balance = min(source.balance + self.share * elapsed_periods, MAX_SAVED_PERIODS * self.share)
+
+    def collect_demands(self, now_us: int, elapsed_periods: int) -> list[float]:
+        """What each source wanted each period; forgets sources that have been silent for long and owe nothing."""
+        demands = []
+        for name, source in list(self.sources.items()):
+            demands.append(source.end_period(elapsed_periods))
+            silent_us = now_us - source.last_seen_us
+            if silent_us > FORGET_AFTER_PERIODS * self.period_us and source.balance >= 0:
+                del self.sources[name]
+        return demands
--- a/hollyridge/limits/log_sampling.py
+++ b/hollyridge/limits/log_sampling.py
@@ -1,10 +1,10 @@
-"""Which of many happenings of one kind are worth a line in the log."""
+"""Decides which of many occurrences of one event are logged."""
 
 
-def should_log(times: int) -> bool:
-    """The 1st, 2nd, 4th, 8th ...: a flood is seen at once and never floods the log.
+def should_log(occurrences: int) -> bool:
+    """True for the 1st, 2nd, 4th, 8th ... occurrence: a flood shows at once and does not flood the log.
 
-    >>> [times for times in range(1, 20) if should_log(times)]
+    >>> [occurrences for occurrences in range(1, 20) if should_log(occurrences)]
     [1, 2, 4, 8, 16]
     """
-    return times & (times - 1) == 0
+    return occurrences & (occurrences - 1) == 0
--- a/hollyridge/limits/pending_connections.py
+++ b/hollyridge/limits/pending_connections.py
@@ -1,9 +1,9 @@
-"""Which connections that have not joined are kept pending, for how long, and who goes when room runs out.
+"""Decides how long connections that have not joined are kept, and which are closed when there is no room.
 
-Guards against strangers who connect and say nothing, half a message or only ask for a sign of life: they take a place
-for `patience` at most, and never one that is in use. Who has sent nothing goes first, then who waits longest: in a wave
-of joins among silent strangers, a proxy whose first message comes in pieces keeps its place. It may hurt a proxy whose
-first message takes longer than `patience`; it dials again.
+Keeps clients that connect and send nothing, half a message or only heartbeats from holding descriptors: they hold one
+for the join timeout at most, and never one that a joined proxy needs. Connections that have sent nothing are closed
+first, then those that have waited longest, so that a proxy whose first message arrives in pieces survives a flood of
+silent connections. A proxy whose first message takes longer than the timeout has to reconnect.
 """
 
 from __future__ import annotations
@@ -12,49 +12,56 @@
 
 
 class PendingConnections:
-    """Connections by number, times in microseconds.
+    """Connections that have not joined, by number.
 
-    >>> pending = PendingConnections(patience=2_000_000)
+    >>> pending = PendingConnections(join_timeout_us=2_000_000)
     >>> [pending.add(at, at, 2) for at in (1, 2)]
     [[], []]
     >>> pending.heard_from(1); pending.add(3, 3, 2), pending.next_deadline
     ([2], 2000001)
     >>> pending.remove(1); pending.overdue(2_000_003), pending.next_deadline
     ([3], None)
+
+    Attributes:
+        waiting: Deadline in microseconds of each connection, earliest first.
+        silent: Those that have sent nothing, oldest first.
     """
 
-    def __init__(self, patience: int) -> None:
-        self.patience = patience
-        self.waiting: OrderedDict[int, int] = OrderedDict()  # all, and till when
-        self.silent: OrderedDict[int, None] = OrderedDict()  # those of them that have sent nothing
+    def __init__(self, join_timeout_us: int) -> None:
+        self.join_timeout_us = join_timeout_us
+        self.waiting: OrderedDict[int, int] = OrderedDict()
+        self.silent: OrderedDict[int, None] = OrderedDict()
 
-    def add(self, now: int, number: int, room: int) -> list[int]:
-        """A connection stands, with `room` for so many that wait, itself included; which are to be closed for it."""
-        self.waiting[number] = now + self.patience
+    def add(self, now_us: int, number: int, max_waiting: int) -> list[int]:
+        """Add a connection; returns the numbers of those to be closed so that at most `max_waiting` remain."""
+        self.waiting[number] = now_us + self.join_timeout_us
         self.silent[number] = None
-        gone = []
-        while len(self.waiting) > max(1, room):
-            gone.append(next(iter(self.silent if len(self.silent) > 1 else self.waiting)))
-            self.remove(gone[-1])
-        return gone
+        evicted = []
+        while len(self.waiting) > max(1, max_waiting):
+            # The newest is silent too: with no other silent one, the longest wait decides.
+            candidates = self.silent if len(self.silent) > 1 else self.waiting
+            evicted.append(next(iter(candidates)))
+            self.remove(evicted[-1])
+        return evicted
 
     def heard_from(self, number: int) -> None:
-        """Bytes came that can be read so far."""
+        """A connection has sent bytes that are valid so far."""
         self.silent.pop(number, None)
 
     def remove(self, number: int) -> None:
-        """It joined, or ended."""
+        """A connection has joined or ended."""
         self.waiting.pop(number, None)
         self.silent.pop(number, None)
 
-    def overdue(self, now: int) -> list[int]:
-        """Those to be closed now; they are forgotten."""
-        due = []
-        while self.waiting and next(iter(self.waiting.values())) <= now:
-            due.append(next(iter(self.waiting)))
-            self.remove(due[-1])
-        return due
+    def overdue(self, now_us: int) -> list[int]:
+        """Remove and return the numbers of those whose timeout has passed; they are to be closed."""
+        expired = []
+        while self.waiting and next(iter(self.waiting.values())) <= now_us:
+            expired.append(next(iter(self.waiting)))
+            self.remove(expired[-1])
+        return expired
 
     @property
     def next_deadline(self) -> int | None:
+        """When the next timeout passes, in microseconds; None if nothing waits."""
         return next(iter(self.waiting.values()), None)
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -260,4 +260,4 @@
         return json_format.MessageToJson(answer).encode() if as_json else answer.SerializeToString()
 
     def status(self) -> dict:
-        return {**self.counts, "why": self.why, "senders": len(self.fair.senders), **self.fair.counts}
+        return {**self.counts, "why": self.why, "senders": len(self.fair.sources), **self.fair.counts}
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -250,7 +250,7 @@
 
 
 def test_who_does_not_join_takes_no_place_for_long():
-    pending = PendingConnections(patience=2 * SECOND)
+    pending = PendingConnections(join_timeout_us=2 * SECOND)
     closed = [number for at in range(500) for number in pending.add(at, at, 300)]
     assert closed == list(range(200)) and len(pending.waiting) == 300
     pending.remove(499)
@@ -259,7 +259,7 @@
 
 
 def test_who_has_begun_to_join_keeps_its_place_among_those_who_say_nothing():
-    pending = PendingConnections(patience=2 * SECOND)
+    pending = PendingConnections(join_timeout_us=2 * SECOND)
     pending.add(0, 0, 8)
     pending.heard_from(0)
     assert [number for at in range(1, 300) for number in pending.add(at, at, 8)] == list(range(1, 293))
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -490,7 +490,7 @@
 
 
 def test_doors_stay_open_for_others():
-    keeper = ConnectionLimiter(most=100, most_each=10, per_s=80, requests_per_s=10)
+    keeper = ConnectionLimiter(max_connections=100, max_per_address=10, connects_per_s=80, requests_per_s=10)
     taken = sum(not keeper.admit(at, "storm") for at in range(0, SECOND, 1000))
     assert taken == 10 and not keeper.admit(SECOND, "quiet")
 
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -9,7 +9,7 @@
 from test_service import rig, tries  # noqa: F401
 
 from hollyridge.lab.flood import flood
-from hollyridge.limits.fair_share import ALL, FairShareLimiter, level
+from hollyridge.limits.fair_share import OVERFLOW_SOURCE, FairShareLimiter, fair_share
 from hollyridge.otlp.sender import post, request_of
 
 SECOND = 1_000_000
@@ -55,7 +55,7 @@
     for k in range(5000):
         if not fair.retry_after_us(k * 400, f"name-{k}"):
             fair.record(k * 400, f"name-{k}", 10)
-    assert len(fair.senders) <= 9 and ALL in fair.senders
+    assert len(fair.sources) <= 9 and OVERFLOW_SOURCE in fair.sources
     for k in range(20):  # one of those told apart is heard all the same
         now = 2 * SECOND + k * SECOND
         assert fair.retry_after_us(now, "name-0") == 0
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("wanted, budget, share", [([], 5.0, 5.0), ([10.0, 10.0], 10.0, 5.0), ([0.0, 9.0], 6.0, 6.0)])
 def test_levels(wanted, budget, share):
-    assert level(wanted, budget) == share
+    assert fair_share(wanted, budget) == share
 
 
 def test_a_flood_over_sockets_does_not_silence_a_quiet_sender(rig):  # noqa: F811
