--- a/hollyridge/lab/stand_ins/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -32,7 +32,7 @@
 from hollyridge.otlp.sender import Figure
 from hollyridge.peers.peer_service import PeerConfig
 from hollyridge.sasp.client import ConnectionLostError
-from hollyridge.service import Service
+from hollyridge.service import Service, ServiceEnvironment
 from hollyridge.settings.service_config import PeerAddress, ServiceConfig
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
@@ -216,10 +216,7 @@
             terms,
             stage.log,
             POLICIES.get(stage.policy, Assigner),
-            self.world.now,
-            self.open_context,
-            epoch,
-            Random(f"{stage.seed} {epoch}").randbytes,
+            ServiceEnvironment(self.world.now, self.open_context, epoch, Random(f"{stage.seed} {epoch}").randbytes),
             self.peers(terms),
         )
         if service.fleet is not None:
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -1,14 +1,19 @@
-"""A whole assigner from its terms: machine, loop, fronts, intake. Used by the command line and the laboratory."""
+"""A whole assigner of `hollyridge serve`: engine, loop, servers and receivers, built from its settings.
+
+Wiring only; the command line and the laboratory run it.
+"""
 
 from __future__ import annotations
 
 import math
 import os
 from collections.abc import Callable
+from typing import NamedTuple
 
 import gevent
 import msgspec
 import zmq.green as zmq
+from structlog.typing import FilteringBoundLogger as BoundLogger
 
 from hollyridge.chp.server import ChpServer
 from hollyridge.core.engine import Engine, spread
@@ -32,148 +37,229 @@
 from hollyridge.settings.solve import write
 from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
+MAX_CACHED_NAMES = 100_000  # names of tasks in load reports whose key is remembered
+
+
+class ServiceEnvironment(NamedTuple):
+    """What an assigner takes from its process; simulations hand in their own.
+
+    Attributes:
+        clock: Microseconds of a clock that never steps.
+        make_context: Makes the context of the pub-sub server's sockets.
+        epoch: Names this run of the process; made up if empty.
+        random_bytes: Gives so many random bytes.
+    """
+
+    clock: Callable[[], int] = monotonic_us
+    make_context: Callable = zmq.Context
+    epoch: str = ""
+    random_bytes: Callable[[int], bytes] = os.urandom
+
 
 class Service:
-    """`make` builds the decision module, `context` that of the pub-sub library's sockets, `epoch` names this run,
-    `fresh(n)` gives random bytes, `fleet` stands in for the settings' [peers].
-    `start` listens (OSError if an address is taken), `run` blocks until `stop` and raises what the machine raises when
-    it gives up."""
+    """Everything that one assigner runs.
+
+    `start` listens (OSError if an address is taken), `run` blocks until `stop` and raises what the engine raises when
+    it gives up.
+
+    Attributes:
+        front: The SASP server.
+        clone: The pub-sub server (CHP), or None.
+        fleet: The exchange with other assigners, or None.
+        intake: The receiver of load reports, which also serves the status pages.
+        solving: The weight solver beside the loop, or None.
+        keeping: What keeps learned estimates on disk, or None.
+    """
 
     def __init__(
         self,
         terms: ServiceConfig,
-        log,
+        log: BoundLogger,
         make: Callable = Assigner,
-        clock: Callable = monotonic_us,
-        context: Callable = zmq.Context,
-        epoch: str = "",
-        fresh: Callable[[int], bytes] = os.urandom,
+        environment: ServiceEnvironment | None = None,
         fleet: PeerConfig | None = None,
     ) -> None:
+        """Build all parts; nothing listens yet.
+
+        Args:
+            terms: The checked settings.
+            log: Where every part logs.
+            make: Builds the decisions.
+            environment: Clock, randomness and sockets; those of the process if absent.
+            fleet: Stands in for the [peers] of the settings.
+        """
+        environment = environment or ServiceEnvironment()
         self.terms, self.log = terms, log
-        config = terms.assigner_config()
-        now = clock()
-        members = MemberRegistry(terms.registration_config(), now)
-        self.engine = Engine(config, terms.assigner.seed, terms.engine_limits(), members, now, log, make)
-        self.loop = EventLoop(self.engine, clock)
-        sasp, channel, names = terms.sasp, terms.channel, self.names()
-        self.fleet = self.link = None
-        fleet = fleet or terms.peer_config()
-        if fleet is not None:
-            fronts = {"sasp": sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
-            self.fleet = PeerService(
-                self.loop,
-                fleet,
-                log,
-                fresh,
-                {name: at for name, at in fronts.items() if at},
-                self.task_name,
-                names.task,
-            )
-        zone_name = dict(enumerate(terms.zone_names)).get
-        keeper = ConnectionLimiter(
+        now = environment.clock()
+        registry = MemberRegistry(terms.registration_config(), now)
+        self.engine = Engine(
+            terms.assigner_config(), terms.assigner.seed, terms.engine_limits(), registry, now, log, make
+        )
+        self.loop = EventLoop(self.engine, environment.clock)
+        self.report_names = self.names()
+        self.zone_name = dict(enumerate(terms.zone_names)).get  # by index; None for none
+        self.link: DatagramTransport | None = None
+        self.fleet = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
+        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
+        self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
+        self.limiter = self.build_limiter()
+        self.front = self.build_sasp_server()
+        self.curve: Curve | None = None
+        self.clone = self.build_chp_server(environment) if terms.clone.listen else None
+        self.solving = self.build_solver()
+        self.keeping = self.build_persistence()
+        self.intake = self.build_metrics_server()
+
+    # Building.
+
+    def build_peers(self, config: PeerConfig | None, random_bytes: Callable[[int], bytes]) -> PeerService | None:
+        """The exchange with other assigners; None where nothing is shared."""
+        if config is None:
+            return None
+        terms = self.terms
+        addresses = {"sasp": terms.sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
+        served = {name: address for name, address in addresses.items() if address}
+        return PeerService(self.loop, config, self.log, random_bytes, served, self.task_name, self.report_names.task)
+
+    def build_limiter(self) -> ConnectionLimiter:
+        """What connections, requests and replies the servers take together."""
+        sasp, channel = self.terms.sasp, self.terms.channel
+        return ConnectionLimiter(
             sasp.connections_most,
             sasp.connections_each,
             sasp.connects_per_s,
             sasp.requests_per_s,
             channel.messages_most / channel.messages_over_s,
         )
-        presence = SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
-        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
-        self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
-        secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
-        self.front = SaspServer(
+
+    def build_sessions(self) -> SessionTracker:
+        """The sessions of one server's proxies."""
+        config = self.engine.config
+        return SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
+
+    def build_sasp_server(self) -> SaspServer:
+        """The SASP server."""
+        return SaspServer(
+            self.loop,
+            self.terms.sasp_config(),
+            self.build_sessions(),
+            self.limiter,
+            self.terms.zone_finder(),
+            self.log,
+            self.access,
+            self.secure_handshake(),
+            self.fleet,
+            self.zone_name,
+        )
+
+    def build_chp_server(self, environment: ServiceEnvironment) -> ChpServer:
+        """The pub-sub server."""
+        context = environment.make_context()
+        if self.terms.curve_file():
+            self.curve = Curve(context, self.terms.curve_file(), self.access.curve_known, self.principal_of_key)
+        return ChpServer(
             self.loop,
-            terms.sasp_config(),
-            presence,
-            keeper,
-            terms.zone_finder(),
-            log,
+            self.terms.chp_config(),
+            self.build_sessions(),
+            self.limiter,
+            self.terms.zone_finder(),
+            self.task_name,
+            self.log,
+            context,
+            self.curve,
             self.access,
-            secure,
+            environment.epoch,
             self.fleet,
-            zone_name,
+            self.zone_name,
         )
-        self.clone = self.curve = None
-        if terms.clone.listen:
-            context = context()
-            if terms.curve_file():
-                self.curve = Curve(
-                    context, terms.curve_file(), self.access.curve_known, lambda key: self.access.by_curve.get(key, key)
-                )
-            self.clone = ChpServer(
-                self.loop,
-                terms.chp_config(),
-                SessionTracker(config.drain_grace_us, config.empty_table_limit_us),
-                keeper,
-                terms.zone_finder(),
-                self.task_name,
-                log,
-                context,
-                self.curve,
-                self.access,
-                epoch,
-                self.fleet,
-                zone_name,
-            )
-        self.solving = None
-        if terms.solver_config() is not None:
-            self.solving = SolverService(self.loop, terms.solver_config(), log, gevent.get_hub().threadpool.apply)
-        self.keeping = None
-        if terms.persistence_config() is not None:
-            self.keeping = EstimatePersistence(
-                self.loop,
-                terms.persistence_config(),
-                log,
-                self.task_name,
-                names.task,
-                gevent.get_hub().threadpool.apply,
-            )
+
+    def build_solver(self) -> SolverService | None:
+        """The weight solver beside the loop; None where it is off."""
+        config = self.terms.solver_config()
+        if config is None:
+            return None
+        return SolverService(self.loop, config, self.log, gevent.get_hub().threadpool.apply)
+
+    def build_persistence(self) -> EstimatePersistence | None:
+        """What keeps learned estimates on disk; None where nothing is kept."""
+        config = self.terms.persistence_config()
+        if config is None:
+            return None
+        in_thread = gevent.get_hub().threadpool.apply
+        return EstimatePersistence(self.loop, config, self.log, self.task_name, self.report_names.task, in_thread)
+
+    def build_metrics_server(self) -> MetricsServer:
+        """The receiver of load reports, with the status pages."""
         pages = {
             "/status": ("application/json", lambda: msgspec.json.encode(self.status())),
             "/fleet": ("text/plain; charset=utf-8", self.described),
         }
-        deeds = {}
+        actions = {}
         if self.fleet is not None:
             pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
-            deeds = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        self.intake = MetricsServer(self.loop, terms.otlp_config(), names, pages, log, self.access, secure, deeds)
+            actions = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
+        return MetricsServer(
+            self.loop,
+            self.terms.otlp_config(),
+            self.report_names,
+            pages,
+            self.log,
+            self.access,
+            self.secure_handshake(),
+            actions,
+        )
+
+    def secure_handshake(self) -> Callable | None:
+        """What turns an accepted socket into a TLS one; None where connections are open."""
+        if self.tls is None:
+            return None
+        return lambda sock: shake(sock, self.tls, self.terms.sasp.hello_s)
+
+    # Names.
+
+    def principal_of_key(self, key: str) -> str:
+        """The principal whose CURVE key this is; the key itself for a stranger's."""
+        return self.access.by_curve.get(key, key)
 
     def task_name(self, task: int) -> str:
+        """Address and port of a task by its index."""
         address, port, _ = self.engine.task_indices.names[task]
         return f"{Member(address, port).host}:{port}"
 
-    def described(self) -> bytes | None:
-        """What the weight solver would be told now, as `hollyridge solve` reads it; None if nothing is known."""
-        module, solver = self.engine.assigner, self.terms.solver
-        if not isinstance(module, Assigner):  # a baseline of the laboratory knows nothing of the kind
-            return None
-        fleet = fleet_of(module, self.loop.clock(), solver.handshake, solver.connections or math.inf)
-        if fleet is None:
-            return None
-        zones = tuple(zone._replace(name=name) for zone, name in zip(fleet.zones, self.terms.zone_names))
-        tasks = tuple(task._replace(name=self.task_name(i)) for i, task in enumerate(fleet.tasks))
-        return write(without_the_gone(fleet._replace(zones=zones, tasks=tasks))).encode()
-
     def names(self) -> AttributeNames:
+        """What turns the names in load reports into indices."""
         zones = {name: z for z, name in enumerate(self.terms.zone_names)}
         methods = {name: k for k, name in enumerate(self.terms.method_names)}
-        known: dict[str, tuple] = {}
+        key_by_name: dict[str, tuple] = {}
 
         def task(name: str) -> int | None:
-            key = known.get(name)
+            key = key_by_name.get(name)
             if key is None:
                 host, _, port = name.rpartition(":")
                 try:
                     key = Member.at(host.strip("[]"), int(port)).key
                 except ValueError:
                     return None
-                if len(known) < 100_000:
-                    known[name] = key
+                if len(key_by_name) < MAX_CACHED_NAMES:
+                    key_by_name[name] = key
             return self.engine.task_indices.index.get(key)
 
         return AttributeNames(zones.get, task, self.engine.proxy_indices.index.get, methods.get)
 
+    def described(self) -> bytes | None:
+        """What the weight solver would be given now, as `hollyridge solve` reads it; None if nothing is known."""
+        assigner, solver = self.engine.assigner, self.terms.solver
+        if not isinstance(assigner, Assigner):  # a baseline of the laboratory learns nothing
+            return None
+        fleet = fleet_of(assigner, self.loop.clock(), solver.handshake, solver.connections or math.inf)
+        if fleet is None:
+            return None
+        zones = tuple(zone._replace(name=name) for zone, name in zip(fleet.zones, self.terms.zone_names))
+        tasks = tuple(task._replace(name=self.task_name(i)) for i, task in enumerate(fleet.tasks))
+        return write(without_the_gone(fleet._replace(zones=zones, tasks=tasks))).encode()
+
+    # Running.
+
     def start(self) -> tuple[int, int]:
         """The ports that SASP and OTLP listen on."""
         if self.fleet is not None:
@@ -198,9 +284,11 @@
             self.loop.spawn(self.solving.run)
 
     def run(self) -> None:
+        """Decide until `stop`."""
         self.loop.run()
 
     def stop(self) -> None:
+        """End every part; estimates are saved once more."""
         if self.fleet is not None:
             self.fleet.leave()
         if self.link is not None:
@@ -217,8 +305,12 @@
         self.intake.stop()
 
     def reload(self, terms: ServiceConfig) -> None:
-        """New keys and a new table of who may what, without dropping a stream of those who keep theirs. Faulty
-        files change nothing: OSError or ValueError."""
+        """Take new keys and access rights without dropping a stream of a principal that keeps its own.
+
+        Raises:
+            OSError: A file can't be read; nothing changes.
+            ValueError: A file holds no key; nothing changes.
+        """
         if self.tls is not None and terms.tls_files():
             load(self.tls, terms.tls_files())
         if self.curve is not None and terms.curve_file():
@@ -233,6 +325,7 @@
         self.log.info("keys read again", bearers=len(terms.principals))
 
     def status(self) -> dict:
+        """The status page."""
         fronts = {"sasp": self.front.status(), **({"clone": self.clone.status()} if self.clone else {})}
         solver = {"solver": self.solving.status()} if self.solving is not None else {}
         peers = {"peers": self.fleet.status()} if self.fleet is not None else {}
@@ -241,6 +334,7 @@
         return {"core": core, **fronts, "otlp": self.intake.status(), **solver, **peers, **kept}
 
     def tell_status(self) -> None:
+        """Log the status at the interval of the settings."""
         while True:
             gevent.sleep(self.terms.log.status_every_s)
             self.log.info("status", **self.status())
