--- a/hollyridge/sessions/__init__.py
+++ b/hollyridge/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions of proxies across their streams, and who may do what. No I/O, no clock."""
+"""Sessions of load balancers across their streams, and access control. No I/O, no clock."""
--- a/hollyridge/sessions/access.py
+++ b/hollyridge/sessions/access.py
@@ -1,8 +1,8 @@
-"""Who may be which proxy, register which members, and report for which zone: one small table.
+"""Access control: which principal may act as which proxy, register which members and report for which zone.
 
-Without keys everyone may everything. With keys and no bearers in the settings, whoever holds a key that the
-authority signed may; once bearers are named, taking out the last of them lets in nobody. A bearer that is taken out
-loses what it has at the next look, streams included.
+Without keys everyone may do everything. With keys but no principals in the settings, whoever holds a key signed by the
+authority may. Once principals are named, only they may, even after the last of them has been removed. A removed
+principal loses its rights at the next check, open streams included.
 """
 
 from __future__ import annotations
@@ -14,20 +14,28 @@
 
 
 class Principal(NamedTuple):
-    """`name` is that of its certificate, `curve` its public key for pub-sub (empty: none). `uids` are patterns."""
+    """A holder of keys and what it may do.
+
+    Attributes:
+        name: Common name of its TLS certificate.
+        curve_key: Its CURVE public key (Z85); empty for none.
+        uid_patterns: Names of the proxies that it may act as, as shell patterns.
+        networks: Addresses that it may register members at.
+        zones: Zones that it may report for.
+    """
 
     name: str
-    curve: str
-    uids: tuple[str, ...]
+    curve_key: str
+    uid_patterns: tuple[str, ...]
     networks: tuple[ipaddress.IPv4Network | ipaddress.IPv6Network, ...]
     zones: tuple[str, ...]
 
 
 class AccessControl:
-    """Each question is answered with an empty text, or with why not.
+    """Answers each check with an empty string, or with the reason of the denial.
 
-    >>> net = ipaddress.ip_network("127.1.0.0/16")
-    >>> gate, agent = Principal("gate", "", ("gw-*",), (), ("abdali",)), Principal("agent", "", (), (net,), ())
+    >>> network = ipaddress.ip_network("127.1.0.0/16")
+    >>> gate, agent = Principal("gate", "", ("gw-*",), (), ("abdali",)), Principal("agent", "", (), (network,), ())
     >>> access = AccessControl(True, [gate, agent])
     >>> access.may_be("gate", "gw-7"), access.may_be("gate", "other")
     ('', 'gate may not go by that name')
@@ -35,43 +43,58 @@
     ('', 'agent may not register that address')
     >>> access.may_report("gate", "abdali"), access.may_report("nobody", "abdali")
     ('', 'nobody is not known')
-    """
 
-    def __init__(self, keyed: bool, bearers: Iterable[Principal]) -> None:
-        self.anyone = True
-        self.replace(bearers)
-        self.anyone = self.anyone or not keyed
+    Args:
+        keyed: Whether the servers require keys.
+        principals: Who may do what.
+
+    Attributes:
+        open: Whether everyone may do everything.
+        by_curve: Names of principals by CURVE public key.
+    """
 
-    def replace(self, bearers: Iterable[Principal]) -> None:
-        """Another table from now on."""
-        self.bearers = {bearer.name: bearer for bearer in bearers}
-        self.anyone = self.anyone and not self.bearers
-        self.by_curve = {bearer.curve: bearer.name for bearer in self.bearers.values() if bearer.curve}
+    def __init__(self, keyed: bool, principals: Iterable[Principal]) -> None:
+        self.open = True
+        self.replace(principals)
+        self.open = self.open or not keyed
 
-    @property
-    def open(self) -> bool:
-        return self.anyone
+    def replace(self, principals: Iterable[Principal]) -> None:
+        """Use another table from now on; access that was once restricted to principals stays restricted."""
+        self.principals = {principal.name: principal for principal in principals}
+        self.open = self.open and not self.principals
+        self.by_curve = {
+            principal.curve_key: principal.name for principal in self.principals.values() if principal.curve_key
+        }
 
     def curve_known(self, key: str) -> bool:
+        """Whether a client with this CURVE public key (Z85) may connect."""
         return self.open or key in self.by_curve
 
-    def known(self, who: str) -> str:
-        return "" if self.open or who in self.bearers else f"{who or 'a stranger'} is not known"
-
-    def may_be(self, who: str, uid: str) -> str:
-        if self.open or self.known(who):
-            return self.known(who)
-        fits = any(fnmatchcase(uid, pattern) for pattern in self.bearers[who].uids)
-        return "" if fits else f"{who} may not go by that name"
-
-    def may_register(self, who: str, host: str) -> str:
-        if self.open or self.known(who):
-            return self.known(who)
-        ip = ipaddress.ip_address(host)
-        fits = any(ip.version == net.version and ip in net for net in self.bearers[who].networks)
-        return "" if fits else f"{who} may not register that address"
-
-    def may_report(self, who: str, zone: str) -> str:
-        if self.open or self.known(who):
-            return self.known(who)
-        return "" if zone in self.bearers[who].zones else f"{who} may not report for that zone"
+    def known(self, name: str) -> str:
+        """Check that a principal is in the table."""
+        return "" if self.open or name in self.principals else f"{name or 'a stranger'} is not known"
+
+    def may_be(self, name: str, uid: str) -> str:
+        """Check that a principal may act as the proxy `uid`."""
+        denial = self.known(name)
+        if self.open or denial:
+            return denial
+        allowed = any(fnmatchcase(uid, pattern) for pattern in self.principals[name].uid_patterns)
+        return "" if allowed else f"{name} may not go by that name"
+
+    def may_register(self, name: str, host: str) -> str:
+        """Check that a principal may register a member at the IP address `host`."""
+        denial = self.known(name)
+        if self.open or denial:
+            return denial
+        address = ipaddress.ip_address(host)
+        networks = self.principals[name].networks
+        allowed = any(address.version == network.version and address in network for network in networks)
+        return "" if allowed else f"{name} may not register that address"
+
+    def may_report(self, name: str, zone: str) -> str:
+        """Check that a principal may report for a zone."""
+        denial = self.known(name)
+        if self.open or denial:
+            return denial
+        return "" if zone in self.principals[name].zones else f"{name} may not report for that zone"
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -1,15 +1,15 @@
-"""Which load balancers count as joined, and which streams are to be closed.
-
-A load balancer that takes pushes is joined from its registration on. One that asks is joined from its first
-question on, and only while it goes on asking: the interval it is told is a third of the shorter of the grace
-for drains and the bare limit, and when it has not asked for nine tenths of that time it counts as left and its
-stream is closed, so that no drain can find it still joined with an older table. The same time is given to a
-stream whose bytes the other side leaves unread: what it holds is as old. Both may hurt a load balancer that was
-merely slow; it keeps its table, comes back and is given a new one.
-
-A second stream of the same name takes over from the first (the first may be a half-open relic, and nobody is to
-wait for a table meanwhile), but after `TAKEOVERS` within the grace newcomers are turned away until that is past:
-two of one name would otherwise throw each other out for ever.
+"""Decides which load balancers count as joined, and which of their streams are to be closed.
+
+A load balancer that takes pushes is joined from its registration on. One that polls is joined from its first poll on
+and only while it goes on polling: it is given a poll interval of a third of the drain grace or of the limit on empty
+tables, whichever is shorter, and once it has not polled for nine tenths of that time it counts as left and its stream
+is closed. So no drain finds a load balancer that is joined but holds an older table. A stream whose client leaves data
+unread has the same timeout, for its table is as old. A load balancer that was merely slow keeps its table, reconnects
+and is given a new one.
+
+A second stream of the same name takes over from the first, which may be half-open, so that nobody waits for a table
+meanwhile. After `MAX_TAKEOVERS` within the drain grace further streams are rejected until the grace has passed: two
+load balancers of one name would otherwise disconnect each other for ever.
 """
 
 from __future__ import annotations
@@ -17,90 +17,124 @@
 from collections import deque
 from typing import NamedTuple
 
-TAKEOVERS = 4
+MAX_TAKEOVERS = 4  # of one name within the drain grace
+POLLS_PER_LIMIT = 3  # polls within the shorter limit, so that two may be lost
+NOT_UNREAD = -1  # `unread_since_us` of a stream whose client has read everything
 
 
 class SessionStarted(NamedTuple):
-    """What a stream's coming means: `joined`, the older stream to be closed (-1: none), or `turned_away`."""
+    """The outcome of a stream that starts.
+
+    Attributes:
+        joined: The load balancer has joined with it.
+        close: The older stream that is to be closed for it; -1 for none.
+        turned_away: It is rejected.
+    """
 
     joined: bool
     close: int = -1
     turned_away: bool = False
 
 
-class Stream:
-    __slots__ = ("uid", "push", "heard", "unread_since", "taken")
+class StreamState:
+    """What is known of one stream."""
 
-    def __init__(self, uid: str, push: bool, now: int) -> None:
-        self.uid, self.push, self.heard = uid, push, now
-        self.unread_since, self.taken = -1, 0
+    __slots__ = ("last_polled_us", "push", "read_bytes", "uid", "unread_since_us")
+
+    def __init__(self, uid: str, push: bool, now_us: int) -> None:
+        self.uid = uid
+        self.push = push
+        self.last_polled_us = now_us
+        self.unread_since_us = NOT_UNREAD
+        self.read_bytes = 0
 
 
 class SessionTracker:
-    """Times in microseconds.
+    """The streams of load balancers, by number.
 
-    >>> seen = SessionTracker(grace=3_000_000, bare=5_000_000)
-    >>> seen.interval
+    >>> sessions = SessionTracker(drain_grace_us=3_000_000, empty_table_limit_us=5_000_000)
+    >>> sessions.interval
     1
-    >>> seen.start(0, 7, "gw-1", push=False)
+    >>> sessions.start(0, 7, "gw-1", push=False)
     SessionStarted(joined=True, close=-1, turned_away=False)
-    >>> seen.overdue(2_600_000), seen.overdue(2_800_000)
+    >>> sessions.overdue(2_600_000), sessions.overdue(2_800_000)
     ([], [(7, 'asks no more')])
+
+    Args:
+        drain_grace_us: How long a draining task goes on serving.
+        empty_table_limit_us: How long a load balancer may be without a table.
+
+    Attributes:
+        interval: Poll interval in whole seconds, as the protocol has it.
+        first_answer: Microseconds that a first poll may wait for its table.
+        timeout_us: Without a poll, or with data unread, after which a stream is closed.
+        by_uid: Number of the stream of each load balancer that is joined.
     """
 
-    def __init__(self, grace: int, bare: int) -> None:
-        self.patience = min(grace, bare) * 9 // 10
-        self.grace = grace
-        self.interval = max(1, min(grace, bare) // 3_000_000)  # whole seconds, as the protocol has it
-        self.first_answer = self.patience // 4  # how long a first question may wait for its table
-        self.streams: dict[int, Stream] = {}
+    def __init__(self, drain_grace_us: int, empty_table_limit_us: int) -> None:
+        limit_us = min(drain_grace_us, empty_table_limit_us)
+        self.drain_grace_us = drain_grace_us
+        self.timeout_us = limit_us * 9 // 10
+        self.interval = max(1, limit_us // (POLLS_PER_LIMIT * 1_000_000))
+        self.first_answer = self.timeout_us // 4
+        self.streams: dict[int, StreamState] = {}
         self.by_uid: dict[str, int] = {}
-        self.takeovers: dict[str, deque[int]] = {}
+        self.takeovers: dict[str, deque[int]] = {}  # their times in microseconds, by name
 
-    def start(self, now: int, stream: int, uid: str, push: bool) -> SessionStarted:
-        known = self.streams.get(stream)
+    def start(self, now_us: int, number: int, uid: str, push: bool) -> SessionStarted:
+        """A stream has registered or polled first; one that has started already may change whether it takes pushes."""
+        known = self.streams.get(number)
         if known is not None:
-            known.push, known.heard = push, now
+            known.push = push
+            known.last_polled_us = now_us
             return SessionStarted(False)
         older = self.by_uid.get(uid, -1)
         if older >= 0:
-            recent = self.takeovers.setdefault(uid, deque())
-            while recent and recent[0] <= now - self.grace:
-                recent.popleft()
-            if len(recent) >= TAKEOVERS:
+            if not self.may_take_over(now_us, uid):
                 return SessionStarted(False, turned_away=True)
-            recent.append(now)
             self.end(older)
-        self.streams[stream] = Stream(uid, push, now)
-        self.by_uid[uid] = stream
+        self.streams[number] = StreamState(uid, push, now_us)
+        self.by_uid[uid] = number
         return SessionStarted(True, older)
 
-    def end(self, stream: int) -> None:
-        gone = self.streams.pop(stream, None)
-        if gone is not None and self.by_uid.get(gone.uid) == stream:
-            del self.by_uid[gone.uid]
-
-    def polled(self, now: int, stream: int) -> None:
-        if stream in self.streams:
-            self.streams[stream].heard = now
-
-    def check_backlog(self, now: int, stream: int, taken: int, waits: bool) -> None:
-        """`taken`: bytes the other side has acknowledged so far; `waits`: whether more are on their way."""
-        row = self.streams.get(stream)
-        if row is None:
+    def may_take_over(self, now_us: int, uid: str) -> bool:
+        """Whether a newer stream may replace the one of this name; counts the takeover if so."""
+        recent = self.takeovers.setdefault(uid, deque())
+        while recent and recent[0] <= now_us - self.drain_grace_us:
+            recent.popleft()
+        if len(recent) >= MAX_TAKEOVERS:
+            return False
+        recent.append(now_us)
+        return True
+
+    def end(self, number: int) -> None:
+        """A stream has ended; its load balancer has left unless a newer stream has taken over."""
+        stream = self.streams.pop(number, None)
+        if stream is not None and self.by_uid.get(stream.uid) == number:
+            del self.by_uid[stream.uid]
+
+    def polled(self, now_us: int, number: int) -> None:
+        """A message has arrived on a stream."""
+        if number in self.streams:
+            self.streams[number].last_polled_us = now_us
+
+    def check_backlog(self, now_us: int, number: int, read_bytes: int, unread: bool) -> None:
+        """Note how far the client has read: bytes acknowledged so far, and whether more are outstanding."""
+        stream = self.streams.get(number)
+        if stream is None:
             return
-        if not waits:
-            row.unread_since = -1
-        elif row.unread_since < 0 or taken > row.taken:
-            row.unread_since = now
-        row.taken = taken
-
-    def overdue(self, now: int) -> list[tuple[int, str]]:
-        """Streams to be closed, each with the reason."""
+        if not unread:
+            stream.unread_since_us = NOT_UNREAD
+        elif stream.unread_since_us < 0 or read_bytes > stream.read_bytes:
+            stream.unread_since_us = now_us
+        stream.read_bytes = read_bytes
+
+    def overdue(self, now_us: int) -> list[tuple[int, str]]:
+        """Numbers of the streams that are to be closed, each with the reason."""
         found = []
-        for stream, row in self.streams.items():
-            if not row.push and now - row.heard > self.patience:
-                found.append((stream, "asks no more"))
-            elif row.unread_since >= 0 and now - row.unread_since > self.patience:
-                found.append((stream, "leaves orders unread"))
+        for number, stream in self.streams.items():
+            if not stream.push and now_us - stream.last_polled_us > self.timeout_us:
+                found.append((number, "asks no more"))
+            elif stream.unread_since_us >= 0 and now_us - stream.unread_since_us > self.timeout_us:
+                found.append((number, "leaves orders unread"))
         return found
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -22,7 +22,7 @@
     Tick,
 )
 from hollyridge.sasp.weight_advice import LEAST, MOST, GroupWeights
-from hollyridge.sessions.session_tracker import TAKEOVERS, SessionTracker
+from hollyridge.sessions.session_tracker import MAX_TAKEOVERS, SessionTracker
 from hollyridge.store.table_versions import EMPTY, TableStore, difference
 from hollyridge.telemetry.report_aggregator import SECOND as NS
 from hollyridge.telemetry.report_aggregator import DataPoint, Kind, ReportAggregator
@@ -373,10 +373,10 @@
 def test_a_poller_is_told_an_interval_that_keeps_drains_in_time():
     for grace, bare in ((1, 5), (3, 5), (10, 30), (60, 20)):
         seen = SessionTracker(grace * SECOND, bare * SECOND)
-        assert 1 <= seen.interval and (seen.interval * SECOND < seen.patience or grace == 1)
+        assert 1 <= seen.interval and (seen.interval * SECOND < seen.timeout_us or grace == 1)
         seen.start(0, 1, "gw", push=False)
         asked = 0
-        while asked < 20 * SECOND and seen.interval * SECOND < seen.patience:
+        while asked < 20 * SECOND and seen.interval * SECOND < seen.timeout_us:
             asked += seen.interval * SECOND
             assert not seen.overdue(asked)
             seen.polled(asked, 1)
@@ -387,19 +387,19 @@
     seen = SessionTracker(3 * SECOND, 5 * SECOND)
     seen.start(0, 1, "gw", push=True)
     for now in range(0, 20 * SECOND, SECOND // 10):  # a slow reader goes on reading
-        seen.check_backlog(now, 1, taken=now // 1000, waits=True)
+        seen.check_backlog(now, 1, read_bytes=now // 1000, unread=True)
         assert not seen.overdue(now)
-    seen.check_backlog(21 * SECOND, 1, taken=20_000, waits=True)
-    seen.check_backlog(22 * SECOND, 1, taken=20_000, waits=True)
+    seen.check_backlog(21 * SECOND, 1, read_bytes=20_000, unread=True)
+    seen.check_backlog(22 * SECOND, 1, read_bytes=20_000, unread=True)
     assert seen.overdue(24 * SECOND) == [(1, "leaves orders unread")]
-    seen.check_backlog(24 * SECOND, 1, taken=20_001, waits=False)
+    seen.check_backlog(24 * SECOND, 1, read_bytes=20_001, unread=False)
     assert not seen.overdue(60 * SECOND)
 
 
 def test_two_of_one_name():
     seen = SessionTracker(3 * SECOND, 5 * SECOND)
     assert seen.start(0, 1, "gw", True).joined
-    for k in range(TAKEOVERS):
+    for k in range(MAX_TAKEOVERS):
         assert seen.start(k, k + 2, "gw", True) == (True, k + 1, False)
     assert seen.start(5, 99, "gw", True).turned_away
     assert seen.start(4 * SECOND, 100, "gw", True).joined
