--- a/hollyridge/keys/__init__.py
+++ b/hollyridge/keys/__init__.py
@@ -1,2 +1,5 @@
-"""Keys of the fronts: TLS with client certificates for SASP and OTLP, CURVE for pub-sub. Loaded at start, and anew
-on SIGHUP: new connections meet the new keys, streams that stand go on unless their bearer was taken out."""
+"""Keys of the servers: TLS with client certificates for SASP and OTLP, CURVE for CHP.
+
+Keys are loaded at start and again on SIGHUP. New connections use the new keys; open streams go on unless their
+principal was removed.
+"""
--- a/hollyridge/keys/tls.py
+++ b/hollyridge/keys/tls.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-import ssl as plain
+import ssl as standard_ssl
 from typing import NamedTuple
 
-from gevent import ssl
+from gevent import socket, ssl
 
 
 class TlsFiles(NamedTuple):
@@ -16,38 +16,51 @@
     clients: str
 
 
-def context_of(files: TlsFiles) -> ssl.SSLContext:
-    """OSError or ssl.SSLError where the files are not there or do not fit."""
-    context = ssl.SSLContext(plain.PROTOCOL_TLS_SERVER)
-    context.minimum_version = plain.TLSVersion.TLSv1_2
-    context.verify_mode = plain.CERT_REQUIRED
-    load(context, files)
+def server_context(files: TlsFiles) -> ssl.SSLContext:
+    """A context that requires client certificates.
+
+    Raises:
+        OSError: A file is missing or not valid (ssl.SSLError is an OSError).
+    """
+    context = ssl.SSLContext(standard_ssl.PROTOCOL_TLS_SERVER)
+    context.minimum_version = standard_ssl.TLSVersion.TLSv1_2
+    context.verify_mode = standard_ssl.CERT_REQUIRED
+    load_keys(context, files)
     return context
 
 
-def load(context: ssl.SSLContext, files: TlsFiles) -> None:
-    """Put keys into a context that may be in use already; tried on another first, so that faulty files change
-    nothing."""
-    trial = plain.SSLContext(plain.PROTOCOL_TLS_SERVER)
+def load_keys(context: ssl.SSLContext, files: TlsFiles) -> None:
+    """Load keys into a context that may be in use.
+
+    They are loaded into another context first, so that files that are not valid change nothing.
+
+    Raises:
+        OSError: A file is missing or not valid.
+    """
+    trial = standard_ssl.SSLContext(standard_ssl.PROTOCOL_TLS_SERVER)
     trial.load_cert_chain(files.certificate, files.key)
     trial.load_verify_locations(files.clients)
     context.load_cert_chain(files.certificate, files.key)
     context.load_verify_locations(files.clients)
 
 
-def bearer_of(sock) -> str:
-    """The common name of the other side's certificate; empty without one."""
+def peer_common_name(sock: socket.socket) -> str:
+    """The common name of the client's certificate; empty if the connection is not TLS."""
     certificate = sock.getpeercert() if hasattr(sock, "getpeercert") else None
-    for part in (certificate or {}).get("subject", ()):
-        for key, value in part:
-            if key == "commonName":
+    for relative_name in (certificate or {}).get("subject", ()):
+        for attribute, value in relative_name:
+            if attribute == "commonName":
                 return value
     return ""
 
 
-def shake(sock, context: ssl.SSLContext, seconds: float):
-    """The server's handshake; OSError (ssl.SSLError is one) where it fails or takes too long."""
-    sock.settimeout(seconds)
-    secure = context.wrap_socket(sock, server_side=True)
-    secure.settimeout(None)
-    return secure
+def server_handshake(sock: socket.socket, context: ssl.SSLContext, timeout_s: float) -> ssl.SSLSocket:
+    """Wrap an accepted connection.
+
+    Raises:
+        OSError: The handshake failed or took longer than `timeout_s` (ssl.SSLError is an OSError).
+    """
+    sock.settimeout(timeout_s)
+    secured = context.wrap_socket(sock, server_side=True)
+    secured.settimeout(None)
+    return secured
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -23,7 +23,7 @@
 )
 
 from hollyridge.core.event_loop import EventLoop
-from hollyridge.keys.tls import bearer_of
+from hollyridge.keys.tls import peer_common_name
 from hollyridge.limits.fair_share import FairShareLimiter
 from hollyridge.otlp.reading import AttributeNames, CumulativeState, read
 from hollyridge.sessions.access import AccessControl
@@ -98,7 +98,7 @@
 
     class Handler(WSGIHandler):
         def get_environ(self) -> dict:
-            return {**super().get_environ(), BEARER: bearer_of(self.socket)}
+            return {**super().get_environ(), BEARER: peer_common_name(self.socket)}
 
     class Server(WSGIServer):
         handler_class = Handler
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -20,7 +20,7 @@
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.core.stream_server import ProtocolStreamServer, connection_lost_reason
 from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
-from hollyridge.keys.tls import bearer_of
+from hollyridge.keys.tls import peer_common_name
 from hollyridge.limits.connection_limiter import ConnectionLimiter, TokenBucket
 from hollyridge.limits.log_sampling import should_log
 from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
@@ -167,7 +167,7 @@
                 sock.setsockopt(plain.IPPROTO_TCP, option, value)
             if self.secure is not None:
                 sock = stream.sock = self.secure(sock)
-                stream.bearer = bearer_of(sock)
+                stream.bearer = peer_common_name(sock)
             writer = gevent.spawn(self.write_on, stream)
             self.read_on(stream)
         except OSError as trouble:
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -17,7 +17,7 @@
 from hollyridge.core.solver_service import SolverService
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.keys.curve import Curve
-from hollyridge.keys.tls import context_of, load, shake
+from hollyridge.keys.tls import load_keys, server_context, server_handshake
 from hollyridge.limits.connection_limiter import ConnectionLimiter
 from hollyridge.otlp.intake import MetricsServer
 from hollyridge.otlp.reading import AttributeNames
@@ -80,8 +80,8 @@
         )
         presence = SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.bearers)
-        self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
-        secure = None if self.tls is None else lambda sock: shake(sock, self.tls, sasp.hello_s)
+        self.tls = server_context(terms.tls_files()) if terms.tls_files() else None
+        secure = None if self.tls is None else lambda sock: server_handshake(sock, self.tls, sasp.hello_s)
         self.front = SaspServer(
             self.loop,
             terms.sasp_terms(),
@@ -215,7 +215,7 @@
         """New keys and a new table of who may what, without dropping a stream of those who keep theirs. Faulty
         files change nothing: OSError or ValueError."""
         if self.tls is not None and terms.tls_files():
-            load(self.tls, terms.tls_files())
+            load_keys(self.tls, terms.tls_files())
         if self.curve is not None and terms.curve_file():
             before = self.curve.public
             self.curve.load(terms.curve_file())
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -61,8 +61,8 @@
     ([], [(7, 'asks no more')])
 
     Args:
-        drain_grace_us: How long a draining task goes on serving.
-        empty_table_limit_us: How long a load balancer may be without a table.
+        drain_grace_us: How long a draining or removed task may still be sent to.
+        empty_table_limit_us: How long a load balancer may be left without a usable table.
 
     Attributes:
         interval: Poll interval in whole seconds, as the protocol has it.
