--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -22,7 +22,7 @@
 from hollyridge.core.solver_service import SolverService
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.keys.curve import Curve
-from hollyridge.keys.tls import context_of, load, shake
+from hollyridge.keys.tls import load_keys, server_context, server_handshake
 from hollyridge.limits.connection_limiter import ConnectionLimiter
 from hollyridge.otlp.intake import MetricsServer
 from hollyridge.otlp.reading import AttributeNames
@@ -101,7 +101,7 @@
         self.link: DatagramTransport | None = None
         self.fleet = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
-        self.tls = context_of(terms.tls_files()) if terms.tls_files() else None
+        self.tls = server_context(terms.tls_files()) if terms.tls_files() else None
         self.limiter = self.build_limiter()
         self.front = self.build_sasp_server()
         self.curve: Curve | None = None
@@ -213,7 +213,7 @@
         """What turns an accepted socket into a TLS one; None where connections are open."""
         if self.tls is None:
             return None
-        return lambda sock: shake(sock, self.tls, self.terms.sasp.hello_s)
+        return lambda sock: server_handshake(sock, self.tls, self.terms.sasp.hello_s)
 
     # Names.
 
@@ -312,7 +312,7 @@
             ValueError: A file holds no key; nothing changes.
         """
         if self.tls is not None and terms.tls_files():
-            load(self.tls, terms.tls_files())
+            load_keys(self.tls, terms.tls_files())
         if self.curve is not None and terms.curve_file():
             before = self.curve.public
             self.curve.load(terms.curve_file())
