--- a/hollyridge/core/__init__.py
+++ b/hollyridge/core/__init__.py
@@ -1,1 +1,1 @@
-"""The loop around the decision module: events in, orders out, by one clock that is handed in."""
+"""The engine around the decisions, without I/O, and the greenlets that drive it and work beside it."""
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -1,396 +1,416 @@
-"""One assigner without threads or sockets: what came in, what the module ordered, what may leave now.
+"""The engine of one assigner: what came in, what the decision module commanded, and which updates may leave now.
 
-`run(now)` does all that is due and returns when it wants to be called next; whoever owns it brings the clock and
-the wire. A failure of the module ends nothing silently: it is logged with the events that led to it, proxies keep
-what they hold, and a fresh module is told the list and who is joined, as after a restart.
+It has no threads, no sockets and no clock of its own. `Engine.run` does all that is due and returns when it wants to be
+called next; whoever owns the engine brings the clock and the connections. A failure of the decision module is never
+silent: it is logged with the events that led to it, proxies keep the tables they hold, and a new module is given the
+endpoint list and the joined proxies as after a restart.
 """
 
 from __future__ import annotations
 
-import heapq
-import traceback
 from collections import deque
 from collections.abc import Callable, Hashable
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-from hollyridge import interface as api
+from hollyridge.core.decision_log import DecisionLog, DecisionSummary
+from hollyridge.core.endpoint_source import EndpointSource
+from hollyridge.core.engine_limits import EngineLimits
+from hollyridge.core.event_queue import EventQueue
+from hollyridge.core.failure_recovery import DecisionModuleError, FailureRecovery
 from hollyridge.core.protocol_server import ProtocolServer
+from hollyridge.core.status import engine_status, spread
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.paced_queue import PacedQueue
 from hollyridge.delivery.update_builder import UpdateBuilder
+from hollyridge.interface import (
+    Ack,
+    AssignerConfig,
+    Command,
+    Endpoint,
+    Event,
+    LogNote,
+    ProxyJoined,
+    ProxyLeft,
+    QueueDepth,
+    RefreshEndpoints,
+    SetTimer,
+    SetWeight,
+    TaskState,
+    UpdateKind,
+    WatchEndpoints,
+)
 from hollyridge.registration import members
 from hollyridge.registration.index_allocator import IndexAllocator
 from hollyridge.store.table_versions import TableStore
-from hollyridge.telemetry.report_aggregator import DataPoint, ReportAggregator
+from hollyridge.telemetry.report_aggregator import TASK_TRAFFIC, DataPoint, ReportAggregator
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
 
-class EngineLimits(NamedTuple):
-    """Counts and times (microseconds) of one assigner that the module does not read."""
+__all__ = ["DecisionModuleError", "Engine", "EngineLimits", "ProxyDetails", "spread"]
 
-    lines_per_s: float
-    message_overhead_lines: float
-    max_waiting_lines: float
-    max_tasks: int
-    max_proxies: int
-    max_series: int
-    max_series_per_source: int
-    max_rate_per_s: float
-    max_reports_per_period: int
-    max_pending_events: int
+TABLE_VERSIONS_KEPT = 64  # versions of a table from which a proxy that lags can be brought forward by differences
+MAX_PROXY_INDICES = 65_535  # the interface numbers proxies in 16 bits
+SERIES_EXPIRY_PERIODS = 60  # report periods after which a series that is not reported any more is forgotten
+CONFIDENCE_PERIODS = 4  # report periods for which a weight rests on the task's last load report
+LOGGED_ENDPOINTS = 20  # in the log line of an endpoint list update
+MAX_LATENCY_US = 60_000_000  # the histogram's upper end
+LATENCY_DIGITS = 3  # significant digits of the histogram
+NEVER_US = -1 << 60
 
+COUNTERS = (  # keys of the status page
+    "decisions",
+    "orders",
+    "messages",
+    "events",
+    "events_dropped",
+    "wakes_dropped",
+    "module_failures",
+    "puts",
+    "joins",
+    "withheld",
+)
 
-class EndpointSource(Protocol):
-    """Where the list of tasks comes from. It is `settled` once there is a first list to hand on."""
 
-    settled: bool
-    entries: dict
+class ProxyDetails(NamedTuple):
+    """What a proxy joined with."""
 
-    def handle(self, now: int, what: object) -> members.RegistrationOutcome:
-        """Something about the list, `members.RefreshRequested` and `members.Tick` included; what follows."""
+    name: Hashable
+    zone: int
+    usual_rate_per_s: float
 
-    def full_list(self, kind: api.UpdateKind) -> api.EndpointListUpdate:
-        """All of it, as it stands."""
 
-    def next_deadline(self, now: int) -> int | None:
-        """When a `Tick` is due next."""
-
-    def counters(self) -> dict[str, int]:
-        """Counts for the status."""
-
-
-def spread(figures: HdrHistogram) -> dict[str, int]:
-    """For the status: median, 99th percentile and the most."""
-    return {
-        "p50": figures.get_value_at_percentile(50),
-        "p99": figures.get_value_at_percentile(99),
-        "max": figures.get_max_value(),
-    }
-
-
-class DecisionModuleError(Exception):
-    """The module failed too often to go on."""
-
-
-WAKES = 4096
-HISTORY = 64  # versions of a table that late readers can be brought forward from
-FAILURES = 3  # of the module within a minute; one more and the assigner gives up
-TRAIL = 64  # events kept for the log of a failure
+def _no_task_in_use(task: int) -> bool:
+    return False
 
 
 class Engine:
-    """`make_assigner(config, seed)` builds the decision module: `decisions.Assigner`, or a baseline of the laboratory.
-    `source`: where the list of tasks comes from. `log_decisions`: a log line for each decision."""
-
-    def __init__(
+    """Runs one decision module between an endpoint list, load reports and the proxies' protocol servers.
+
+    Args:
+        config: The deployment, as the decision module reads it.
+        seed: Of the decision module's random numbers.
+        limits: What the engine bounds itself.
+        source: Maintains the endpoint list.
+        now: The time, in microseconds of the clock that every call brings.
+        log: The logger.
+        make_assigner: Builds the decision module from the configuration and the seed: `decisions.Assigner`, or a
+            baseline of the laboratory.
+        log_decisions: Write a log line for each decision.
+
+    Attributes:
+        servers: The protocol server of each joined proxy.
+        endpoints: The endpoint list entry of each task.
+        task_in_use: Whether a server may still send something about a task; set by the servers' owner.
+        may_command: Whether this assigner may command a proxy now, by its name; None where proxies are not shared.
+        decision_number: Of the last decision; versions of tables are numbered by it.
+        latency: From an event's submission to the update that it led to, in microseconds.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 - callers in four packages pass these by position
         self,
-        config: api.AssignerConfig,
+        config: AssignerConfig,
         seed: int,
         limits: EngineLimits,
         source: EndpointSource,
         now: int,
-        log,
+        log: FilteringBoundLogger,
         make_assigner: Callable = Assigner,
         log_decisions: bool = True,
     ) -> None:
-        self.config, self.seed, self.limits, self.log, self.make_assigner = config, seed, limits, log, make_assigner
+        self.config = config
+        self.seed = seed
+        self.limits = limits
+        self.log = log
+        self.make_assigner = make_assigner
+        self.log_decisions = log_decisions
         self.assigner = make_assigner(config, seed)
+        self.endpoint_source = source
         self.task_indices = IndexAllocator(
             max(config.warm_up_us, config.drain_grace_us) * 2,
             limits.max_tasks,
             lambda task: self.update_builder.mentions(task) or self.task_in_use(task),
         )
-        self.proxy_indices = IndexAllocator(config.drain_grace_us * 2, min(limits.max_proxies, 65535))
-        self.endpoint_source, self.log_decisions = source, log_decisions
+        self.proxy_indices = IndexAllocator(config.drain_grace_us * 2, min(limits.max_proxies, MAX_PROXY_INDICES))
         self.reports = ReportAggregator(
             limits.max_series,
             limits.max_series_per_source,
             limits.max_rate_per_s,
             limits.max_reports_per_period,
-            60 * config.report_period_us,
+            SERIES_EXPIRY_PERIODS * config.report_period_us,
         )
-        self.update_builder = UpdateBuilder(len(config.methods), TableStore(HISTORY))
-        self.queue = PacedQueue(limits.lines_per_s, limits.message_overhead_lines, limits.max_waiting_lines)
+        self.update_builder = self._new_update_builder()
+        self.queue = self._new_queue()
         self.servers: dict[int, ProtocolServer] = {}
-        self.proxy_details: dict[int, tuple[Hashable, int, float]] = {}  # proxy: name, zone, usual rate
-        self.endpoints: dict[int, api.Endpoint] = {}
-        self.last_report_at: dict[int, int] = {}  # task: when news of it came last
-        self.task_in_use: Callable[[int], bool] = lambda task: False  # may a front still say something of it?
-        self.may_command: Callable[[int, Hashable], bool] | None = (
-            None  # may this proxy be ordered now (a shared fleet)?
-        )
-        self.pending_events: deque[tuple[int, api.Event]] = deque()
-        self.timers: list[tuple[int, int]] = []
-        self.recent_events: deque[tuple[int, api.Event]] = deque(maxlen=TRAIL)
-        self.failures: deque[int] = deque()
+        self.proxy_details: dict[int, ProxyDetails] = {}
+        self.endpoints: dict[int, Endpoint] = {}
+        self.last_report_at: dict[int, int] = {}  # by task
+        self.task_in_use: Callable[[int], bool] = _no_task_in_use
+        self.may_command: Callable[[int, Hashable], bool] | None = None
+        self.event_queue = EventQueue(limits.max_pending_events)
+        self.failure_recovery = FailureRecovery()
+        self.decision_log = DecisionLog(self.is_closed, self.is_warming_up)
         self.decision_number = 0
-        self.started, self.ran_at = False, now
-        self.next_gather_at = now + config.report_period_us
+        self.has_decided = False
+        self.ran_at = now
+        self.next_collect_at = now + config.report_period_us
         self.refused_commands: dict[str, int] = {}
-        self.counts = dict.fromkeys(
-            (
-                "decisions",
-                "orders",
-                "messages",
-                "events",
-                "events_dropped",
-                "wakes_dropped",
-                "module_failures",
-                "puts",
-                "joins",
-                "withheld",
-            ),
-            0,
-        )
-        self.latency = HdrHistogram(1, 60_000_000, 3)
+        self.counts = dict.fromkeys(COUNTERS, 0)
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
+
+    # Events, from protocol servers, the endpoint list and load reports.
+
+    @property
+    def pending_events(self) -> deque[tuple[int, Event]]:
+        """Events that wait for the next decision, each with the time it was submitted."""
+        return self.event_queue.pending
 
-    # What the fronts and the intake say.
+    @property
+    def timers(self) -> list[tuple[int, int]]:
+        """The timers that the decision module has set: a heap of (due time, token)."""
+        return self.event_queue.timers
 
-    def submit(self, now: int, event: api.Event) -> None:
-        """Queue an event for the module. Past the limit, reports give way to what changes the fleet."""
-        if len(self.pending_events) >= self.limits.max_pending_events and isinstance(
-            event, (api.TrafficReport, api.OfferedLoad)
-        ):
+    @property
+    def recent_events(self) -> deque[tuple[int, Event]]:
+        """The events that were decided on last."""
+        return self.event_queue.recent
+
+    def submit(self, now_us: int, event: Event) -> None:
+        """Queue an event for the next decision; load reports are dropped when too many events wait."""
+        if not self.event_queue.submit(now_us, event):
             self.counts["events_dropped"] += 1
-            return
-        self.pending_events.append((now, event))
 
-    def join(
-        self, now: int, front: ProtocolServer, name: Hashable, zone: int, rate: float, standing_only: bool = False
+    def join(  # noqa: PLR0913, PLR0917 - three protocol servers pass these by position
+        self,
+        now_us: int,
+        server: ProtocolServer,
+        name: Hashable,
+        zone: int,
+        usual_rate_per_s: float,
+        has_no_table: bool = False,
     ) -> int | None:
-        """A proxy's stream stands; its index, or None where no more are taken. `standing_only`: it holds no table that
-        was ever ordered."""
-        proxy = self.proxy_indices.allocate(now, name)
+        """Take in a proxy whose stream is established.
+
+        Args:
+            now_us: The time.
+            server: Where its updates are written to.
+            name: The proxy's own name; a newer stream of the same name replaces the older one.
+            zone: Its zone.
+            usual_rate_per_s: The RPC rate that it states for itself.
+            has_no_table: It holds no table that was ever commanded.
+
+        Returns:
+            The proxy's index, or None where no more proxies are taken.
+        """
+        proxy = self.proxy_indices.allocate(now_us, name)
         if proxy is None:
             return None
-        older = self.servers.get(proxy)
-        if older is not None:  # by another front or a newer stream: it must not be ordered by two
-            older.detach(proxy, "its name came again")
-            self.leave(now, proxy)
-            proxy = self.proxy_indices.allocate(now, name)
-        self.servers[proxy], self.proxy_details[proxy] = front, (name, zone, rate)
+        former_server = self.servers.get(proxy)
+        if former_server is not None:  # two streams must not both get this proxy's updates
+            former_server.detach(proxy, "its name came again")
+            self.leave(now_us, proxy)
+            proxy = self.proxy_indices.allocate(now_us, name)
+        self.servers[proxy] = server
+        self.proxy_details[proxy] = ProxyDetails(name, zone, usual_rate_per_s)
         self.counts["joins"] += 1
-        self.submit(now, api.ProxyJoined(rate, standing_only, proxy, zone))
+        self.submit(now_us, ProxyJoined(usual_rate_per_s, has_no_table, proxy, zone))
         return proxy
 
-    def leave(self, now: int, proxy: int) -> None:
+    def leave(self, now_us: int, proxy: int) -> None:
+        """Take out a proxy whose stream has ended, with all that waits for it."""
         if self.servers.pop(proxy, None) is None:
             return
-        name, _, _ = self.proxy_details.pop(proxy)
-        self.proxy_indices.release(now, name)
+        details = self.proxy_details.pop(proxy)
+        self.proxy_indices.release(now_us, details.name)
         self.queue.discard(proxy)
         self.update_builder.forget(proxy)
-        self.submit(now, api.ProxyLeft(proxy))
-
-    def acknowledge(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self.submit(now, api.Ack(proxy, mark, took))
-
-    def report(self, now: int, point: DataPoint) -> str:
-        """Take one reported figure; empty if it counts, else why not."""
-        why = self.reports.add(now, point)
-        if not why and point.place[1] in self.endpoints and point.kind <= 2:
-            self.last_report_at[point.place[1]] = now
-        return why
-
-    def update_endpoints(self, now: int, what: object) -> members.Refusal | None:
-        """Something about the list; why it was turned down, or None."""
-        outcome = self.endpoint_source.handle(now, what)
-        if outcome.change is not None:
-            for entry in outcome.change.endpoints:
-                self.endpoints[entry.task] = entry
-        for key in outcome.left:  # what is known of an index goes with its bearer, whether its end was told or not
+        self.submit(now_us, ProxyLeft(proxy))
+
+    def acknowledge(self, now_us: int, proxy: int, mark: int, apply_time_us: int) -> None:
+        """Pass on that a proxy has applied all updates up to a mark."""
+        self.submit(now_us, Ack(proxy, mark, apply_time_us))
+
+    def report(self, now_us: int, point: DataPoint) -> str:
+        """Take a data point of a load report; empty if it counts, else why it does not."""
+        reason = self.reports.add(now_us, point)
+        task = point.place[1]
+        if not reason and task in self.endpoints and point.kind in TASK_TRAFFIC:
+            self.last_report_at[task] = now_us
+        return reason
+
+    def update_endpoints(self, now_us: int, event: object) -> members.Refusal | None:
+        """Pass an event to the source of the endpoint list; why it was refused, or None."""
+        outcome = self.endpoint_source.handle(now_us, event)
+        change = outcome.change
+        if change is not None:
+            for endpoint in change.endpoints:
+                self.endpoints[endpoint.task] = endpoint
+        for key in outcome.left:  # what is known of an index ends with its holder, even if the list never said so
             task = self.task_indices.index.get(key)
             self.endpoints.pop(task, None)
             self.last_report_at.pop(task, None)
-            self.task_indices.release(now, key)
-        if outcome.change is not None:
+            self.task_indices.release(now_us, key)
+        if change is not None:
             self.log.info(
-                "list",
-                version=outcome.change.version,
-                entries=len(outcome.change.endpoints),
-                states=[(e.task, int(e.state)) for e in outcome.change.endpoints[:20]],
+                "endpoint_list_updated",
+                version=change.version,
+                entries=len(change.endpoints),
+                states=[(endpoint.task, int(endpoint.state)) for endpoint in change.endpoints[:LOGGED_ENDPOINTS]],
             )
-            self.submit(now, outcome.change)
+            self.submit(now_us, change)
         return outcome.refusal
 
-    # What is known of a task, for a front's entries.
+    # What is known of a task, for the protocol servers.
 
-    def is_warming_up(self, now: int, task: int) -> bool:
-        entry = self.endpoints.get(task)
-        return entry is not None and entry.started_at_us > 0 and now - entry.started_at_us < self.config.warm_up_us
+    def is_warming_up(self, now_us: int, task: int) -> bool:
+        """Whether the task started less than the warm-up time ago."""
+        endpoint = self.endpoints.get(task)
+        return (
+            endpoint is not None
+            and endpoint.started_at_us > 0
+            and now_us - endpoint.started_at_us < self.config.warm_up_us
+        )
 
     def is_closed(self, task: int) -> bool:
-        entry = self.endpoints.get(task)
-        return entry is None or entry.state != api.TaskState.READY or task in self.update_builder.ejected
+        """Whether the task must not be sent to: it is not listed, not ready, or ejected."""
+        endpoint = self.endpoints.get(task)
+        return endpoint is None or endpoint.state != TaskState.READY or task in self.update_builder.ejected
 
     def is_running(self, task: int) -> bool:
-        entry = self.endpoints.get(task)
-        return entry is not None and entry.state != api.TaskState.GONE
-
-    def is_confident(self, now: int, task: int) -> bool:
-        """Whether its weight rests on news, not on its listed size."""
-        return now - self.last_report_at.get(
-            task, -1 << 60
-        ) < 4 * self.config.report_period_us and not self.is_warming_up(now, task)
+        """Whether the task is listed, draining or not."""
+        endpoint = self.endpoints.get(task)
+        return endpoint is not None and endpoint.state != TaskState.GONE
+
+    def is_confident(self, now_us: int, task: int) -> bool:
+        """Whether the task's weight rests on recent load reports, not on its listed size."""
+        report_age_us = now_us - self.last_report_at.get(task, NEVER_US)
+        return report_age_us < CONFIDENCE_PERIODS * self.config.report_period_us and not self.is_warming_up(
+            now_us, task
+        )
 
     # The loop.
 
-    def run(self, now: int) -> int:
-        """Do all that is due; returns when to be called next, sooner if something comes in. Raises ModuleError."""
-        self.ran_at = now
-        due = self.endpoint_source.next_deadline(now)
-        if due is not None and (due <= now or not self.endpoint_source.settled):
-            self.update_endpoints(now, members.Tick())
-        if now >= self.next_gather_at:
-            for event in self.reports.collect(now):
-                self.submit(now, event)
-            self.next_gather_at = max(
-                self.next_gather_at + self.config.report_period_us, now + self.config.report_period_us // 2
-            )
-        if self.endpoint_source.settled and (
-            self.pending_events or not self.started or self.timers and self.timers[0][0] <= now
-        ):
-            self.decide(now)
-        while (update := self.queue.take(now)) is not None:
-            front = self.servers.get(update.proxy)
-            if (
-                front is not None
-                and self.may_command is not None
-                and not self.may_command(now, self.proxy_details[update.proxy][0])
-            ):
-                self.counts["withheld"] += 1  # its lease ran out while it waited, or while we stood still
-            elif front is not None:
-                front.write(update.proxy, update)
-                self.counts["messages"] += 1
-                self.latency.record_value(min(max(now - update.decided_at_us, 1), 60_000_000))
-        times = [self.next_gather_at, self.endpoint_source.next_deadline(now), self.queue.due]
-        if self.timers and self.endpoint_source.settled:
-            times.append(self.timers[0][0])
+    def run(self, now_us: int) -> int:
+        """Do all that is due.
+
+        Returns:
+            When to call again at the latest; sooner if an event comes in.
+
+        Raises:
+            DecisionModuleError: The decision module failed too often.
+        """
+        self.ran_at = now_us
+        self._tick_endpoint_source(now_us)
+        self._collect_reports(now_us)
+        if self.endpoint_source.settled and (not self.has_decided or self.event_queue.has_due(now_us)):
+            self._decide(now_us)
+        self._send_due_updates(now_us)
+        return self._next_run_at(now_us)
+
+    def _tick_endpoint_source(self, now_us: int) -> None:
+        due = self.endpoint_source.next_deadline(now_us)
+        if due is not None and (due <= now_us or not self.endpoint_source.settled):
+            self.update_endpoints(now_us, members.Tick())
+
+    def _collect_reports(self, now_us: int) -> None:
+        if now_us < self.next_collect_at:
+            return
+        for event in self.reports.collect(now_us):
+            self.submit(now_us, event)
+        period_us = self.config.report_period_us
+        self.next_collect_at = max(self.next_collect_at + period_us, now_us + period_us // 2)
+
+    def _send_due_updates(self, now_us: int) -> None:
+        while (update := self.queue.take(now_us)) is not None:
+            server = self.servers.get(update.proxy)
+            if server is None:
+                continue
+            if self.may_command is not None and not self.may_command(now_us, self.proxy_details[update.proxy].name):
+                self.counts["withheld"] += 1  # its lease ran out while the update waited or the process stood still
+                continue
+            server.write(update.proxy, update)
+            self.counts["messages"] += 1
+            self.latency.record_value(min(max(now_us - update.decided_at_us, 1), MAX_LATENCY_US))
+
+    def _next_run_at(self, now_us: int) -> int:
+        times = [self.next_collect_at, self.endpoint_source.next_deadline(now_us), self.queue.due]
+        if self.endpoint_source.settled:
+            times.append(self.event_queue.next_timer())
         return min(at for at in times if at is not None)
 
-    def decide(self, now: int) -> None:
-        events: list[api.Event] = []
-        oldest = now
-        if not self.started:  # the first list is in the inbox, before all else
-            self.started = True
-        while self.pending_events:
-            at, event = self.pending_events.popleft()
-            oldest = min(oldest, at)
-            events.append(event)
-            self.recent_events.append((now, event))
-        while self.timers and self.timers[0][0] <= now:
-            events.append(api.TimerFired(heapq.heappop(self.timers)[1]))
-        events.sort(key=lambda event: 0 if type(event) is api.EndpointListUpdate else 1)  # stable: the rest as it came
-        events.append(api.QueueDepth(self.queue.waiting_lines))  # last: receipts of joined messages prove too much
+    def _decide(self, now_us: int) -> None:
+        self.has_decided = True
+        events, oldest_us = self.event_queue.take_due(now_us)
+        events.append(QueueDepth(self.queue.waiting_lines))  # last: acks of merged updates come early and prove less
         self.decision_number += 1
         self.counts["events"] += len(events)
         try:
-            orders = self.assigner.decide(now, events)
-        except Exception as trouble:  # whatever it is, the program must go on and say so
-            self.recover(now, trouble)
+            commands = self.assigner.decide(now_us, events)
+        except Exception as error:  # the boundary of the decision module: no fault of it may end the program
+            self._recover(now_us, error)
             return
         self.counts["decisions"] += 1
-        self.counts["orders"] += len(orders)
-        self.apply_commands(now, oldest, orders)
-
-    def apply_commands(self, now: int, oldest: int, orders: list[api.Command]) -> None:
-        tables: list[api.Command] = []
-        for order in orders:
-            if type(order) is api.SetTimer:
-                if len(self.timers) < WAKES:
-                    heapq.heappush(self.timers, (now + max(order.delay_us, 1), order.token))
-                else:
+        self.counts["orders"] += len(commands)
+        self.apply_commands(now_us, oldest_us, commands)
+
+    def apply_commands(self, now_us: int, oldest_us: int, commands: list[Command]) -> None:
+        """Carry out commands: timers and the endpoint list at once, tables as updates that wait in the queue.
+
+        Args:
+            now_us: The time.
+            oldest_us: When the oldest event that led to them was submitted.
+            commands: What the decision module commanded, in its order.
+        """
+        table_commands: list[Command] = []
+        for command in commands:
+            kind = type(command)
+            if kind is SetTimer:
+                if not self.event_queue.set_timer(now_us, command.delay_us, command.token):
                     self.counts["wakes_dropped"] += 1
-            elif type(order) in (api.RefreshEndpoints, api.WatchEndpoints):
-                self.update_endpoints(now, members.RefreshRequested())
-            elif type(order) is api.LogNote:
-                self.log.info("note", text=order.text)
+            elif kind is RefreshEndpoints or kind is WatchEndpoints:
+                self.update_endpoints(now_us, members.RefreshRequested())
+            elif kind is LogNote:
+                self.log.info("decision_note_written", text=command.text)
             else:
-                tables.append(order)
-        if not tables:
-            return
-        abilities = {proxy: front.capabilities for proxy, front in self.servers.items()}
-        updates, refused = self.update_builder.build(oldest, self.decision_number, tables, abilities)
-        for why, count in refused.items():
-            self.refused_commands[why] = self.refused_commands.get(why, 0) + count
+                table_commands.append(command)
+        if table_commands:
+            self._queue_updates(now_us, oldest_us, table_commands)
+
+    def _queue_updates(self, now_us: int, oldest_us: int, commands: list[Command]) -> None:
+        capabilities = {proxy: server.capabilities for proxy, server in self.servers.items()}
+        updates, refused = self.update_builder.build(oldest_us, self.decision_number, commands, capabilities)
+        for reason, count in refused.items():
+            self.refused_commands[reason] = self.refused_commands.get(reason, 0) + count
         for update in updates:
-            self.queue.put(now, update, *self.servers[update.proxy].count_lines(update.proxy, update))
-        self.log_change(now, tables, updates, refused)
-
-    def log_change(self, now: int, orders: list[api.Command], updates: list, refused: dict[str, int]) -> None:
-        """One log line a decision: which tables and tasks, and which part of the module moved them."""
-        self.counts["puts"] += sum(type(order) is api.SetWeight for order in orders)
-        if not self.log_decisions:
-            return
-        causes: dict[str, list] = {}
-        for order in orders:
-            if type(order) is api.SetWeight:
-                causes.setdefault(self.change_cause(now, order), []).append(
-                    (order.table, order.task, round(order.weight, 4))
-                )
-            elif type(order) is api.BindTable:
-                causes.setdefault("joins", []).append((order.proxy, order.table))
-            elif type(order) is api.SetAdmission:
-                causes.setdefault("levels", []).append((order.table, order.methods, order.amount))
-        if causes or refused:
-            self.log.info(
-                "decided",
-                version=self.decision_number,
-                messages=len(updates),
-                waiting=round(self.queue.waiting_lines),
-                refused=refused or None,
-                **{cause: rows[:40] for cause, rows in causes.items()},
-            )
-
-    def change_cause(self, now: int, order: api.SetWeight) -> str:
-        if self.is_closed(order.task):
-            return "drain"
-        if self.is_warming_up(now, order.task):
-            return "ramp"
-        return "solver" if order.weight > 0 else "reach"
-
-    def recover(self, now: int, trouble: Exception) -> None:
+            lines, full_lines = self.servers[update.proxy].count_lines(update.proxy, update)
+            self.queue.put(now_us, update, lines, full_lines)
+        self.counts["puts"] += sum(type(command) is SetWeight for command in commands)
+        if self.log_decisions:
+            summary = DecisionSummary(self.decision_number, len(updates), self.queue.waiting_lines, refused)
+            self.decision_log.write(self.log, now_us, commands, summary)
+
+    def _recover(self, now_us: int, error: Exception) -> None:
+        """Start a new decision module, as after a restart of the process."""
         self.counts["module_failures"] += 1
-        self.log.error(
-            "module failed",
-            version=self.decision_number,
-            error=f"{type(trouble).__name__}: {trouble}",
-            where=traceback.format_exception(trouble)[-3:],
-            events=[repr(row) for row in self.recent_events],
-        )
-        self.failures.append(now)
-        while self.failures[0] < now - 60_000_000:
-            self.failures.popleft()
-        if len(self.failures) > FAILURES:
-            raise DecisionModuleError(f"the module failed {len(self.failures)} times within a minute")
+        self.failure_recovery.record(self.log, now_us, self.decision_number, error, self.recent_events)
         self.assigner = self.make_assigner(self.config, self.seed)
-        self.update_builder = UpdateBuilder(len(self.config.methods), TableStore(HISTORY))
-        self.queue = PacedQueue(
-            self.limits.lines_per_s, self.limits.message_overhead_lines, self.limits.max_waiting_lines
-        )
-        self.timers.clear()
-        self.recent_events.clear()
-        self.pending_events.append((now, self.endpoint_source.full_list(api.UpdateKind.CACHED)))
-        for proxy, (_, zone, rate) in self.proxy_details.items():
-            self.pending_events.append((now, api.ProxyJoined(rate, False, proxy, zone)))
+        self.update_builder = self._new_update_builder()
+        self.queue = self._new_queue()
+        self.event_queue.reset()
+        self.pending_events.append((now_us, self.endpoint_source.full_list(UpdateKind.CACHED)))
+        for proxy, details in self.proxy_details.items():
+            event = ProxyJoined(details.usual_rate_per_s, False, proxy, details.zone)
+            self.pending_events.append((now_us, event))
+
+    def _new_update_builder(self) -> UpdateBuilder:
+        return UpdateBuilder(len(self.config.methods), TableStore(TABLE_VERSIONS_KEPT))
+
+    def _new_queue(self) -> PacedQueue:
+        limits = self.limits
+        return PacedQueue(limits.lines_per_s, limits.message_overhead_lines, limits.max_waiting_lines)
 
     def status(self) -> dict:
-        """Counts and levels for logs and the status page."""
-        figures = getattr(self.assigner, "figures", dict)()
-        return {
-            "at": self.ran_at,
-            "module": figures,
-            **self.counts,
-            "refused": self.refused_commands,
-            "waiting": round(self.queue.waiting_lines),
-            "waiting_most": self.queue.peak_lines,
-            "merged": self.queue.merged_updates,
-            "over_limit": self.queue.overflows,
-            "lost_lines": self.queue.lost_lines,
-            "proxies": len(self.servers),
-            "tasks": len(self.endpoint_source.entries),
-            **self.endpoint_source.counters(),
-            "turned_down": self.reports.rejected,
-            "news_to_frame_us": spread(self.latency),
-        }
+        """Counts and levels for the status page and the log."""
+        return engine_status(self)
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -1,8 +1,9 @@
-"""The machine on gevent: one greenlet owns it, everything else speaks to it between its turns."""
+"""The greenlet that runs the engine: it sleeps until the engine is due or an event has come in."""
 
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 
 import gevent
 from gevent.event import Event
@@ -10,7 +11,10 @@
 
 from hollyridge.core.engine import Engine
 
-CLOCK_ABOVE = 1_000_000_000  # us above the system's monotonic clock: 0 is read as long past
+CLOCK_ABOVE = 1_000_000_000  # us above the system's monotonic clock: the interface reads 0 as long past
+MAX_RUN_US = 60_000_000  # the histogram's upper end
+RUN_DIGITS = 3  # significant digits of the histogram
+US_PER_S = 1e6
 
 
 def monotonic_us() -> int:
@@ -19,30 +23,48 @@
 
 
 class EventLoop:
-    """Runs a machine until `stop`. `nudge` after anything was told to it. `spawn` and `sleep` are for the fronts."""
+    """Runs an engine until `stop`; everything else speaks to the engine between two runs, then calls `wake`.
 
-    spawn, sleep = staticmethod(gevent.spawn), staticmethod(gevent.sleep)
-    MIN_INTERVAL_S = 0.0005  # s between two runs, so that what comes together is decided together
+    Attributes:
+        engine: The engine; its owner is the greenlet that calls `run`.
+        clock: The time in microseconds.
+        spawn, sleep: For what works beside the engine; a simulation puts its own in their place.
+        run_durations: Microseconds that each run of the engine took.
+    """
 
-    def __init__(self, engine: Engine, clock=monotonic_us, min_interval_s: float = MIN_INTERVAL_S) -> None:
-        self.engine, self.clock, self.min_interval_s = engine, clock, min_interval_s
+    spawn = staticmethod(gevent.spawn)
+    sleep = staticmethod(gevent.sleep)
+    MIN_INTERVAL_S = 0.0005  # between two runs, so that events that come together are decided on together
+
+    def __init__(
+        self, engine: Engine, clock: Callable[[], int] = monotonic_us, min_interval_s: float = MIN_INTERVAL_S
+    ) -> None:
+        self.engine = engine
+        self.clock = clock
+        self.min_interval_s = min_interval_s
         self.work_available = Event()
-        self.run_durations = HdrHistogram(1, 60_000_000, 3)  # us that each run of the machine took
+        self.run_durations = HdrHistogram(1, MAX_RUN_US, RUN_DIGITS)
         self.stopping = False
 
     def wake(self) -> None:
+        """Have the engine run soon: an event was submitted."""
         self.work_available.set()
 
     def run(self) -> None:
-        """Blocks. Raises what the machine raises when it gives up."""
+        """Block until `stop`.
+
+        Raises:
+            DecisionModuleError: The engine gave up.
+        """
         while not self.stopping:
             self.work_available.clear()
-            begun = time.perf_counter_ns()
-            due = self.engine.run(self.clock())
-            self.run_durations.record_value(max(1, (time.perf_counter_ns() - begun) // 1000))
-            self.work_available.wait(max(self.min_interval_s, (due - self.clock()) / 1e6))
+            started_ns = time.perf_counter_ns()
+            due_us = self.engine.run(self.clock())
+            self.run_durations.record_value(max(1, (time.perf_counter_ns() - started_ns) // 1000))
+            self.work_available.wait(max(self.min_interval_s, (due_us - self.clock()) / US_PER_S))
             gevent.sleep(self.min_interval_s)
 
     def stop(self) -> None:
+        """Have `run` return after the present run."""
         self.stopping = True
         self.work_available.set()
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -1,21 +1,42 @@
-"""Keeps what the module has learnt on disk, and tells it after a restart. The disk is waited for off the hub's thread;
-where it is slow, full or not to be written, routing goes on, and it is said."""
+"""Keeps what the decision module has learned on disk, and restores it after a restart.
+
+Reads and writes are waited for off the hub's thread. Where the disk is slow, full or read-only, routing goes on and the
+log says so.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.limits.log_sampling import should_log
 from hollyridge.store import learned_estimates, state_file
 from hollyridge.store.state_file import StateFileError
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+FIRST_DECISION_POLL_S = 0.05  # between two looks whether the endpoint list has settled
+NS_PER_MS = 1_000_000
+MS_PER_S = 1e3
+
+
+def wall_clock_ms() -> int:
+    """Milliseconds of the time of day."""
+    return time.time_ns() // NS_PER_MS
+
 
 class PersistenceConfig(NamedTuple):
-    """`every_s` between two writes; `fleet` as of `learned_estimates.fleet_of`."""
+    """Where and how often estimates are kept.
+
+    Attributes:
+        path: The state file.
+        every_s: Seconds between two writes.
+        fleet: The key of the fleet, as `learned_estimates.fleet_of` builds it.
+    """
 
     path: Path
     every_s: float
@@ -23,76 +44,106 @@
 
 
 class EstimatePersistence:
-    """`apply(call, words)` runs a call elsewhere and waits for what it returns; `name_of` and `index_of` are a task's
-    names and indices; `wall_ms` is the time of day."""
+    """Restores the estimates once, then writes them again and again.
+
+    Args:
+        loop: The loop of the engine.
+        terms: Where and how often.
+        log: The logger.
+        name_of: The name of a task by its index.
+        index_of: The index of a task by its name; None for one that is not listed.
+        apply: `apply(call, arguments)` runs a call on another thread and waits for what it returns.
+        wall_ms: Milliseconds of the time of day.
+
+    Attributes:
+        stopped: Set by the owner to end `run` after the present pause.
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - the service passes its own functions by position
         self,
         loop: EventLoop,
         terms: PersistenceConfig,
-        log,
+        log: FilteringBoundLogger,
         name_of: Callable[[int], str],
         index_of: Callable[[str], int | None],
         apply: Callable,
-        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+        wall_ms: Callable[[], int] = wall_clock_ms,
     ) -> None:
-        self.loop, self.engine, self.terms, self.log = loop, loop.engine, terms, log
-        self.name_of, self.index_of, self.apply, self.wall_ms = name_of, index_of, apply, wall_ms
-        self.write, self.read = state_file.write, state_file.read
+        self.loop = loop
+        self.engine = loop.engine
+        self.terms = terms
+        self.log = log
+        self.name_of = name_of
+        self.index_of = index_of
+        self.apply = apply
+        self.wall_ms = wall_ms
+        self.write = state_file.write
+        self.read = state_file.read
         self.stopped = False
-        self.counts = {"written": 0, "failed": 0, "recalled": 0, "left_out": 0}
+        self.counts = {"written": 0, "failed": 0, "recalled": 0, "left_out": 0}  # keys of the status page
 
     def run(self) -> None:
-        """Tells what was kept once the list has settled, then writes again and again."""
+        """Restore the estimates once the endpoint list has settled, then save until stopped."""
         state = self.load()
-        while state is not None and not self.engine.started and not self.stopped:
-            self.loop.sleep(0.05)
+        while state is not None and not self.engine.has_decided and not self.stopped:
+            self.loop.sleep(FIRST_DECISION_POLL_S)
         if state is not None:
-            self.recall(state)
+            self.restore(state)
         while not self.stopped:
             self.loop.sleep(self.terms.every_s)
             self.save()
 
     def load(self) -> state_file.SavedState | None:
+        """The saved state; None where there is none that can be read."""
+        path = self.terms.path
         try:
-            return state_file.unpack(self.apply(self.read, (self.terms.path,)))
+            return state_file.unpack(self.apply(self.read, (path,)))
         except FileNotFoundError:
-            self.log.info("nothing kept yet", file=str(self.terms.path))
-        except (OSError, StateFileError) as trouble:
-            self.log.warning(
-                "what was kept can't be read; it is learnt again", file=str(self.terms.path), why=str(trouble)
-            )
+            self.log.info("state_file_missing", file=str(path))
+        except (OSError, StateFileError) as error:
+            self.log.warning("state_file_rejected", file=str(path), error=str(error))
         return None
 
-    def recall(self, state: state_file.SavedState) -> None:
-        told = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
-        self.counts["left_out"] += sum(told.left_out.values())
-        if told.event is not None:
-            self.counts["recalled"] += len(told.event.estimates)
-            self.engine.submit(self.loop.clock(), told.event)
+    def restore(self, state: state_file.SavedState) -> None:
+        """Submit the estimates of a saved state that can be used."""
+        restored = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
+        event = restored.event
+        restored_tasks = len(event.estimates) if event is not None else 0
+        self.counts["left_out"] += sum(restored.left_out.values())
+        if event is not None:
+            self.counts["recalled"] += restored_tasks
+            self.engine.submit(self.loop.clock(), event)
             self.loop.wake()
         self.log.info(
-            "recalled",
-            tasks=len(told.event.estimates) if told.event else 0,
-            left_out=told.left_out or None,
-            age_s=round((self.wall_ms() - state.saved) / 1e3, 1),
+            "estimates_restored",
+            tasks=restored_tasks,
+            left_out=restored.left_out or None,
+            age_s=round((self.wall_ms() - state.saved) / MS_PER_S, 1),
         )
 
     def save(self) -> None:
-        learnt = getattr(self.engine.assigner, "learnt", None)
+        """Write the present estimates, if the decision module has any."""
+        learnt = getattr(self.engine.assigner, "learnt", None)  # baselines of the laboratory learn nothing
         if learnt is None:
             return
-        rows, price = learnt()
-        if not rows:
-            return  # what is on disk knows more
-        raw = state_file.pack(learned_estimates.noted(self.terms.fleet, self.wall_ms(), rows, price, self.name_of))
+        estimates, push_price = learnt()
+        if not estimates:
+            return  # the state on disk holds more
+        state = learned_estimates.noted(self.terms.fleet, self.wall_ms(), estimates, push_price, self.name_of)
         try:
-            self.apply(self.write, (self.terms.path, raw))
-            self.counts["written"] += 1
-        except OSError as trouble:
+            self.apply(self.write, (self.terms.path, state_file.pack(state)))
+        except OSError as error:
             self.counts["failed"] += 1
             if should_log(self.counts["failed"]):
-                self.log.warning("not kept", file=str(self.terms.path), why=str(trouble), times=self.counts["failed"])
+                self.log.warning(
+                    "state_file_write_failed",
+                    file=str(self.terms.path),
+                    error=str(error),
+                    failures=self.counts["failed"],
+                )
+        else:
+            self.counts["written"] += 1
 
     def status(self) -> dict:
+        """Counts for the status page."""
         return dict(self.counts)
--- /dev/null
+++ b/hollyridge/core/status.py
@@ -0,0 +1,40 @@
+"""The engine's part of the status page. The keys are a format that other programs read: they stay as they are."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hdrh.histogram import HdrHistogram
+
+if TYPE_CHECKING:
+    from hollyridge.core.engine import Engine
+
+
+def spread(histogram: HdrHistogram) -> dict[str, int]:
+    """The median, 99th percentile and maximum of recorded values, in their unit."""
+    return {
+        "p50": histogram.get_value_at_percentile(50),
+        "p99": histogram.get_value_at_percentile(99),
+        "max": histogram.get_max_value(),
+    }
+
+
+def engine_status(engine: Engine) -> dict:
+    """Counts and levels of an engine. `figures` of the decision module are optional: baselines may have none."""
+    module_figures = getattr(engine.assigner, "figures", dict)()
+    return {
+        "at": engine.ran_at,
+        "module": module_figures,
+        **engine.counts,
+        "refused": engine.refused_commands,
+        "waiting": round(engine.queue.waiting_lines),
+        "waiting_most": engine.queue.peak_lines,
+        "merged": engine.queue.merged_updates,
+        "over_limit": engine.queue.overflows,
+        "lost_lines": engine.queue.lost_lines,
+        "proxies": len(engine.servers),
+        "tasks": len(engine.endpoint_source.entries),
+        **engine.endpoint_source.counters(),
+        "turned_down": engine.reports.rejected,
+        "news_to_frame_us": spread(engine.latency),
+    }
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -30,6 +30,7 @@
 
 
 LOADS = (Kind.UTIL, Kind.QUEUE)
+TASK_TRAFFIC = (Kind.TRIES, Kind.FAILED, Kind.TIME)
 
 
 class DataPoint(NamedTuple):
--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -92,7 +92,7 @@
         house.run(0.01)
         assert house.held() == held  # they keep what they hold
         house.run(3)
-    (entry,) = [row for row in logs if row["event"] == "module failed"]
+    (entry,) = [row for row in logs if row["event"] == "decision_module_failed"]
     assert "a fault of the module" in entry["error"] and any("Left" in row for row in entry["events"])
     house.engine.update_endpoints(house.now, Quiesced(1, ("t3",), True))
     house.run(1)
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -324,7 +324,7 @@
         for event in EVENTS:
             house.engine.submit(house.now, event)
         house.run(0.01)
-    (entry,) = [row for row in logs if row["event"] == "module failed"]
+    (entry,) = [row for row in logs if row["event"] == "decision_module_failed"]
     assert entry["error"] == "ValueError: a fault of the module"
     return [row.partition(", ")[2][:-1] for row in entry["events"]]  # without the time that stands before each
 
