--- a/hollyridge/delivery/__init__.py
+++ b/hollyridge/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""How ordered changes reach the proxies: one message per proxy, paced and counted. No I/O, no clock."""
+"""How commands reach the proxies: one update per proxy and decision, paced and counted. No I/O, no clock."""
--- a/hollyridge/delivery/paced_queue.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -1,9 +1,9 @@
-"""When each message of an assigner leaves: in order, at the stated pace, counted with its head.
+"""When each update of an assigner leaves: in order, at the configured pace, counted with its overhead.
 
-What comes for a proxy that a message already waits for joins that message, at its place, where only the newest state of
-each line counts: the proxy gets the news sooner, and a head, a mark and lines overtaken meanwhile are spared. A
-decision is never dropped. It may hurt where a proxy would have been better off with a short message at once: those
-behind a message that grew wait for as much longer as they would have waited for two.
+An update for a proxy that another update already waits for is merged into that one, at its place in the queue. Only the
+newest state of each line counts, so the proxy learns it sooner, and the overhead, the mark and the lines that were
+overtaken meanwhile are saved. No update is ever dropped. The price: updates behind one that grew wait longer, as they
+would have behind two.
 """
 
 from __future__ import annotations
@@ -13,83 +13,118 @@
 
 from hollyridge.delivery.update_builder import ProxyUpdate, merge_updates
 
+US_PER_S = 1e6
+MAX_LAG_US = 1_000_000  # a sender that is later than this starts its pace anew instead of catching up at once
+
 
 class QueuedUpdate(NamedTuple):
-    """A message, what it costs with its head, and what it would cost with all its tables in full."""
+    """An update that waits.
+
+    Attributes:
+        update: The update.
+        lines: What it costs, overhead included.
+        full_lines: What it would cost with all its tables in full, overhead included.
+    """
 
     update: ProxyUpdate
     lines: float
-    whole: float
+    full_lines: float
 
 
 class PacedQueue:
-    """`lines_per_s` is the pace, `head` the lines that each message costs beyond its own, `most` the lines
-    that may wait, heads included.
-
-    >>> channel = PacedQueue(lines_per_s=10, head=1, most=100)
-    >>> channel.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
-    >>> channel.take(199_999), channel.due
+    """The queue of updates to all proxies.
+
+    Args:
+        lines_per_s: The pace.
+        head: Lines that each update costs beyond its own.
+        most: Lines that may wait, overhead included; more are counted in `overflows`.
+
+    Attributes:
+        waiting_lines: Lines that wait, overhead included.
+        peak_lines: The most that ever waited.
+        merged_updates: Updates that were merged into one that waited.
+        lost_lines: Lines that waited for proxies that left.
+
+    >>> queue = PacedQueue(lines_per_s=10, head=1, most=100)
+    >>> queue.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
+    >>> queue.take(199_999), queue.due
     (None, 200000)
-    >>> channel.take(200_000).proxy, channel.waiting_lines
+    >>> queue.take(200_000).proxy, queue.waiting_lines
     (4, 0.0)
     """
 
     def __init__(self, lines_per_s: float, head: float, most: float) -> None:
-        self.per_line, self.overhead_lines, self.max_lines = 1e6 / lines_per_s, head, most
+        self.us_per_line = US_PER_S / lines_per_s
+        self.overhead_lines = head
+        self.max_lines = most
         self.queue: OrderedDict[int, QueuedUpdate] = OrderedDict()  # by proxy
         self.waiting_lines = 0.0
-        self.free_at = 0
-        self.merged_updates = self.overflows = self.lost_lines = self.peak_lines = 0
-
-    def put(self, now: int, update: ProxyUpdate, lines: int, whole: int) -> None:
-        extra = self.overhead_lines + (update.mark >= 0)
+        self.free_at = 0  # when the channel has sent all that was taken
+        self.merged_updates = 0
+        self.overflows = 0
+        self.lost_lines = 0
+        self.peak_lines = 0
+
+    def put(self, now_us: int, update: ProxyUpdate, lines: int, full_lines: int) -> None:
+        """Queue an update, or merge it into the one that waits for its proxy.
+
+        Args:
+            now_us: The time.
+            update: The update.
+            lines: Its lines, overhead left out.
+            full_lines: Its lines with all its tables in full, overhead left out.
+        """
+        overhead = self.overhead_lines + (update.mark >= 0)
         if update.proxy in self.queue:
-            self.merge(update, lines, whole + extra)
+            self._merge(update, lines, full_lines + overhead)
             return
-        cost = lines + extra
+        cost = lines + overhead
         self.overflows += self.waiting_lines + cost > self.max_lines
         if not self.queue:
-            self.free_at = max(self.free_at, now)
-        self.queue[update.proxy] = QueuedUpdate(update, cost, max(whole, lines) + extra)
+            self.free_at = max(self.free_at, now_us)
+        self.queue[update.proxy] = QueuedUpdate(update, cost, max(full_lines, lines) + overhead)
         self.waiting_lines += cost
         self.peak_lines = max(self.peak_lines, round(self.waiting_lines))
 
-    def merge(self, update: ProxyUpdate, lines: int, whole: float) -> None:
-        """Into a message that waits: it costs no more than all its tables in full."""
-        old, cost, before = self.queue[update.proxy]
-        whole = max(whole, before)
-        joint = min(cost + lines + (update.mark >= 0 > old.mark), max(whole, cost))
-        self.queue[update.proxy] = QueuedUpdate(merge_updates(old, update), joint, whole)
-        self.waiting_lines += joint - cost
+    def _merge(self, update: ProxyUpdate, lines: int, full_lines: float) -> None:
+        """Merge into the update that waits; the sum costs no more than all its tables in full."""
+        waiting = self.queue[update.proxy]
+        full_lines = max(full_lines, waiting.full_lines)
+        new_mark = update.mark >= 0 > waiting.update.mark
+        cost = min(waiting.lines + lines + new_mark, max(full_lines, waiting.lines))
+        self.queue[update.proxy] = QueuedUpdate(merge_updates(waiting.update, update), cost, full_lines)
+        self.waiting_lines += cost - waiting.lines
         self.merged_updates += 1
 
     @property
     def due(self) -> int | None:
-        """When the next message may leave; None when nothing waits."""
+        """When the next update may leave; None when nothing waits."""
         if not self.queue:
             return None
-        return self.free_at + round(next(iter(self.queue.values())).lines * self.per_line)
+        first = next(iter(self.queue.values()))
+        return self.free_at + round(first.lines * self.us_per_line)
 
-    def charge(self, now: int, lines: float) -> None:
-        """Lines said in an answer, beside the queue: what waits is held up by as much."""
-        self.free_at = max(self.free_at, now) + round(lines * self.per_line)
+    def charge(self, now_us: int, lines: float) -> None:
+        """Count lines that were sent in a reply, beside the queue: what waits is delayed by as much."""
+        self.free_at = max(self.free_at, now_us) + round(lines * self.us_per_line)
 
-    def take(self, now: int) -> ProxyUpdate | None:
+    def take(self, now_us: int) -> ProxyUpdate | None:
+        """Take out the next update if it may leave by now."""
         due = self.due
-        if due is None or now < due:
+        if due is None or now_us < due:
             return None
-        _, (update, lines, _) = self.queue.popitem(last=False)
-        self.waiting_lines = max(0.0, self.waiting_lines - lines) if self.queue else 0.0
-        self.free_at = due  # not `now`: a sender that woke late must not slow the pace
-        if now - due > 1_000_000:
-            self.free_at = now  # nor may one that stood still send a second's worth at once
-        return update
+        _, first = self.queue.popitem(last=False)
+        self.waiting_lines = max(0.0, self.waiting_lines - first.lines) if self.queue else 0.0
+        self.free_at = due  # not `now_us`: a sender that woke late must not slow the pace
+        if now_us - due > MAX_LAG_US:
+            self.free_at = now_us  # nor may one that stood still send all it missed at once
+        return first.update
 
     def discard(self, proxy: int) -> int:
-        """The proxy's stream broke: what waited for it is gone. Returns the number of messages."""
-        gone = self.queue.pop(proxy, None)
-        if gone is None:
+        """Drop what waits for a proxy whose stream has ended; the number of updates dropped."""
+        dropped = self.queue.pop(proxy, None)
+        if dropped is None:
             return 0
-        self.waiting_lines -= gone.lines
-        self.lost_lines += round(gone.lines)
+        self.waiting_lines -= dropped.lines
+        self.lost_lines += round(dropped.lines)
         return 1
--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -73,7 +73,7 @@
 
 def test_the_module_is_told_last_what_waits_though_a_joined_message_tells_its_mark_early():
     house = House(Listening, lines_per_s=40.0)
-    house.engine.queue.per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
+    house.engine.queue.us_per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
     for k in range(3):
         house.engine.update_endpoints(house.now, Quiesced(1, (f"t{k}",), True))
         house.run(0.3)
