--- a/tests/registration/test_registration_members.py
+++ b/tests/registration/test_registration_members.py
@@ -18,7 +18,12 @@
 )
 
 TERMS = members.RegistrationConfig(
-    warm_up=16 * SECOND, hold_own=SECOND, hold_agent=30 * SECOND, settle=SECOND // 2, settle_most=3 * SECOND, most=100
+    warm_up_us=16 * SECOND,
+    hold_own_us=SECOND,
+    hold_agent_us=30 * SECOND,
+    settle_us=SECOND // 2,
+    max_settle_us=3 * SECOND,
+    max_members=100,
 )
 
 
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -287,8 +287,8 @@
 
 def test_a_snapshot_larger_than_what_may_wait_while_changes_go_on(rig):  # noqa: F811
     r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
-    r.engine.endpoint_source.terms, r.engine.task_indices.most = (
-        r.engine.endpoint_source.terms._replace(most=1000),
+    r.engine.endpoint_source.terms, r.engine.task_indices.max_indices = (
+        r.engine.endpoint_source.terms._replace(max_members=1000),
         1000,
     )
     agent = r.agent()
