--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -1,213 +1,188 @@
-"""What reports count: each period of each series once, late or out of order or said twice; absurd ones never.
+"""Turns data points of load reports into events: each period of each series counts once, impossible figures never do.
 
-A sender's clock is not believed about when something was: a period's ends only tell how long it was and whether
-it has been counted before. Sums of many proxies at one task come out as one figure whose rate is the sum of their
-rates, however unequal or late their periods are.
+What many proxies counted at one task comes out as one event whose rate is the sum of their rates, however unequal or
+late their periods are.
 """
 
 from __future__ import annotations
 
 import math
-from enum import IntEnum
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from hollyridge.interface import Event, OfferedLoad, TrafficReport
+from hollyridge.telemetry.counted_periods import CountedPeriods
+from hollyridge.telemetry.data_points import LOADS, NS_PER_S, TASK_TRAFFIC, DataPoint, Kind, SeriesKey
 
-SPANS = 32  # separate stretches of time remembered by series; before the oldest is too old to tell
-LATE = 60_000_000_000  # ns behind a source's newest period, before which no period of it counts
-LONGEST = 600_000_000_000  # ns
-SECOND = 1_000_000_000
+__all__ = ["LOADS", "NS_PER_S", "TASK_TRAFFIC", "DataPoint", "Kind", "ReportAggregator"]
 
+MAX_PERIOD_NS = 600 * NS_PER_S
+MIN_RATE_PERIOD_NS = NS_PER_S // 100  # shorter periods count as that long when a rate is judged
+MAX_UTILISATION = 16  # of a task's capacity; more can't be
+NS_PER_US = 1000
+US_PER_S = 1e6
+NO_LOAD = -1.0  # in an event, where a task reported none
+PROXY_TRAFFIC = (Kind.RPCS, Kind.UNANSWERED)
 
-class Kind(IntEnum):
-    TRIES = 0
-    FAILED = 1
-    TIME = 2  # seconds that good tries took, summed
-    RPCS = 3
-    UNANSWERED = 4
-    UTIL = 5
-    QUEUE = 6
+Place = tuple[int, int]
 
+# Why a data point does not count: keys of the status page.
+INVALID_VALUE = "no sensible figure"
+INVALID_PERIOD = "no sensible period"
+RATE_TOO_HIGH = "more than can be"
+COUNTED_BEFORE = "counted before"
+TOO_MANY_SERIES = "too many series"
 
-LOADS = (Kind.UTIL, Kind.QUEUE)
-TASK_TRAFFIC = (Kind.TRIES, Kind.FAILED, Kind.TIME)
 
+class Series:
+    """What one series has counted since it was collected last, and over how long."""
 
-class DataPoint(NamedTuple):
-    """One figure. `place` is (zone, task) or (proxy, method), as indices; times in ns of the sender's clock."""
+    __slots__ = ("duration_us", "value")
 
-    source: str
-    kind: Kind
-    place: tuple[int, int]
-    method: int
-    value: float
-    start: int
-    end: int
+    def __init__(self) -> None:
+        self.value = 0.0
+        self.duration_us = 0
 
 
-class Series:
-    __slots__ = ("value", "span")
+class PlaceTotal(NamedTuple):
+    """The sum over all series of a place, and the sum of their rates."""
 
-    def __init__(self) -> None:
-        self.value, self.span = 0.0, 0
+    value: float
+    value_per_us: float
 
 
 class ReportAggregator:
-    """`most_series` are kept in all, `most_each` of one source; `per_s` is the most that can be true of a rate;
-    `lines` the most that is handed on a period, what is left out waits for the next.
+    """Takes data points in and hands their sums out once a report period.
+
+    Args:
+        max_series: Series that are kept in all.
+        max_series_per_source: Series that are kept of one source.
+        max_rate_per_s: The highest rate that can be true.
+        max_reports: Traffic reports that are handed out at a time; what is left out waits for the next.
+        expiry_us: After this long without a data point a series is forgotten.
 
-    >>> news = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
-    >>> tries = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * SECOND, 6 * SECOND)
-    >>> news.add(0, tries), news.add(0, tries)
+    Attributes:
+        rejected: How many data points did not count, by reason.
+
+    >>> reports = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
+    >>> attempts = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * NS_PER_S, 6 * NS_PER_S)
+    >>> reports.add(0, attempts), reports.add(0, attempts)
     ('', 'counted before')
-    >>> news.collect(10)
+    >>> reports.collect(10)
     [TrafficReport(zone=0, task=3, attempts=12, failed=0, latency_us=0, interval_us=1000000, load=(-1.0, -1.0))]
     """
 
-    def __init__(self, most_series: int, most_each: int, per_s: float, lines: int, forget: int) -> None:
-        self.most_series, self.most_each, self.per_s = most_series, most_each, per_s
-        self.lines, self.forget = lines, forget
-        self.spans: dict[tuple, list[tuple[int, int]]] = {}
-        self.used: dict[tuple, int] = {}
-        self.sizes: dict[str, int] = {}
-        self.newest: dict[str, tuple[int, int]] = {}  # source: newest end on its clock, and when that was told
-        self.sums: dict[tuple, dict[tuple, Series]] = {}  # (kind, place): by (source, method)
-        self.loads: dict[int, dict[Kind, float]] = {}
-        self.swept = 0
+    def __init__(
+        self, max_series: int, max_series_per_source: int, max_rate_per_s: float, max_reports: int, expiry_us: int
+    ) -> None:
+        self.max_rate_per_s = max_rate_per_s
+        self.max_reports = max_reports
+        self.counted = CountedPeriods(max_series, max_series_per_source, expiry_us)
+        self.sums: dict[tuple[Kind, Place], dict[tuple[str, int], Series]] = {}  # then by source and method
+        self.loads: dict[int, dict[Kind, float]] = {}  # by task
         self.rejected: dict[str, int] = {}
 
-    def add(self, now: int, point: DataPoint) -> str:
-        """Empty if the point counts, else why it does not."""
-        why = self.judge(now, point)
-        if why:
-            self.rejected[why] = self.rejected.get(why, 0) + 1
-            return why
+    def add(self, now_us: int, point: DataPoint) -> str:
+        """Take in a data point; empty if it counts, else why it does not."""
+        reason = self._count(now_us, point)
+        if reason:
+            self.rejected[reason] = self.rejected.get(reason, 0) + 1
+            return reason
         if point.kind in LOADS:
-            self.loads.setdefault(point.place[1], {})[point.kind] = point.value
+            task = point.place[1]
+            self.loads.setdefault(task, {})[point.kind] = point.value
             return ""
-        bearer = self.sums.setdefault((point.kind, point.place), {})
-        row = bearer.setdefault((point.source, point.method), Series())
-        row.value += point.value
-        row.span += (point.end - point.start) // 1000
+        by_source = self.sums.setdefault((point.kind, point.place), {})
+        series = by_source.setdefault((point.source, point.method), Series())
+        series.value += point.value
+        series.duration_us += (point.end_ns - point.start_ns) // NS_PER_US
         return ""
 
-    def judge(self, now: int, point: DataPoint) -> str:
-        value, span = point.value, point.end - point.start
-        if not math.isfinite(value) or value < 0:
-            return "no sensible figure"
+    def _count(self, now_us: int, point: DataPoint) -> str:
+        reason = self._implausible(point)
+        if reason:
+            return reason
+        key = SeriesKey(point.source, point.kind, point.place, point.method)
         if point.kind in LOADS:
-            if point.kind == Kind.UTIL and value > 16:
-                return "no sensible figure"
-            return "" if self.remember(now, point, point.end, point.end + 1) else self.full(point)
-        if not 0 < span <= LONGEST:
-            return "no sensible period"
-        if value > self.per_s * max(span, SECOND // 100) / SECOND:
-            return "more than can be"
-        return "" if self.remember(now, point, point.start, point.end) else self.full(point)
-
-    def full(self, point: DataPoint) -> str:
-        key = (point.source, point.kind, point.place, point.method)
-        return "counted before" if key in self.spans else "too many series"
-
-    def remember(self, now: int, point: DataPoint, start: int, end: int) -> bool:
-        key = (point.source, point.kind, point.place, point.method)
-        spans = self.spans.get(key)
-        if spans is None:
-            if len(self.spans) >= self.most_series or self.sizes.get(point.source, 0) >= self.most_each:
-                self.sweep(now)
-                if len(self.spans) >= self.most_series or self.sizes.get(point.source, 0) >= self.most_each:
-                    return False
-            spans = self.spans[key] = []
-            self.sizes[point.source] = self.sizes.get(point.source, 0) + 1
-        if point.kind in LOADS:  # only the newest counts
-            if spans and end <= spans[0][1]:
-                return False
-            spans[:] = [(start, end)]
+            is_new = self.counted.add_moment(now_us, key, point.end_ns)
         else:
-            floor = self.floor(now, point.source, end)
-            if end <= floor or len(spans) >= SPANS and end <= spans[0][0]:
-                return False
-            spans[:] = [span for span in spans if span[1] > floor]
-            if any(start < b and a < end for a, b in spans):
-                return False
-            before = next((at for at, (_, b) in enumerate(spans) if b == start), -1)
-            after = next((at for at, (a, _) in enumerate(spans) if a == end), -1)
-            if before >= 0:  # periods that meet are remembered as one: a steady sender costs one span
-                start = spans[before][0]
-            if after >= 0:
-                end = spans[after][1]
-            spans[:] = sorted([span for at, span in enumerate(spans) if at not in (before, after)] + [(start, end)])[
-                -SPANS:
-            ]
-        self.used[key] = now
-        return True
-
-    def floor(self, now: int, source: str, end: int) -> int:
-        """Before this moment of a source's own clock its periods are too old to be told apart. A clock that was set
-        back would shut its reports out: where it has not moved on for long, it is believed anew."""
-        newest, at = self.newest.get(source, (end, now))
-        if end >= newest or now - at > self.forget:
-            newest, at = end, now
-            self.newest[source] = newest, at
-        return newest - LATE
-
-    def sweep(self, now: int) -> None:
-        """Forget series long unused; at most once a quarter of that time, however full it is."""
-        if now - self.swept < self.forget // 4 and self.swept:
-            return
-        self.swept = now
-        for key in [key for key, at in self.used.items() if now - at > self.forget]:
-            del self.spans[key], self.used[key]
-            self.sizes[key[0]] -= 1
-            if not self.sizes[key[0]]:
-                del self.sizes[key[0]]
-                self.newest.pop(key[0], None)
-
-    def rate(self, kind: Kind, place: tuple[int, int]) -> tuple[float, float]:
-        """What was summed at a place, and how much of it a microsecond."""
-        rows = self.sums.get((kind, place), {}).values()
-        return sum(row.value for row in rows), sum(row.value / max(row.span, 1) for row in rows)
-
-    def collect(self, now: int) -> list[Event]:
-        """All that came since, as the module reads it: most tries first where there are too many lines."""
-        self.sweep(now) if now - self.swept > self.forget else None
-        tried = sorted(((-self.rate(Kind.TRIES, place)[0], place) for kind, place in self.sums if kind == Kind.TRIES))[
-            : self.lines
-        ]
+            is_new = self.counted.add_period(now_us, key, point.start_ns, point.end_ns)
+        if is_new:
+            return ""
+        return COUNTED_BEFORE if key in self.counted else TOO_MANY_SERIES
+
+    def _implausible(self, point: DataPoint) -> str:
+        """Why a figure can't be true; empty if it can."""
+        if not math.isfinite(point.value) or point.value < 0:
+            return INVALID_VALUE
+        if point.kind in LOADS:
+            return INVALID_VALUE if point.kind == Kind.UTIL and point.value > MAX_UTILISATION else ""
+        period_ns = point.end_ns - point.start_ns
+        if not 0 < period_ns <= MAX_PERIOD_NS:
+            return INVALID_PERIOD
+        if point.value > self.max_rate_per_s * max(period_ns, MIN_RATE_PERIOD_NS) / NS_PER_S:
+            return RATE_TOO_HIGH
+        return ""
+
+    def collect(self, now_us: int) -> list[Event]:
+        """Hand out what was added since: traffic by task, the busiest first, then offered load by proxy."""
+        self.counted.sweep_if_due(now_us)
+        attempted = self._busiest_places()
         offered = sorted({place for kind, place in self.sums if kind == Kind.RPCS})
         events: list[Event] = []
-        for _, place in tried:
-            tries, pace = self.rate(Kind.TRIES, place)
-            bad, took = (self.rate(kind, place)[0] for kind in (Kind.FAILED, Kind.TIME))
-            good = round(tries) - round(min(bad, tries))
-            load = self.loads.get(place[1], {})  # in the report of each zone that met it: the last one counts
-            events.append(
-                TrafficReport(
-                    place[0],
-                    place[1],
-                    round(tries),
-                    round(min(bad, tries)),
-                    round(took * 1e6 / good) if good > 0 else 0,
-                    self.over(tries, pace),
-                    tuple(load.get(kind, -1.0) for kind in LOADS),
-                )
-            )
-            for kind in (Kind.TRIES, Kind.FAILED, Kind.TIME):
-                self.sums.pop((kind, place), None)
-        for _, place in tried:
-            self.loads.pop(place[1], None)
+        for place in attempted:
+            events.append(self._traffic_report(place))
+            self._drop_sums(place, TASK_TRAFFIC)
+        for _, task in attempted:  # only now: a load counts in the report of each zone that sent to the task
+            self.loads.pop(task, None)
         for place in offered:
-            rpcs, pace = self.rate(Kind.RPCS, place)
-            unanswered = self.rate(Kind.UNANSWERED, place)[0]
-            events.append(
-                OfferedLoad(round(rpcs), self.over(rpcs, pace, (Kind.RPCS, place)), *place, round(unanswered))
-            )
-            for kind in (Kind.RPCS, Kind.UNANSWERED):
-                self.sums.pop((kind, place), None)
+            events.append(self._offered_load(place))
+            self._drop_sums(place, PROXY_TRAFFIC)
         return events
 
-    def over(self, total: float, pace: float, quiet: tuple | None = None) -> int:
-        if pace > 0:
-            return max(1, round(total / pace))
-        rows = self.sums.get(quiet, {}) if quiet else {}
-        return max([row.span for row in rows.values()], default=1)
+    def _busiest_places(self) -> list[Place]:
+        by_attempts = sorted(
+            (-self._total(Kind.TRIES, place).value, place) for kind, place in self.sums if kind == Kind.TRIES
+        )
+        return [place for _, place in by_attempts[: self.max_reports]]
+
+    def _traffic_report(self, place: Place) -> TrafficReport:
+        zone, task = place
+        attempts = self._total(Kind.TRIES, place)
+        failed = round(min(self._total(Kind.FAILED, place).value, attempts.value))
+        total_s = self._total(Kind.TIME, place).value
+        succeeded = round(attempts.value) - failed
+        load = self.loads.get(task, {})
+        return TrafficReport(
+            zone,
+            task,
+            round(attempts.value),
+            failed,
+            round(total_s * US_PER_S / succeeded) if succeeded > 0 else 0,
+            _interval_us(attempts, ()),
+            tuple(load.get(kind, NO_LOAD) for kind in LOADS),
+        )
+
+    def _offered_load(self, place: Place) -> OfferedLoad:
+        proxy, method = place
+        rpcs = self._total(Kind.RPCS, place)
+        unanswered = self._total(Kind.UNANSWERED, place).value
+        idle_series = self.sums.get((Kind.RPCS, place), {}).values()
+        return OfferedLoad(round(rpcs.value), _interval_us(rpcs, idle_series), proxy, method, round(unanswered))
+
+    def _total(self, kind: Kind, place: Place) -> PlaceTotal:
+        series_here = self.sums.get((kind, place), {}).values()
+        value = sum(series.value for series in series_here)
+        value_per_us = sum(series.value / max(series.duration_us, 1) for series in series_here)
+        return PlaceTotal(value, value_per_us)
+
+    def _drop_sums(self, place: Place, kinds: tuple[Kind, ...]) -> None:
+        for kind in kinds:
+            self.sums.pop((kind, place), None)
+
+
+def _interval_us(total: PlaceTotal, idle_series: Iterable[Series]) -> int:
+    """The interval at which a total has its rate; where it has none, the longest that was observed."""
+    if total.value_per_us > 0:
+        return max(1, round(total.value / total.value_per_us))
+    return max((series.duration_us for series in idle_series), default=1)
--- a/tests/telemetry/test_telemetry_report_aggregator.py
+++ b/tests/telemetry/test_telemetry_report_aggregator.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND
 
-from hollyridge.telemetry.report_aggregator import SECOND as NS
+from hollyridge.telemetry.report_aggregator import NS_PER_S as NS
 from hollyridge.telemetry.report_aggregator import DataPoint, Kind, ReportAggregator
 
 
@@ -12,7 +12,9 @@
 
 
 def news():
-    return ReportAggregator(most_series=50, most_each=20, per_s=1000, lines=5, forget=60 * SECOND)
+    return ReportAggregator(
+        max_series=50, max_series_per_source=20, max_rate_per_s=1000, max_reports=5, expiry_us=60 * SECOND
+    )
 
 
 TAKEN = [
@@ -42,7 +44,7 @@
         book.add(k, point(start=k, end=k + 1))
         book.add(k, point(start=1.6 * k, end=1.6 * k + 1, source="gw-2"))
         book.add(k, point(0.5, k, k, kind=Kind.UTIL, source="gw-3"))
-    sizes = {key[0]: len(spans) for key, spans in book.spans.items()}
+    sizes = {key[0]: len(spans) for key, spans in book.counted.periods.items()}
     assert sizes == {"gw-1": 1, "gw-2": 32, "gw-3": 1}
     assert book.add(0, steady) and book.add(0, gappy)
     assert book.add(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge says nothing new
@@ -52,7 +54,7 @@
     book = news()
     for k in range(0, 500, 20):
         assert not book.add(k, point(start=k, end=k + 1))
-    assert [len(spans) for spans in book.spans.values()] == [3]
+    assert [len(spans) for spans in book.counted.periods.values()] == [3]
     assert book.add(500, point(start=420, end=421, method=1))  # too late, whatever its series
     assert not book.add(500, point(start=425, end=426, method=1))
 
@@ -81,7 +83,7 @@
     book = news()
     for k in range(1000):
         book.add(k, point(place=(0, k), source=f"s{k % 4}"))
-    assert len(book.spans) <= 50 and book.rejected["too many series"] >= 950
+    assert len(book.counted.periods) <= 50 and book.rejected["too many series"] >= 950
     assert len(book.collect(2000)) == 5  # the rest waits
     late = 10**9
     book.collect(late)
