--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -118,7 +118,7 @@
             "estimates_restored",
             tasks=restored_tasks,
             left_out=restored.left_out or None,
-            age_s=round((self.wall_ms() - state.saved) / MS_PER_S, 1),
+            age_s=round((self.wall_ms() - state.saved_ms) / MS_PER_S, 1),
         )
 
     def save(self) -> None:
--- a/hollyridge/store/__init__.py
+++ b/hollyridge/store/__init__.py
@@ -1,1 +1,1 @@
-"""Table versions as values. Decides nothing, keeps no time, knows no front."""
+"""Versions of tables as values, and learned estimates as they are kept on disk. Decides nothing, keeps no time."""
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -1,5 +1,7 @@
-"""What of another time, or of another assigner, is believed: figures that can be, of tasks that are known, and the less
-the older they are. What is not believed costs nothing: it is learnt again."""
+"""Which estimates of an earlier run, or of another assigner, are used: plausible ones, of tasks that are listed.
+
+The older they are the less they count. What is not used costs little: it is learned again.
+"""
 
 from __future__ import annotations
 
@@ -11,22 +13,36 @@
 from hollyridge.interface import EstimatesRestored, LearnedEstimate
 from hollyridge.store.state_file import SavedState, TaskEstimate
 
-LONGEST = 10.0  # busy periods that count; as many as the module itself remembers
-SKILLS = (0.25, 4.0)
-WEIGHTS = (0.01, 100.0)
-LENT = 1.0  # busy periods that a peer's word counts for: one's own first news is as good
-APART = 2.0  # times above or below one's own median task that a peer's figure is taken for
+MAX_BUSY_PERIODS = 10.0  # that an estimate may rest on; as many as the decisions themselves remember
+MAX_CAPACITY = 1e9  # RPCs in a report period; more can't be
+MIN_EFFICIENCY = 0.25
+MAX_EFFICIENCY = 4.0
+MIN_WEIGHT_RATIO = 0.01
+MAX_WEIGHT_RATIO = 100.0
+MAX_PUSH_PRICE = 1e6
+MAX_SHARED_BUSY_PERIODS = 1.0  # for a peer's estimate: the first report of one's own then counts as much
+MAX_SHARED_RATIO = 2.0  # how far a peer's capacity may lie above or below one's own median task
+UNKNOWN_AGE_MS = 86_400_000  # a day, older than anything that still counts
+US_PER_MS = 1000
+DIGITS = 6  # of the figures that are saved
+UNUSABLE = -1  # in place of a task index
+
+# Why an estimate is left out, as the log names it.
+OTHER_FLEET = "of another fleet"
+NOT_LISTED = "not listed"
+IMPLAUSIBLE = "no sensible figure"
+NOTHING_TO_COMPARE = "nothing of one's own yet"
 
 
 class RestoredEstimates(NamedTuple):
-    """`event` None where nothing is; `left_out` counts rows by why."""
+    """The event to submit, None where no estimate is used; and how many were left out, by reason."""
 
     event: EstimatesRestored | None
     left_out: dict[str, int]
 
 
 def fleet_of(zones: Iterable[str], methods: Iterable[str]) -> str:
-    """Names a fleet by what its figures hang on.
+    """Names a fleet by what its estimates depend on.
 
     >>> fleet_of(["a", "b"], ["read"])
     'a,b/read'
@@ -35,64 +51,94 @@
 
 
 def noted(
-    fleet: str, saved_ms: int, rows: Iterable[LearnedEstimate], price: float, name_of: Callable[[int], str]
+    fleet: str, saved_ms: int, estimates: Iterable[LearnedEstimate], push_price: float, name_of: Callable[[int], str]
 ) -> SavedState:
-    return SavedState(
-        fleet,
-        saved_ms,
-        [TaskEstimate(name_of(row.task), *(round(x, 6) for x in row[1:])) for row in rows],
-        round(price, 6),
-    )
-
-
-def sane(row: TaskEstimate) -> bool:
-    figures = (row.capacity, row.busy_periods, row.efficiency, row.weight_ratio)
-    return (
-        all(map(isfinite, figures))
-        and 0 < row.capacity < 1e9
-        and row.busy_periods > 0
-        and SKILLS[0] <= row.efficiency <= SKILLS[1]
-        and WEIGHTS[0] <= row.weight_ratio <= WEIGHTS[1]
-    )
+    """The state to save; tasks by their names, for indices are given anew in each run."""
+    rows = [
+        TaskEstimate(
+            name_of(estimate.task),
+            round(estimate.capacity, DIGITS),
+            round(estimate.busy_periods, DIGITS),
+            round(estimate.efficiency, DIGITS),
+            round(estimate.weight_ratio, DIGITS),
+        )
+        for estimate in estimates
+    ]
+    return SavedState(fleet, saved_ms, rows, round(push_price, DIGITS))
 
 
 def recalled(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
-    """A state of one's own last run. One from the future was saved under a clock that has been set back: nobody knows
-    how old it is, so it counts as older than anything learnt in a day."""
+    """The estimates of this assigner's own last run.
+
+    A state from the future was saved before the clock was set back: nobody knows its age, so it counts as old.
+    """
     if state.fleet != fleet:
-        return RestoredEstimates(None, {"of another fleet": len(state.rows)})
-    age_ms = now_ms - state.saved if now_ms >= state.saved else 86_400_000
-    return believed(state.rows, state.price, age_ms * 1000, index_of, LONGEST)
+        return RestoredEstimates(None, {OTHER_FLEET: len(state.estimates)})
+    age_ms = now_ms - state.saved_ms if now_ms >= state.saved_ms else UNKNOWN_AGE_MS
+    return _accepted(state.estimates, state.push_price, age_ms * US_PER_MS, index_of, MAX_BUSY_PERIODS)
 
 
 def lent(
-    rows: Iterable[tuple], price: float, age: int, index_of: Callable[[str], int | None], own: Iterable[LearnedEstimate]
+    rows: Iterable[tuple],
+    price: float,
+    age_us: int,
+    index_of: Callable[[str], int | None],
+    own: Iterable[LearnedEstimate],
 ) -> RestoredEstimates:
-    """A peer's. It may be wrong or lie: each figure is taken within twice of one's own median task, for no longer than
-    a busy period of one's own news, only once there is some of that; and its price not at all."""
-    usual = median([row.capacity for row in own] or [0.0])
-    if not usual:
-        return RestoredEstimates(None, {"nothing of one's own yet": 1})
-    near = []
-    for name, does, heard, _skill, _weight in rows:
-        if isfinite(does) and does > 0:
-            near.append(TaskEstimate(name, min(max(does, usual / APART), usual * APART), min(heard, LENT)))
-    return believed(near, 0.0, age, index_of, LENT)
-
-
-def believed(
-    rows: Iterable[TaskEstimate], price: float, age: int, index_of: Callable[[str], int | None], longest: float
+    """The estimates of another assigner, which may be wrong or lie.
+
+    Only capacities are used, and only once there are some of one's own: each within `MAX_SHARED_RATIO` times the median
+    of those, resting on `MAX_SHARED_BUSY_PERIODS` at the most. Its push price is never used.
+
+    Args:
+        rows: (name, capacity, busy periods, efficiency, weight ratio) of each task.
+        price: The other's push price.
+        age_us: How old the estimates are.
+        index_of: The index of a task by its name; None for one that is not listed.
+        own: What this assigner has learned itself.
+    """
+    own_median = median([estimate.capacity for estimate in own] or [0.0])
+    if not own_median:
+        return RestoredEstimates(None, {NOTHING_TO_COMPARE: 1})
+    limited = []
+    for name, capacity, busy_periods, _efficiency, _weight_ratio in rows:
+        if isfinite(capacity) and capacity > 0:
+            near = min(max(capacity, own_median / MAX_SHARED_RATIO), own_median * MAX_SHARED_RATIO)
+            limited.append(TaskEstimate(name, near, min(busy_periods, MAX_SHARED_BUSY_PERIODS)))
+    return _accepted(limited, 0.0, age_us, index_of, MAX_SHARED_BUSY_PERIODS)
+
+
+def _accepted(
+    estimates: Iterable[TaskEstimate],
+    push_price: float,
+    age_us: int,
+    index_of: Callable[[str], int | None],
+    max_busy_periods: float,
 ) -> RestoredEstimates:
-    found: list[LearnedEstimate] = []
+    accepted: list[LearnedEstimate] = []
     left_out: dict[str, int] = {}
-    for row in rows:
-        task = index_of(row.name) if sane(row) else -1
+    for estimate in estimates:
+        task = index_of(estimate.name) if _is_plausible(estimate) else UNUSABLE
         if task is None or task < 0:
-            why = "not listed" if task is None else "no sensible figure"
-            left_out[why] = left_out.get(why, 0) + 1
-        else:
-            found.append(
-                LearnedEstimate(task, row.capacity, min(row.busy_periods, longest), row.efficiency, row.weight_ratio)
-            )
-    price = price if isfinite(price) and 0 <= price < 1e6 else 0.0
-    return RestoredEstimates(EstimatesRestored(tuple(found), price, max(age, 0)) if found else None, left_out)
+            reason = NOT_LISTED if task is None else IMPLAUSIBLE
+            left_out[reason] = left_out.get(reason, 0) + 1
+            continue
+        busy_periods = min(estimate.busy_periods, max_busy_periods)
+        accepted.append(
+            LearnedEstimate(task, estimate.capacity, busy_periods, estimate.efficiency, estimate.weight_ratio)
+        )
+    if not accepted:
+        return RestoredEstimates(None, left_out)
+    usable_price = push_price if isfinite(push_price) and 0 <= push_price < MAX_PUSH_PRICE else 0.0
+    return RestoredEstimates(EstimatesRestored(tuple(accepted), usable_price, max(age_us, 0)), left_out)
+
+
+def _is_plausible(estimate: TaskEstimate) -> bool:
+    figures = (estimate.capacity, estimate.busy_periods, estimate.efficiency, estimate.weight_ratio)
+    return (
+        all(map(isfinite, figures))
+        and 0 < estimate.capacity < MAX_CAPACITY
+        and estimate.busy_periods > 0
+        and MIN_EFFICIENCY <= estimate.efficiency <= MAX_EFFICIENCY
+        and MIN_WEIGHT_RATIO <= estimate.weight_ratio <= MAX_WEIGHT_RATIO
+    )
--- a/hollyridge/store/table_versions.py
+++ b/hollyridge/store/table_versions.py
@@ -1,20 +1,29 @@
 """Tables as immutable values, one a version, with a bounded history.
 
-What changes between two versions is computed from the two, never kept by hand, so it can't be wrong in another way
-than the tables are. A reader whose version is past the history takes the whole table.
+What changes between two versions is computed from the two and never kept by hand, so it can't be wrong in another way
+than the tables are. A reader whose version is older than the history takes the whole table.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
-from collections.abc import Iterable
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple
 
 from immutables import Map
 
+REMOVED_WEIGHT = 0.0  # as a line's weight: the line is taken out
+REMOVED_LEVEL = None  # as an admission level: the level is taken out
+
 
 class Table(NamedTuple):
-    """`lines`: weight by task. `levels`: (amount, way to try again) by mask of methods. `version`: the decision."""
+    """A table at one version.
+
+    Attributes:
+        version: The decision that made it.
+        lines: Weight by task.
+        levels: Admission, (amount, retry mode) by mask of methods.
+    """
 
     version: int
     lines: Map
@@ -37,26 +46,50 @@
         return len(self.lines) + len(self.levels)
 
 
+class VersionPair(NamedTuple):
+    """A table and the two versions of it that are compared."""
+
+    table: int
+    old_version: int
+    new_version: int
+
+
 def difference(old: Table, new: Table) -> TableChange:
-    """In the order of indices, so that equal tables give equal changes.
+    """What turns one table into another, in the order of indices, so that equal tables give equal changes.
 
-    >>> a = Table(1, Map({1: 1.0, 2: 2.0}), Map())
-    >>> difference(a, Table(2, Map({2: 2.5, 3: 1.0}), Map({0: (0.5, 0)})))
+    >>> old = Table(1, Map({1: 1.0, 2: 2.0}), Map())
+    >>> difference(old, Table(2, Map({2: 2.5, 3: 1.0}), Map({0: (0.5, 0)})))
     TableChange(lines=((1, 0.0), (2, 2.5), (3, 1.0)), levels=((0, (0.5, 0)),))
     """
-    return TableChange(tuple(_changed(old.lines, new.lines, 0.0)), tuple(_changed(old.levels, new.levels, None)))
+    lines = _changed_entries(old.lines, new.lines, REMOVED_WEIGHT)
+    levels = _changed_entries(old.levels, new.levels, REMOVED_LEVEL)
+    return TableChange(tuple(lines), tuple(levels))
 
 
-def _changed(old: Map, new: Map, gone: object) -> Iterable[tuple]:
+def _changed_entries(old: Map, new: Map, removed: object) -> list[tuple[int, Any]]:
     if old is new:
         return []
-    rows = [(key, value) for key, value in new.items() if old.get(key) != value]
-    rows += [(key, gone) for key in old if key not in new]
-    return sorted(rows, key=lambda row: row[0])
+    changes = [(key, value) for key, value in new.items() if old.get(key) != value]
+    changes += [(key, removed) for key in old if key not in new]
+    return sorted(changes, key=lambda change: change[0])
+
+
+def _with_changes(old: Map, changes: Mapping, removed: object) -> Map:
+    with old.mutate() as edit:
+        for key, value in changes.items():
+            if value == removed:
+                edit.pop(key, None)
+            else:
+                edit[key] = value
+        return edit.finish()
 
 
 class TableStore:
-    """`keep` versions of each table, the newest included.
+    """Keeps the last `keep` versions of each table, the newest included.
+
+    Attributes:
+        history: The versions of each table, oldest first.
+        memo: Differences that were asked for, by table and versions.
 
     >>> store = TableStore(keep=2)
     >>> for version, weight in ((1, 1.0), (2, 2.0), (3, 3.0)):
@@ -65,14 +98,15 @@
     (TableChange(lines=((7, 3.0),), levels=()), None)
     """
 
-    MEMO = 512  # differences kept: most readers go from one same version to one other
+    MAX_MEMO = 512  # differences kept; most readers go from the same version to the same other one
 
     def __init__(self, keep: int) -> None:
         self.keep = keep
         self.history: dict[int, deque[Table]] = {}
-        self.memo: OrderedDict[tuple[int, int, int], TableChange] = OrderedDict()
+        self.memo: OrderedDict[VersionPair, TableChange] = OrderedDict()
 
     def latest(self, table: int) -> Table:
+        """The newest version; an empty table where there is none."""
         history = self.history.get(table)
         return history[-1] if history else EMPTY
 
@@ -80,59 +114,66 @@
         self,
         version: int,
         table: int,
-        lines: dict[int, float],
-        levels: dict[int, tuple[float, int] | None] | None = None,
+        lines: Mapping[int, float],
+        levels: Mapping[int, tuple[float, int] | None] | None = None,
         clear: bool = False,
     ) -> Table:
-        """A new version with these lines and levels set (weight 0, level None: taken out); after `clear` with
-        nothing else. ValueError for a version that does not grow."""
+        """Make a new version; a version that is put again is replaced.
+
+        Args:
+            version: Number of the decision.
+            table: Number of the table.
+            lines: Weights to set; weight 0 takes a line out.
+            levels: Admission levels to set; None takes a level out.
+            clear: The new version holds nothing else.
+
+        Raises:
+            ValueError: The version is older than the newest one.
+        """
         before = self.latest(table)
         if version < before.version:
             raise ValueError(f"table {table}: version {version} after {before.version}")
         base = EMPTY if clear else before
-        new = Table(version, self._set(base.lines, lines, 0.0), self._set(base.levels, levels or {}, None))
+        new = Table(
+            version,
+            _with_changes(base.lines, lines, REMOVED_WEIGHT),
+            _with_changes(base.levels, levels or {}, REMOVED_LEVEL),
+        )
         history = self.history.setdefault(table, deque(maxlen=self.keep))
         if history and history[-1].version == version:
             history.pop()
-            for key in [key for key in self.memo if key[0] == table]:
-                del self.memo[key]
+            self._forget_changes(table)
         history.append(new)
         return new
 
-    @staticmethod
-    def _set(old: Map, changes: dict, gone: object) -> Map:
-        with old.mutate() as edit:
-            for key, value in changes.items():
-                if value == gone:
-                    edit.pop(key, None)
-                else:
-                    edit[key] = value
-            return edit.finish()
-
     def drop(self, table: int) -> None:
         """Forget a table with its history."""
         self.history.pop(table, None)
 
     def at(self, table: int, version: int) -> Table | None:
-        """The table as it was at that version; None if that is no longer, or not yet, known."""
-        for row in reversed(self.history.get(table, ())):
-            if row.version == version:
-                return row
+        """The table at that version; None if it is not known any more, or not yet."""
+        for known in reversed(self.history.get(table, ())):
+            if known.version == version:
+                return known
         return None
 
     def change(self, table: int, old: Table, new: Table) -> TableChange:
-        """`difference`, remembered for those who read the same two versions."""
-        key = table, old.version, new.version
-        found = self.memo.get(key)
-        if found is None or old.version == new.version:
-            found = difference(old, new)
+        """`difference`, remembered for all who go between the same two versions."""
+        pair = VersionPair(table, old.version, new.version)
+        change = self.memo.get(pair)
+        if change is None or old.version == new.version:
+            change = difference(old, new)
             if self.at(table, old.version) is old and self.at(table, new.version) is new:
-                self.memo[key] = found
-                if len(self.memo) > self.MEMO:
+                self.memo[pair] = change
+                if len(self.memo) > self.MAX_MEMO:
                     self.memo.popitem(last=False)
-        return found
+        return change
 
     def since(self, table: int, version: int) -> TableChange | None:
-        """What came after that version; None where only the whole table will do."""
+        """What has changed since that version; None where only the whole table will do."""
         old = self.at(table, version)
         return None if old is None else self.change(table, old, self.latest(table))
+
+    def _forget_changes(self, table: int) -> None:
+        for pair in [pair for pair in self.memo if pair.table == table]:
+            del self.memo[pair]
--- a/tests/store/test_store_state_file.py
+++ b/tests/store/test_store_state_file.py
@@ -10,7 +10,7 @@
 
 
 def test_a_file_cut_off_at_any_byte_is_refused_and_the_whole_one_read():
-    assert state_file.unpack(WHOLE).rows == ROWS
+    assert state_file.unpack(WHOLE).estimates == ROWS
     for size in range(len(WHOLE)):
         with pytest.raises(StateFileError):
             state_file.unpack(WHOLE[:size])
@@ -24,9 +24,9 @@
 
 def test_layouts_older_and_newer():
     body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
-    raw = state_file.HEAD.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
+    raw = state_file.HEADER.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
     old = state_file.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
-    assert old.price == 0.0 and old.rows == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
+    assert old.push_price == 0.0 and old.estimates == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
     with pytest.raises(StateFileError, match="layout 9"):
         state_file.unpack(state_file.pack(SavedState("f", 7, [], 0.0, 9)))
 
@@ -38,6 +38,6 @@
     with pytest.raises(OSError):
         state_file.write(path, b"other")
     assert state_file.read(path) == WHOLE
-    path.write_bytes(b"x" * (state_file.MOST + 1))
+    path.write_bytes(b"x" * (state_file.MAX_FILE_BYTES + 1))
     with pytest.raises(StateFileError, match="over"):
         state_file.read(path)
--- a/tests/store/test_store_table_versions.py
+++ b/tests/store/test_store_table_versions.py
@@ -23,7 +23,7 @@
                 assert {k: w for k, w in held.items() if w} == dict(store.latest(0).lines)
     with pytest.raises(ValueError):
         store.put(3, 0, {})
-    assert store.at(0, 3) is None and len(store.memo) <= TableStore.MEMO
+    assert store.at(0, 3) is None and len(store.memo) <= TableStore.MAX_MEMO
     store.drop(0)
     assert store.latest(0) is EMPTY
 
