--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -73,7 +73,7 @@
 
 def test_the_module_is_told_last_what_waits_though_a_joined_message_tells_its_mark_early():
     house = House(Listening, lines_per_s=40.0)
-    house.engine.queue.per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
+    house.engine.queue.us_per_line = 1e6 / 40  # a channel so slow that every message waits and is joined to
     for k in range(3):
         house.engine.update_endpoints(house.now, Quiesced(1, (f"t{k}",), True))
         house.run(0.3)
@@ -92,7 +92,7 @@
         house.run(0.01)
         assert house.held() == held  # they keep what they hold
         house.run(3)
-    (entry,) = [row for row in logs if row["event"] == "module failed"]
+    (entry,) = [row for row in logs if row["event"] == "decision_module_failed"]
     assert "a fault of the module" in entry["error"] and any("Left" in row for row in entry["events"])
     house.engine.update_endpoints(house.now, Quiesced(1, ("t3",), True))
     house.run(1)
