--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -36,7 +36,7 @@
         self.client = client or Client(uid, methods)
         for replica in self.client.replicas.values():
             replica.begin()
-        question = codec.Question(self.client.judge.ask(), plea)
+        question = codec.Question(self.client.judge.next_token(), plea)
         self.clock, self.identity = clock, codec.identity_of(question, os.urandom(12))
         context = context or zmq.Context.instance()
         self.dealer, self.sub, self.push = (context.socket(kind) for kind in (zmq.DEALER, zmq.SUB, zmq.PUSH))
@@ -72,7 +72,7 @@
         """Say what is applied; also the sign of life."""
         self.said_at = self.clock()
         home = self.client.replicas[self.client.home]
-        word = codec.Ack(home.head.epoch, self.client.seqs(), self.client.judge.asked)
+        word = codec.Ack(home.head.epoch, self.client.seqs(), self.client.judge.newest_token)
         message = codec.Kvset(
             self.client.home + "ack", codec.uuid_of(self.identity.hex()), f"v={codec.LAYOUT}\n", codec.json(word)
         )
--- a/hollyridge/chp/replica.py
+++ b/hollyridge/chp/replica.py
@@ -195,7 +195,7 @@
         wanted = self.wanted()
         if not wanted or not all(self.replicas[table].synced for table in wanted.values()):
             return False
-        if not self.judge.obeys(self.own().fence):
+        if not self.judge.accepts(self.own().fence):
             return False
         out = {key[len(codec.OUT) :] for key in self.replicas[codec.OUT].held}
         lines = {
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -246,11 +246,11 @@
             return
         fence = 0
         if self.fleet is not None:
-            told = self.fleet.came(uid, self.zone_name(zone), *codec.question_of(identity))
+            told = self.fleet.request_lease(uid, self.zone_name(zone), *codec.question_of(identity))
             if type(told) is not LeaseGranted:
                 self.turn_away(now, identity, uid, told)
                 return
-            fence = told.fence
+            fence = told.fencing_token
         self.number += 1
         came = self.presence.start(now, self.number, uid, push=False)
         if came.turned_away:
@@ -278,7 +278,7 @@
             if reader is not None:
                 self.leave(now, reader, "its newer session was sent on")
             home = f"/proxy/{uid}/"
-            self.ledger.set(home, 0, {home + "go": self.go(told.name)})
+            self.ledger.set(home, 0, {home + "go": self.go(told.owner)})
             for message in self.ledger.snapshot(home):
                 self.pass_on_to(identity, codec.encode(message))
             self.ledger.drop(home)
@@ -300,7 +300,7 @@
     def leave(self, now: int, reader: SubscriberSession, why: str, ours: bool = False) -> None:
         """`ours`: who orders it has been decided already."""
         if self.fleet is not None and not ours:
-            self.fleet.ended(reader.uid)
+            self.fleet.end_proxy(reader.uid)
         if self.readers.get(reader.uid) is reader:
             del self.readers[reader.uid]
         self.by_number.pop(reader.number, None)
@@ -335,7 +335,7 @@
         self.counts["acks"] += 1
         self.presence.polled(now, reader.number)
         if self.fleet is not None:
-            self.fleet.acked(reader.uid, word.asked if reader.fence else 0)
+            self.fleet.acknowledge_token(reader.uid, word.asked if reader.fence else 0)
             if reader.number not in self.by_number:
                 return
         if word.epoch and word.epoch != self.ledger.epoch:
@@ -451,8 +451,8 @@
                     self.say(table, self.engine.update_builder.store.latest(table))
             reader.credit.update(f"/table/{table}/" for table, _ in update.bindings)
             if reader.fence:
-                lease = self.fleet.terms.lease.length // 1000
-                keys[reader.home + "own"] = codec.json(codec.Own(reader.fence, self.fleet.terms.name, lease))
+                lease = self.fleet.config.lease.duration_us // 1000
+                keys[reader.home + "own"] = codec.json(codec.Own(reader.fence, self.fleet.config.name, lease))
             told = self.ledger.set(reader.home, update.decision, keys)
             if reader.waits_for_home:
                 reader.waits_for_home = False
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -63,7 +63,7 @@
                     continue
                 self.standing_stream = False
                 patience = self.silent_beats * subscriber.beat_s + 0.5
-                if self.judge.held and not subscriber.joined:  # others may answer at once
+                if self.judge.accepted_token and not subscriber.joined:  # others may answer at once
                     patience = 2 * self.beat_s
                 if subscriber.silent_for > patience:
                     raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -214,7 +214,7 @@
         """The same assigner again after a stream that stood, else the next one; in a shared fleet also after one that
         fell silent, for the others know more. Where it was sent to that one, the next is asked to take it all the
         same."""
-        if not self.lived or silent and self.judge.held:
+        if not self.lived or silent and self.judge.accepted_token:
             self.pleads = self.pleads or self.way == self.sent_to
             self.way = (self.way + 1) % self.ways
 
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -27,7 +27,7 @@
         """A new stream: the number of its question."""
         self.held.new_stream()
         self.own = ownership_extension.Owned(0, 0.0)
-        return self.judge.ask()
+        return self.judge.next_token()
 
     def take(self, message: codec.SendWeights) -> None:
         """SentOnError where another assigner should be asked. Not applied: what comes from who is not to be obeyed."""
@@ -36,7 +36,7 @@
             raise RedirectedError(word.to)
         self.own = word or self.own
         self.lease = self.own.lease or self.lease
-        if not self.judge.obeys(self.own.fence):
+        if not self.judge.accepts(self.own.fence):
             return
         self.held.take(message.groups)
         self.lay(
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -81,10 +81,10 @@
 class Follower(FencingChecker):
     """Does not know the numbers of a proxy's questions, only that they grow."""
 
-    def obeys(self, fence: int) -> bool:
-        if fence < self.held:
+    def accepts(self, fencing_token: int) -> bool:
+        if fencing_token < self.accepted_token:
             return False
-        self.held = fence
+        self.accepted_token = fencing_token
         return True
 
 
--- a/hollyridge/lab/lease_model_check.py
+++ b/hollyridge/lab/lease_model_check.py
@@ -10,10 +10,10 @@
 
 from hollyridge.membership.fencing import FencingChecker
 from hollyridge.membership.leases import (
-    Lease,
+    LeaseConfig,
     LeaseGranted,
     LeaseManager,
-    Members,
+    MembersChanged,
     MemberState,
     ProxyAsked,
     ReleaseProxy,
@@ -22,12 +22,12 @@
 )
 
 NAMES = ("a", "b")
-LEASE = Lease(length=2, settle=1, period=1)  # in steps of this world
+LEASE = LeaseConfig(duration_us=2, settle_us=1, move_period_us=1)  # in steps of this world
 UID = "gw-1"
 
 
 class FaultyFencingChecker(FencingChecker):
-    def obeys(self, fence: int) -> bool:
+    def accepts(self, fencing_token: int) -> bool:
         return True
 
 
@@ -61,17 +61,17 @@
 
     def look(self, name: str) -> None:
         there = [name] if self.cut else NAMES
-        self.owners[name].take(self.now, Members({one: MemberState("", 1.0, 0) for one in there}))
+        self.owners[name].handle(self.now, MembersChanged({one: MemberState("", 1.0, 0) for one in there}))
 
     def moves(self) -> list[tuple]:
         found: list[tuple] = []
         if self.asks:
             found += [("ask", name, plea) for name in NAMES for plea in (False, True)]
         if self.orders:
-            found += [("order", name) for name in NAMES if UID in self.owners[name].mine]
+            found += [("order", name) for name in NAMES if UID in self.owners[name].held]
         if self.stream:
             found.append(("hear",))
-        found += [("tick", name) for name in NAMES if self.owners[name].mine]
+        found += [("tick", name) for name in NAMES if self.owners[name].held]
         if self.restarts:
             found += [("restart", name) for name in NAMES]
         if self.steps:
@@ -85,23 +85,24 @@
             _, name, plea = move
             self.asks -= 1
             # Its old stream is not known to be gone at the other end: no word of it goes there.
-            for do in self.owners[name].take(self.now, ProxyAsked(UID, "", self.judge.ask(), plea)):
+            for do in self.owners[name].handle(self.now, ProxyAsked(UID, "", self.judge.next_token(), plea)):
                 if isinstance(do, LeaseGranted):
                     self.stream = name
-                    self.flying.append(Order(name, self.run[name], do.fence))
+                    self.flying.append(Order(name, self.run[name], do.fencing_token))
         elif kind == "order":
             owners = self.owners[move[1]]
             self.orders -= 1
             if owners.may_order(self.now, UID):
-                self.flying.append(Order(move[1], self.run[move[1]], owners.fence(UID)))
+                self.flying.append(Order(move[1], self.run[move[1]], owners.fencing_token(UID)))
         elif kind == "hear":
             owners = self.owners[self.stream]
-            if UID not in owners.mine or any(
-                isinstance(do, ReleaseProxy) for do in owners.take(self.now, TokenAcknowledged(UID, self.judge.asked))
+            if UID not in owners.held or any(
+                isinstance(do, ReleaseProxy)
+                for do in owners.handle(self.now, TokenAcknowledged(UID, self.judge.newest_token))
             ):
                 self.stream = ""
         elif kind == "tick":
-            for do in self.owners[move[1]].take(self.now, Tick()):
+            for do in self.owners[move[1]].handle(self.now, Tick()):
                 if isinstance(do, ReleaseProxy) and self.stream == move[1]:
                     self.stream = ""
         elif kind == "restart":
@@ -120,7 +121,7 @@
         else:
             order = move[1]
             self.flying.remove(order)
-            if self.judge.obeys(order.fence):
+            if self.judge.accepts(order.fence):
                 who = order.name, order.run, order.fence
                 if not self.applied or self.applied[-1] != who:
                     if who in self.applied and self.applied[-1][0] != order.name:
@@ -132,9 +133,9 @@
             (
                 name,
                 self.run[name],
-                o.fence(UID),
-                o.mine[UID].heard if UID in o.mine else -1,
-                o.mine[UID].pleaded if UID in o.mine else -1,
+                o.fencing_token(UID),
+                o.held[UID].renewed_at_us if UID in o.held else -1,
+                o.held[UID].fallback_at_us if UID in o.held else -1,
             )
             for name, o in self.owners.items()
         )
@@ -145,7 +146,7 @@
             self.stream,
             tuple(sorted(self.flying)),
             tuple(self.applied),
-            self.judge.asked,
+            self.judge.newest_token,
             self.asks,
             self.orders,
             self.restarts,
--- a/hollyridge/lab/proxy.py
+++ b/hollyridge/lab/proxy.py
@@ -134,7 +134,7 @@
         self.slow_orders = 0.0  # seconds to read a message of orders
         self.gateway.on_change(self.tidy)
         self.gateway.on_change(
-            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.held)
+            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.accepted_token)
         )
         self.gateway.watch = self.watch
         self.jobs = [world.spawn(job) for job in (self.gateway.run, self.live, self.report)]
--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -262,7 +262,7 @@
 
     def packet(self, address: str, raw: bytes) -> None:
         if self.service is not None and not self.stalls(self.packet, address, raw):
-            self.service.fleet.heard(address, raw)
+            self.service.fleet.receive_datagram(address, raw)
 
     def keep(self, _path, raw: bytes) -> None:
         self.disk = raw
@@ -328,7 +328,7 @@
                     "state", assigner=self.number, **{key: status[key] for key in STATE}, **status["module"]
                 )
                 if service.fleet is not None:
-                    self.stage.record("claims", assigner=self.number, uids=list(service.fleet.owners.mine))
+                    self.stage.record("claims", assigner=self.number, uids=list(service.fleet.lease_manager.held))
             for number, stream in list(front.streams.items()):
                 front.presence.check_backlog(
                     now,
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -12,25 +12,25 @@
     away for a lease: seconds since a fixed day, say, with room for the questions of a second.
 
     >>> judge = FencingChecker()
-    >>> judge.obeys(0), judge.ask(), judge.obeys(1), judge.ask()
+    >>> judge.accepts(0), judge.next_token(), judge.accepts(1), judge.next_token()
     (True, 1, True, 2)
-    >>> [judge.obeys(fence) for fence in (1, 0, 2, 7)]
+    >>> [judge.accepts(fence) for fence in (1, 0, 2, 7)]
     [False, False, True, False]
     """
 
     def __init__(self, first: int = 0) -> None:
-        self.asked = first
-        self.held = self.refused = 0
+        self.newest_token = first
+        self.accepted_token = self.refused = 0
 
-    def ask(self) -> int:
+    def next_token(self) -> int:
         """The number of a new question: to be ordered by whom it goes to, and by nobody else from now on."""
-        self.asked += 1
-        return self.asked
+        self.newest_token += 1
+        return self.newest_token
 
-    def obeys(self, fence: int) -> bool:
+    def accepts(self, fence: int) -> bool:
         """Whether an order under this number is to be applied."""
-        if fence != self.asked and (fence or self.held):
+        if fence != self.newest_token and (fence or self.accepted_token):
             self.refused += 1
             return False
-        self.held = fence
+        self.accepted_token = fence
         return True
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -12,7 +12,7 @@
 - *moves*: back to the rightful one only after that has stood for `settle`, so many a period, never in a wave;
 - *plea*: a proxy that could not reach the rightful one is taken all the same.
 
-`take(now, what)` returns what is to be done. Times in microseconds.
+`handle(now, what)` returns what is to be done. Times in microseconds.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
     doubted: bool = False
 
 
-class Lease(NamedTuple):
-    """`length` of a lease, `settle` before anything moves to a member that came, `period` of moves."""
+class LeaseConfig(NamedTuple):
+    """`duration_us` of a lease, `settle_us` before anything moves to a member that came, `move_period_us` of moves."""
 
-    length: int
-    settle: int
-    period: int
+    duration_us: int
+    settle_us: int
+    move_period_us: int
 
 
 class ProxyAsked(NamedTuple):
@@ -67,10 +67,10 @@
     uid: str
 
 
-class Members(NamedTuple):
+class MembersChanged(NamedTuple):
     """Who is there now, oneself included."""
 
-    standing: dict[str, MemberState]
+    members: dict[str, MemberState]
 
 
 class Claims(NamedTuple):
@@ -89,7 +89,7 @@
     """It is ours, under this fencing number."""
 
     uid: str
-    fence: int
+    fencing_token: int
 
 
 class StaleToken(NamedTuple):
@@ -102,7 +102,7 @@
     """It should be ordered by that member."""
 
     uid: str
-    name: str
+    owner: str
 
 
 class ReleaseProxy(NamedTuple):
@@ -117,11 +117,11 @@
 
 
 class Claim:
-    __slots__ = ("fence", "zone", "since", "heard", "pleaded")
+    __slots__ = ("fence", "zone", "since", "renewed_at_us", "fallback_at_us")
 
     def __init__(self, fence: int, zone: str, now: int, pleaded: bool) -> None:
-        self.fence, self.zone, self.since, self.heard = fence, zone, now, now
-        self.pleaded = now if pleaded else -1
+        self.fence, self.zone, self.since, self.renewed_at_us = fence, zone, now, now
+        self.fallback_at_us = now if pleaded else -1
 
 
 def score(uid: str, name: str, weight: float) -> float:
@@ -158,31 +158,31 @@
 class LeaseManager:
     """One assigner's side; `name` is its own."""
 
-    def __init__(self, name: str, lease: Lease) -> None:
+    def __init__(self, name: str, lease: LeaseConfig) -> None:
         self.name, self.lease = name, lease
-        self.standing: dict[str, MemberState] = {}
-        self.mine: dict[str, Claim] = {}
+        self.members: dict[str, MemberState] = {}
+        self.held: dict[str, Claim] = {}
         self.others: dict[str, dict[str, int]] = {}  # by member: proxies that it says it orders
         self.next_moves = 0
         self.draining = False
         self.counts = dict.fromkeys(("taken", "pleas", "stale", "sent_on", "lapsed", "fenced_out", "handed_over"), 0)
 
-    def take(self, now: int, what) -> list[Do]:
+    def handle(self, now: int, what) -> list[Do]:
         if isinstance(what, ProxyAsked):
             return self.came(now, what)
         if isinstance(what, TokenAcknowledged):
-            claim = self.mine.get(what.uid)
+            claim = self.held.get(what.uid)
             if claim is not None and what.asked > claim.fence:  # it obeys another by now
                 self.counts["fenced_out"] += 1
-                del self.mine[what.uid]
+                del self.held[what.uid]
                 return [ReleaseProxy(what.uid, "another orders it")]
             if claim is not None:
-                claim.heard = now
+                claim.renewed_at_us = now
         elif isinstance(what, ProxyEnded):
-            self.mine.pop(what.uid, None)
-        elif isinstance(what, Members):
-            self.standing = dict(what.standing)
-            self.others = {name: rows for name, rows in self.others.items() if name in self.standing}
+            self.held.pop(what.uid, None)
+        elif isinstance(what, MembersChanged):
+            self.members = dict(what.members)
+            self.others = {name: rows for name, rows in self.others.items() if name in self.members}
         elif isinstance(what, Claims):
             rows = self.others.setdefault(what.name, {})
             if what.first:
@@ -195,40 +195,40 @@
     def may_order(self, now: int, uid: str) -> bool:
         """Whether an order to this proxy may leave now: a lease that ran out while we stood still ends that at once,
         before any look at it."""
-        claim = self.mine.get(uid)
-        return claim is not None and now - claim.heard <= self.lease.length
+        claim = self.held.get(uid)
+        return claim is not None and now - claim.renewed_at_us <= self.lease.duration_us
 
-    def fence(self, uid: str) -> int:
-        claim = self.mine.get(uid)
+    def fencing_token(self, uid: str) -> int:
+        claim = self.held.get(uid)
         return claim.fence if claim is not None else 0
 
     def came(self, now: int, what: ProxyAsked) -> list[Do]:
-        before = self.mine.get(what.uid)
+        before = self.held.get(what.uid)
         if before is not None and what.asked < before.fence:
             self.counts["stale"] += 1
             return [StaleToken(what.uid)]
-        to = rightful(what.uid, what.zone, self.standing)
+        to = rightful(what.uid, what.zone, self.members)
         # Who looks elsewhere while its owner is suspected says the same as the suspicion: waiting for it to be gone
         # would cost the time of a takeover. It may hurt where loss makes a suspicion; it is moved back later.
-        plea = what.plea or to in self.standing and self.standing[to].doubted
+        plea = what.plea or to in self.members and self.members[to].doubted
         if to and to != self.name and not plea:
             self.counts["sent_on"] += 1
-            self.mine.pop(what.uid, None)
+            self.held.pop(what.uid, None)
             return [ForwardProxy(what.uid, to)]
         self.counts["taken"] += 1
         self.counts["pleas"] += plea
-        self.mine[what.uid] = Claim(what.asked, what.zone, now, plea and to != self.name)
+        self.held[what.uid] = Claim(what.asked, what.zone, now, plea and to != self.name)
         return [LeaseGranted(what.uid, what.asked)]
 
     def tick(self, now: int) -> list[Do]:
         out: list[Do] = []
-        for uid, claim in list(self.mine.items()):
-            if now - claim.heard > self.lease.length:
+        for uid, claim in list(self.held.items()):
+            if now - claim.renewed_at_us > self.lease.duration_us:
                 self.counts["lapsed"] += 1
-                del self.mine[uid]
+                del self.held[uid]
                 out.append(ReleaseProxy(uid, "its lease ran out"))
         if now >= self.next_moves:
-            self.next_moves = now + self.lease.period
+            self.next_moves = now + self.lease.move_period_us
             out += self.moves(now)
         return out
 
@@ -237,29 +237,31 @@
         has to stand, so that a member that flaps moves nobody to and fro."""
         settled = {
             name: one
-            for name, one in self.standing.items()
-            if name == self.name or now - one.since >= self.lease.settle
+            for name, one in self.members.items()
+            if name == self.name or now - one.since >= self.lease.settle_us
         }
-        there = settled if any(one.takes for one in settled.values()) else self.standing
+        there = settled if any(one.takes for one in settled.values()) else self.members
         due = []
-        for uid, claim in self.mine.items():
+        for uid, claim in self.held.items():
             to = rightful(uid, claim.zone, there)
-            rests = now - claim.since < self.lease.settle and not self.draining
-            same = to in there and there[to].since <= claim.pleaded  # not one that was gone then and has come back
-            pleads = same and now - claim.pleaded < PLEA * self.lease.length and not self.draining
+            rests = now - claim.since < self.lease.settle_us and not self.draining
+            same = (
+                to in there and there[to].since <= claim.fallback_at_us
+            )  # not one that was gone then and has come back
+            pleads = same and now - claim.fallback_at_us < PLEA * self.lease.duration_us and not self.draining
             if to and to != self.name and not rests and not pleads:
                 due.append((claim.since, uid, to))
         due.sort()
         out = []
-        for _, uid, to in due[: ceil(PART * len(self.mine))]:
+        for _, uid, to in due[: ceil(PART * len(self.held))]:
             self.counts["handed_over"] += 1
-            del self.mine[uid]
+            del self.held[uid]
             out.append(ReleaseProxy(uid, "handed over", to))
         return out
 
     def disagreements(self) -> list[tuple[str, str, str]]:
         """Proxies that two members say they order: uid, who, who. For watchers."""
-        seen: dict[str, str] = dict.fromkeys(self.mine, self.name)
+        seen: dict[str, str] = dict.fromkeys(self.held, self.name)
         found = []
         for name in sorted(self.others):
             for uid in self.others[name]:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -11,7 +11,7 @@
 from hollyridge.membership import leases, swim
 from hollyridge.membership.leases import (
     ForwardProxy,
-    Lease,
+    LeaseConfig,
     LeaseGranted,
     LeaseManager,
     MemberState,
@@ -39,18 +39,18 @@
     zone: str
     weight: float
     pace: SwimConfig
-    lease: Lease
+    lease: LeaseConfig
 
 
 class PeerService:
-    """What the fronts ask: `came`, `acked`, `ended`, `may_order`. `send(address, raw)` puts a packet on the wire;
+    """Fronts call `request_lease`, `acknowledge_token`, `end_proxy`. `send(address, raw)` puts a packet on the wire;
     `serves` has the addresses of this assigner's fronts by name; `task_name` and `task_of` go between tasks' indices
     and names."""
 
     def __init__(
         self,
         loop: EventLoop,
-        terms: PeerConfig,
+        config: PeerConfig,
         log,
         fresh: Callable[[int], bytes],
         serves: dict[str, str],
@@ -58,15 +58,15 @@
         task_of: Callable[[str], int | None],
     ) -> None:
         self.task_name, self.task_of = task_name, task_of
-        self.loop, self.engine, self.terms, self.log = loop, loop.engine, terms, log
-        self.guard = PacketGuard(terms.secret, terms.name, fresh)
+        self.loop, self.engine, self.config, self.log = loop, loop.engine, config, log
+        self.guard = PacketGuard(config.secret, config.name, fresh)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
         facts = MemberFacts(
-            terms.known_as, self.guard.run.hex(), terms.zone, terms.weight, False, tuple(sorted(serves.items()))
+            config.known_as, self.guard.run.hex(), config.zone, config.weight, False, tuple(sorted(serves.items()))
         )
-        rng = Random(f"{terms.name} {facts.run}")
-        self.swim = Swim(terms.name, facts, terms.pace, rng, terms.seeds)
-        self.owners = LeaseManager(terms.name, terms.lease)
+        rng = Random(f"{config.name} {facts.run}")
+        self.swim = Swim(config.name, facts, config.pace, rng, config.seeds)
+        self.lease_manager = LeaseManager(config.name, config.lease)
         self.since: dict[str, int] = {}
         self.claims_at, self.stopped = 0, False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
@@ -82,16 +82,16 @@
         while not self.stopped:
             now = self.loop.clock()
             self.tick(now)
-            due = min(self.swim.next_at(), now + self.terms.pace.answer)
+            due = min(self.swim.next_at(), now + self.config.pace.answer)
             self.loop.sleep(max(0.002, (due - now) / 1e6))
 
     def tick(self, now: int) -> None:
         self.do(now, self.swim.take(now, swim.Tick()))
-        self.carry(now, self.owners.take(now, leases.Tick()))
+        self.carry(now, self.lease_manager.handle(now, leases.Tick()))
         if now >= self.claims_at:
-            self.claims_at = now + self.terms.lease.length
+            self.claims_at = now + self.config.lease.duration_us
             self.lend(now)
-            rows = [(uid, claim.fence) for uid, claim in self.owners.mine.items()]
+            rows = [(uid, claim.fence) for uid, claim in self.lease_manager.held.items()]
             some = self.swim.alive()
             for at in range(0, max(1, len(rows)), ROWS):
                 for name in sorted(some):
@@ -125,13 +125,13 @@
     def drain(self, on: bool = True) -> None:
         """Take no proxies from now on, and hand over those there are, so many a period."""
         now = self.loop.clock()
-        self.owners.draining = on
+        self.lease_manager.draining = on
         self.do(now, self.swim.take(now, swim.Told(self.swim.facts._replace(drains=on))))
         self.stand(now)
 
     # Peers.
 
-    def heard(self, address: str, raw: bytes) -> None:
+    def receive_datagram(self, address: str, raw: bytes) -> None:
         """A datagram."""
         self.counts["packets_in"] += 1
         try:
@@ -148,7 +148,7 @@
         if isinstance(message, SharedEstimates):
             self.borrow(now, message)
         elif isinstance(message, ClaimedProxies):
-            self.owners.take(now, leases.Claims(opened.name, message.rows, message.first))
+            self.lease_manager.handle(now, leases.Claims(opened.name, message.rows, message.first))
         elif message is not None:
             self.do(now, self.swim.take(now, Heard(address, message)))
 
@@ -178,25 +178,27 @@
             )
             for name, one in there.items()
         }
-        standing[self.terms.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.drains)
-        self.owners.take(now, leases.Members(standing))
+        standing[self.config.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.drains)
+        self.lease_manager.handle(now, leases.MembersChanged(standing))
 
     # Proxies.
 
-    def came(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
+    def request_lease(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
         """Who is to order it. One that can't number its questions (`asked` 0) is taken: it could not be sent on."""
-        (told,) = self.owners.take(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
+        (told,) = self.lease_manager.handle(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
         return told
 
-    def acked(self, uid: str, asked: int) -> None:
-        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), leases.TokenAcknowledged(uid, asked)))
+    def acknowledge_token(self, uid: str, asked: int) -> None:
+        self.carry(
+            self.loop.clock(), self.lease_manager.handle(self.loop.clock(), leases.TokenAcknowledged(uid, asked))
+        )
 
-    def ended(self, uid: str) -> None:
-        self.owners.take(self.loop.clock(), leases.ProxyEnded(uid))
+    def end_proxy(self, uid: str) -> None:
+        self.lease_manager.handle(self.loop.clock(), leases.ProxyEnded(uid))
 
     def owned(self, now: int, uid: str) -> bool:
         """Whether an order to this proxy may leave."""
-        may = self.owners.may_order(now, uid)
+        may = self.lease_manager.may_order(now, uid)
         self.counts["withheld"] += not may
         return may
 
@@ -228,7 +230,7 @@
                 "run": one.facts.run[:8],
                 "since_s": round((now - one.since) / 1e6, 1),
                 "serves": dict(one.facts.serves),
-                "claims": len(self.owners.others.get(name, ())),
+                "claims": len(self.lease_manager.others.get(name, ())),
             }
             for name, one in sorted(self.swim.members.items())
         }
@@ -236,17 +238,17 @@
             uid: {
                 "fence": claim.fence,
                 "since_s": round((now - claim.since) / 1e6, 1),
-                "heard_s": round((now - claim.heard) / 1e6, 1),
-                "plea": claim.pleaded >= 0,
+                "heard_s": round((now - claim.renewed_at_us) / 1e6, 1),
+                "plea": claim.fallback_at_us >= 0,
             }
-            for uid, claim in sorted(self.owners.mine.items())
+            for uid, claim in sorted(self.lease_manager.held.items())
         }
         return {
-            "name": self.terms.name,
+            "name": self.config.name,
             "run": self.swim.facts.run[:8],
-            "drains": self.owners.draining,
+            "drains": self.lease_manager.draining,
             "members": members,
             "owns": mine,
-            "disagreements": self.owners.disagreements()[:100],
-            "counts": {**self.counts, **self.swim.counts, **self.owners.counts, **self.guard.counts},
+            "disagreements": self.lease_manager.disagreements()[:100],
+            "counts": {**self.counts, **self.swim.counts, **self.lease_manager.counts, **self.guard.counts},
         }
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -189,7 +189,7 @@
         self.unsettled.pop(stream.number, None)
         self.presence.end(stream.number)
         if self.forget(now, stream) and self.fleet is not None:
-            self.fleet.ended(stream.uid)
+            self.fleet.end_proxy(stream.uid)
         if stream.speaks_of_members:
             self.engine.update_endpoints(now, members.StreamLost(stream.number))
         self.log.info("stream ended", peer=stream.address[0], uid=stream.uid or None, why=stream.closed)
@@ -242,7 +242,7 @@
         now = self.clock()
         self.presence.polled(now, stream.number)
         if self.fleet is not None and stream.proxy >= 0:
-            self.fleet.acked(stream.uid, stream.fence)
+            self.fleet.acknowledge_token(stream.uid, stream.fence)
         for _, mark, at in stream.marks if not stream.push else ():  # it took the last answer: it asks again
             self.engine.acknowledge(now, stream.proxy, mark, now - at)
         if not stream.push:
@@ -318,11 +318,11 @@
         now = self.clock()
         if self.fleet is not None and stream.proxy < 0:
             zone = self.zone_of(stream.address[0])
-            told = self.fleet.came(stream.uid, self.zone_name(zone), *stream.question)
+            told = self.fleet.request_lease(stream.uid, self.zone_name(zone), *stream.question)
             if type(told) is not LeaseGranted:
                 self.turn_away(stream, told)
                 return Code.NOT_FROM_YOU
-            stream.fence, stream.fence_due = told.fence, told.fence > 0
+            stream.fence, stream.fence_due = told.fencing_token, told.fencing_token > 0
         came = self.presence.start(now, stream.number, stream.uid, stream.push)
         if came.turned_away:
             return Code.NOT_FROM_YOU
@@ -345,7 +345,7 @@
         """Say who should be asked, ahead of the answer; whoever it had here before is left."""
         older = self.streams.get(self.presence.by_uid.get(stream.uid, -1))
         if type(told) is ForwardProxy:
-            self.say_where(stream, told.name)
+            self.say_where(stream, told.owner)
             if older is not None and older is not stream:
                 self.let_go(older, "its newer stream was sent on")
 
@@ -583,10 +583,10 @@
         rows, frames, size = [], [], 0
         if stream.fence_due and any(sheet.due for sheet in stream.sheets.values()):
             stream.fence_due = False
-            lease = self.fleet.terms.lease.length / 1e6
+            lease = self.fleet.config.lease.duration_us / 1e6
             rows.append(
                 ownership_extension.entry(
-                    stream.uid, ownership_extension.Owned(stream.fence, lease, self.fleet.terms.name)
+                    stream.uid, ownership_extension.Owned(stream.fence, lease, self.fleet.config.name)
                 )
             )
         for name, sheet in stream.sheets.items():
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -172,7 +172,7 @@
     def start(self) -> tuple[int, int]:
         """The ports that SASP and OTLP listen on."""
         if self.fleet is not None:
-            self.link = DatagramTransport(*self.fleet.terms.listen, self.fleet.heard)
+            self.link = DatagramTransport(*self.fleet.config.listen, self.fleet.receive_datagram)
             self.fleet.send = self.link.send
         ports = self.front.start(), self.intake.start()
         if self.clone is not None:
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -16,7 +16,7 @@
 from hollyridge.core.persistence import PersistenceConfig
 from hollyridge.core.solver_service import SolverConfig
 from hollyridge.keys.tls import TlsFiles
-from hollyridge.membership.leases import Lease
+from hollyridge.membership.leases import LeaseConfig
 from hollyridge.membership.swim import SwimConfig
 from hollyridge.otlp.intake import OtlpConfig
 from hollyridge.peers.peer_service import PeerConfig
@@ -380,7 +380,7 @@
             zone,
             peers.weight,
             pace,
-            Lease(lease, micros(peers.settle_s), micros(self.assigner.report_period_s)),
+            LeaseConfig(lease, micros(peers.settle_s), micros(self.assigner.report_period_s)),
         )
 
     def tls_files(self) -> TlsFiles | None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -156,7 +156,9 @@
 
     def owners(self, uid):
         return [
-            k for k, service in enumerate(self.services) if service is not None and uid in service.fleet.owners.mine
+            k
+            for k, service in enumerate(self.services)
+            if service is not None and uid in service.fleet.lease_manager.held
         ]
 
     def owned_once(self, uids):
@@ -199,7 +201,7 @@
     assert {uid for uid, k in before.items() if k != dead} == {
         uid for uid, k in before.items() if three.owners(uid) == [k]
     }  # nobody else moved
-    assert all(g.judge.held for g in gateways.values())
+    assert all(g.judge.accepted_token for g in gateways.values())
     three.start(dead)  # and under the same name it gets its own back, in steps
     assert wait_for(lambda: three.owned_once(gateways) and {u: three.owners(u)[0] for u in gateways} == before, 12)
     assert wait_for(lambda: not any(s.fleet.status()["disagreements"] for s in three.services))
@@ -212,7 +214,7 @@
     assert wait_for(lambda: three.owned_once(uids) and all(g.table_for("redeem-code") for g in gateways))
     busy = max(range(3), key=[three.owners(uid)[0] for uid in uids].count)
     three.services[busy].fleet.drain()
-    assert wait_for(lambda: three.owned_once(uids) and not three.services[busy].fleet.owners.mine, 8)
+    assert wait_for(lambda: three.owned_once(uids) and not three.services[busy].fleet.lease_manager.held, 8)
     assert three.services[busy].fleet.status()["drains"]
 
 
@@ -229,7 +231,7 @@
     dealer.connect(f"tcp://127.1.0.201:0;127.0.0.1:{three.ports[2][2]}")
     dealer.send_multipart(clone.encode(clone.Icanhaz("/proxy/old-clone/")))
     assert wait_for(lambda: three.owners("old-clone") == [2])
-    assert three.owners("old-sasp") == [1] and three.services[2].fleet.owners.fence("old-clone") == 0
+    assert three.owners("old-sasp") == [1] and three.services[2].fleet.lease_manager.fencing_token("old-clone") == 0
     dealer.close()
     old.close()
 
@@ -263,7 +265,7 @@
     two = ChpGateway(("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq))
     jobs = [gevent.spawn(g.run) for g in (one, two)]
     assert wait_for(lambda: one.table_for("read-chapter") and two.table_for("read-chapter"))
-    assert one.judge.held == two.judge.held == 0
+    assert one.judge.accepted_token == two.judge.accepted_token == 0
     for g in (one, two):
         g.stop()
     gevent.sleep(0.1)
@@ -279,15 +281,20 @@
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.table_for("read-chapter"))
     service = three.services[three.owners("gw-1")[0]]
     fleet, agent = service.fleet, three.agents[three.owners("gw-1")[0]]
-    fleet.stopped, fleet.acked = True, lambda uid, asked: None  # it has just woken and looked at nothing yet
+    fleet.stopped, fleet.acknowledge_token = (
+        True,
+        lambda uid, asked: None,
+    )  # it has just woken and looked at nothing yet
     before = dict(one.table_for("read-chapter"))
-    fleet.owners.mine["gw-1"].heard -= 10_000_000
+    fleet.lease_manager.held["gw-1"].renewed_at_us -= 10_000_000
     agent.deregister([Member.at("127.1.0.1", 9000)])
     assert wait_for(lambda: service.engine.counts["withheld"])
     gevent.sleep(0.3)
     assert dict(one.table_for("read-chapter")) == before
     fleet.tick(service.loop.clock())
-    assert three.owners("gw-1") == [] or fleet.owners.mine["gw-1"].heard > service.loop.clock() - 1_000_000
+    assert (
+        three.owners("gw-1") == [] or fleet.lease_manager.held["gw-1"].renewed_at_us > service.loop.clock() - 1_000_000
+    )
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.state.value == "fresh", 8)
 
 
@@ -313,7 +320,7 @@
 
 
 def owner_of(three, uid):
-    return int(rightful(uid, "abdali", three.services[0].fleet.owners.standing)[1:])
+    return int(rightful(uid, "abdali", three.services[0].fleet.lease_manager.members)[1:])
 
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,10 +10,10 @@
 from hollyridge.membership.leases import (
     Claims,
     ForwardProxy,
-    Lease,
+    LeaseConfig,
     LeaseGranted,
     LeaseManager,
-    Members,
+    MembersChanged,
     MemberState,
     ProxyAsked,
     ProxyEnded,
@@ -193,13 +193,13 @@
 
 # Ownership.
 
-LEASE = Lease(length=3_000_000, settle=5_000_000, period=1_000_000)
+LEASE = LeaseConfig(duration_us=3_000_000, settle_us=5_000_000, move_period_us=1_000_000)
 THREE = {name: MemberState("", 1.0, 0) for name in "abc"}
 
 
 def owner(name="a", standing=THREE, now=0):
     one = LeaseManager(name, LEASE)
-    one.take(now, Members(dict(standing)))
+    one.handle(now, MembersChanged(dict(standing)))
     return one
 
 
@@ -207,9 +207,9 @@
     found = {}
     all_three = [owner(name) for name in "abc"]
     for k in range(300):
-        answers = [one.take(0, ProxyAsked(f"gw-{k}", "", 1, False))[0] for one in all_three]
+        answers = [one.handle(0, ProxyAsked(f"gw-{k}", "", 1, False))[0] for one in all_three]
         takers = [one.name for one, do in zip(all_three, answers) if isinstance(do, LeaseGranted)]
-        assert len(takers) == 1 and {do.name for do in answers if isinstance(do, ForwardProxy)} == set(takers)
+        assert len(takers) == 1 and {do.owner for do in answers if isinstance(do, ForwardProxy)} == set(takers)
         found[takers[0]] = found.get(takers[0], 0) + 1
     assert min(found.values()) > 70
 
@@ -228,35 +228,35 @@
 def test_a_plea_is_heard_and_left_in_peace_for_a_while():
     uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", THREE) == "b")
     one = owner("a")
-    assert one.take(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
-    assert one.take(0, ProxyAsked(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
+    assert one.handle(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
+    assert one.handle(0, ProxyAsked(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
     now = 0
-    while not (out := one.take(now, leases.Tick())):
+    while not (out := one.handle(now, leases.Tick())):
         now += 1_000_000
-        one.take(now, TokenAcknowledged(uid, 2))
-    assert out == [ReleaseProxy(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.length
+        one.handle(now, TokenAcknowledged(uid, 2))
+    assert out == [ReleaseProxy(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.duration_us
 
 
 def test_a_lease_that_ran_out_ends_orders_before_anything_else_is_looked_at():
     one = owner("a", {"a": THREE["a"]})
-    one.take(0, ProxyAsked("gw", "", 7, False))
-    assert one.may_order(LEASE.length, "gw") and not one.may_order(LEASE.length + 1, "gw")
+    one.handle(0, ProxyAsked("gw", "", 7, False))
+    assert one.may_order(LEASE.duration_us, "gw") and not one.may_order(LEASE.duration_us + 1, "gw")
     assert not one.may_order(0, "other")
-    assert one.take(LEASE.length + 1, leases.Tick()) == [ReleaseProxy("gw", "its lease ran out")]
+    assert one.handle(LEASE.duration_us + 1, leases.Tick()) == [ReleaseProxy("gw", "its lease ran out")]
 
 
 def test_who_is_obeyed_no_more_lets_go():
     one = owner("a", {"a": THREE["a"]})
-    one.take(0, ProxyAsked("gw", "", 7, False))
+    one.handle(0, ProxyAsked("gw", "", 7, False))
     assert (
-        one.take(1, TokenAcknowledged("gw", 7)) == []
-        and one.take(2, TokenAcknowledged("gw", 8))[0].why == "another orders it"
+        one.handle(1, TokenAcknowledged("gw", 7)) == []
+        and one.handle(2, TokenAcknowledged("gw", 8))[0].why == "another orders it"
     )
     assert not one.may_order(2, "gw")
-    one.take(3, ProxyAsked("gw", "", 9, False))
-    assert one.take(4, ProxyAsked("gw", "", 8, True)) == [StaleToken("gw")] and one.fence("gw") == 9
-    one.take(5, ProxyEnded("gw"))
-    assert one.fence("gw") == 0
+    one.handle(3, ProxyAsked("gw", "", 9, False))
+    assert one.handle(4, ProxyAsked("gw", "", 8, True)) == [StaleToken("gw")] and one.fencing_token("gw") == 9
+    one.handle(5, ProxyEnded("gw"))
+    assert one.fencing_token("gw") == 0
 
 
 def test_what_comes_back_gets_its_own_in_steps_and_flapping_moves_nobody():
@@ -264,7 +264,7 @@
     one = owner("a", two)
     mine = [f"gw-{k}" for k in range(400) if rightful(f"gw-{k}", "", two) == "a"]
     for uid in mine:
-        one.take(0, ProxyAsked(uid, "", 1, False))
+        one.handle(0, ProxyAsked(uid, "", 1, False))
     due = [uid for uid in mine if rightful(uid, "", THREE) == "c"]
     now, moved = 0, []
 
@@ -272,17 +272,17 @@
         nonlocal now
         for _ in range(round(seconds * 2)):
             now += 500_000
-            for uid in list(one.mine):
-                one.take(now, TokenAcknowledged(uid, 1))
-            moved.append([do for do in one.take(now, leases.Tick()) if isinstance(do, ReleaseProxy)])
+            for uid in list(one.held):
+                one.handle(now, TokenAcknowledged(uid, 1))
+            moved.append([do for do in one.handle(now, leases.Tick()) if isinstance(do, ReleaseProxy)])
 
     for _ in range(5):  # it comes and goes
-        one.take(now, Members({**two, "c": MemberState("", 1.0, now)}))
+        one.handle(now, MembersChanged({**two, "c": MemberState("", 1.0, now)}))
         pass_time(4)
-        one.take(now, Members(two))
+        one.handle(now, MembersChanged(two))
         pass_time(1)
     assert not any(moved)
-    one.take(now, Members({**two, "c": MemberState("", 1.0, now)}))
+    one.handle(now, MembersChanged({**two, "c": MemberState("", 1.0, now)}))
     pass_time(40)
     gone = [do for some in moved for do in some]
     assert sorted(do.uid for do in gone) == sorted(due) and {do.to for do in gone} == {"c"}
@@ -291,11 +291,11 @@
 
 def test_claims_of_others_are_for_watchers_only():
     one = owner("a", {"a": THREE["a"], "b": THREE["b"]})
-    uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", one.standing) == "a")
-    one.take(0, ProxyAsked(uid, "", 5, False))
-    one.take(1, Claims("b", ((uid, 1 << 60),), True))
-    assert one.disagreements() == [(uid, "a", "b")] and one.fence(uid) == 5 and one.may_order(1, uid)
-    one.take(2, Claims("b", (), True))
+    uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", one.members) == "a")
+    one.handle(0, ProxyAsked(uid, "", 5, False))
+    one.handle(1, Claims("b", ((uid, 1 << 60),), True))
+    assert one.disagreements() == [(uid, "a", "b")] and one.fencing_token(uid) == 5 and one.may_order(1, uid)
+    one.handle(2, Claims("b", (), True))
     assert one.disagreements() == []
 
 
