--- a/hollyridge/membership/__init__.py
+++ b/hollyridge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which assigners there are, which of them orders which proxy, and what an heir is told. Decides; no I/O, no clock."""
+"""Membership of a shared fleet and ownership of its proxies: decisions only, no I/O and no clock."""
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -1,36 +1,50 @@
-"""The proxy's side: whose orders it obeys. Used by both client libraries."""
+"""Fencing tokens on the proxy's side, used by both client libraries."""
 
 from __future__ import annotations
 
+UNFENCED = 0  # the token of a message by an assigner that shares its fleet with nobody
+
 
 class FencingChecker:
-    """Numbers its own questions; an order is obeyed only under the number of the newest. So whoever was asked before
-    is refused from the moment on that another is asked, however late or in whatever order its messages come. Orders
-    without a number (0) come from assigners that share nothing: they are obeyed by who never obeyed a numbered one.
+    """Issues fencing tokens and accepts only what carries the newest.
 
-    `first`: where numbers begin. A proxy that starts again must not go below those of its last life, or it is turned
-    away for a lease: seconds since a fixed day, say, with room for the questions of a second.
+    The proxy numbers its own requests; the assigner that answers one puts its number on all that it sends. An assigner
+    that was asked earlier is refused from the moment another one is asked, however late and in whatever order its
+    messages arrive. Messages without a token (`UNFENCED`) are accepted as long as none with a token has been.
 
-    >>> judge = FencingChecker()
-    >>> judge.accepts(0), judge.next_token(), judge.accepts(1), judge.next_token()
+    >>> checker = FencingChecker()
+    >>> checker.accepts(0), checker.next_token(), checker.accepts(1), checker.next_token()
     (True, 1, True, 2)
-    >>> [judge.accepts(fence) for fence in (1, 0, 2, 7)]
+    >>> [checker.accepts(token) for token in (1, 0, 2, 7)]
     [False, False, True, False]
+
+    Attributes:
+        newest_token: Token of the newest request.
+        accepted_token: Token of the message accepted last; `UNFENCED` before the first that has one.
+        refused: Number of messages refused.
     """
 
     def __init__(self, first: int = 0) -> None:
+        """Starts below the first token that is to be issued.
+
+        Args:
+            first: Must not be below the tokens of the proxy's previous run, else its requests are stale until the old
+                lease ends. Seconds since a fixed day, shifted to leave room for the requests of a second, will do.
+        """
         self.newest_token = first
-        self.accepted_token = self.refused = 0
+        self.accepted_token = UNFENCED
+        self.refused = 0
 
     def next_token(self) -> int:
-        """The number of a new question: to be ordered by whom it goes to, and by nobody else from now on."""
+        """Issues the token of a new request; all older ones are refused from now on."""
         self.newest_token += 1
         return self.newest_token
 
-    def accepts(self, fence: int) -> bool:
-        """Whether an order under this number is to be applied."""
-        if fence != self.newest_token and (fence or self.accepted_token):
+    def accepts(self, fencing_token: int) -> bool:
+        """Tells whether a message under this token is to be applied."""
+        is_newest = fencing_token == self.newest_token
+        if not is_newest and (fencing_token != UNFENCED or self.accepted_token != UNFENCED):
             self.refused += 1
             return False
-        self.accepted_token = fence
+        self.accepted_token = fencing_token
         return True
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -1,271 +1,247 @@
-"""Which assigner orders which proxy.
+"""Which member of a fleet owns which proxy, and until when.
 
-The proxy is the judge. It numbers its questions, the number is the fence that whoever takes it puts on its orders, and
-orders under older numbers are refused: two assigners may both believe that they own it, for as long as a cut lasts, and
-only one is obeyed, with no agreement between them. (A first form let assigners choose the numbers, above the highest
-that the proxy had obeyed; exploring it found a late grant of the former owner that stood above the new one's.) All else
-here only decides who should take it, and when to stop sending to one that is no longer heard of:
+Fencing makes it safe: the proxy numbers its requests, the member that answers puts the number on all that it sends, and
+the proxy refuses older numbers. During a network partition two members may both hold a lease on a proxy, but it obeys
+only one, with no agreement between them. (If members chose the numbers themselves, above the highest that the proxy had
+accepted, a delayed grant of the former owner could stand above the new owner's; model checking found that.)
 
-- *should*: weighted rendezvous hashing (Thaler and Ravishankar, 1998) over the members that are there, the proxy's own
-  zone counted `NEAR` times, so that a change of members moves only what it must;
-- *lease*: who has not heard of a proxy for a lease stops ordering it, also when it wakes after standing still;
-- *moves*: back to the rightful one only after that has stood for `settle`, so many a period, never in a wave;
-- *plea*: a proxy that could not reach the rightful one is taken all the same.
+All else here decides only who should hold the lease and when to stop serving a silent proxy:
 
-`handle(now, what)` returns what is to be done. Times in microseconds.
+- Placement is by rendezvous hashing over the members that are alive.
+- A lease lapses when its proxy has been silent for the lease's duration, also if this process was paused meanwhile.
+- Proxies move to their preferred owner only once that has been alive for the settle time, a few in each period.
+- A proxy that can't reach its preferred owner is served all the same: that is a fallback request.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from math import ceil, log
-from typing import NamedTuple, Union
-
-from xxhash import xxh64_intdigest
-
-NEAR = 4.0  # times its weight that a member of the proxy's own zone counts
-PART = 0.1  # of its proxies that an assigner hands back in a period, one at the least
-PLEA = 10  # leases that one who came by a plea is left in peace
-KNOWN = 100_000  # proxies remembered that are not ours
-
-
-class MemberState(NamedTuple):
-    """A member that is there: since when, whether it takes proxies, and whether it is suspected to be gone."""
-
-    zone: str
-    weight: float
-    since: int
-    takes: bool = True
-    doubted: bool = False
-
-
-class LeaseConfig(NamedTuple):
-    """`duration_us` of a lease, `settle_us` before anything moves to a member that came, `move_period_us` of moves."""
-
-    duration_us: int
-    settle_us: int
-    move_period_us: int
-
-
-class ProxyAsked(NamedTuple):
-    """A proxy asks to be ordered, under this number; `plea`: it could not reach whom it was sent to."""
-
-    uid: str
-    zone: str
-    asked: int
-    plea: bool
-
-
-class TokenAcknowledged(NamedTuple):
-    """A proxy has told that it still hears us, and its newest number."""
-
-    uid: str
-    asked: int
-
-
-class ProxyEnded(NamedTuple):
-    uid: str
-
-
-class MembersChanged(NamedTuple):
-    """Who is there now, oneself included."""
-
-    members: dict[str, MemberState]
-
-
-class Claims(NamedTuple):
-    """What another member says that it orders; `first` begins a new list."""
-
-    name: str
-    rows: tuple[tuple[str, int], ...]
-    first: bool
-
-
-class Tick(NamedTuple):
-    pass
-
-
-class LeaseGranted(NamedTuple):
-    """It is ours, under this fencing number."""
-
-    uid: str
-    fencing_token: int
-
-
-class StaleToken(NamedTuple):
-    """An older question than one that was answered: nothing is to be done."""
-
-    uid: str
-
-
-class ForwardProxy(NamedTuple):
-    """It should be ordered by that member."""
-
-    uid: str
-    owner: str
-
-
-class ReleaseProxy(NamedTuple):
-    """It is not ours any more; end its stream. `to`: who should have it, empty if whoever it finds."""
-
-    uid: str
-    why: str
-    to: str = ""
-
-
-Do = Union[LeaseGranted, StaleToken, ForwardProxy, ReleaseProxy]
-
-
-class Claim:
-    __slots__ = ("fence", "zone", "since", "renewed_at_us", "fallback_at_us")
-
-    def __init__(self, fence: int, zone: str, now: int, pleaded: bool) -> None:
-        self.fence, self.zone, self.since, self.renewed_at_us = fence, zone, now, now
-        self.fallback_at_us = now if pleaded else -1
-
-
-def score(uid: str, name: str, weight: float) -> float:
-    """Of a member for a proxy: the highest one should have it. Whole numbers of a published hash: the same anywhere.
-
-    >>> score("gw-1", "a", 1.0) > 0, score("gw-1", "a", 0.0)
-    (True, 0.0)
+from collections.abc import Callable, Mapping
+from math import ceil
+from typing import Any, ClassVar
+
+from hollyridge.membership.lease_events import (
+    Action,
+    ClaimsReceived,
+    Disagreement,
+    Event,
+    ForwardProxy,
+    LeaseConfig,
+    LeaseGranted,
+    MembersChanged,
+    ProxyAsked,
+    ProxyEnded,
+    ReleaseProxy,
+    StaleToken,
+    Tick,
+    TokenAcknowledged,
+)
+from hollyridge.membership.rendezvous import MemberState, preferred_owner
+
+__all__ = [
+    "Action",
+    "ClaimsReceived",
+    "Disagreement",
+    "Event",
+    "ForwardProxy",
+    "HeldLease",
+    "LeaseConfig",
+    "LeaseGranted",
+    "LeaseManager",
+    "MemberState",
+    "MembersChanged",
+    "ProxyAsked",
+    "ProxyEnded",
+    "ReleaseProxy",
+    "StaleToken",
+    "Tick",
+    "TokenAcknowledged",
+]
+
+MAX_MOVED_FRACTION = 0.1  # of its proxies that a member releases in a period, one at the least: no wave of joins
+FALLBACK_REST_LEASES = 10  # lease durations that a proxy taken as a fallback stays: its path needs time to heal
+MAX_CLAIMS_PER_MEMBER = 100_000  # bounds the memory that one peer can use up
+NO_FALLBACK = -1  # in place of a time
+
+
+class HeldLease:
+    """A lease on one proxy. Times in microseconds.
+
+    Attributes:
+        fencing_token: Number of the request that it was granted for.
+        zone: The proxy's zone.
+        since_us: When it was granted.
+        renewed_at_us: When the proxy was last heard from.
+        fallback_at_us: When a fallback request was granted, else `NO_FALLBACK`.
     """
-    if weight <= 0:
-        return 0.0
-    return -weight / log(((xxh64_intdigest(f"{name}\0{uid}".encode()) >> 12) + 0.5) / 2.0**52)
-
 
-def rightful(uid: str, zone: str, standing: Mapping[str, MemberState]) -> str:
-    """Who should order a proxy; empty if nobody takes any.
+    __slots__ = ("fallback_at_us", "fencing_token", "renewed_at_us", "since_us", "zone")
 
-    >>> three = {name: MemberState("", 1.0, 0) for name in "abc"}
-    >>> before = {f"gw-{k}": rightful(f"gw-{k}", "", three) for k in range(300)}
-    >>> del three["b"]
-    >>> sum(rightful(uid, "", three) != name for uid, name in before.items()) == list(before.values()).count("b")
-    True
-    """
-    best = max(
-        (
-            (score(uid, name, one.weight * (NEAR if zone and one.zone == zone else 1.0)), name)
-            for name, one in standing.items()
-            if one.takes
-        ),
-        default=(0.0, ""),
-    )
-    return best[1] if best[0] > 0 else ""
+    def __init__(self, fencing_token: int, zone: str, now_us: int, is_fallback: bool) -> None:
+        self.fencing_token = fencing_token
+        self.zone = zone
+        self.since_us = now_us
+        self.renewed_at_us = now_us
+        self.fallback_at_us = now_us if is_fallback else NO_FALLBACK
 
 
 class LeaseManager:
-    """One assigner's side; `name` is its own."""
+    """The leases of one member. All times are handed in, in microseconds of a clock that never steps.
+
+    Attributes:
+        name: This member.
+        config: Durations.
+        members: Members that are alive, by name.
+        held: The leases held, by proxy.
+        claims: Fencing tokens by proxy that each other member claims, by member.
+        draining: Whether this member is to give up all its proxies.
+        counts: Totals for the status page.
+    """
 
-    def __init__(self, name: str, lease: LeaseConfig) -> None:
-        self.name, self.lease = name, lease
+    def __init__(self, name: str, config: LeaseConfig) -> None:
+        self.name = name
+        self.config = config
         self.members: dict[str, MemberState] = {}
-        self.held: dict[str, Claim] = {}
-        self.others: dict[str, dict[str, int]] = {}  # by member: proxies that it says it orders
-        self.next_moves = 0
+        self.held: dict[str, HeldLease] = {}
+        self.claims: dict[str, dict[str, int]] = {}
         self.draining = False
         self.counts = dict.fromkeys(("taken", "pleas", "stale", "sent_on", "lapsed", "fenced_out", "handed_over"), 0)
+        self._next_moves_at_us = 0
 
-    def handle(self, now: int, what) -> list[Do]:
-        if isinstance(what, ProxyAsked):
-            return self.came(now, what)
-        if isinstance(what, TokenAcknowledged):
-            claim = self.held.get(what.uid)
-            if claim is not None and what.asked > claim.fence:  # it obeys another by now
-                self.counts["fenced_out"] += 1
-                del self.held[what.uid]
-                return [ReleaseProxy(what.uid, "another orders it")]
-            if claim is not None:
-                claim.renewed_at_us = now
-        elif isinstance(what, ProxyEnded):
-            self.held.pop(what.uid, None)
-        elif isinstance(what, MembersChanged):
-            self.members = dict(what.members)
-            self.others = {name: rows for name, rows in self.others.items() if name in self.members}
-        elif isinstance(what, Claims):
-            rows = self.others.setdefault(what.name, {})
-            if what.first:
-                rows.clear()
-            rows.update(what.rows[: max(0, KNOWN - len(rows))])
-        elif isinstance(what, Tick):
-            return self.tick(now)
-        return []
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Processes one event and returns the actions that are to be carried out, in order."""
+        return self._HANDLERS[type(event)](self, now_us, event)
+
+    def may_order(self, now_us: int, uid: str) -> bool:
+        """Tells whether a command to this proxy may be sent now.
 
-    def may_order(self, now: int, uid: str) -> bool:
-        """Whether an order to this proxy may leave now: a lease that ran out while we stood still ends that at once,
-        before any look at it."""
-        claim = self.held.get(uid)
-        return claim is not None and now - claim.renewed_at_us <= self.lease.duration_us
+        A lease that ran out while the process was paused counts as ended at once, before any `Tick`.
+        """
+        lease = self.held.get(uid)
+        return lease is not None and now_us - lease.renewed_at_us <= self.config.duration_us
 
     def fencing_token(self, uid: str) -> int:
-        claim = self.held.get(uid)
-        return claim.fence if claim is not None else 0
+        """Returns the token of the lease on this proxy, 0 if none is held."""
+        lease = self.held.get(uid)
+        return lease.fencing_token if lease is not None else 0
 
-    def came(self, now: int, what: ProxyAsked) -> list[Do]:
-        before = self.held.get(what.uid)
-        if before is not None and what.asked < before.fence:
+    def disagreements(self) -> list[Disagreement]:
+        """Lists proxies that two members claim, by member and order of its claims. For operators."""
+        claimed_by: dict[str, str] = dict.fromkeys(self.held, self.name)
+        found = []
+        for member in sorted(self.claims):
+            for uid in self.claims[member]:
+                if uid in claimed_by:
+                    found.append(Disagreement(uid, claimed_by[uid], member))
+                claimed_by[uid] = member
+        return found
+
+    def _on_proxy_asked(self, now_us: int, event: ProxyAsked) -> list[Action]:
+        lease = self.held.get(event.uid)
+        if lease is not None and event.fencing_token < lease.fencing_token:
             self.counts["stale"] += 1
-            return [StaleToken(what.uid)]
-        to = rightful(what.uid, what.zone, self.members)
-        # Who looks elsewhere while its owner is suspected says the same as the suspicion: waiting for it to be gone
-        # would cost the time of a takeover. It may hurt where loss makes a suspicion; it is moved back later.
-        plea = what.plea or to in self.members and self.members[to].doubted
-        if to and to != self.name and not plea:
+            return [StaleToken(event.uid)]
+        owner = preferred_owner(event.uid, event.zone, self.members)
+        # A proxy that looks elsewhere while its owner is suspected confirms the suspicion: waiting until the owner is
+        # declared gone would add to the takeover. Packet loss may make this wrong; the proxy is moved back later.
+        is_fallback = event.fallback_request or (owner in self.members and self.members[owner].suspected)
+        if owner and owner != self.name and not is_fallback:
             self.counts["sent_on"] += 1
-            self.held.pop(what.uid, None)
-            return [ForwardProxy(what.uid, to)]
+            self.held.pop(event.uid, None)
+            return [ForwardProxy(event.uid, owner)]
         self.counts["taken"] += 1
-        self.counts["pleas"] += plea
-        self.held[what.uid] = Claim(what.asked, what.zone, now, plea and to != self.name)
-        return [LeaseGranted(what.uid, what.asked)]
-
-    def tick(self, now: int) -> list[Do]:
-        out: list[Do] = []
-        for uid, claim in list(self.held.items()):
-            if now - claim.renewed_at_us > self.lease.duration_us:
+        self.counts["pleas"] += is_fallback
+        self.held[event.uid] = HeldLease(
+            event.fencing_token, event.zone, now_us, is_fallback=is_fallback and owner != self.name
+        )
+        return [LeaseGranted(event.uid, event.fencing_token)]
+
+    def _on_token_acknowledged(self, now_us: int, event: TokenAcknowledged) -> list[Action]:
+        lease = self.held.get(event.uid)
+        if lease is None:
+            return []
+        if event.fencing_token > lease.fencing_token:  # it has asked another member meanwhile
+            self.counts["fenced_out"] += 1
+            del self.held[event.uid]
+            return [ReleaseProxy(event.uid, "another orders it")]
+        lease.renewed_at_us = now_us
+        return []
+
+    def _on_proxy_ended(self, _now_us: int, event: ProxyEnded) -> list[Action]:
+        self.held.pop(event.uid, None)
+        return []
+
+    def _on_members_changed(self, _now_us: int, event: MembersChanged) -> list[Action]:
+        self.members = dict(event.members)
+        self.claims = {member: claims for member, claims in self.claims.items() if member in self.members}
+        return []
+
+    def _on_claims_received(self, _now_us: int, event: ClaimsReceived) -> list[Action]:
+        claims = self.claims.setdefault(event.member, {})
+        if event.starts_list:
+            claims.clear()
+        claims.update(event.claims[: max(0, MAX_CLAIMS_PER_MEMBER - len(claims))])
+        return []
+
+    def _on_tick(self, now_us: int, _event: Tick) -> list[Action]:
+        actions = self._lapse(now_us)
+        if now_us >= self._next_moves_at_us:
+            self._next_moves_at_us = now_us + self.config.move_period_us
+            actions += self._move(now_us)
+        return actions
+
+    def _lapse(self, now_us: int) -> list[Action]:
+        actions: list[Action] = []
+        for uid, lease in list(self.held.items()):
+            if now_us - lease.renewed_at_us > self.config.duration_us:
                 self.counts["lapsed"] += 1
                 del self.held[uid]
-                out.append(ReleaseProxy(uid, "its lease ran out"))
-        if now >= self.next_moves:
-            self.next_moves = now + self.lease.move_period_us
-            out += self.moves(now)
-        return out
-
-    def moves(self, now: int) -> list[Do]:
-        """Some of those that others should have, the longest held first; a new claim rests for the time that a member
-        has to stand, so that a member that flaps moves nobody to and fro."""
-        settled = {
-            name: one
-            for name, one in self.members.items()
-            if name == self.name or now - one.since >= self.lease.settle_us
-        }
-        there = settled if any(one.takes for one in settled.values()) else self.members
+                actions.append(ReleaseProxy(uid, "its lease ran out"))
+        return actions
+
+    def _move(self, now_us: int) -> list[Action]:
+        """Releases some of the proxies that prefer other members, the longest held first."""
+        candidates = self._settled_members(now_us)
         due = []
-        for uid, claim in self.held.items():
-            to = rightful(uid, claim.zone, there)
-            rests = now - claim.since < self.lease.settle_us and not self.draining
-            same = (
-                to in there and there[to].since <= claim.fallback_at_us
-            )  # not one that was gone then and has come back
-            pleads = same and now - claim.fallback_at_us < PLEA * self.lease.duration_us and not self.draining
-            if to and to != self.name and not rests and not pleads:
-                due.append((claim.since, uid, to))
+        for uid, lease in self.held.items():
+            owner = preferred_owner(uid, lease.zone, candidates)
+            if owner and owner != self.name and not self._rests(now_us, lease, candidates[owner]):
+                due.append((lease.since_us, uid, owner))
         due.sort()
-        out = []
-        for _, uid, to in due[: ceil(PART * len(self.held))]:
+        actions: list[Action] = []
+        for _, uid, owner in due[: ceil(MAX_MOVED_FRACTION * len(self.held))]:
             self.counts["handed_over"] += 1
             del self.held[uid]
-            out.append(ReleaseProxy(uid, "handed over", to))
-        return out
+            actions.append(ReleaseProxy(uid, "handed over", owner))
+        return actions
 
-    def disagreements(self) -> list[tuple[str, str, str]]:
-        """Proxies that two members say they order: uid, who, who. For watchers."""
-        seen: dict[str, str] = dict.fromkeys(self.held, self.name)
-        found = []
-        for name in sorted(self.others):
-            for uid in self.others[name]:
-                if uid in seen:
-                    found.append((uid, seen[uid], name))
-                seen[uid] = name
-        return found
+    def _settled_members(self, now_us: int) -> Mapping[str, MemberState]:
+        """Members alive for the settle time; all of them if no settled one accepts proxies."""
+        settled = {
+            name: member
+            for name, member in self.members.items()
+            if name == self.name or now_us - member.since_us >= self.config.settle_us
+        }
+        return settled if any(member.accepts_proxies for member in settled.values()) else self.members
+
+    def _rests(self, now_us: int, lease: HeldLease, owner: MemberState) -> bool:
+        """Tells whether a lease is not to move to its preferred owner yet; none rests while this member drains.
+
+        A new lease rests for the settle time, so that a member that flaps moves no proxy back and forth. A fallback
+        rests longer, unless its preferred owner has come back since.
+        """
+        if self.draining:
+            return False
+        if now_us - lease.since_us < self.config.settle_us:
+            return True
+        was_unreachable = owner.since_us <= lease.fallback_at_us
+        rest_us = FALLBACK_REST_LEASES * self.config.duration_us
+        return was_unreachable and now_us - lease.fallback_at_us < rest_us
+
+    _HANDLERS: ClassVar[Mapping[type, Callable[[LeaseManager, int, Any], list[Action]]]] = {
+        ProxyAsked: _on_proxy_asked,
+        TokenAcknowledged: _on_token_acknowledged,
+        ProxyEnded: _on_proxy_ended,
+        MembersChanged: _on_members_changed,
+        ClaimsReceived: _on_claims_received,
+        Tick: _on_tick,
+    }
--- a/hollyridge/membership/messages.py
+++ b/hollyridge/membership/messages.py
@@ -1,4 +1,7 @@
-"""What assigners of one fleet say to each other."""
+"""The messages between assigners of one fleet.
+
+On the wire each is a msgpack array of its fields by position: fields may be renamed, but neither reordered nor removed.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class Status(IntEnum):
-    """Of two words about one member with the same incarnation the larger one counts."""
+    """The state of a member. Of two updates with the same incarnation the one with the larger status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,19 +19,34 @@
 
 
 class MemberFacts(NamedTuple):
-    """What a member says of itself. `run` names this start of it, `serves` the addresses (host:port) of its fronts by
-    name, `weight` how many proxies it takes against others, `drains` that it takes none."""
+    """What a member states about itself.
+
+    Attributes:
+        address: Where it receives datagrams, host:port.
+        run_id: Random name of this run of it; a restart has another one.
+        zone: Its zone; empty if it has none.
+        weight: Its share of the proxies, relative to the other members.
+        draining: Whether it takes no more proxies.
+        services: Address (host:port) by service name: `sasp`, `otlp`, `clone`.
+    """
 
     address: str
-    run: str
+    run_id: str
     zone: str = ""
     weight: float = 1.0
-    drains: bool = False
-    serves: tuple[tuple[str, str], ...] = ()
+    draining: bool = False
+    services: tuple[tuple[str, str], ...] = ()
 
 
 class GossipMessage(NamedTuple):
-    """News of a member. Only it itself raises its incarnation."""
+    """An update about one member. Only the member itself raises its incarnation.
+
+    Attributes:
+        name: Its name.
+        status: A `Status`.
+        incarnation: Orders updates about one member.
+        facts: What it stated under this incarnation.
+    """
 
     name: str
     status: int
@@ -37,50 +55,64 @@
 
 
 class Ping(NamedTuple):
-    """Are you there? `target` names whom it is for: an address may bear another member by now."""
+    """A probe. `target` names its recipient, as an address may belong to another member by now."""
 
-    number: int
+    sequence: int
     target: str
-    words: tuple[GossipMessage, ...]
+    updates: tuple[GossipMessage, ...]
 
 
 class Ack(NamedTuple):
-    number: int
-    words: tuple[GossipMessage, ...]
+    """The answer to the probe of this sequence number."""
+
+    sequence: int
+    updates: tuple[GossipMessage, ...]
 
 
-class Relay(NamedTuple):
-    """Ping the target for me, and pass its ack on."""
+class PingRequest(NamedTuple):
+    """An indirect probe: the recipient is asked to ping the target and to pass its ack on."""
 
-    number: int
+    sequence: int
     target: str
-    words: tuple[GossipMessage, ...]
+    updates: tuple[GossipMessage, ...]
 
 
 class Join(NamedTuple):
-    """The first word to a seed, or to one that was gone; answered with all that is known."""
+    """The first message to a seed or to a member that was unreachable; answered by `FullState`."""
 
-    words: tuple[GossipMessage, ...]
+    updates: tuple[GossipMessage, ...]
 
 
 class FullState(NamedTuple):
-    words: tuple[GossipMessage, ...]
+    """All members that the sender knows, itself first."""
+
+    updates: tuple[GossipMessage, ...]
 
 
 class ClaimedProxies(NamedTuple):
-    """Proxies that the sender orders, with their fencing numbers; for watchers, never believed against a proxy's
-    own word."""
+    """Part of the list of proxies that the sender owns. For operators only: a proxy's own requests always win.
+
+    Attributes:
+        claims: Proxies with their fencing tokens.
+        starts_list: Whether this part is the first of a new list.
+    """
 
-    rows: tuple[tuple[str, int], ...]
-    first: bool
+    claims: tuple[tuple[str, int], ...]
+    starts_list: bool
 
 
 class SharedEstimates(NamedTuple):
-    """What the sender has learnt of tasks, by name: see `interface.Learnt`. `age`: ms since the newest was heard."""
+    """What the sender has learned about tasks.
+
+    Attributes:
+        estimates: The fields of `interface.LearnedEstimate`, with the task's name in place of its index.
+        push_price: The sender's price of pushing updates.
+        age_ms: Time since the newest estimate was confirmed.
+    """
 
-    rows: tuple[tuple[str, float, float, float, float], ...]
-    price: float
-    age: int
+    estimates: tuple[tuple[str, float, float, float, float], ...]
+    push_price: float
+    age_ms: int
 
 
-Message = Union[Ping, Ack, Relay, Join, FullState, ClaimedProxies, SharedEstimates]
+Message = Union[Ping, Ack, PingRequest, Join, FullState, ClaimedProxies, SharedEstimates]
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -1,316 +1,295 @@
-"""Who is alive, suspected, gone: SWIM (Das, Gupta, Motivala, 2002) with incarnations and suspicion as published.
+"""Failure detection by SWIM (Das, Gupta, Motivala, 2002), with suspicion and incarnations as published.
 
-Each period one other member is pinged, in a shuffled round; without an answer in time some others are asked to ping it;
-without any it is suspected, which it can refute by raising its incarnation, and after a while it is gone. News rides on
-these messages, so many words a message and so many times a word. Three things are ours: who had no turn itself accuses
-nobody (its open probe is void, suspicions wait as long as it stood still); whoever is spoken to while suspected or gone
-is told so in the answer; and members that are gone are asked again now and then, so that halves of a cut fleet meet.
+In each period one other member is probed, in shuffled rounds. Without an ack in time some others are asked to probe it;
+without any ack it is suspected, which it can refute by raising its incarnation, and after a while it is declared gone.
+Updates about members ride on these messages.
 
-Times in microseconds, handed in. `take(now, what)` returns what is to be done.
+Three things are added:
+
+- After a pause of its own process a member accuses nobody: its open probe is void, and suspicions last longer by the
+  length of the pause.
+- A message to a member that is suspected or gone carries that update, so that it can refute it.
+- Members that are gone are contacted again now and then, so that the halves of a partitioned fleet find each other.
 """
 
 from __future__ import annotations
 
-from math import ceil, isfinite, log2
+from collections.abc import Callable, Mapping
 from random import Random
-from typing import NamedTuple, Union
+from typing import Any, ClassVar, NamedTuple
 
+from hollyridge.membership.member_table import Member, MemberTable
 from hollyridge.membership.messages import (
     Ack,
     FullState,
     GossipMessage,
     Join,
     MemberFacts,
-    Message,
     Ping,
-    Relay,
+    PingRequest,
     Status,
 )
+from hollyridge.membership.swim_events import (
+    Action,
+    Event,
+    FactsChanged,
+    LeaveRequested,
+    MemberChanged,
+    MessageReceived,
+    SendMessage,
+    SwimConfig,
+    Tick,
+)
 
-WORDS = 8  # of one message, at the most
-WHOLE = 64  # of an answer to a join
-HELPERS = 3  # asked to ping for us
-TIMES = 3  # a word is passed on so many times the logarithm of the fleet
-DOUBT = 4  # periods of suspicion for each doubling of the fleet
-AGAIN = 10  # periods between two words to one that is gone
-KEEP = 600  # periods that one that is gone is remembered
-RAISE = 1 << 20  # an incarnation further ahead than this is not believed: nobody could ever refute it
-
-
-class SwimConfig(NamedTuple):
-    """`period` of probes, `answer` within which a direct ack comes (below half of it), `most` members."""
-
-    period: int
-    answer: int
-    most: int = 64
-
-
-class Heard(NamedTuple):
-    """A message from an address; who holds the fleet's key sent it."""
-
-    address: str
-    message: Message
-
-
-class Tick(NamedTuple):
-    pass
+__all__ = [
+    "Action",
+    "Event",
+    "FactsChanged",
+    "LeaveRequested",
+    "MemberChanged",
+    "MessageReceived",
+    "SendMessage",
+    "Swim",
+    "SwimConfig",
+    "Tick",
+]
 
+MAX_UPDATES_IN_FULL_STATE = 64  # as many as there may be members; also read of any one message
+INDIRECT_PROBES = 3  # members asked to probe one that did not answer; the paper's k
+INDIRECT_PROBE_PERIODS = 2  # after which an ack for somebody else's probe is of no use
+REJOIN_INTERVAL_PERIODS = 10  # between two attempts to reach seeds and members that are gone
+MAX_REJOINS = 8  # messages of one such attempt
+GONE_RETENTION_PERIODS = 600  # that a member is remembered after it has gone
 
-class Told(NamedTuple):
-    """Other facts of oneself from now on."""
 
-    facts: MemberFacts
+class Probe(NamedTuple):
+    """The probe that waits for its ack; `indirect` once others have been asked for theirs."""
 
+    sequence: int
+    target: str
+    sent_at_us: int
+    indirect: bool = False
 
-class Leaving(NamedTuple):
-    pass
 
+class RelayedProbe(NamedTuple):
+    """A probe on behalf of another member: its address, its sequence number, and when it asked."""
 
-class Send(NamedTuple):
     address: str
-    message: Message
-
-
-class Changed(NamedTuple):
-    """What is known of a member now; `restarted` if it is another run than before."""
-
-    name: str
-    status: Status
-    facts: MemberFacts
-    restarted: bool = False
-
-
-Do = Union[Send, Changed]
-
-
-class Member:
-    __slots__ = ("status", "incarnation", "facts", "since", "until", "told", "disputed")
-
-    def __init__(self, word: GossipMessage, now: int) -> None:
-        self.status, self.incarnation, self.facts = Status(word.status), word.incarnation, word.facts
-        self.since, self.until, self.told, self.disputed = now, 0, 0, False
+    sequence: int
+    received_at_us: int
 
 
 class Swim:
-    """
+    """Failure detection of one member. Times are handed in, in microseconds of a clock that never steps.
+
     >>> a, b = (Swim(name, MemberFacts(f"127.0.0.1:{port}", "r1"), SwimConfig(1000, 200), Random(1))
     ...         for name, port in (("a", 1), ("b", 2)))
     >>> a.seeds = ["127.0.0.1:2"]
-    >>> (join,) = a.take(0, Tick()); join.message.words[0].name
+    >>> (join,) = a.handle(0, Tick()); join.message.updates[0].name
     'a'
-    >>> *news, answer = b.take(10, Heard("127.0.0.1:1", join.message))
-    >>> [(one.name, one.status.name) for one in news]
+    >>> *changes, answer = b.handle(10, MessageReceived("127.0.0.1:1", join.message))
+    >>> [(change.name, change.status.name) for change in changes]
     [('a', 'ALIVE')]
-    >>> [one.name for one in a.take(20, Heard("127.0.0.1:2", answer.message)) if isinstance(one, Changed)]
+    >>> actions = a.handle(20, MessageReceived("127.0.0.1:2", answer.message))
+    >>> [action.name for action in actions if isinstance(action, MemberChanged)]
     ['b']
+
+    Attributes:
+        table: What is known about all members.
+        members: The others, by name.
+        seeds: Addresses to join by.
+        counts: Totals for the status page.
     """
 
     def __init__(
-        self, name: str, facts: MemberFacts, pace: SwimConfig, rng: Random, seeds: tuple[str, ...] = ()
+        self, name: str, facts: MemberFacts, config: SwimConfig, rng: Random, seeds: tuple[str, ...] = ()
     ) -> None:
-        self.name, self.facts, self.pace, self.seeds = name, facts, pace, list(seeds)
-        self.shuffle, self.sample = rng.shuffle, rng.sample
-        self.incarnation, self.left = 0, False
-        self.members: dict[str, Member] = {}
-        self.my_word_told = 0
-        self.round: list[str] = []
-        self.number = 0
-        self.probe: tuple[int, str, int, bool] | None = None  # number, whom, when sent, others were asked
-        self.relayed: dict[int, tuple[str, int, int]] = {}  # our number: for which address, its number, when
-        self.next_probe = self.ran_at = -1
-        self.next_again = 0
+        self.name = name
+        self.config = config
+        self.seeds = list(seeds)
         self.counts = dict.fromkeys(("pings", "relays", "suspected", "gone", "refuted", "stalls", "disbelieved"), 0)
-
-    # What others see.
+        self.table = MemberTable(name, facts, config, self.counts)
+        self.members = self.table.members
+        self._rng = rng
+        self._round: list[str] = []
+        self._sequence = 0
+        self._probe: Probe | None = None
+        self._relayed: dict[int, RelayedProbe] = {}
+        self._next_probe_us = -1
+        self._ticked_at_us = -1
+        self._next_rejoin_us = 0
+
+    @property
+    def facts(self) -> MemberFacts:
+        """What this member states about itself."""
+        return self.table.facts
 
     def alive(self) -> dict[str, Member]:
-        """Others that count as there; suspected ones do until they are gone."""
-        return {name: one for name, one in self.members.items() if one.status <= Status.SUSPECT}
-
-    def next_at(self) -> int:
-        times = [max(self.next_probe, 0)]
-        if self.probe is not None and not self.probe[3]:
-            times.append(self.probe[2] + self.pace.answer)
-        times += [one.until for one in self.members.values() if one.status == Status.SUSPECT]
-        return min(times)
-
-    # What happens.
-
-    def take(self, now: int, what: Heard | Tick | Told | Leaving) -> list[Do]:
-        out: list[Do] = []
-        if isinstance(what, Told):
-            self.facts = what.facts
-            self.incarnation += 1
-            self.my_word_told = 0
-        elif isinstance(what, Leaving):
-            self.left = True
-            self.incarnation += 1
-            some = self.alive()
-            out += [Send(some[name].facts.address, Join((self.word(),))) for name in sorted(some)]
-        elif isinstance(what, Heard):
-            self.hear(now, what, out)
-        elif not self.left:
-            self.tick(now, out)
-        return out
-
-    def tick(self, now: int, out: list[Do]) -> None:
-        late = now - max(self.ran_at, self.next_probe if self.ran_at >= 0 else now)
-        if self.ran_at >= 0 and late > self.pace.period:  # no turn: what did not come may wait in our own queue
+        """Returns the others that count as alive; suspected ones do until they are declared gone."""
+        return self.table.alive()
+
+    def next_deadline_us(self) -> int:
+        """Returns when the next `Tick` is due."""
+        deadlines = [max(self._next_probe_us, 0)]
+        if self._probe is not None and not self._probe.indirect:
+            deadlines.append(self._probe.sent_at_us + self.config.ack_timeout_us)
+        deadlines += [m.suspect_until_us for m in self.members.values() if m.status == Status.SUSPECT]
+        return min(deadlines)
+
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Processes one event and returns the actions that are to be carried out, in order."""
+        actions: list[Action] = []
+        kind = type(event)
+        if kind is MessageReceived:
+            self._on_message(now_us, event, actions)
+        elif kind is FactsChanged:
+            self.table.change_facts(event.facts)
+        elif kind is LeaveRequested:
+            self._announce_leave(actions)
+        elif not self.table.has_left:
+            self._tick(now_us, actions)
+        return actions
+
+    def _announce_leave(self, actions: list[Action]) -> None:
+        self.table.leave()
+        alive = self.alive()
+        actions += [SendMessage(alive[name].facts.address, self._join()) for name in sorted(alive)]
+
+    def _join(self) -> Join:
+        return Join((self.table.own_update(),))
+
+    def _tick(self, now_us: int, actions: list[Action]) -> None:
+        self._void_after_pause(now_us)
+        self._ticked_at_us = now_us
+        self._expire_members(now_us, actions)
+        keep_us = INDIRECT_PROBE_PERIODS * self.config.probe_period_us
+        self._relayed = {
+            sequence: probe for sequence, probe in self._relayed.items() if now_us - probe.received_at_us < keep_us
+        }
+        self._probe_indirectly(now_us, actions)
+        if now_us >= self._next_probe_us:
+            self._end_probe(now_us, actions)
+            self._schedule_probe(now_us)
+            self._begin_probe(now_us, actions)
+            self._rejoin(now_us, actions)
+
+    def _void_after_pause(self, now_us: int) -> None:
+        """Forgets the open probe after a pause: its ack may still wait in the queue of this process."""
+        if self._ticked_at_us < 0:
+            return
+        late_us = now_us - max(self._ticked_at_us, self._next_probe_us)
+        if late_us > self.config.probe_period_us:
             self.counts["stalls"] += 1
-            self.probe, self.next_probe = None, now
-            for one in self.members.values():
-                one.until += late
-        self.ran_at = now
-        for name, one in list(self.members.items()):
-            if one.status == Status.SUSPECT and now >= one.until:
+            self._probe = None
+            self._next_probe_us = now_us
+            for member in self.members.values():
+                member.suspect_until_us += late_us
+
+    def _expire_members(self, now_us: int, actions: list[Action]) -> None:
+        retention_us = GONE_RETENTION_PERIODS * self.config.probe_period_us
+        for name, member in list(self.members.items()):
+            if member.status == Status.SUSPECT and now_us >= member.suspect_until_us:
                 self.counts["gone"] += 1
-                self.set(now, GossipMessage(name, Status.GONE, one.incarnation, one.facts), out)
-            elif one.status >= Status.GONE and now - one.since > KEEP * self.pace.period:
+                self.table.set(now_us, GossipMessage(name, Status.GONE, member.incarnation, member.facts), actions)
+            elif member.status >= Status.GONE and now_us - member.since_us > retention_us:
                 del self.members[name]
-        self.relayed = {k: row for k, row in self.relayed.items() if now - row[2] < 2 * self.pace.period}
-        if self.probe is not None:
-            number, name, at, asked = self.probe
-            if not asked and now >= at + self.pace.answer and now < self.next_probe:
-                self.probe = number, name, at, True
-                others = sorted(n for n, one in self.alive().items() if n != name)
-                for helper in self.sample(others, min(HELPERS, len(others))):
-                    self.counts["relays"] += 1
-                    out.append(Send(self.members[helper].facts.address, Relay(number, name, self.words(helper))))
-        if now >= self.next_probe:
-            self.end_probe(now, out)
-            self.next_probe = max(self.next_probe, now - self.pace.period) + self.pace.period
-            if self.next_probe <= now:
-                self.next_probe = now + self.pace.period
-            self.begin_probe(now, out)
-            if now >= self.next_again:
-                self.next_again = now + AGAIN * self.pace.period
-                known = {one.facts.address for one in self.alive().values()} | {self.facts.address}
-                lost = [one.facts.address for one in self.members.values() if one.status == Status.GONE]
-                asked = [address for address in dict.fromkeys([*self.seeds, *lost]) if address not in known]
-                out += [Send(address, Join((self.word(),))) for address in asked[:WORDS]]
-
-    def begin_probe(self, now: int, out: list[Do]) -> None:
-        there = self.alive()
-        self.round = [name for name in self.round if name in there]
-        if not self.round:
-            self.round = sorted(there)
-            self.shuffle(self.round)
-        if not self.round:
+
+    def _probe_indirectly(self, now_us: int, actions: list[Action]) -> None:
+        probe = self._probe
+        if probe is None or probe.indirect:
             return
-        name = self.round.pop()
-        self.number += 1
+        if not probe.sent_at_us + self.config.ack_timeout_us <= now_us < self._next_probe_us:
+            return
+        self._probe = probe._replace(indirect=True)
+        others = sorted(name for name in self.alive() if name != probe.target)
+        for helper in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
+            self.counts["relays"] += 1
+            request = PingRequest(probe.sequence, probe.target, self.table.updates_for(helper))
+            actions.append(SendMessage(self.members[helper].facts.address, request))
+
+    def _schedule_probe(self, now_us: int) -> None:
+        """Keeps the pace after small delays; starts a new one where a whole period was missed."""
+        period_us = self.config.probe_period_us
+        self._next_probe_us = max(self._next_probe_us, now_us - period_us) + period_us
+        if self._next_probe_us <= now_us:
+            self._next_probe_us = now_us + period_us
+
+    def _begin_probe(self, now_us: int, actions: list[Action]) -> None:
+        alive = self.alive()
+        self._round = [name for name in self._round if name in alive]
+        if not self._round:
+            self._round = sorted(alive)
+            self._rng.shuffle(self._round)
+        if not self._round:
+            return
+        target = self._round.pop()
+        self._sequence += 1
         self.counts["pings"] += 1
-        self.probe = self.number, name, now, False
-        out.append(Send(there[name].facts.address, Ping(self.number, name, self.words(name))))
+        self._probe = Probe(self._sequence, target, now_us)
+        ping = Ping(self._sequence, target, self.table.updates_for(target))
+        actions.append(SendMessage(alive[target].facts.address, ping))
 
-    def end_probe(self, now: int, out: list[Do]) -> None:
-        if self.probe is None:
+    def _end_probe(self, now_us: int, actions: list[Action]) -> None:
+        """Suspects the target of a probe that got no ack."""
+        if self._probe is None:
             return
-        _, name, _, _ = self.probe
-        self.probe = None
-        one = self.members.get(name)
-        if one is not None and one.status == Status.ALIVE:
+        name = self._probe.target
+        self._probe = None
+        member = self.members.get(name)
+        if member is not None and member.status == Status.ALIVE:
             self.counts["suspected"] += 1
-            self.set(now, GossipMessage(name, Status.SUSPECT, one.incarnation, one.facts), out)
-
-    def hear(self, now: int, what: Heard, out: list[Do]) -> None:
-        message, address = what.message, what.address
-        for word in message.words[:WHOLE]:
-            self.listen(now, word, out)
-        kind = type(message)
-        if kind is Ping and message.target == self.name:
-            sender = next((name for name, one in self.members.items() if one.facts.address == address), "")
-            out.append(Send(address, Ack(message.number, self.words(sender))))
-            if not sender:  # it knows of us, from before we started again, and we do not know of it
-                out.append(Send(address, Join((self.word(),))))
-        elif kind is Relay and message.target in self.members:
-            self.number += 1
-            self.relayed[self.number] = address, message.number, now
-            out.append(
-                Send(
-                    self.members[message.target].facts.address,
-                    Ping(self.number, message.target, self.words(message.target)),
-                )
-            )
-        elif kind is Ack:
-            if message.number in self.relayed:
-                back, number, _ = self.relayed.pop(message.number)
-                out.append(Send(back, Ack(number, message.words)))
-            elif self.probe is not None and self.probe[0] == message.number:
-                self.probe = None
-        elif kind is Join and message.words:
-            every = [self.word(), *(self.word_of(name) for name in sorted(self.members))]
-            out.append(Send(address, FullState(tuple(every[:WHOLE]))))
-
-    # Words.
-
-    def word(self) -> GossipMessage:
-        return GossipMessage(self.name, Status.LEFT if self.left else Status.ALIVE, self.incarnation, self.facts)
-
-    def word_of(self, name: str) -> GossipMessage:
-        one = self.members[name]
-        return GossipMessage(name, int(one.status), one.incarnation, one.facts)
-
-    def times(self) -> int:
-        return TIMES * ceil(log2(len(self.alive()) + 2))
-
-    def words(self, to: str) -> tuple[GossipMessage, ...]:
-        """The least told first; what is said of whom it goes to goes first, so that it can refute it."""
-        found = [self.word()] if self.my_word_told < self.times() else []
-        self.my_word_told += len(found)
-        one = self.members.get(to)
-        if one is not None and (one.status != Status.ALIVE or one.disputed):
-            found.append(self.word_of(to))
-        fresh = sorted(
-            (other.told, name) for name, other in self.members.items() if other.told < self.times() and name != to
-        )
-        for _, name in fresh[: WORDS - len(found)]:
-            self.members[name].told += 1
-            found.append(self.word_of(name))
-        return tuple(found)
-
-    def listen(self, now: int, word: GossipMessage, out: list[Do]) -> None:
-        facts = word.facts
-        if not (0 <= word.incarnation < 1 << 53 and isfinite(facts.weight) and 0 <= facts.weight <= 1e6):
-            self.counts["disbelieved"] += 1
+            self.table.set(now_us, GossipMessage(name, Status.SUSPECT, member.incarnation, member.facts), actions)
+
+    def _rejoin(self, now_us: int, actions: list[Action]) -> None:
+        """Contacts seeds and members that are gone, wherever nobody is known to be alive."""
+        if now_us < self._next_rejoin_us:
             return
-        if word.name == self.name:
-            self.refute(word)
+        self._next_rejoin_us = now_us + REJOIN_INTERVAL_PERIODS * self.config.probe_period_us
+        known = {member.facts.address for member in self.alive().values()} | {self.facts.address}
+        gone = [member.facts.address for member in self.members.values() if member.status == Status.GONE]
+        addresses = [address for address in dict.fromkeys([*self.seeds, *gone]) if address not in known]
+        actions += [SendMessage(address, self._join()) for address in addresses[:MAX_REJOINS]]
+
+    def _on_message(self, now_us: int, event: MessageReceived, actions: list[Action]) -> None:
+        for update in event.message.updates[:MAX_UPDATES_IN_FULL_STATE]:
+            self.table.merge(now_us, update, actions)
+        handler = self._MESSAGE_HANDLERS.get(type(event.message))
+        if handler is not None:
+            handler(self, now_us, event.address, event.message, actions)
+
+    def _on_ping(self, _now_us: int, address: str, message: Ping, actions: list[Action]) -> None:
+        if message.target != self.name:
             return
-        one = self.members.get(word.name)
-        if one is None:
-            if word.status < Status.GONE and len(self.members) < self.pace.most:
-                self.set(now, word, out)
+        sender = next((name for name, member in self.members.items() if member.facts.address == address), "")
+        actions.append(SendMessage(address, Ack(message.sequence, self.table.updates_for(sender))))
+        if not sender:  # it knows an earlier run of this member, which has not met it yet
+            actions.append(SendMessage(address, self._join()))
+
+    def _on_ping_request(self, now_us: int, address: str, message: PingRequest, actions: list[Action]) -> None:
+        target = self.members.get(message.target)
+        if target is None:
             return
-        if word.incarnation > one.incarnation + RAISE:
-            self.counts["disbelieved"] += 1
+        self._sequence += 1
+        self._relayed[self._sequence] = RelayedProbe(address, message.sequence, now_us)
+        ping = Ping(self._sequence, message.target, self.table.updates_for(message.target))
+        actions.append(SendMessage(target.facts.address, ping))
+
+    def _on_ack(self, _now_us: int, _address: str, message: Ack, actions: list[Action]) -> None:
+        relayed = self._relayed.pop(message.sequence, None)
+        if relayed is not None:
+            actions.append(SendMessage(relayed.address, Ack(relayed.sequence, message.updates)))
+        elif self._probe is not None and self._probe.sequence == message.sequence:
+            self._probe = None
+
+    def _on_join(self, _now_us: int, address: str, message: Join, actions: list[Action]) -> None:
+        if not message.updates:
             return
-        if (word.incarnation, word.status) > (one.incarnation, one.status):
-            self.set(now, word, out)
-        elif word.incarnation <= one.incarnation and word.facts.run != one.facts.run:
-            one.disputed = True  # it started again and knows nothing of its former number: it must hear of that
-
-    def refute(self, word: GossipMessage) -> None:
-        """Of oneself only one's own word counts. A run before this one may have been further on."""
-        mine = self.word()
-        other = word.status != mine.status or word.facts != self.facts
-        if word.incarnation > self.incarnation or word.incarnation == self.incarnation and other:
-            if word.incarnation <= self.incarnation + RAISE:
-                self.counts["refuted"] += 1
-                self.incarnation = word.incarnation + 1
-                self.my_word_told = 0
-            else:
-                self.counts["disbelieved"] += 1
-
-    def set(self, now: int, word: GossipMessage, out: list[Do]) -> None:
-        before = self.members.get(word.name)
-        one = self.members[word.name] = Member(word, now)
-        restarted = before is not None and before.facts.run != word.facts.run
-        if one.status == Status.SUSPECT:
-            one.until = now + DOUBT * ceil(log2(len(self.alive()) + 2)) * self.pace.period
-        if before is None or before.status != one.status or before.facts != one.facts:
-            if before is not None and before.status == one.status and not restarted:
-                one.since = before.since
-            out.append(Changed(word.name, one.status, one.facts, restarted))
-        else:
-            one.since, one.until = before.since, before.until or one.until
+        updates = [self.table.own_update(), *(self.table.update_about(name) for name in sorted(self.members))]
+        actions.append(SendMessage(address, FullState(tuple(updates[:MAX_UPDATES_IN_FULL_STATE]))))
+
+    _MESSAGE_HANDLERS: ClassVar[Mapping[type, Callable[[Swim, int, str, Any, list[Action]], None]]] = {
+        Ping: _on_ping,
+        PingRequest: _on_ping_request,
+        Ack: _on_ack,
+        Join: _on_join,
+    }
--- a/hollyridge/peers/codec.py
+++ b/hollyridge/peers/codec.py
@@ -43,7 +43,7 @@
     ChallengeResponse,
     messages.Ping,
     messages.Ack,
-    messages.Relay,
+    messages.PingRequest,
     messages.Join,
     messages.FullState,
     messages.ClaimedProxies,
@@ -103,7 +103,7 @@
     >>> b.open(proof).message is None
     True
     >>> b.open(a.seal(messages.Ping(2, "b", ()))).message
-    Ping(number=2, target='b', words=())
+    Ping(sequence=2, target='b', updates=())
     """
 
     def __init__(self, secret: bytes, name: str, fresh: Callable[[int], bytes]) -> None:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -20,7 +20,7 @@
     StaleToken,
 )
 from hollyridge.membership.messages import ClaimedProxies, MemberFacts, SharedEstimates, Status
-from hollyridge.membership.swim import Changed, Heard, Send, Swim, SwimConfig
+from hollyridge.membership.swim import MemberChanged, MessageReceived, SendMessage, Swim, SwimConfig
 from hollyridge.peers.codec import PacketGuard, PeerError
 from hollyridge.store import learned_estimates
 
@@ -64,7 +64,7 @@
         facts = MemberFacts(
             config.known_as, self.guard.run.hex(), config.zone, config.weight, False, tuple(sorted(serves.items()))
         )
-        rng = Random(f"{config.name} {facts.run}")
+        rng = Random(f"{config.name} {facts.run_id}")
         self.swim = Swim(config.name, facts, config.pace, rng, config.seeds)
         self.lease_manager = LeaseManager(config.name, config.lease)
         self.since: dict[str, int] = {}
@@ -82,16 +82,16 @@
         while not self.stopped:
             now = self.loop.clock()
             self.tick(now)
-            due = min(self.swim.next_at(), now + self.config.pace.answer)
+            due = min(self.swim.next_deadline_us(), now + self.config.pace.ack_timeout_us)
             self.loop.sleep(max(0.002, (due - now) / 1e6))
 
     def tick(self, now: int) -> None:
-        self.do(now, self.swim.take(now, swim.Tick()))
+        self.do(now, self.swim.handle(now, swim.Tick()))
         self.carry(now, self.lease_manager.handle(now, leases.Tick()))
         if now >= self.claims_at:
             self.claims_at = now + self.config.lease.duration_us
             self.lend(now)
-            rows = [(uid, claim.fence) for uid, claim in self.lease_manager.held.items()]
+            rows = [(uid, claim.fencing_token) for uid, claim in self.lease_manager.held.items()]
             some = self.swim.alive()
             for at in range(0, max(1, len(rows)), ROWS):
                 for name in sorted(some):
@@ -112,7 +112,9 @@
     def borrow(self, now: int, message: SharedEstimates) -> None:
         learnt = getattr(self.engine.assigner, "learnt", None)
         if learnt is not None:
-            told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
+            told = learned_estimates.lent(
+                message.estimates, message.push_price, message.age_ms * 1000, self.task_of, learnt()[0]
+            )
             if told.event is not None:
                 self.counts["borrowed"] += len(told.event.estimates)
                 self.engine.submit(now, told.event)
@@ -120,13 +122,13 @@
     def leave(self) -> None:
         """Said at a planned end: others need not find out."""
         self.stopped = True
-        self.do(self.loop.clock(), self.swim.take(self.loop.clock(), swim.Leaving()))
+        self.do(self.loop.clock(), self.swim.handle(self.loop.clock(), swim.LeaveRequested()))
 
     def drain(self, on: bool = True) -> None:
         """Take no proxies from now on, and hand over those there are, so many a period."""
         now = self.loop.clock()
         self.lease_manager.draining = on
-        self.do(now, self.swim.take(now, swim.Told(self.swim.facts._replace(drains=on))))
+        self.do(now, self.swim.handle(now, swim.FactsChanged(self.swim.facts._replace(draining=on))))
         self.stand(now)
 
     # Peers.
@@ -148,9 +150,9 @@
         if isinstance(message, SharedEstimates):
             self.borrow(now, message)
         elif isinstance(message, ClaimedProxies):
-            self.lease_manager.handle(now, leases.Claims(opened.name, message.rows, message.first))
+            self.lease_manager.handle(now, leases.ClaimsReceived(opened.name, message.claims, message.starts_list))
         elif message is not None:
-            self.do(now, self.swim.take(now, Heard(address, message)))
+            self.do(now, self.swim.handle(now, MessageReceived(address, message)))
 
     def put(self, address: str, message) -> None:
         self.counts["packets_out"] += 1
@@ -159,9 +161,9 @@
     def do(self, now: int, some: list) -> None:
         changed = False
         for one in some:
-            if isinstance(one, Send):
+            if isinstance(one, SendMessage):
                 self.put(one.address, one.message)
-            elif isinstance(one, Changed):
+            elif isinstance(one, MemberChanged):
                 self.log.info("peer", name=one.name, status=one.status.name.lower(), restarted=one.restarted or None)
                 changed = True
         if changed:
@@ -174,11 +176,11 @@
         mine = self.swim.facts
         standing = {
             name: MemberState(
-                one.facts.zone, one.facts.weight, self.since[name], not one.facts.drains, one.status == Status.SUSPECT
+                one.facts.zone, one.facts.weight, self.since[name], not one.facts.draining, one.status == Status.SUSPECT
             )
             for name, one in there.items()
         }
-        standing[self.config.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.drains)
+        standing[self.config.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.draining)
         self.lease_manager.handle(now, leases.MembersChanged(standing))
 
     # Proxies.
@@ -205,16 +207,16 @@
     def address_of(self, name: str, front: str) -> str:
         """Where a member's front is reached; empty if that is not known."""
         one = self.swim.members.get(name)
-        return dict(one.facts.serves).get(front, "") if one is not None else ""
+        return dict(one.facts.services).get(front, "") if one is not None else ""
 
     def carry(self, now: int, some: list) -> None:
         for one in some:
             if isinstance(one, ReleaseProxy):
                 proxy = self.engine.proxy_indices.index.get(one.uid)
                 front = self.engine.servers.get(proxy)
-                self.log.info("proxy let go", uid=one.uid, why=one.why, to=one.to or None)
+                self.log.info("proxy let go", uid=one.uid, why=one.reason, to=one.new_owner or None)
                 if front is not None:
-                    front.redirect(proxy, one.to, one.why)
+                    front.redirect(proxy, one.new_owner, one.reason)
 
     # Watchers.
 
@@ -226,18 +228,18 @@
                 "incarnation": one.incarnation,
                 "zone": one.facts.zone,
                 "weight": one.facts.weight,
-                "drains": one.facts.drains,
-                "run": one.facts.run[:8],
-                "since_s": round((now - one.since) / 1e6, 1),
-                "serves": dict(one.facts.serves),
-                "claims": len(self.lease_manager.others.get(name, ())),
+                "drains": one.facts.draining,
+                "run": one.facts.run_id[:8],
+                "since_s": round((now - one.since_us) / 1e6, 1),
+                "serves": dict(one.facts.services),
+                "claims": len(self.lease_manager.claims.get(name, ())),
             }
             for name, one in sorted(self.swim.members.items())
         }
         mine = {
             uid: {
-                "fence": claim.fence,
-                "since_s": round((now - claim.since) / 1e6, 1),
+                "fence": claim.fencing_token,
+                "since_s": round((now - claim.since_us) / 1e6, 1),
                 "heard_s": round((now - claim.renewed_at_us) / 1e6, 1),
                 "plea": claim.fallback_at_us >= 0,
             }
@@ -245,7 +247,7 @@
         }
         return {
             "name": self.config.name,
-            "run": self.swim.facts.run[:8],
+            "run": self.swim.facts.run_id[:8],
             "drains": self.lease_manager.draining,
             "members": members,
             "owns": mine,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,8 +18,8 @@
 from hollyridge.client import ChpGateway, SaspGateway
 from hollyridge.lab import ownership, takeover
 from hollyridge.lab.live import free_port, free_ports
-from hollyridge.membership.leases import rightful
 from hollyridge.membership.messages import ClaimedProxies, GossipMessage, Join, MemberFacts, Ping
+from hollyridge.membership.rendezvous import preferred_owner
 from hollyridge.peers.codec import HEAD, MOST, PacketGuard, PeerError
 from hollyridge.sasp import ownership_extension
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar, RefusedError
@@ -46,7 +46,7 @@
 def test_a_packet_is_heard_once_and_only_by_who_has_the_key():
     a, b = acquainted()
     raw = a.seal(Ping(1, "b", (GossipMessage("a", 0, 3, MemberFacts("127.0.0.1:1", "r")),)))
-    assert b.open(raw).message.words[0].facts.address == "127.0.0.1:1"
+    assert b.open(raw).message.updates[0].facts.address == "127.0.0.1:1"
     with pytest.raises(PeerError, match="come before"):
         b.open(raw)
     stranger = PacketGuard(bytes(32), "c", os.urandom)
@@ -320,7 +320,7 @@
 
 
 def owner_of(three, uid):
-    return int(rightful(uid, "abdali", three.services[0].fleet.lease_manager.members)[1:])
+    return int(preferred_owner(uid, "abdali", three.services[0].fleet.lease_manager.members)[1:])
 
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -158,24 +158,26 @@
 SECRET = b"k" * 32
 FACTS = messages.MemberFacts(
     address="127.0.0.1:6006",
-    run="61" * 16,
+    run_id="61" * 16,
     zone="abdali",
     weight=2.0,
-    drains=True,
-    serves=(("clone", "127.0.0.1:6000"),),
+    draining=True,
+    services=(("clone", "127.0.0.1:6000"),),
 )
 NEWS = tuple(
     messages.GossipMessage(name=f"a{k}", status=status, incarnation=k, facts=FACTS)
     for k, status in enumerate(messages.Status)
 )
 PACKETS = {
-    "ping": messages.Ping(number=7, target="a1", words=NEWS),
+    "ping": messages.Ping(sequence=7, target="a1", updates=NEWS),
     "ack": messages.Ack(7, NEWS[:1]),
-    "relay": messages.Relay(number=8, target="a2", words=NEWS[1:2]),
+    "relay": messages.PingRequest(sequence=8, target="a2", updates=NEWS[1:2]),
     "join": messages.Join(NEWS[:1]),
     "whole": messages.FullState(NEWS[2:]),
-    "claimed": messages.ClaimedProxies(rows=(("gw-1", 15_289_307), ("gw-2", 9)), first=True),
-    "learnt": messages.SharedEstimates(rows=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), price=0.625, age=250),
+    "claimed": messages.ClaimedProxies(claims=(("gw-1", 15_289_307), ("gw-2", 9)), starts_list=True),
+    "learnt": messages.SharedEstimates(
+        estimates=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), push_price=0.625, age_ms=250
+    ),
 }
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,9 +6,9 @@
 import pytest
 
 from hollyridge.lab.lease_model_check import explore
-from hollyridge.membership import leases, swim
+from hollyridge.membership import leases, member_table, swim
 from hollyridge.membership.leases import (
-    Claims,
+    ClaimsReceived,
     ForwardProxy,
     LeaseConfig,
     LeaseGranted,
@@ -20,13 +20,21 @@
     ReleaseProxy,
     StaleToken,
     TokenAcknowledged,
-    rightful,
 )
 from hollyridge.membership.messages import GossipMessage, Join, MemberFacts, Ping, Status
-from hollyridge.membership.swim import Changed, Heard, Leaving, Send, Swim, SwimConfig, Told
+from hollyridge.membership.rendezvous import preferred_owner
+from hollyridge.membership.swim import (
+    FactsChanged,
+    LeaveRequested,
+    MemberChanged,
+    MessageReceived,
+    SendMessage,
+    Swim,
+    SwimConfig,
+)
 
 MS = 1000
-PACE = SwimConfig(period=200 * MS, answer=60 * MS)
+PACE = SwimConfig(probe_period_us=200 * MS, ack_timeout_us=60 * MS)
 
 
 class Wire:
@@ -39,7 +47,7 @@
             self.start(f"m{k}")
 
     def start(self, name, run="r0"):
-        facts = MemberFacts(name, run, serves=(("clone", f"127.0.0.1:{len(name)}"),))
+        facts = MemberFacts(name, run, services=(("clone", f"127.0.0.1:{len(name)}"),))
         self.members[name] = Swim(name, facts, PACE, Random(f"{name}{run}"), ("m0", "m1"))
         self.at(self.now, "tick", name, self.members[name])
 
@@ -49,9 +57,9 @@
 
     def carry(self, name, out):
         for do in out:
-            if isinstance(do, Changed):
+            if isinstance(do, MemberChanged):
                 self.news.append((self.now, name, do))
-            elif isinstance(do, Send):
+            elif isinstance(do, SendMessage):
                 self.sent += 1
                 if (name, do.address) not in self.cut and self.rng.random() >= self.lost:
                     self.at(self.now + 5 * MS, "hear", do.address, (name, do.message))
@@ -66,10 +74,15 @@
             elif member is None or kind == "tick" and what is not member:
                 pass
             elif kind == "tick":
-                self.carry(name, member.take(self.now, swim.Tick()))
-                self.at(max(self.now + MS, min(member.next_at(), self.now + PACE.period)), "tick", name, member)
+                self.carry(name, member.handle(self.now, swim.Tick()))
+                self.at(
+                    max(self.now + MS, min(member.next_deadline_us(), self.now + PACE.probe_period_us)),
+                    "tick",
+                    name,
+                    member,
+                )
             else:
-                self.carry(name, member.take(self.now, Heard(*what)))
+                self.carry(name, member.handle(self.now, MessageReceived(*what)))
         self.now = until
 
     def sees(self, name):
@@ -91,7 +104,7 @@
     assert sorted(who for _, who, _ in gone) == ["m0", "m1", "m2", "m4"] and {dead for *_, dead in gone} == {"m3"}
     assert max(at for at, *_ in gone) - begun < 5e6  # two rounds and the suspicion
     per_s = wire.sent / (wire.now / 1e6) / 5
-    assert per_s < 2.5 * 1e6 / PACE.period  # a ping and an ack a period, news rides along
+    assert per_s < 2.5 * 1e6 / PACE.probe_period_us  # a ping and an ack a period, news rides along
 
 
 @pytest.mark.parametrize("lost", [0.1, 0.3])
@@ -147,17 +160,19 @@
     wire.start("m1", "r1")
     wire.run(6)
     assert all(wire.sees(name) == {other: "ALIVE" for other in wire.members if other != name} for name in wire.members)
-    assert wire.members["m2"].members["m0"].facts.run == "r1"
+    assert wire.members["m2"].members["m0"].facts.run_id == "r1"
     assert any(do.restarted for _, who, do in wire.news if who == "m2" and do.name == "m0")
 
 
 def test_leaving_is_known_at_once_and_new_facts_travel():
     wire = Wire(3)
     wire.run(5)
-    wire.carry("m1", wire.members["m1"].take(wire.now, Told(wire.members["m1"].facts._replace(drains=True))))
+    wire.carry(
+        "m1", wire.members["m1"].handle(wire.now, FactsChanged(wire.members["m1"].facts._replace(draining=True)))
+    )
     wire.run(3)
-    assert wire.members["m0"].members["m1"].facts.drains
-    wire.carry("m1", wire.members["m1"].take(wire.now, Leaving()))
+    assert wire.members["m0"].members["m1"].facts.draining
+    wire.carry("m1", wire.members["m1"].handle(wire.now, LeaveRequested()))
     wire.run(0.05)
     assert wire.sees("m0")["m1"] == wire.sees("m2")["m1"] == "LEFT"
     wire.run(20)
@@ -177,18 +192,18 @@
     wire = Wire(3)
     wire.run(5)
     member = wire.members["m0"]
-    member.take(wire.now, Heard("m2", Ping(9, "m0", (lie,))))
+    member.handle(wire.now, MessageReceived("m2", Ping(9, "m0", (lie,))))
     assert member.counts["disbelieved"] == 1 and wire.sees("m0")["m1"] == "ALIVE" and "x" not in member.members
     wire.run(10)
     assert not wire.lost_ones()
 
 
 def test_no_more_members_than_may_be():
-    member = Swim("m", MemberFacts("m", "r"), SwimConfig(200 * MS, 60 * MS, most=10), Random(1))
+    member = Swim("m", MemberFacts("m", "r"), SwimConfig(200 * MS, 60 * MS, max_members=10), Random(1))
     for k in range(50):
-        member.take(k, Heard(f"x{k}", Join((GossipMessage(f"x{k}", 0, 0, MemberFacts(f"x{k}", "r")),))))
+        member.handle(k, MessageReceived(f"x{k}", Join((GossipMessage(f"x{k}", 0, 0, MemberFacts(f"x{k}", "r")),))))
     assert len(member.members) == 10
-    assert len(member.words("x1")) <= swim.WORDS
+    assert len(member.table.updates_for("x1")) <= member_table.MAX_UPDATES_PER_MESSAGE
 
 
 # Ownership.
@@ -217,16 +232,20 @@
 def test_weights_and_zones_count():
     uids = [f"gw-{k}" for k in range(2000)]
     heavy = {**THREE, "a": MemberState("", 3.0, 0)}
-    part = sum(rightful(uid, "", heavy) == "a" for uid in uids) / 2000
+    part = sum(preferred_owner(uid, "", heavy) == "a" for uid in uids) / 2000
     assert 0.56 < part < 0.64
     near = {**THREE, "b": MemberState("khalda", 1.0, 0)}
-    part = sum(rightful(uid, "khalda", near) == "b" for uid in uids) / 2000
+    part = sum(preferred_owner(uid, "khalda", near) == "b" for uid in uids) / 2000
     assert 0.61 < part < 0.72  # four of six
-    assert rightful("gw", "", {}) == "" == rightful("gw", "", {"a": MemberState("", 1.0, 0, takes=False)})
+    assert (
+        preferred_owner("gw", "", {})
+        == ""
+        == preferred_owner("gw", "", {"a": MemberState("", 1.0, 0, accepts_proxies=False)})
+    )
 
 
 def test_a_plea_is_heard_and_left_in_peace_for_a_while():
-    uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", THREE) == "b")
+    uid = next(f"gw-{k}" for k in range(99) if preferred_owner(f"gw-{k}", "", THREE) == "b")
     one = owner("a")
     assert one.handle(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
     assert one.handle(0, ProxyAsked(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
@@ -234,7 +253,7 @@
     while not (out := one.handle(now, leases.Tick())):
         now += 1_000_000
         one.handle(now, TokenAcknowledged(uid, 2))
-    assert out == [ReleaseProxy(uid, "handed over", "b")] and now >= leases.PLEA * LEASE.duration_us
+    assert out == [ReleaseProxy(uid, "handed over", "b")] and now >= leases.FALLBACK_REST_LEASES * LEASE.duration_us
 
 
 def test_a_lease_that_ran_out_ends_orders_before_anything_else_is_looked_at():
@@ -250,7 +269,7 @@
     one.handle(0, ProxyAsked("gw", "", 7, False))
     assert (
         one.handle(1, TokenAcknowledged("gw", 7)) == []
-        and one.handle(2, TokenAcknowledged("gw", 8))[0].why == "another orders it"
+        and one.handle(2, TokenAcknowledged("gw", 8))[0].reason == "another orders it"
     )
     assert not one.may_order(2, "gw")
     one.handle(3, ProxyAsked("gw", "", 9, False))
@@ -262,10 +281,10 @@
 def test_what_comes_back_gets_its_own_in_steps_and_flapping_moves_nobody():
     two = {name: THREE[name] for name in "ab"}
     one = owner("a", two)
-    mine = [f"gw-{k}" for k in range(400) if rightful(f"gw-{k}", "", two) == "a"]
+    mine = [f"gw-{k}" for k in range(400) if preferred_owner(f"gw-{k}", "", two) == "a"]
     for uid in mine:
         one.handle(0, ProxyAsked(uid, "", 1, False))
-    due = [uid for uid in mine if rightful(uid, "", THREE) == "c"]
+    due = [uid for uid in mine if preferred_owner(uid, "", THREE) == "c"]
     now, moved = 0, []
 
     def pass_time(seconds):
@@ -285,17 +304,17 @@
     one.handle(now, MembersChanged({**two, "c": MemberState("", 1.0, now)}))
     pass_time(40)
     gone = [do for some in moved for do in some]
-    assert sorted(do.uid for do in gone) == sorted(due) and {do.to for do in gone} == {"c"}
+    assert sorted(do.uid for do in gone) == sorted(due) and {do.new_owner for do in gone} == {"c"}
     assert max(map(len, moved)) <= 0.1 * len(mine) + 1
 
 
 def test_claims_of_others_are_for_watchers_only():
     one = owner("a", {"a": THREE["a"], "b": THREE["b"]})
-    uid = next(f"gw-{k}" for k in range(99) if rightful(f"gw-{k}", "", one.members) == "a")
+    uid = next(f"gw-{k}" for k in range(99) if preferred_owner(f"gw-{k}", "", one.members) == "a")
     one.handle(0, ProxyAsked(uid, "", 5, False))
-    one.handle(1, Claims("b", ((uid, 1 << 60),), True))
+    one.handle(1, ClaimsReceived("b", ((uid, 1 << 60),), True))
     assert one.disagreements() == [(uid, "a", "b")] and one.fencing_token(uid) == 5 and one.may_order(1, uid)
-    one.handle(2, Claims("b", (), True))
+    one.handle(2, ClaimsReceived("b", (), True))
     assert one.disagreements() == []
 
 
