--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -11,7 +11,7 @@
 from hollyridge.membership import leases, swim
 from hollyridge.membership.leases import (
     ForwardProxy,
-    Lease,
+    LeaseConfig,
     LeaseGranted,
     LeaseManager,
     MemberState,
@@ -20,7 +20,7 @@
     StaleToken,
 )
 from hollyridge.membership.messages import ClaimedProxies, MemberFacts, SharedEstimates, Status
-from hollyridge.membership.swim import Changed, Heard, Send, Swim, SwimConfig
+from hollyridge.membership.swim import MemberChanged, MessageReceived, SendMessage, Swim, SwimConfig
 from hollyridge.peers.codec import PacketGuard, PeerError
 from hollyridge.store import learned_estimates
 
@@ -39,18 +39,18 @@
     zone: str
     weight: float
     pace: SwimConfig
-    lease: Lease
+    lease: LeaseConfig
 
 
 class PeerService:
-    """What the fronts ask: `came`, `acked`, `ended`, `may_order`. `send(address, raw)` puts a packet on the wire;
+    """Fronts call `request_lease`, `acknowledge_token`, `end_proxy`. `send(address, raw)` puts a packet on the wire;
     `serves` has the addresses of this assigner's fronts by name; `task_name` and `task_of` go between tasks' indices
     and names."""
 
     def __init__(
         self,
         loop: EventLoop,
-        terms: PeerConfig,
+        config: PeerConfig,
         log,
         fresh: Callable[[int], bytes],
         serves: dict[str, str],
@@ -58,15 +58,15 @@
         task_of: Callable[[str], int | None],
     ) -> None:
         self.task_name, self.task_of = task_name, task_of
-        self.loop, self.engine, self.terms, self.log = loop, loop.engine, terms, log
-        self.guard = PacketGuard(terms.secret, terms.name, fresh)
+        self.loop, self.engine, self.config, self.log = loop, loop.engine, config, log
+        self.guard = PacketGuard(config.secret, config.name, fresh)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
         facts = MemberFacts(
-            terms.known_as, self.guard.run.hex(), terms.zone, terms.weight, False, tuple(sorted(serves.items()))
+            config.known_as, self.guard.run.hex(), config.zone, config.weight, False, tuple(sorted(serves.items()))
         )
-        rng = Random(f"{terms.name} {facts.run}")
-        self.swim = Swim(terms.name, facts, terms.pace, rng, terms.seeds)
-        self.owners = LeaseManager(terms.name, terms.lease)
+        rng = Random(f"{config.name} {facts.run_id}")
+        self.swim = Swim(config.name, facts, config.pace, rng, config.seeds)
+        self.lease_manager = LeaseManager(config.name, config.lease)
         self.since: dict[str, int] = {}
         self.claims_at, self.stopped = 0, False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
@@ -82,16 +82,16 @@
         while not self.stopped:
             now = self.loop.clock()
             self.tick(now)
-            due = min(self.swim.next_at(), now + self.terms.pace.answer)
+            due = min(self.swim.next_deadline_us(), now + self.config.pace.ack_timeout_us)
             self.loop.sleep(max(0.002, (due - now) / 1e6))
 
     def tick(self, now: int) -> None:
-        self.do(now, self.swim.take(now, swim.Tick()))
-        self.carry(now, self.owners.take(now, leases.Tick()))
+        self.do(now, self.swim.handle(now, swim.Tick()))
+        self.carry(now, self.lease_manager.handle(now, leases.Tick()))
         if now >= self.claims_at:
-            self.claims_at = now + self.terms.lease.length
+            self.claims_at = now + self.config.lease.duration_us
             self.lend(now)
-            rows = [(uid, claim.fence) for uid, claim in self.owners.mine.items()]
+            rows = [(uid, claim.fencing_token) for uid, claim in self.lease_manager.held.items()]
             some = self.swim.alive()
             for at in range(0, max(1, len(rows)), ROWS):
                 for name in sorted(some):
@@ -112,7 +112,9 @@
     def borrow(self, now: int, message: SharedEstimates) -> None:
         learnt = getattr(self.engine.assigner, "learnt", None)
         if learnt is not None:
-            told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
+            told = learned_estimates.lent(
+                message.estimates, message.push_price, message.age_ms * 1000, self.task_of, learnt()[0]
+            )
             if told.event is not None:
                 self.counts["borrowed"] += len(told.event.estimates)
                 self.engine.submit(now, told.event)
@@ -120,18 +122,18 @@
     def leave(self) -> None:
         """Said at a planned end: others need not find out."""
         self.stopped = True
-        self.do(self.loop.clock(), self.swim.take(self.loop.clock(), swim.Leaving()))
+        self.do(self.loop.clock(), self.swim.handle(self.loop.clock(), swim.LeaveRequested()))
 
     def drain(self, on: bool = True) -> None:
         """Take no proxies from now on, and hand over those there are, so many a period."""
         now = self.loop.clock()
-        self.owners.draining = on
-        self.do(now, self.swim.take(now, swim.Told(self.swim.facts._replace(drains=on))))
+        self.lease_manager.draining = on
+        self.do(now, self.swim.handle(now, swim.FactsChanged(self.swim.facts._replace(draining=on))))
         self.stand(now)
 
     # Peers.
 
-    def heard(self, address: str, raw: bytes) -> None:
+    def receive_datagram(self, address: str, raw: bytes) -> None:
         """A datagram."""
         self.counts["packets_in"] += 1
         try:
@@ -148,9 +150,9 @@
         if isinstance(message, SharedEstimates):
             self.borrow(now, message)
         elif isinstance(message, ClaimedProxies):
-            self.owners.take(now, leases.Claims(opened.name, message.rows, message.first))
+            self.lease_manager.handle(now, leases.ClaimsReceived(opened.name, message.claims, message.starts_list))
         elif message is not None:
-            self.do(now, self.swim.take(now, Heard(address, message)))
+            self.do(now, self.swim.handle(now, MessageReceived(address, message)))
 
     def put(self, address: str, message) -> None:
         self.counts["packets_out"] += 1
@@ -159,9 +161,9 @@
     def do(self, now: int, some: list) -> None:
         changed = False
         for one in some:
-            if isinstance(one, Send):
+            if isinstance(one, SendMessage):
                 self.put(one.address, one.message)
-            elif isinstance(one, Changed):
+            elif isinstance(one, MemberChanged):
                 self.log.info("peer", name=one.name, status=one.status.name.lower(), restarted=one.restarted or None)
                 changed = True
         if changed:
@@ -174,45 +176,47 @@
         mine = self.swim.facts
         standing = {
             name: MemberState(
-                one.facts.zone, one.facts.weight, self.since[name], not one.facts.drains, one.status == Status.SUSPECT
+                one.facts.zone, one.facts.weight, self.since[name], not one.facts.draining, one.status == Status.SUSPECT
             )
             for name, one in there.items()
         }
-        standing[self.terms.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.drains)
-        self.owners.take(now, leases.Members(standing))
+        standing[self.config.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.draining)
+        self.lease_manager.handle(now, leases.MembersChanged(standing))
 
     # Proxies.
 
-    def came(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
+    def request_lease(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
         """Who is to order it. One that can't number its questions (`asked` 0) is taken: it could not be sent on."""
-        (told,) = self.owners.take(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
+        (told,) = self.lease_manager.handle(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
         return told
 
-    def acked(self, uid: str, asked: int) -> None:
-        self.carry(self.loop.clock(), self.owners.take(self.loop.clock(), leases.TokenAcknowledged(uid, asked)))
+    def acknowledge_token(self, uid: str, asked: int) -> None:
+        self.carry(
+            self.loop.clock(), self.lease_manager.handle(self.loop.clock(), leases.TokenAcknowledged(uid, asked))
+        )
 
-    def ended(self, uid: str) -> None:
-        self.owners.take(self.loop.clock(), leases.ProxyEnded(uid))
+    def end_proxy(self, uid: str) -> None:
+        self.lease_manager.handle(self.loop.clock(), leases.ProxyEnded(uid))
 
     def owned(self, now: int, uid: str) -> bool:
         """Whether an order to this proxy may leave."""
-        may = self.owners.may_order(now, uid)
+        may = self.lease_manager.may_order(now, uid)
         self.counts["withheld"] += not may
         return may
 
     def address_of(self, name: str, front: str) -> str:
         """Where a member's front is reached; empty if that is not known."""
         one = self.swim.members.get(name)
-        return dict(one.facts.serves).get(front, "") if one is not None else ""
+        return dict(one.facts.services).get(front, "") if one is not None else ""
 
     def carry(self, now: int, some: list) -> None:
         for one in some:
             if isinstance(one, ReleaseProxy):
                 proxy = self.engine.proxy_indices.index.get(one.uid)
                 front = self.engine.servers.get(proxy)
-                self.log.info("proxy let go", uid=one.uid, why=one.why, to=one.to or None)
+                self.log.info("proxy let go", uid=one.uid, why=one.reason, to=one.new_owner or None)
                 if front is not None:
-                    front.redirect(proxy, one.to, one.why)
+                    front.redirect(proxy, one.new_owner, one.reason)
 
     # Watchers.
 
@@ -224,29 +228,29 @@
                 "incarnation": one.incarnation,
                 "zone": one.facts.zone,
                 "weight": one.facts.weight,
-                "drains": one.facts.drains,
-                "run": one.facts.run[:8],
-                "since_s": round((now - one.since) / 1e6, 1),
-                "serves": dict(one.facts.serves),
-                "claims": len(self.owners.others.get(name, ())),
+                "drains": one.facts.draining,
+                "run": one.facts.run_id[:8],
+                "since_s": round((now - one.since_us) / 1e6, 1),
+                "serves": dict(one.facts.services),
+                "claims": len(self.lease_manager.claims.get(name, ())),
             }
             for name, one in sorted(self.swim.members.items())
         }
         mine = {
             uid: {
-                "fence": claim.fence,
-                "since_s": round((now - claim.since) / 1e6, 1),
-                "heard_s": round((now - claim.heard) / 1e6, 1),
-                "plea": claim.pleaded >= 0,
+                "fence": claim.fencing_token,
+                "since_s": round((now - claim.since_us) / 1e6, 1),
+                "heard_s": round((now - claim.renewed_at_us) / 1e6, 1),
+                "plea": claim.fallback_at_us >= 0,
             }
-            for uid, claim in sorted(self.owners.mine.items())
+            for uid, claim in sorted(self.lease_manager.held.items())
         }
         return {
-            "name": self.terms.name,
-            "run": self.swim.facts.run[:8],
-            "drains": self.owners.draining,
+            "name": self.config.name,
+            "run": self.swim.facts.run_id[:8],
+            "drains": self.lease_manager.draining,
             "members": members,
             "owns": mine,
-            "disagreements": self.owners.disagreements()[:100],
-            "counts": {**self.counts, **self.swim.counts, **self.owners.counts, **self.guard.counts},
+            "disagreements": self.lease_manager.disagreements()[:100],
+            "counts": {**self.counts, **self.swim.counts, **self.lease_manager.counts, **self.guard.counts},
         }
--- a/hollyridge/settings/service_config.py
+++ b/hollyridge/settings/service_config.py
@@ -14,7 +14,7 @@
 from hollyridge.core.solver_service import SolverConfig
 from hollyridge.interface import Admission, AssignerConfig, MethodConfig
 from hollyridge.keys.tls import TlsFiles
-from hollyridge.membership.leases import Lease
+from hollyridge.membership.leases import LeaseConfig
 from hollyridge.membership.swim import SwimConfig
 from hollyridge.otlp.intake import OtlpConfig
 from hollyridge.peers.peer_service import PeerConfig
@@ -230,7 +230,7 @@
         pace = SwimConfig(
             PROBE_INTERVAL_ROUND_TRIPS * round_trip_us, PROBE_TIMEOUT_ROUND_TRIPS * round_trip_us, peers.members_most
         )
-        lease = Lease(micros(peers.lease_s), micros(peers.settle_s), micros(self.assigner.report_period_s))
+        lease = LeaseConfig(micros(peers.lease_s), micros(peers.settle_s), micros(self.assigner.report_period_s))
         return PeerConfig(
             address.name,
             address.listen,
