--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -377,10 +377,10 @@
 
     def status(self) -> dict:
         """Counts and levels for logs and the status page."""
-        figures = getattr(self.assigner, "figures", dict)()
+        counters = getattr(self.assigner, "counters", dict)()
         return {
             "at": self.ran_at,
-            "module": figures,
+            "module": counters,
             **self.counts,
             "refused": self.refused_commands,
             "waiting": round(self.queue.waiting_lines),
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -79,10 +79,10 @@
         )
 
     def save(self) -> None:
-        learnt = getattr(self.engine.assigner, "learnt", None)
-        if learnt is None:
+        learned = getattr(self.engine.assigner, "learned_estimates", None)
+        if learned is None:
             return
-        rows, price = learnt()
+        rows, price = learned()
         if not rows:
             return  # what is on disk knows more
         raw = state_file.pack(learned_estimates.noted(self.terms.fleet, self.wall_ms(), rows, price, self.name_of))
--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -93,7 +93,7 @@
             orders.append(SetTimer(0, max(soon - now, 1000)))
         return orders
 
-    def learnt(self) -> tuple[list[LearnedEstimate], float]:
+    def learned_estimates(self) -> tuple[list[LearnedEstimate], float]:
         """What `recall` takes, of open tasks that were heard of, and the gate's price, for watchers."""
         est, solver = self.est, self.solver
         return [
@@ -160,7 +160,7 @@
                 current += demand * sum(w * cost[i] for i, w in lines.items()) / sum(lines.values())
         return self.gate.decide(published, current, self.outbox.held())
 
-    def figures(self) -> dict[str, object]:
+    def counters(self) -> dict[str, object]:
         """For watchers: price U and last gain of the gate, levels by zone. Nothing is decided by them."""
         return {"price": self.gate.price, "gain": self.gate.gain, "levels": list(self.levels.open)}
 
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -99,8 +99,8 @@
 
     def lend(self, now: int) -> None:
         """What was learnt of tasks goes to the others: an heir knows the sizes of what it begins to use."""
-        learnt = getattr(self.engine.assigner, "learnt", None)
-        rows, price = learnt() if learnt is not None else ([], 0.0)
+        learned = getattr(self.engine.assigner, "learned_estimates", None)
+        rows, price = learned() if learned is not None else ([], 0.0)
         some = self.swim.alive()
         for at in range(0, len(rows), ROWS // 2):
             named = tuple(
@@ -110,9 +110,9 @@
                 self.put(some[name].facts.address, SharedEstimates(named, round(price, 4), 0))
 
     def borrow(self, now: int, message: SharedEstimates) -> None:
-        learnt = getattr(self.engine.assigner, "learnt", None)
-        if learnt is not None:
-            told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learnt()[0])
+        learned = getattr(self.engine.assigner, "learned_estimates", None)
+        if learned is not None:
+            told = learned_estimates.lent(message.rows, message.price, message.age * 1000, self.task_of, learned()[0])
             if told.event is not None:
                 self.counts["borrowed"] += len(told.event.estimates)
                 self.engine.submit(now, told.event)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -96,7 +96,7 @@
 
 
 def test_recalled_sizes_stand_at_once_and_the_less_the_older_they_are():
-    rows, price = taught().learnt()
+    rows, price = taught().learned_estimates()
     assert len(rows) == 4 and rows[3].capacity < 0.6 * rows[0].capacity
     found = {}
     for age_s in (0, 30, 3600):
