--- a/hollyridge/decisions/endpoints.py
+++ b/hollyridge/decisions/endpoints.py
@@ -1,68 +1,125 @@
-"""Which tasks are listed, and when the endpoint list is asked for again."""
+"""The endpoint directory: which tasks are listed and ready, and when the endpoint list is asked for again."""
 
 from __future__ import annotations
 
 from random import Random
 
-from hollyridge.interface import AssignerConfig, Command, EndpointListUpdate, TaskState, UpdateKind, WatchEndpoints
+from hollyridge.interface import (
+    AssignerConfig,
+    Command,
+    Endpoint,
+    EndpointListUpdate,
+    TaskState,
+    UpdateKind,
+    WatchEndpoints,
+)
+
+MAX_RETRY_PERIODS = 8  # report periods; the longest backoff after failed calls, before jitter
+MIN_RETRY_JITTER = 0.5  # part of the backoff that is waited at least; up to as much again is drawn at random
+DEFAULT_LISTED_WEIGHT = 1.0  # for entries whose weight can't be one
+MAX_LISTED_WEIGHT = 1e9  # from here a listed weight counts as an error of the list
+UNRANKED = -1
 
 
 class EndpointDirectory:
+    """What the endpoint list says of each task.
+
+    Attributes:
+        state: `TaskState` by task.
+        zone: Zone by task.
+        listed_weight: Size by task, as listed.
+        started_at_us: Latest known start by task; 0 for one long past.
+        rank: Order of first mention in its zone, by task. It deals a zone's tasks out evenly, and for good.
+        refresh_at_us: When the list is asked for again; None where it comes unasked.
+    """
+
     def __init__(self, config: AssignerConfig, rng: Random) -> None:
-        self.config, self.chance = config, rng.random
+        self.config = config
+        self.random = rng.random
         self.state: list[int] = []
         self.zone: list[int] = []
-        self.hint: list[float] = []  # listed size
-        self.started: list[int] = []
-        self.rank: list[int] = []  # by first mention in its zone: shares a zone out evenly and for good
-        self.seen = [0] * config.zones
-        self.ask_at, self.failures = 0 if config.subscribe else None, 0
-
-    def hear(self, now: int, change: EndpointListUpdate) -> list[int]:
-        """Take a list event; returns the tasks that are new or have started again."""
-        if change.kind == UpdateKind.FAILED:
-            if self.ask_at is None or self.ask_at > now:  # ask again after a growing, jittered wait
-                self.failures += 1
-                wait = self.config.report_period_us * min(2**self.failures, 16) / 2
-                self.ask_at = now + round(wait * (0.5 + self.chance()))
+        self.listed_weight: list[float] = []
+        self.started_at_us: list[int] = []
+        self.rank: list[int] = []
+        self.ranked = [0] * config.zones  # tasks that have a rank, by zone
+        self.refresh_at_us = 0 if config.subscribe else None
+        self.failures = 0  # failed calls in a row
+
+    def apply_update(self, now_us: int, update: EndpointListUpdate) -> list[int]:
+        """Takes a list event; returns the tasks that are new or have started again."""
+        if update.kind == UpdateKind.FAILED:
+            self._schedule_retry(now_us)
             return []
-        if change.kind != UpdateKind.CACHED:
-            self.failures = 0  # the watch holds; renew it before silence could mean that it was lost
-            self.ask_at = now + self.config.refresh_within_us if self.config.subscribe else None
-        more = max([entry.task + 1 for entry in change.endpoints], default=0) - len(self.state)
-        for row, start in (
-            (self.state, TaskState.GONE),
-            (self.zone, 0),
-            (self.hint, 1.0),
-            (self.started, 0),
-            (self.rank, -1),
-        ):
-            row.extend([start] * more)
-        fresh = []
-        for task, zone, _sku, _cell, state, weight, started_at in change.endpoints:
-            known = self.state[task] == TaskState.READY and started_at <= self.started[task]
-            fresh += [task] * (state == TaskState.READY and not known)
-            self.state[task] = state
-            if state != TaskState.GONE:
-                self.zone[task] = zone
-                if self.rank[task] < 0:
-                    self.rank[task], self.seen[zone] = self.seen[zone], self.seen[zone] + 1
-                self.hint[task] = weight if 0 < weight < 1e9 else 1.0
-                self.started[task] = max(started_at, self.started[task])
-        if change.kind != UpdateKind.DELTA:  # a full list says by silence what has left
-            for task in set(range(len(self.state))) - {entry.task for entry in change.endpoints}:
-                self.state[task] = TaskState.GONE
-        return fresh
+        if update.kind != UpdateKind.CACHED:
+            self._schedule_refresh(now_us)
+        self._ensure_tasks(max([entry.task + 1 for entry in update.endpoints], default=0))
+        started = []
+        for entry in update.endpoints:
+            if self._has_started(entry):
+                started.append(entry.task)
+            self._store(entry)
+        if update.kind != UpdateKind.DELTA:
+            self._remove_all_but({entry.task for entry in update.endpoints})
+        return started
 
-    def open(self) -> list[int]:
-        return [i for i, state in enumerate(self.state) if state == TaskState.READY]
+    def ready_tasks(self) -> list[int]:
+        """The tasks that may be sent to, in order of their index."""
+        return [task for task, state in enumerate(self.state) if state == TaskState.READY]
 
-    def by_zone(self) -> list[list[int]]:
-        tasks = self.open()
-        return [[i for i in tasks if self.zone[i] == zone] for zone in range(self.config.zones)]
+    def ready_by_zone(self) -> list[list[int]]:
+        """The same, for each zone."""
+        tasks = self.ready_tasks()
+        return [[task for task in tasks if self.zone[task] == zone] for zone in range(self.config.zones)]
 
-    def calls(self, now: int) -> list[Command]:
-        if self.ask_at is None or now < self.ask_at:
+    def refresh_commands(self, now_us: int) -> list[Command]:
+        """Asks for the list where that is due."""
+        if self.refresh_at_us is None or now_us < self.refresh_at_us:
             return []
-        self.ask_at = now + self.config.refresh_within_us  # an answer that never comes must not end the asking
+        # Set ahead, because an answer that never comes must not end the asking.
+        self.refresh_at_us = now_us + self.config.refresh_within_us
         return [WatchEndpoints(True)]
+
+    def _schedule_retry(self, now_us: int) -> None:
+        """After a failed call: with exponential backoff and jitter, unless a call is due already."""
+        if self.refresh_at_us is not None and self.refresh_at_us <= now_us:
+            return
+        self.failures += 1
+        backoff_us = self.config.report_period_us * min(2 ** (self.failures - 1), MAX_RETRY_PERIODS)
+        self.refresh_at_us = now_us + round(backoff_us * (MIN_RETRY_JITTER + self.random()))
+
+    def _schedule_refresh(self, now_us: int) -> None:
+        """After an answer: the watch is renewed before silence could mean that it was lost."""
+        self.failures = 0
+        self.refresh_at_us = now_us + self.config.refresh_within_us if self.config.subscribe else None
+
+    def _ensure_tasks(self, count: int) -> None:
+        missing = count - len(self.state)
+        self.state.extend([TaskState.GONE] * missing)
+        self.zone.extend([0] * missing)
+        self.listed_weight.extend([DEFAULT_LISTED_WEIGHT] * missing)
+        self.started_at_us.extend([0] * missing)
+        self.rank.extend([UNRANKED] * missing)
+
+    def _has_started(self, entry: Endpoint) -> bool:
+        was_ready = self.state[entry.task] == TaskState.READY
+        known = was_ready and entry.started_at_us <= self.started_at_us[entry.task]
+        return entry.state == TaskState.READY and not known
+
+    def _store(self, entry: Endpoint) -> None:
+        task = entry.task
+        self.state[task] = entry.state
+        if entry.state == TaskState.GONE:
+            return
+        self.zone[task] = entry.zone
+        if self.rank[task] == UNRANKED:
+            self.rank[task] = self.ranked[entry.zone]
+            self.ranked[entry.zone] += 1
+        usable = 0 < entry.listed_weight < MAX_LISTED_WEIGHT
+        self.listed_weight[task] = entry.listed_weight if usable else DEFAULT_LISTED_WEIGHT
+        self.started_at_us[task] = max(entry.started_at_us, self.started_at_us[task])
+
+    def _remove_all_but(self, listed: set[int]) -> None:
+        """A full list removes what it does not mention."""
+        for task in range(len(self.state)):
+            if task not in listed:
+                self.state[task] = TaskState.GONE
--- a/hollyridge/decisions/outliers.py
+++ b/hollyridge/decisions/outliers.py
@@ -1,34 +1,68 @@
-"""Which tasks get little because they fail."""
+"""Outlier detection: tasks that fail far more than the rest get little weight until they do better."""
 
 from __future__ import annotations
 
-from hollyridge.decisions.estimates import PRIOR, Estimates
+from hollyridge.decisions.estimates import PRIOR_ATTEMPTS, Estimates
 from hollyridge.interface import AssignerConfig
 
-TRICKLE = 1 / 16  # part left to a task that lies low, so that news of it keeps coming
+MIN_FACTOR = 1 / 16  # part of its weight left to an outlier, so that reports of it keep coming
+EXCESS_FAILURE_RATIO = (
+    0.58  # of attempts beyond the baseline; with less, task after task hands its work on till all fail
+)
+CUT = 0.25  # what an outlier's factor is multiplied by each period
+RECOVERY = 4.0  # what it is multiplied by once it does better
+UNTRIED_RECOVERY = 2.0  # the same while its zone's proxies hardly try it
+MIN_ATTEMPTS = 1.0  # decayed attempts from which a task counts as tried
 
 
 class OutlierDetector:
-    """Who lies low, by zone of proxies (a cut shows from one side only), against the best zone's middle task:
-    errors, hangs and silence are met alike; overload, seen at all, cuts nobody."""
+    """Compares each task's failure ratio, seen from one zone of proxies, with the best zone's median task.
+
+    By zone of proxies, because a network fault shows from one side only. Errors, hangs and silence count alike.
+    Overload that all tasks share raises the baseline and cuts nobody.
+
+    Attributes:
+        factor: By zone of proxies and task, the part of its weight that a task keeps.
+    """
 
     def __init__(self, config: AssignerConfig) -> None:
         self.factor: list[list[float]] = [[] for _ in range(config.zones)]
 
-    def restart(self, task: int) -> None:
-        for row in self.factor:
-            row.extend([1.0] * (task + 1 - len(row)))
-            row[task] = 1.0
-
-    def judge(self, est: Estimates, tasks: list[int], home: list[int]) -> None:
-        for zone, ratio in enumerate(est.spread(est.bad, 0.0, tasks, home)):
-            factor = self.factor[zone]
-            ratio = ratio if sum(est.tries[zone]) >= PRIOR else [0.0] * len(ratio)  # nobody there to ask
-            zones = [sorted(ratio[i] for i in tasks if home[i] == there) for there in est.zones]
-            base = min(ranked[len(ranked) // 2] for ranked in zones if ranked)
-            for i in tasks:
-                # Cut for less, one after the other hands on its work till all are in a jam.
-                if ratio[i] > base + 0.58:
-                    factor[i] = max(TRICKLE, factor[i] * 0.25)
-                elif factor[i] < 1.0:
-                    factor[i] = min(1.0, factor[i] * (4.0 if est.tries[zone][i] >= 1.0 else 2.0))
+    def reset(self, task: int) -> None:
+        """Forgets what an earlier run of the task did."""
+        for factor in self.factor:
+            factor.extend([1.0] * (task + 1 - len(factor)))
+            factor[task] = 1.0
+
+    def update(self, estimates: Estimates, tasks: list[int], home: list[int]) -> None:
+        """Moves the factors by one period's step.
+
+        Args:
+            estimates: What was reported.
+            tasks: The ready tasks, at least one.
+            home: Zone by task.
+        """
+        for zone, ratio in enumerate(estimates.per_attempt(estimates.failed, 0.0, tasks, home)):
+            # Where a zone has no proxies that report, nothing is known to fail.
+            silent = sum(estimates.attempts[zone]) < PRIOR_ATTEMPTS
+            failure_ratio = [0.0] * len(ratio) if silent else ratio
+            self._update_zone(zone, failure_ratio, estimates, tasks, home)
+
+    def _update_zone(
+        self, zone: int, failure_ratio: list[float], estimates: Estimates, tasks: list[int], home: list[int]
+    ) -> None:
+        factor = self.factor[zone]
+        attempts = estimates.attempts[zone]
+        limit = self._baseline(failure_ratio, estimates.zones, tasks, home) + EXCESS_FAILURE_RATIO
+        for task in tasks:
+            if failure_ratio[task] > limit:
+                factor[task] = max(MIN_FACTOR, factor[task] * CUT)
+            elif factor[task] < 1.0:
+                recovery = RECOVERY if attempts[task] >= MIN_ATTEMPTS else UNTRIED_RECOVERY
+                factor[task] = min(1.0, factor[task] * recovery)
+
+    @staticmethod
+    def _baseline(failure_ratio: list[float], zones: range, tasks: list[int], home: list[int]) -> float:
+        """Failure ratio of the median task of the zone that does best."""
+        by_zone = [sorted(failure_ratio[task] for task in tasks if home[task] == zone) for zone in zones]
+        return min(ranked[len(ranked) // 2] for ranked in by_zone if ranked)
--- a/hollyridge/decisions/push_gate.py
+++ b/hollyridge/decisions/push_gate.py
@@ -1,20 +1,38 @@
-"""When better weights are worth a push."""
+"""The push gate: whether better weights are worth sending to the proxies now.
+
+This is the Greedy Policy of Paschos et al., "Minimum Cost SDN Routing With Reconfiguration Frequency Constraints"
+(eq. 20). Its virtual queue U is the price of a push: it rises with each push and falls by the budget each period.
+"""
 
 from __future__ import annotations
 
-HMAX = 0.2  # pushes a period in the long run
-V = 50.0  # weight of the gain against the price of a push
-NOISE_FLOOR = 0.05  # a smaller gain counts as none
+PUSH_BUDGET_PER_PERIOD = 0.2  # pushes a report period in the long run; the paper's hmax
+GAIN_WEIGHT = 50.0  # weight of the gain against the price of a push; the paper's V
+NOISE_FLOOR = 0.05  # relative gain below which a gain counts as none, since costs are measured with noise
 
 
 class PushGate:
-    """The Greedy Policy: push iff U < V x gain, then U <- [U - hmax]+ + u."""
+    """Pushes iff U < V x gain, then sets U <- [U - hmax]+ + u, where u is 1 for a push.
+
+    Attributes:
+        push_price: The paper's U, in pushes.
+        gain: Relative gain of the last decision, for watchers.
+    """
 
     def __init__(self) -> None:
-        self.price = self.gain = 0.0
+        self.push_price = 0.0
+        self.gain = 0.0
+
+    def decide(self, published_cost: float, current_cost: float, held: bool) -> bool:
+        """Decides once a report period whether to push.
 
-    def decide(self, published: float, current: float, held: bool) -> bool:
-        self.gain = gain = (published - current) / published if published > 0 else 0.0
-        push = not held and self.price < V * (gain if gain >= NOISE_FLOOR else 0.0)
-        self.price = max(self.price - HMAX, 0.0) + push
+        Args:
+            published_cost: Cost of the weights that proxies have.
+            current_cost: Cost of the weights that a push would send, in the same unit.
+            held: Nothing may be pushed, whatever it gains.
+        """
+        self.gain = (published_cost - current_cost) / published_cost if published_cost > 0 else 0.0
+        counted_gain = self.gain if self.gain >= NOISE_FLOOR else 0.0
+        push = not held and self.push_price < GAIN_WEIGHT * counted_gain
+        self.push_price = max(self.push_price - PUSH_BUDGET_PER_PERIOD, 0.0) + push
         return push
--- a/hollyridge/decisions/tables.py
+++ b/hollyridge/decisions/tables.py
@@ -1,116 +1,247 @@
-"""What each table holds and which proxies use it."""
+"""The tables: what each one holds as last ordered, which proxies use it, and which proxies wait for one.
+
+Tables are numbered in this order: one for each zone of proxies; one overflow table; slices of the zones' tables, for
+waves of joins; and one home table for each zone where some methods may not leave the proxy's zone.
+"""
 
 from __future__ import annotations
 
-from hollyridge.decisions.admission import whole_level
+from typing import NamedTuple
+
+from hollyridge.decisions.admission import Level, unlimited_amount
 from hollyridge.decisions.backlog import BacklogEstimator
-from hollyridge.decisions.estimates import JAM
+from hollyridge.decisions.estimates import OVERLOAD_FAILURE_RATIO
 from hollyridge.interface import AssignerConfig, BindTable, Command, ProxyJoined
 
 SLICES = 4  # tables that share out a zone's among many proxies that join at once
+MIN_SLICE_LINES = 2  # lines of a slice, below which slices are not worth having
+START_WAVE_FACTOR = 2  # slices cost a second table each, so where nobody has a table the threshold is twice as high
+WAVE_OVER_DIVISOR = 2  # a wave is over below half of the threshold at which it began
+MAX_OVERLOAD_SCORE = 4  # periods; bounds how long a past overload is remembered
+SEPARATE_AT_SCORE = 2  # overloaded periods from which methods are separated
+RECOVERED_FAILURE_RATIO = OVERLOAD_FAILURE_RATIO / 5  # part of attempts that fail, below which methods return
+ALL_METHODS = 0  # the mask in a binding that stands for all
+LATE_JOIN_DIVISOR = 4  # after a quarter of the grace a proxy that waits for a table may go past the soft limit
+LATE_JOIN_LIMITS = 2  # and up to twice of it
+HEADER_LINES = 1  # lines that a binding costs beside the table's own
+
+
+class PendingBinding(NamedTuple):
+    """A proxy that is to use a table for the methods in a mask, once there is room to send it."""
+
+    proxy: int
+    table: int
+    methods: int
+
+
+class Table:
+    """One table as last ordered.
+
+    Attributes:
+        weights: By task.
+        caps: What each line's weight was limited by when it went out.
+        levels: Admission by method.
+        proxies: Those that use it.
+    """
+
+    __slots__ = ("caps", "levels", "proxies", "weights")
+
+    def __init__(self, levels: dict[int, Level]) -> None:
+        self.weights: dict[int, float] = {}
+        self.caps: dict[int, float] = {}
+        self.levels = levels
+        self.proxies: list[int] = []
+
+    def lines(self) -> int:
+        """Lines that it costs to send the table to one proxy."""
+        return len(self.weights) + HEADER_LINES + len(self.levels)
 
 
 class TableSet:
-    """One shared table a zone, one for the excess of a jam, and slices of zones' tables for a wave of joins:
-    a small table at once serves better than a whole one too late; where some methods may go to tasks of the
-    proxy's zone only, a home table a zone for these; who uses them, what was last ordered."""
+    """All tables, by number.
+
+    Attributes:
+        overflow: Number of the table to which sheddable methods go in an overload; also the number of zones.
+        first_home: Number of the first home table, or of tables where there is none.
+        zone_local_methods: Mask of the methods with home tables, 0 where there are none.
+        all_zone_local: All methods keep to their zone, so each zone's one table holds its own tasks only.
+        proxy_zone: Zone of each joined proxy.
+        proxy_rate: RPCs a second that each proxy expected when it joined.
+        pending: Bindings that wait for room.
+        join_wave: So many proxies wait that they get slices first.
+        methods_separated: Sheddable methods use the overflow table.
+    """
 
     def __init__(self, config: AssignerConfig) -> None:
-        self.excess, self.standing = config.zones, config.initial_table_size
-        own = sum(1 << k for k, m in enumerate(config.methods) if m.same_zone_only)
-        # Where all methods keep to their zone its one table does; else these methods, and all the rest.
-        self.alone = own == (1 << len(config.methods)) - 1
-        self.own, self.rest = (0, 0) if self.alone or not own else (own, (1 << len(config.methods)) - 1 - own)
-        self.homes = config.zones * (1 + SLICES) + 1
-        every = range(self.homes + config.zones * (self.own > 0))
-        self.lines: list[dict[int, float]] = [{} for _ in every]
-        self.caps: list[dict[int, float]] = [{} for _ in every]  # the cap each line went out with
-        usual = dict.fromkeys(range(len(config.methods)), (whole_level(config), config.default_retry_mode))
-        self.levels = [dict(usual) for _ in every]
-        self.bound: list[list[int]] = [[] for _ in every]
-        self.joining: list[tuple[int, int, int]] = []  # proxies to be put on a table, for which methods
-        self.zone: dict[int, int] = {}  # of each joined proxy
-        self.rate: dict[int, float] = {}
-        self.strain, self.parted, self.crowded, self.waiting = 0, False, False, 0
-
-    def zone_of(self, table: int) -> int:  # of proxies that use it
-        part = (table - self.excess - 1) // SLICES  # a slice of whose
-        return table if table <= self.excess else part if table < self.homes else table - self.homes
-
-    def serves(self, table: int, method: int) -> bool:
-        return self.excess < table < self.homes or (self.own >> method & 1) == (table >= self.homes)
-
-    def gather(self, usual: float) -> bool:
-        """Whether proxies wait for a table. They are a wave if, on top of as many that have one, so many come
-        that the channel could not take a drain behind them; a start, where nobody has one, at twice that."""
-        due = [zone for _, zone, methods in self.joining if not methods]
-        least = SLICES * max(2, self.standing)
-        lines = sum(len(self.lines[zone]) for zone in due if len(self.lines[zone]) >= least)
-        if len(due) > self.waiting:
-            self.crowded = self.crowded or lines > usual * (1 + (len(due) > sum(map(len, self.bound))))
-        self.crowded, self.waiting = self.crowded and lines > usual / 2, len(due)
-        return bool(due)
-
-    def first_table(self, zone: int) -> int:
-        first = self.excess + 1 + zone * SLICES
-        some = [table for table in range(first, first + SLICES) if self.crowded and self.lines[table]]
-        return min(some, key=lambda table: len(self.bound[table]), default=zone)
-
-    def join(self, event: ProxyJoined, lean: int) -> None:
-        self.zone[event.proxy] = event.zone
-        self.rate[event.proxy] = event.usual_rate_per_s if event.usual_rate_per_s > 0 else 0.0
-        self.joining.append((event.proxy, event.zone, 0))
-        if self.own:
-            self.joining.append((event.proxy, self.homes + event.zone, self.own))
-        if self.parted:
-            self.joining.append((event.proxy, self.excess, lean))
+        self.overflow = config.zones
+        self.initial_table_size = config.initial_table_size
+        all_methods = (1 << len(config.methods)) - 1
+        zone_local = sum(1 << index for index, method in enumerate(config.methods) if method.same_zone_only)
+        self.all_zone_local = zone_local == all_methods
+        self.zone_local_methods = 0 if self.all_zone_local else zone_local
+        self.other_methods = all_methods - zone_local if self.zone_local_methods else ALL_METHODS
+        self.first_home = config.zones * (1 + SLICES) + 1
+        count = self.first_home + config.zones * (self.zone_local_methods > 0)
+        level = Level(unlimited_amount(config), config.default_retry_mode)
+        self.tables = [Table(dict.fromkeys(range(len(config.methods)), level)) for _ in range(count)]
+        self.pending: list[PendingBinding] = []
+        self.proxy_zone: dict[int, int] = {}
+        self.proxy_rate: dict[int, float] = {}
+        self.overload_score = 0
+        self.methods_separated = False
+        self.join_wave = False
+        self.waiting_proxies = 0
+
+    def __getitem__(self, number: int) -> Table:
+        return self.tables[number]
+
+    def __len__(self) -> int:
+        return len(self.tables)
+
+    def is_slice(self, number: int) -> bool:
+        """Whether this table is a slice of a zone's table."""
+        return self.overflow < number < self.first_home
+
+    def is_unused_slice(self, number: int) -> bool:
+        """Whether nobody uses this slice, or will use it soon."""
+        return self.is_slice(number) and not self.join_wave and not self.tables[number].proxies
+
+    def zone_of(self, number: int) -> int:
+        """Zone of the proxies that use a table; the overflow table counts as a zone of its own."""
+        if number <= self.overflow:
+            return number
+        if number < self.first_home:
+            return (number - self.overflow - 1) // SLICES
+        return number - self.first_home
+
+    def serves(self, number: int, method: int) -> bool:
+        """Whether proxies use this table for this method."""
+        is_home = number >= self.first_home
+        return self.is_slice(number) or (self.zone_local_methods >> method & 1) == is_home
+
+    def join(self, event: ProxyJoined, sheddable_methods: int) -> None:
+        """Notes a proxy that waits for its tables."""
+        proxy = event.proxy
+        self.proxy_zone[proxy] = event.zone
+        self.proxy_rate[proxy] = event.usual_rate_per_s if event.usual_rate_per_s > 0 else 0.0
+        self.pending.append(PendingBinding(proxy, event.zone, ALL_METHODS))
+        if self.zone_local_methods:
+            self.pending.append(PendingBinding(proxy, self.first_home + event.zone, self.zone_local_methods))
+        if self.methods_separated:
+            self.pending.append(PendingBinding(proxy, self.overflow, sheddable_methods))
 
     def leave(self, proxy: int) -> None:
-        if self.zone.pop(proxy, None) is not None:
-            self.bound = [[p for p in bound if p != proxy] for bound in self.bound]
-            self.joining = [due for due in self.joining if due[0] != proxy]
-
-    def part_methods(self, jam: bool, lean: int, tried: float, bad: float) -> None:
-        """In a lasting jam that no level can thin out, methods of less criticality are left a few tasks, till
-        the rest do well."""
-        self.strain = max(0, min(4, self.strain + (1 if jam else -1)))
-        over = not self.strain or bad < JAM / 5 * tried
-        if lean and (over if self.parted else self.strain >= 2):
-            self.parted, self.strain = not self.parted, 0
-            self.joining = [due for due in self.joining if due[2] in (0, self.own)]
-            self.joining += [(p, self.excess if self.parted else z, lean) for p, z in self.zone.items()]
-
-    def attach(self, now: int, box: BacklogEstimator, since: dict[int, int]) -> list[Command]:
-        orders = []
-        # Proxies without a table first, and past all that waits in time: what they hold may be gone.
-        for proxy, zone, methods in sorted(self.joining, key=lambda due: due[2] not in (0, self.own)):
-            table = zone if methods else self.first_table(zone)
-            due = methods in (0, self.own) and now - since[proxy] > box.config.drain_grace_us / 4
-            room = 0 if box.held(1 + due) or not self.lines[table] else box.spare(now, [proxy], True)
-            if room >= self.size(table) and (proxy, zone, methods) in self.joining:
-                self.joining.remove((proxy, zone, methods))
-                if table != zone:  # a slice: of its home table where there is one
-                    second = proxy, self.homes + zone, self.own
-                    self.joining = [due for due in self.joining if due != second]
-                orders.append(self.bind(now, box, proxy, table, methods))
-        for table in range(self.excess + 1, self.homes):  # the wave is over: whole ones, with room
-            zone = self.zone_of(table)
-            whole = [(zone, 0)] + [(self.homes + zone, self.own)] * (self.own > 0)
-            size = sum(self.size(which) for which, _ in whole)
-            for proxy in list(self.bound[table]):
-                if self.joining or self.parted or box.spare(now, [proxy], False) < size:
-                    return orders
-                orders += [self.bind(now, box, proxy, *which) for which in whole]
-        return orders
-
-    def size(self, table: int) -> int:
-        return len(self.lines[table]) + 1 + len(self.levels[table])
-
-    def bind(self, now: int, box: BacklogEstimator, proxy: int, table: int, methods: int) -> BindTable:
-        for other, bound in enumerate(self.bound):
-            leaves = other == self.excess if methods else other != self.excess
-            if proxy in bound and leaves and other != table and max(other, table) < self.homes:
-                bound.remove(proxy)
-        self.bound[table] += [proxy] * (proxy not in self.bound[table])
-        box.book(now, [proxy], self.size(table))
-        return BindTable(proxy, table, methods or self.rest * (table <= self.excess))
+        """Forgets a proxy, joined or not."""
+        if self.proxy_zone.pop(proxy, None) is None:
+            return
+        for table in self.tables:
+            table.proxies = [other for other in table.proxies if other != proxy]
+        self.pending = [binding for binding in self.pending if binding.proxy != proxy]
+
+    def detect_join_wave(self, soft_backlog_limit: float) -> bool:
+        """Judges whether proxies come in a wave; returns whether any proxies wait for a table.
+
+        They are a wave if, on top of as many that have a table, so many come that a removal behind them would be
+        late; where nobody has one, at twice that.
+        """
+        zones = [binding.table for binding in self.pending if binding.methods == ALL_METHODS]
+        min_lines = SLICES * max(MIN_SLICE_LINES, self.initial_table_size)
+        sizes = [len(self.tables[zone].weights) for zone in zones]
+        lines = sum(size for size in sizes if size >= min_lines)
+        if len(zones) > self.waiting_proxies:
+            bound = sum(len(table.proxies) for table in self.tables)
+            factor = START_WAVE_FACTOR if len(zones) > bound else 1
+            self.join_wave = self.join_wave or lines > soft_backlog_limit * factor
+        self.join_wave = self.join_wave and lines > soft_backlog_limit / WAVE_OVER_DIVISOR
+        self.waiting_proxies = len(zones)
+        return bool(zones)
+
+    def update_separation(self, overloaded: bool, sheddable_methods: int, attempts: float, failed: float) -> None:
+        """Separates methods in a lasting overload that admission can't thin out, until the rest do well.
+
+        Args:
+            overloaded: The fleet is, in this period.
+            sheddable_methods: Mask of the methods that then are left a few tasks.
+            attempts: Attempts in a period at the tasks of the other methods.
+            failed: The failed ones.
+        """
+        score = self.overload_score + (1 if overloaded else -1)
+        self.overload_score = max(0, min(MAX_OVERLOAD_SCORE, score))
+        recovered = not self.overload_score or failed < RECOVERED_FAILURE_RATIO * attempts
+        changes = recovered if self.methods_separated else self.overload_score >= SEPARATE_AT_SCORE
+        if not sheddable_methods or not changes:
+            return
+        self.methods_separated = not self.methods_separated
+        self.overload_score = 0
+        self.pending = [binding for binding in self.pending if self._is_first(binding)]
+        self.pending += [
+            PendingBinding(proxy, self.overflow if self.methods_separated else zone, sheddable_methods)
+            for proxy, zone in self.proxy_zone.items()
+        ]
+
+    def bind_waiting(self, now_us: int, backlog: BacklogEstimator, joined_at_us: dict[int, int]) -> list[Command]:
+        """Binds proxies to the tables they wait for, as far as there is room for these in the channel.
+
+        Proxies without a table go first, and past all that waits in time: the tables they hold may list removed tasks.
+        """
+        commands: list[Command] = []
+        for binding in sorted(self.pending, key=lambda binding: not self._is_first(binding)):
+            number = binding.table if binding.methods else self._first_table(binding.table)
+            table = self.tables[number]
+            late_us = backlog.config.drain_grace_us / LATE_JOIN_DIVISOR
+            is_late = self._is_first(binding) and now_us - joined_at_us[binding.proxy] > late_us
+            if backlog.is_full(LATE_JOIN_LIMITS if is_late else 1) or not table.weights:
+                continue
+            if backlog.free_lines(now_us, [binding.proxy], urgent=True) >= table.lines() and binding in self.pending:
+                self._remove_pending(binding, number)
+                commands.append(self._bind(now_us, backlog, binding._replace(table=number)))
+        return commands + self._replace_slices(now_us, backlog)
+
+    def _is_first(self, binding: PendingBinding) -> bool:
+        """Whether a binding gives its proxy the first table for its methods."""
+        return binding.methods in (ALL_METHODS, self.zone_local_methods)
+
+    def _first_table(self, zone: int) -> int:
+        """In a wave of joins the zone's slice with the fewest users, otherwise its table."""
+        if not self.join_wave:
+            return zone
+        first = self.overflow + 1 + zone * SLICES
+        filled = [number for number in range(first, first + SLICES) if self.tables[number].weights]
+        return min(filled, key=lambda number: len(self.tables[number].proxies), default=zone)
+
+    def _remove_pending(self, binding: PendingBinding, number: int) -> None:
+        self.pending.remove(binding)
+        if number != binding.table:  # a slice serves all methods, and is of the home table where there is one
+            home = PendingBinding(binding.proxy, self.first_home + binding.table, self.zone_local_methods)
+            self.pending = [other for other in self.pending if other != home]
+
+    def _replace_slices(self, now_us: int, backlog: BacklogEstimator) -> list[Command]:
+        """After a wave, whole tables in place of slices, as there is room beside all else."""
+        commands: list[Command] = []
+        for number in range(self.overflow + 1, self.first_home):
+            zone = self.zone_of(number)
+            whole = [(zone, ALL_METHODS)]
+            if self.zone_local_methods:
+                whole.append((self.first_home + zone, self.zone_local_methods))
+            lines = sum(self.tables[table].lines() for table, _ in whole)
+            for proxy in list(self.tables[number].proxies):
+                if self.pending or self.methods_separated or backlog.free_lines(now_us, [proxy], urgent=False) < lines:
+                    return commands
+                commands += [
+                    self._bind(now_us, backlog, PendingBinding(proxy, table, methods)) for table, methods in whole
+                ]
+        return commands
+
+    def _bind(self, now_us: int, backlog: BacklogEstimator, binding: PendingBinding) -> BindTable:
+        proxy, number, methods = binding
+        for other, table in enumerate(self.tables):
+            replaced = (other == self.overflow) == (methods != ALL_METHODS)
+            shares_methods = other < self.first_home and number < self.first_home
+            if replaced and shares_methods and other != number and proxy in table.proxies:
+                table.proxies.remove(proxy)
+        table = self.tables[number]
+        if proxy not in table.proxies:
+            table.proxies.append(proxy)
+        backlog.reserve(now_us, [proxy], table.lines())
+        remaining = self.other_methods if number <= self.overflow else ALL_METHODS
+        return BindTable(proxy, number, methods or remaining)
--- a/hollyridge/decisions/weights.py
+++ b/hollyridge/decisions/weights.py
@@ -1,98 +1,212 @@
-"""Better weights, one step a period."""
+"""The weight controller: a feedback loop on reported latency, one bounded step a report period."""
 
 from __future__ import annotations
 
-from hollyridge.decisions.estimates import BUSY, PRIOR, Estimates
+from typing import NamedTuple
+
+from hollyridge.decisions.estimates import BUSY_UTILIZATION, PRIOR_ATTEMPTS, Estimates
 from hollyridge.interface import AssignerConfig
 
-STEP = 0.1  # a weight moves by at most this part in a period, and a line is sent once it moved by more
-LEAST_REACH = 0.3  # part of a line's weight in the tables of other zones where a zone lacks tasks
-FEEL = 0.02  # and where it does not, so that news of the way there keeps coming
-WORTH = 0.5  # part of its weight that a line of another zone's task should have
-TOLL = 4.0  # soft deadlines of latency that one point of the price for crossing zones is worth
+MAX_STEP = 0.1  # part of a task's size by which its weight moves in a period at most, all assigners together
+EFFICIENCY_GAIN = 2  # pull on the efficiency, in relative differences of cost
+EFFICIENCY_SLOWNESS = 3  # efficiency moves by a third of a weight's step
+MAX_MIN_SPILLOVER = 0.3  # spillover that a zone which lacks tasks gets at least
+PROBE_SPILLOVER = 0.02  # spillover of any zone, so that reports of the way there keep coming
+MAX_SPILLOVER_STEP = 0.1  # by which spillover rises in a period, unless a zone has lost half its capacity
+MIN_LINE_WEIGHT = 0.5  # part of its weight that a line of another zone's task should have to be worth its place
+CROSS_ZONE_PENALTY = 4.0  # latency objectives that one point of the price for crossing zones counts as
+TARGET_TASKS_FACTOR = 2  # initial tables' worth of tasks that a zone needs to even out bursts
+WAY_COST_FACTOR = 2  # spillover ends where the way costs half a latency objective
+MIN_HEADROOM = 1.1  # of the mean load; zones up to it keep their work
+BUSY_HEADROOM = 0.75  # of a busy task's load; where all are idle, zones up to that keep their work
+LOST_CAPACITY = 2  # a zone that has under 1 / this of its weight left spills over at once
+MAX_PLAN_LOSS = 0.1  # part of a proposal's weight that may leave with its tasks before it counts as none
+
+
+class Proposal(NamedTuple):
+    """Weights by task that a solver has proposed for a zone's table, and until when they stand."""
+
+    valid_until_us: int
+    weights: dict[int, float]
+
+
+NO_PROPOSAL = Proposal(0, {})
 
 
 class WeightController:
-    """The feedback loop on heard latency: a weight goes towards the task's size x skill, a tenth at most a
-    step, and counts in other zones' tables by their reach."""
-
-    def __init__(self, config: AssignerConfig, est: Estimates) -> None:
-        self.zones, self.est, self.standing = range(config.zones), est, config.initial_table_size
-        self.stride = STEP / config.assigners
-        self.toll = TOLL * config.cross_zone_cost * est.soft  # crossing zones as latency
-        self.proposed: list[tuple[int, dict[int, float]]] = [(0, {}) for _ in self.zones]  # and until when
-        self.skill: list[float] = []
+    """Moves weights towards size x efficiency; in other zones' tables they count by the spillover.
+
+    Attributes:
+        weight: By task.
+        efficiency: By task, a factor on its size that is learned from costs.
+        spillover: By zone of proxies and zone of tasks, the part of its weight that a task has there.
+        learned_spillover: The part of it that is learned from costs.
+        proposed: By zone of proxies, what a solver has proposed.
+    """
+
+    def __init__(self, config: AssignerConfig, estimates: Estimates) -> None:
+        self.zones = range(config.zones)
+        self.estimates = estimates
+        self.initial_table_size = config.initial_table_size
+        self.max_step = MAX_STEP / config.assigners
+        self.cross_zone_cost_us = CROSS_ZONE_PENALTY * config.cross_zone_cost * estimates.latency_objective_us
+        self.proposed = [NO_PROPOSAL] * config.zones
+        self.efficiency: list[float] = []
         self.weight: list[float] = []
-        self.reach, self.extra = (
-            [[float(a == b and own) for b in self.zones] for a in self.zones] for own in (True, False)
-        )
-
-    def restart(self, task: int, hint: list[float]) -> None:
-        self.skill.extend([1.0] * (len(hint) - len(self.skill)))
-        self.weight.extend(hint[len(self.weight) :])
-        self.skill[task], self.weight[task] = 1.0, hint[task]
-
-    def cost(self, heard: float, load: float, away: bool) -> float:  # what one more RPC adds, and the toll
-        return heard / (1 - load) + self.toll * away
-
-    def step(self, costs: list, size: list[float], kin: list[int]) -> None:
-        cost = {i: sum(row[i] for row in costs) for i in kin}
-        average = sum(self.weight[i] * cost[i] for i in kin) / (sum(self.weight[i] for i in kin) or 1.0)
-        for i in kin:
-            # A leash keeps it near 1: equal latency, chased all the way, piles work on the quickest.
-            pull = 2 * (average - cost[i]) / average - (self.skill[i] - 1)
-            self.skill[i] *= 1 + max(-1.0, min(1.0, pull)) * self.stride / 3
-            room = self.stride * size[i]
-            self.weight[i] += max(-room, min(room, size[i] * self.skill[i] - self.weight[i]))
-
-    def least(self, kin: int, tasks: int) -> float:
-        """What a zone lacks to twice a standing table it borrows: few tasks can't even out bursts."""
-        return max(FEEL, min(LEAST_REACH, (2 * self.standing - kin) / max(1, tasks - kin)))
-
-    def stretch(
-        self, heard: list, zones: list[list[int]], part: dict[int, float], factor: list, demand: list[float]
+        self.spillover = [[float(here == there) for there in self.zones] for here in self.zones]
+        self.learned_spillover = [[0.0 for _ in self.zones] for _ in self.zones]
+
+    def reset(self, task: int, listed_weight: list[float]) -> None:
+        """Starts a task over at its listed weight."""
+        self.efficiency.extend([1.0] * (len(listed_weight) - len(self.efficiency)))
+        self.weight.extend(listed_weight[len(self.weight) :])
+        self.efficiency[task] = 1.0
+        self.weight[task] = listed_weight[task]
+
+    def expire_proposals(self, now_us: int) -> None:
+        """Drops proposals that no newer one has replaced in time."""
+        self.proposed = [proposal if now_us <= proposal.valid_until_us else NO_PROPOSAL for proposal in self.proposed]
+
+    def marginal_cost_us(self, latency_us: float, utilization: float, crosses_zones: bool) -> float:
+        """What one more RPC adds to latency, and the penalty for crossing zones."""
+        return latency_us / (1 - utilization) + self.cross_zone_cost_us * crosses_zones
+
+    def adjust_weights(self, costs: list[dict[int, float]], size: list[float], zone_tasks: list[int]) -> None:
+        """Moves the weights of a zone's tasks by a step.
+
+        Args:
+            costs: Marginal cost by zone of proxies and task.
+            size: By task.
+            zone_tasks: The zone's ready tasks.
+        """
+        cost = {task: sum(by_task[task] for by_task in costs) for task in zone_tasks}
+        total = sum(self.weight[task] for task in zone_tasks) or 1.0
+        average = sum(self.weight[task] * cost[task] for task in zone_tasks) / total
+        for task in zone_tasks:
+            # The second term draws efficiency back to 1: equal latency, chased all the way, overloads the quickest.
+            pull = EFFICIENCY_GAIN * (average - cost[task]) / average - (self.efficiency[task] - 1)
+            self.efficiency[task] *= 1 + max(-1.0, min(1.0, pull)) * self.max_step / EFFICIENCY_SLOWNESS
+            step = self.max_step * size[task]
+            target = size[task] * self.efficiency[task]
+            self.weight[task] += max(-step, min(step, target - self.weight[task]))
+
+    def update_spillover(
+        self,
+        latency_us: list[list[float]],
+        zone_tasks: list[list[int]],
+        slow_start_factors: dict[int, float],
+        outlier_factor: list[list[float]],
+        demand: list[float],
     ) -> None:
-        """How far each zone reaches into the others, by the means of whole zones, which are calm."""
-        mass = [sum(self.weight[i] for i in kin) for kin in zones]
-        able = [sum(self.weight[i] * part[i] * row[i] for i in kin) for kin, row in zip(zones, factor)]
-
-        def mean(row: list[float]) -> list[float]:
-            return [sum(self.weight[i] * row[i] for i in kin) / (m or 1.0) for kin, m in zip(zones, mass)]
-
-        load, met = mean(self.est.load), [mean(row) for row in heard]
-        even = self.spill(able, demand, sum(load) / len(load))
-        for z, reach in enumerate(self.reach):
-            cost = [self.cost(met[z][to], load[to], to != z) for to in self.zones]
-            told_of, least = sum(self.est.tries[z]) >= PRIOR, self.least(len(zones[z]), len(part))
-            for to in self.zones:
-                if to != z and mass[to] > 0:
-                    pull = (cost[z] - cost[to]) / max(cost[z], cost[to]) * told_of if mass[z] > 0 else 1.0
-                    self.extra[z][to] = max(0.0, min(1.0, self.extra[z][to] + pull * self.stride))
-                    way = max(0.0, 1 - 2 * max(0.0, met[z][to] - met[to][to]) / self.est.soft)
-                    aim = max(FEEL, (max(least, even[z][to]) + self.extra[z][to]) * way)
-                    reach[to] = min(aim, reach[to] + STEP if reach[to] and able[z] > mass[z] / 2 else 1.0)
-
-    def spill(self, able: list[float], demand: list[float], load: float) -> list[list[float]]:
-        """The reach that makes all about as busy, from what comes and what tasks can do."""
-        mean = sum(demand) / (sum(able) or 1.0) * max(1.1, 0.75 * BUSY / load if load > 0 else 0.0)
-        need = [d / (mean or 1.0) for d in demand]
-        spare = [max(0.0, a - n) * (n > 0) for a, n in zip(able, need)]
-        over = [max(0.0, n - a) for a, n in zip(able, need)]
-        part = 1 / (max(sum(over), sum(spare)) or 1.0)
-        return [[o * part * s / a if a > 0 else 0.0 for s, a in zip(spare, able)] for o in over]
-
-    def weights(self, zone: int, zones: list[list[int]]) -> dict[int, float]:
-        """All of its own tasks, and so many of each other zone that a line is worth its place; or what is
-        proposed, trimmed by skill."""
-        proposed = self.proposed[zone][1]
-        lines = {i: proposed[i] * self.skill[i] for kin in zones for i in kin if proposed.get(i, 0.0) > 0}
-        # What is left of a plan whose tasks left with a zone is none: it kept little where all is to go now.
-        if lines and sum(proposed[i] for i in lines) > (1 - STEP) * sum(proposed.values()):
-            return lines
-        lines = {}
-        for to, kin in enumerate(zones):
-            reach = self.reach[zone][to] or self.least(len(zones[zone]), sum(map(len, zones)))
-            start = zone * len(kin) // len(zones)
-            some = (kin[start:] + kin[:start])[: max(1, self.standing, round(len(kin) * reach / WORTH))]
-            lines.update((i, self.weight[i] * reach * len(kin) / len(some)) for i in some)
-        return lines
+        """Moves how far each zone's proxies send to other zones, by the means of whole zones, which are calm.
+
+        Args:
+            latency_us: Mean latency by zone of proxies and task.
+            zone_tasks: Ready tasks by zone.
+            slow_start_factors: By ready task.
+            outlier_factor: By zone of proxies and task.
+            demand: RPCs in a period by zone of proxies.
+        """
+        mass = [sum(self.weight[task] for task in tasks) for tasks in zone_tasks]
+        usable = [
+            sum(self.weight[task] * slow_start_factors[task] * factor[task] for task in tasks)
+            for tasks, factor in zip(zone_tasks, outlier_factor)
+        ]
+        load = self._zone_means(self.estimates.mean_utilization, zone_tasks, mass)
+        latency = [self._zone_means(by_task, zone_tasks, mass) for by_task in latency_us]
+        balanced = self._demand_spillover(usable, demand, sum(load) / len(load))
+        for here in self.zones:
+            by_steps = usable[here] > mass[here] / LOST_CAPACITY
+            min_spillover = self._min_spillover(len(zone_tasks[here]), len(slow_start_factors))
+            cost = [self.marginal_cost_us(latency[here][to], load[to], to != here) for to in self.zones]
+            for there in self.zones:
+                if there != here and mass[there] > 0:
+                    self._learn_spillover(here, there, cost, mass[here] > 0)
+                    way_us = max(0.0, latency[here][there] - latency[there][there])
+                    wanted = max(min_spillover, balanced[here][there]) + self.learned_spillover[here][there]
+                    self._move_spillover(here, there, wanted, way_us, by_steps)
+
+    def table_weights(self, zone: int, zone_tasks: list[list[int]]) -> dict[int, float]:
+        """The weights of a zone's table: what is proposed, trimmed by efficiency, or else by spillover.
+
+        All of the zone's own tasks are in it, and so many of each other zone that a line is worth its place.
+        """
+        proposed = self._proposed_weights(zone, zone_tasks)
+        if proposed:
+            return proposed
+        weights: dict[int, float] = {}
+        tasks_in_all = sum(map(len, zone_tasks))
+        for there, tasks in enumerate(zone_tasks):
+            spillover = self.spillover[zone][there] or self._min_spillover(len(zone_tasks[zone]), tasks_in_all)
+            # Zones of proxies begin at different tasks, so that their few lines spread over all.
+            start = zone * len(tasks) // len(zone_tasks)
+            count = max(1, self.initial_table_size, round(len(tasks) * spillover / MIN_LINE_WEIGHT))
+            chosen = (tasks[start:] + tasks[:start])[:count]
+            weights.update((task, self.weight[task] * spillover * len(tasks) / len(chosen)) for task in chosen)
+        return weights
+
+    def _proposed_weights(self, zone: int, zone_tasks: list[list[int]]) -> dict[int, float]:
+        """What is proposed, or nothing where over a tenth of the proposal has left with its tasks.
+
+        What is left of a plan whose tasks left with a zone is none: it kept little where all is to go now.
+        """
+        proposed = self.proposed[zone].weights
+        weights = {
+            task: proposed[task] * self.efficiency[task]
+            for tasks in zone_tasks
+            for task in tasks
+            if proposed.get(task, 0.0) > 0
+        }
+        if sum(proposed[task] for task in weights) > (1 - MAX_PLAN_LOSS) * sum(proposed.values()):
+            return weights
+        return {}
+
+    def _zone_means(self, figures: list[float], zone_tasks: list[list[int]], mass: list[float]) -> list[float]:
+        """Means over each zone's tasks, by weight."""
+        return [
+            sum(self.weight[task] * figures[task] for task in tasks) / (total or 1.0)
+            for tasks, total in zip(zone_tasks, mass)
+        ]
+
+    def _min_spillover(self, own_tasks: int, tasks: int) -> float:
+        """Borrows what a zone lacks to two initial tables: few tasks can't even out bursts."""
+        lacking = TARGET_TASKS_FACTOR * self.initial_table_size - own_tasks
+        return max(PROBE_SPILLOVER, min(MAX_MIN_SPILLOVER, lacking / max(1, tasks - own_tasks)))
+
+    def _learn_spillover(self, here: int, there: int, cost: list[float], has_own_tasks: bool) -> None:
+        """Moves the learned part by the relative difference of cost; not where the zone's proxies report nothing."""
+        if has_own_tasks:
+            reports = sum(self.estimates.attempts[here]) >= PRIOR_ATTEMPTS
+            pull = (cost[here] - cost[there]) / max(cost[here], cost[there]) * reports
+        else:
+            pull = 1.0
+        learned = self.learned_spillover[here][there] + pull * self.max_step
+        self.learned_spillover[here][there] = max(0.0, min(1.0, learned))
+
+    def _move_spillover(self, here: int, there: int, wanted: float, way_us: float, by_steps: bool) -> None:
+        """Goes to what is wanted, less what the way costs: down at once, up by steps or at once."""
+        spillover = self.spillover[here]
+        discount = max(0.0, 1 - WAY_COST_FACTOR * way_us / self.estimates.latency_objective_us)
+        target = max(PROBE_SPILLOVER, wanted * discount)
+        limit = spillover[there] + MAX_SPILLOVER_STEP if spillover[there] and by_steps else 1.0
+        spillover[there] = min(target, limit)
+
+    @staticmethod
+    def _demand_spillover(usable: list[float], demand: list[float], utilization: float) -> list[list[float]]:
+        """The spillover that makes all zones about as busy, from what comes and what their tasks can do.
+
+        Args:
+            usable: Weight by zone that can be used now.
+            demand: RPCs in a period by zone.
+            utilization: The mean of all zones.
+        """
+        headroom = max(MIN_HEADROOM, BUSY_HEADROOM * BUSY_UTILIZATION / utilization if utilization > 0 else 0.0)
+        per_weight = sum(demand) / (sum(usable) or 1.0) * headroom
+        needed = [rpcs / (per_weight or 1.0) for rpcs in demand]
+        spare = [max(0.0, have - need) * (need > 0) for have, need in zip(usable, needed)]
+        over = [max(0.0, need - have) for have, need in zip(usable, needed)]
+        share = 1 / (max(sum(over), sum(spare)) or 1.0)
+        return [
+            [lacking * share * free / have if have > 0 else 0.0 for free, have in zip(spare, usable)]
+            for lacking in over
+        ]
--- a/hollyridge/lab/policies.py
+++ b/hollyridge/lab/policies.py
@@ -87,7 +87,7 @@
 
     def __init__(self, config: api.AssignerConfig, seed: int) -> None:
         super().__init__(config, seed)
-        self.gate.decide = lambda published, current, held: not held
+        self.push_gate.decide = lambda published_cost, current_cost, held: not held
 
 
 class EmptiesTables(Assigner):
@@ -100,7 +100,7 @@
         self.begun = self.begun or now
         if now - self.begun < 4_000_000:
             return orders
-        lines = self.tables.lines[0]
+        lines = self.tables[0].weights
         orders = [o for o in orders if not (isinstance(o, api.SetWeight) and o.table == 0)]
         orders += [api.SetWeight(0.0, task, 0) for task in lines]
         lines.clear()
@@ -119,7 +119,7 @@
 
     def decide(self, now: int, events: list) -> list:
         orders = super().decide(now, events)
-        cold = [i for i, part in self.parts(now).items() if part < 1]
+        cold = [i for i, part in self.planner.slow_start_factors(now).items() if part < 1]
         return [
             o._replace(weight=o.weight * 1000)
             if isinstance(o, api.SetWeight) and o.task == min(cold, default=-1)
@@ -133,8 +133,9 @@
 
     def decide(self, now: int, events: list) -> list:
         orders = super().decide(now, events)
-        for table, lines in enumerate(self.tables.lines):
-            orders += [api.SetWeight(w * (1 + now // 1000 % 7 / 10), i, table) for i, w in list(lines.items())[:1]]
+        for number, table in enumerate(self.tables.tables):
+            lines = list(table.weights.items())[:1]
+            orders += [api.SetWeight(w * (1 + now // 1000 % 7 / 10), i, number) for i, w in lines]
         return [*orders, api.SetTimer(9, 100_000)] if any(isinstance(e, api.TimerFired) for e in events) else orders
 
 
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -14,37 +14,50 @@
 def fleet_of(module: Assigner, now: int, handshake: float, connections: float) -> Fleet | None:
     """None where nothing is known yet of what tasks can do. One method stands for all: a zone's table is theirs in
     common, and levels stay with the module. What others send to a task, as its load tells, is not ours to share out."""
-    config, est, roster, tables = module.config, module.est, module.roster, module.tables
-    period, known = config.report_period_us / 1e6, [i for i in roster.open() if i < len(est.does) and est.does[i] > 0]
+    config, estimates, endpoints, tables = module.config, module.estimates, module.endpoints, module.tables
+    period, known = (
+        config.report_period_us / 1e6,
+        [i for i in endpoints.ready_tasks() if i < len(estimates.capacity) and estimates.capacity[i] > 0],
+    )
     if not known:
         return None
-    usual = sum(est.does[i] for i in known) / sum(roster.hint[i] for i in known)
+    usual = sum(estimates.capacity[i] for i in known) / sum(endpoints.listed_weight[i] for i in known)
     tasks = []
-    for i, state in enumerate(roster.state):
-        does = est.does[i] if i < len(est.does) and est.does[i] > 0 else usual * roster.hint[i]
-        mine = est.failing([i])[0] / does if i < len(est.load) else 0.0
-        others = max(0.0, est.load[i] - mine) if i < len(est.load) and config.assigners > 1 else 0.0
-        heard = est.busy[i] if i < len(est.busy) else 0.0
-        health = max((row[i] for row in module.health.factor if i < len(row)), default=1.0)
+    for i, state in enumerate(endpoints.state):
+        does = (
+            estimates.capacity[i]
+            if i < len(estimates.capacity) and estimates.capacity[i] > 0
+            else usual * endpoints.listed_weight[i]
+        )
+        mine = estimates.attempts_and_failures([i])[0] / does if i < len(estimates.mean_utilization) else 0.0
+        others = (
+            max(0.0, estimates.mean_utilization[i] - mine)
+            if i < len(estimates.mean_utilization) and config.assigners > 1
+            else 0.0
+        )
+        heard = estimates.busy_periods[i] if i < len(estimates.busy_periods) else 0.0
+        health = max((row[i] for row in module.outliers.factor if i < len(row)), default=1.0)
         tasks.append(
             Task(
                 str(i),
-                max(0, roster.zone[i]),
+                max(0, endpoints.zone[i]),
                 does * health * max(0.05, 1 - others) / period,
                 DOUBT / (1 + heard),
-                stated_part(config, now, roster.started[i]),
+                stated_part(config, now, endpoints.started_at_us[i]),
                 connections,
                 state == api.TaskState.READY,
             )
         )
     zones = []
     for z in range(config.zones):
-        proxies = [p for p, zone in tables.zone.items() if zone == z]
-        comes = sum(est.offered(p) or tables.rate[p] * period for p in proxies) / period
-        tries, bad, slow = (sum(column) for column in zip(*est.met[z])) if est.met[z] else (0.0, 0.0, 0.0)
+        proxies = [p for p, zone in tables.proxy_zone.items() if zone == z]
+        comes = sum(estimates.offered(p) or tables.proxy_rate[p] * period for p in proxies) / period
+        tries, bad, slow = (
+            (sum(column) for column in zip(*estimates.traffic[z])) if estimates.traffic[z] else (0.0, 0.0, 0.0)
+        )
         stays = slow / max(tries - bad, 1.0) / 1e6
         zones.append(Zone(str(z), len(proxies), (comes,), comes * stays / max(len(proxies), 1)))
-    held = tuple(dict(tables.lines[z]) if tables.bound[z] else {} for z in range(config.zones))
+    held = tuple(dict(tables[z].weights) if tables[z].proxies else {} for z in range(config.zones))
     pick = "p2c" if config.balancing_policy == api.BalancingPolicy.P2C else "random"
     return Fleet(
         (Method("all", 1.0),),
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -102,39 +102,39 @@
     for age_s in (0, 30, 3600):
         module, now = started(), START + SECOND
         module.decide(now, [api.EstimatesRestored(tuple(rows), 2.0, age_s * SECOND)])
-        assert module.gate.price >= 2.0 - 1e-9  # an old price can only hold pushes back
+        assert module.push_gate.push_price >= 2.0 - 1e-9  # an old price can only hold pushes back
         news(module, now + SECOND, load=0.5)
-        found[age_s] = module.est.does[3] / module.est.does[0]
+        found[age_s] = module.estimates.capacity[3] / module.estimates.capacity[0]
     assert found[0] < found[30] < found[3600] and found[0] < 0.75 and found[3600] > 0.9
 
 
 def test_what_is_known_better_stays_and_what_is_closed_or_cold_is_not_told():
     module, now = taught(), START + 20 * SECOND
-    before = list(module.est.busy)
+    before = list(module.estimates.busy_periods)
     told = api.EstimatesRestored(
         (api.LearnedEstimate(0, 900.0, 0.5, 4.0, 9.0), api.LearnedEstimate(99, 900.0, 10.0, 4.0, 9.0)), 0.0, 0
     )
     module.decide(now, [told])
-    assert module.est.busy == before and module.solver.skill[0] < 2
+    assert module.estimates.busy_periods == before and module.weights.efficiency[0] < 2
     module.decide(now, [roster([entry(1, state=api.TaskState.GONE), entry(2, started_at=now)], api.UpdateKind.DELTA)])
     module.decide(
         now, [api.EstimatesRestored(tuple(api.LearnedEstimate(i, 900.0, 10.0, 4.0, 9.0) for i in (1, 2)), 0.0, 0)]
     )
-    assert module.est.busy[2] == 0.0 and module.solver.skill[1] < 2
+    assert module.estimates.busy_periods[2] == 0.0 and module.weights.efficiency[1] < 2
 
 
 def test_an_assigner_keeps_what_it_learnt_and_tells_it_after_a_restart(rig, tmp_path):  # noqa: F811
     path = tmp_path / "kept.state"
     one = rig(kept__file=str(path), kept__every_s=0.2)
     one.agent()
-    assert wait_for(lambda: len(one.engine.assigner.roster.state) == 4)
+    assert wait_for(lambda: len(one.engine.assigner.endpoints.state) == 4)
     for i in range(4):
-        one.engine.assigner.est.served[i], one.engine.assigner.est.busy[i] = 30.0 - i, 1.0
+        one.engine.assigner.estimates.answered[i], one.engine.assigner.estimates.busy_periods[i] = 30.0 - i, 1.0
     assert wait_for(path.exists)
     gevent.sleep(0.3)
     two = rig(kept__file=str(path), kept__every_s=60)
     two.agent()
-    assert wait_for(lambda: any(two.engine.assigner.est.busy))
+    assert wait_for(lambda: any(two.engine.assigner.estimates.busy_periods))
     assert two.service.status()["kept"]["recalled"] == 4
     three = rig(kept__file=str(tmp_path / "spoilt"), kept__every_s=60)
     (tmp_path / "spoilt").write_bytes(WHOLE[:-3])
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -148,7 +148,10 @@
         house.run(0.3)
         heard, waits = house.engine.assigner.heard, house.engine.queue.waiting_lines
         assert type(heard[-1]) is api.QueueDepth and sum(type(event) is api.QueueDepth for event in heard) == 1
-        assert house.engine.assigner.outbox.sent - house.engine.assigner.outbox.left >= heard[-1].waiting_lines - 1e-6
+        assert (
+            house.engine.assigner.backlog.sent - house.engine.assigner.backlog.delivered
+            >= heard[-1].waiting_lines - 1e-6
+        )
     assert house.engine.queue.merged_updates > 0 and waits > 0
 
 
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -19,6 +19,7 @@
 from hollyridge.cli.main import main
 from hollyridge.client.picking import Picker
 from hollyridge.decisions.assigner import Assigner
+from hollyridge.decisions.estimates import PeriodLoad
 from hollyridge.decisions.push_gate import NOISE_FLOOR
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
@@ -264,13 +265,13 @@
     for _ in range(6):
         now += SECOND
         news(module, now, plan, slow=4)
-    before = dict(module.tables.lines[0])
+    before = dict(module.tables[0].weights)
     assert before[1] > 3 * before[2]
     now += SECOND // 4
     gone = [entry(i, state=api.TaskState.GONE) for i in (0, 3)]
     orders = module.decide(now, [roster(gone, api.UpdateKind.DELTA)])
     assert {o.task for o in orders if isinstance(o, api.SetWeight) and o.weight > 0} == {1, 2}
-    after = module.tables.lines[0]
+    after = module.tables[0].weights
     assert 0.5 < after[2] / after[1] < 2  # the plan has lapsed
 
 
@@ -282,11 +283,11 @@
     thread = gevent.get_hub().threadpool
     empty = thread.apply(runner.invoke, (main, ["solve", address]))
     assert empty.exit_code == 1 and "no description yet" in empty.output
-    assert wait_for(lambda: len(r.engine.assigner.roster.state) == 4)
+    assert wait_for(lambda: len(r.engine.assigner.endpoints.state) == 4)
     module = r.engine.assigner
     for i in range(4):
-        module.est.does[i], module.est.served[i], module.est.busy[i] = 20.0, 20.0, 1.0
-    module.est.came = {0: {0: (10.0, 0)}}
+        module.estimates.capacity[i], module.estimates.answered[i], module.estimates.busy_periods[i] = 20.0, 20.0, 1.0
+    module.estimates.offered_load = {0: {0: PeriodLoad(10.0, 0)}}
     agent.quiesce([r.members()[0]])
     told = thread.apply(runner.invoke, (main, ["solve", address, "--json"]))
     assert told.exit_code == 0, told.output
@@ -351,13 +352,13 @@
         for _ in range(3):
             now += SECOND
             news(module, now, proposed, slow=slow)
-        lines = module.tables.lines[0]
+        lines = module.tables[0].weights
         ratio[name] = lines[1] / lines[0]
-        assert any(module.solver.proposed[0][1].values()) == (proposed is not None)
+        assert any(module.weights.proposed[0].weights.values()) == (proposed is not None)
         for _ in range(6):
             now += SECOND
             news(module, now, slow=slow)
-        assert not module.solver.proposed[0][1]
+        assert not module.weights.proposed[0].weights
     assert ratio["proposed"] < 0.5 < 0.7 < ratio["alone"] and ratio["gains nothing"] == 1.0
 
 
