--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: a bootstrap, an assigner at work, and a reading of its orders."""
+"""What the tests share: a configuration, an assigner at work, and a reading of its commands."""
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -65,7 +65,7 @@
 
 
 class Rig:
-    """An assigner with a clock, and the tables its proxies would hold after its orders."""
+    """An assigner with a clock, and the tables its proxies would hold after its commands."""
 
     def __init__(self, tasks=8, proxies=4, seed=7, **terms):
         self.config = bootstrap(**terms)
@@ -74,7 +74,7 @@
         self.tables: dict[int, dict[int, float]] = {}
         self.bound: dict[int, int] = {}
         self.levels: dict[tuple, tuple] = {}
-        self.orders: list = []
+        self.commands: list = []
         self.feed(
             roster([entry(i) for i in range(tasks)], api.UpdateKind.CACHED),
             *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(proxies)],
@@ -82,8 +82,8 @@
 
     def feed(self, *events, after=0.0):
         self.now += round(after * SECOND)
-        self.orders = self.assigner.decide(self.now, list(events))
-        for o in self.orders:
+        self.commands = self.assigner.decide(self.now, list(events))
+        for o in self.commands:
             if isinstance(o, api.SetWeight):
                 self.tables.setdefault(o.table, {})[o.task] = o.weight
                 if o.weight == 0:
@@ -92,22 +92,22 @@
                 self.bound[o.proxy] = o.table
             elif isinstance(o, api.SetAdmission):
                 self.levels[o.table, o.methods] = (o.amount, o.retry_mode)
-        return self.orders
+        return self.commands
 
-    def period(self, *reports, receipts=True):
+    def period(self, *reports, acks=True):
         """Let a report period pass, with reports at its end."""
         events = [api.TimerFired(0), *reports]
-        if receipts:
-            events += [api.Ack(0, o.mark, SECOND // 5) for o in self.orders if isinstance(o, api.RequestAck)]
+        if acks:
+            events += [api.Ack(0, o.mark, SECOND // 5) for o in self.commands if isinstance(o, api.RequestAck)]
         return self.feed(*events, after=self.config.report_period_us / SECOND)
 
-    def met(self, zone, task, latency=0.1, tries=10, bad=0):
-        return api.TrafficReport(zone, task, tries, bad, round(latency * SECOND), SECOND, ())
+    def report(self, zone, task, latency=0.1, attempts=10, failed=0):
+        return api.TrafficReport(zone, task, attempts, failed, round(latency * SECOND), SECOND, ())
 
     def share(self, zone, task):
         table = self.tables[zone]
         return table.get(task, 0.0) / sum(table.values())
 
 
-def lines(orders):
-    return [o for o in orders if isinstance(o, api.SetWeight)]
+def lines(commands):
+    return [o for o in commands if isinstance(o, api.SetWeight)]
