--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -123,10 +123,10 @@
 
     def save(self) -> None:
         """Write the present estimates, if the decision module has any."""
-        learnt = getattr(self.engine.assigner, "learnt", None)  # baselines of the laboratory learn nothing
-        if learnt is None:
+        learned = getattr(self.engine.assigner, "learned_estimates", None)  # baselines of the laboratory learn nothing
+        if learned is None:
             return
-        estimates, push_price = learnt()
+        estimates, push_price = learned()
         if not estimates:
             return  # the state on disk holds more
         state = learned_estimates.noted(self.terms.fleet, self.wall_ms(), estimates, push_price, self.name_of)
--- a/hollyridge/core/status.py
+++ b/hollyridge/core/status.py
@@ -20,11 +20,11 @@
 
 
 def engine_status(engine: Engine) -> dict:
-    """Counts and levels of an engine. `figures` of the decision module are optional: baselines may have none."""
-    module_figures = getattr(engine.assigner, "figures", dict)()
+    """Counts and levels of an engine. `counters` of the decision module are optional: baselines may have none."""
+    module_counters = getattr(engine.assigner, "counters", dict)()
     return {
         "at": engine.ran_at,
-        "module": module_figures,
+        "module": module_counters,
         **engine.counts,
         "refused": engine.refused_commands,
         "waiting": round(engine.queue.waiting_lines),
