--- a/hollyridge/benchlink/__main__.py
+++ b/hollyridge/benchlink/__main__.py
@@ -5,15 +5,19 @@
 from hollyridge.benchlink.link import serve
 from hollyridge.benchlink.wire import WireError
 
+EXIT_OUTPUT_CLOSED = 1
+EXIT_BAD_INPUT = 2
+
 
 def main() -> int:
+    """Serve until the input ends; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as trouble:
-        print(f"benchlink: {trouble}", file=sys.stderr)
-        return 2
+    except WireError as error:
+        print(f"benchlink: {error}", file=sys.stderr)
+        return EXIT_BAD_INPUT
     except BrokenPipeError:
-        return 1
+        return EXIT_OUTPUT_CLOSED
     return 0
 
 
--- /dev/null
+++ b/hollyridge/benchlink/instance.py
@@ -0,0 +1,217 @@
+"""One assigner of the bench: records of the wire as typed events, typed commands as records.
+
+The wire names tasks by ids of its own, the assigner by dense indices in the order of first mention.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hollyridge import interface as api
+from hollyridge.benchlink.wire import COMMAND_LAYOUTS, CommandCode, EventCode, WireError, pack
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.platform_settings.assigner_config import read_assigner_config
+from hollyridge.platform_settings.settings_reader import SettingsError, seconds_to_us
+
+MAX_TASK_STATE = max(api.TaskState)
+MAX_UPDATE_KIND = max(api.UpdateKind)
+MAX_DURATION_S = 1e12  # beyond it a figure is no sensible time
+INVALID_DURATION_US = -1  # the assigner passes over a report that has it
+MAX_NOTE_BYTES = 1000
+US_PER_S = 1e6
+
+
+class AssignerInstance:
+    """An assigner with its own table of task ids.
+
+    Raises:
+        WireError: The settings can't be used.
+    """
+
+    def __init__(self, seed: int, settings_text: bytes) -> None:
+        try:
+            config = read_assigner_config(settings_text)
+        except SettingsError as error:  # to the bench, settings are a part of the wire
+            raise WireError(str(error)) from None
+        self.max_zone = config.zones - 1
+        self.max_method = len(config.methods) - 1
+        self.assigner = Assigner(config, seed)
+        self.index_by_id: dict[int, int] = {}
+        self.ids: list[int] = []
+
+    def task_index(self, wire_id: int) -> int:
+        """The task's index, a new one at its first mention."""
+        index = self.index_by_id.get(wire_id)
+        if index is None:
+            index = self.index_by_id[wire_id] = len(self.ids)
+            self.ids.append(wire_id)
+        return index
+
+    def decode_event(self, code: int, fields: tuple) -> api.Event:
+        """One record of the wire as a typed event.
+
+        Raises:
+            WireError: A zone, method, state or kind is out of range.
+        """
+        return _EVENT_DECODERS[code](self, fields)
+
+    def encode_command(self, command: api.Command) -> bytes:
+        """One typed command as a record of the wire."""
+        encoder = _COMMAND_ENCODERS.get(type(command))
+        if encoder is None:
+            raise TypeError(f"no such order: {type(command).__name__}")
+        return encoder(self, command)
+
+    # Events.
+
+    def _decode_endpoint_list(self, fields: tuple) -> api.EndpointListUpdate:
+        version, kind, entries = fields
+        endpoints = tuple(map(self._decode_endpoint, entries))
+        return api.EndpointListUpdate(version, _checked(kind, MAX_UPDATE_KIND, "list kind"), endpoints)
+
+    def _decode_endpoint(self, entry: tuple) -> api.Endpoint:
+        wire_id, zone, hardware_kind, cell, state, listed_weight, started_at_s = entry
+        return api.Endpoint(
+            self.task_index(wire_id),
+            _checked(zone, self.max_zone, "zone"),
+            hardware_kind,
+            cell,
+            _checked(state, MAX_TASK_STATE, "task state"),
+            listed_weight,
+            _duration_us(started_at_s),
+        )
+
+    def _decode_timer(self, fields: tuple) -> api.TimerFired:
+        return api.TimerFired(fields[0])
+
+    def _decode_probe_result(self, fields: tuple) -> api.ProbeResult:
+        wire_id, status, latency_s, load = fields
+        return api.ProbeResult(self.task_index(wire_id), status, _duration_us(latency_s), load)
+
+    def _decode_peer_message(self, fields: tuple) -> api.PeerMessage:
+        return api.PeerMessage(*fields)
+
+    def _decode_proxy_joined(self, fields: tuple) -> api.ProxyJoined:
+        usual_rate_per_s, has_no_table, proxy, zone = fields
+        return api.ProxyJoined(usual_rate_per_s, bool(has_no_table), proxy, _checked(zone, self.max_zone, "zone"))
+
+    def _decode_proxy_left(self, fields: tuple) -> api.ProxyLeft:
+        return api.ProxyLeft(fields[0])
+
+    def _decode_ack(self, fields: tuple) -> api.Ack:
+        proxy, mark, apply_time_s = fields
+        return api.Ack(proxy, mark, _duration_us(apply_time_s))
+
+    def _decode_traffic_report(self, fields: tuple) -> api.TrafficReport:
+        zone, wire_id, attempts, failed, latency_s, interval_s, load = fields
+        return api.TrafficReport(
+            _checked(zone, self.max_zone, "zone"),
+            self.task_index(wire_id),
+            attempts,
+            failed,
+            _duration_us(latency_s),
+            _duration_us(interval_s),
+            load,
+        )
+
+    def _decode_offered_load(self, fields: tuple) -> api.OfferedLoad:
+        rpcs, interval_s, proxy, method, unanswered = fields
+        return api.OfferedLoad(
+            rpcs, _duration_us(interval_s), proxy, _checked(method, self.max_method, "method"), unanswered
+        )
+
+    def _decode_slice_load(self, fields: tuple) -> api.SliceLoad:
+        key_slice, method, rpcs, unanswered, interval_s = fields
+        return api.SliceLoad(key_slice, method, rpcs, unanswered, _duration_us(interval_s))
+
+    def _decode_slice_charge(self, fields: tuple) -> api.SliceCharge:
+        granted, key_slice = fields
+        return api.SliceCharge(bool(granted), key_slice)
+
+    def _decode_slice_line(self, fields: tuple) -> api.SliceLine:
+        wire_id, weight, key_slice = fields
+        return api.SliceLine(self.task_index(wire_id), weight, key_slice)
+
+    # Commands.
+
+    def _encode_set_weight(self, command: api.SetWeight) -> bytes:
+        return encode_record(CommandCode.PUT_LINE, command.weight, self.ids[command.task], command.table)
+
+    def _encode_bind_table(self, command: api.BindTable) -> bytes:
+        return encode_record(CommandCode.ATTACH_TABLE, *command)
+
+    def _encode_request_ack(self, command: api.RequestAck) -> bytes:
+        return encode_record(CommandCode.ASK_RECEIPT, command.mark, command.from_all)
+
+    def _encode_set_timer(self, command: api.SetTimer) -> bytes:
+        return encode_record(CommandCode.WAKE_AT, command.token, command.delay_us / US_PER_S)
+
+    def _encode_set_admission(self, command: api.SetAdmission) -> bytes:
+        return encode_record(CommandCode.SET_LEVEL, *command)
+
+    def _encode_watch_endpoints(self, command: api.WatchEndpoints) -> bytes:
+        return encode_record(CommandCode.WATCH, command.on)
+
+    def _encode_refresh_endpoints(self, command: api.RefreshEndpoints) -> bytes:
+        return encode_record(CommandCode.RELOAD)
+
+    def _encode_set_ejected(self, command: api.SetEjected) -> bytes:
+        return encode_record(CommandCode.BENCH, self.ids[command.task], command.ejected)
+
+    def _encode_delete_table(self, command: api.DeleteTable) -> bytes:
+        return encode_record(CommandCode.DROP_LINES, command.table)
+
+    def _encode_log_note(self, command: api.LogNote) -> bytes:
+        return encode_record(CommandCode.NOTE_DOWN, command.text.encode()[:MAX_NOTE_BYTES])
+
+    def _encode_probe(self, command: api.Probe) -> bytes:
+        return encode_record(CommandCode.TOUCH, self.ids[command.task])
+
+    def _encode_peer_message(self, command: api.SendToPeer) -> bytes:
+        return encode_record(CommandCode.BROADCAST_TO, command.peer, command.payload)
+
+
+def encode_record(code: CommandCode, *fields: object) -> bytes:
+    """One record that goes out."""
+    return pack(code, fields, COMMAND_LAYOUTS)
+
+
+def _duration_us(seconds: float) -> int:
+    return seconds_to_us(seconds) if 0 <= seconds < MAX_DURATION_S else INVALID_DURATION_US
+
+
+def _checked(value: int, max_value: int, field: str) -> int:
+    if value > max_value:
+        raise WireError(f"{field} out of range: {value}")
+    return value
+
+
+# Plain integers as keys: looking up a member of an enumeration is slower, and this is done for each record.
+_EVENT_DECODERS: dict[int, Callable[[AssignerInstance, tuple], api.Event]] = {
+    int(EventCode.ROSTER_CHANGE): AssignerInstance._decode_endpoint_list,
+    int(EventCode.WAKE): AssignerInstance._decode_timer,
+    int(EventCode.PING_RESULT): AssignerInstance._decode_probe_result,
+    int(EventCode.PEER_DATA): AssignerInstance._decode_peer_message,
+    int(EventCode.JOINED): AssignerInstance._decode_proxy_joined,
+    int(EventCode.DISCONNECTED): AssignerInstance._decode_proxy_left,
+    int(EventCode.RECEIPT): AssignerInstance._decode_ack,
+    int(EventCode.TRAFFIC_REPORT): AssignerInstance._decode_traffic_report,
+    int(EventCode.OFFERED_LOAD): AssignerInstance._decode_offered_load,
+    int(EventCode.HEAT): AssignerInstance._decode_slice_load,
+    int(EventCode.TENURE): AssignerInstance._decode_slice_charge,
+    int(EventCode.LEDGER_LINE): AssignerInstance._decode_slice_line,
+}
+_COMMAND_ENCODERS: dict[type, Callable[[AssignerInstance, api.Command], bytes]] = {
+    api.SetWeight: AssignerInstance._encode_set_weight,
+    api.BindTable: AssignerInstance._encode_bind_table,
+    api.RequestAck: AssignerInstance._encode_request_ack,
+    api.SetTimer: AssignerInstance._encode_set_timer,
+    api.SetAdmission: AssignerInstance._encode_set_admission,
+    api.WatchEndpoints: AssignerInstance._encode_watch_endpoints,
+    api.RefreshEndpoints: AssignerInstance._encode_refresh_endpoints,
+    api.SetEjected: AssignerInstance._encode_set_ejected,
+    api.DeleteTable: AssignerInstance._encode_delete_table,
+    api.LogNote: AssignerInstance._encode_log_note,
+    api.Probe: AssignerInstance._encode_probe,
+    api.SendToPeer: AssignerInstance._encode_peer_message,
+}
--- a/hollyridge/benchlink/wire.py
+++ b/hollyridge/benchlink/wire.py
@@ -1,134 +1,209 @@
-"""Frames and records of the wire, both ways.
+"""Frames and records of the bench's wire, both ways.
 
-A record is its code followed by fixed fields and at most one counted tail. `EVENTS` and `ORDERS` say
-which fields; `unpack` and `pack` work from them, so that either side can be read and written.
+A record is a byte for its code, fixed fields, and at most one counted tail. `EVENT_LAYOUTS` and `COMMAND_LAYOUTS`
+define the fields of each code; `unpack` and `pack` work from them, so that either side can be read and written.
 """
 
 from __future__ import annotations
 
 import struct
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
+from enum import IntEnum
 from typing import BinaryIO, NamedTuple
 
-BATCH_HEAD = struct.Struct("<IdI")
-REPLY_HEAD = struct.Struct("<III")
-ENTRY = struct.Struct("<IBBHBfd")
-LONGEST = 1 << 28
-
-
-class WireError(Exception):
-    """What came in is not this wire."""
-
-
-class Shape(NamedTuple):
-    """The layout of one record: its name, fixed fields, and the counted tail (b, f or e)."""
+from hollyridge.errors import HollyridgeError
+
+BATCH_HEAD = struct.Struct("<IdI")  # bytes of the body, clock in seconds, number
+REPLY_HEAD = struct.Struct("<III")  # bytes of the body, records, number of the batch
+ENTRY = struct.Struct("<IBBHBfd")  # one task of an endpoint list
+MAX_BATCH_BYTES = 1 << 28  # a longer batch is a fault of the bench: refused before it is read
+MAX_CLOCK_S = 1e12
+
+# What a counted tail consists of.
+BYTES_TAIL = "b"
+FLOATS_TAIL = "f"
+ENTRIES_TAIL = "e"
+TAIL_ITEM_BYTES = {BYTES_TAIL: 1, FLOATS_TAIL: 4, ENTRIES_TAIL: ENTRY.size}
+
+
+class WireError(HollyridgeError):
+    """Input that is not this wire."""
+
+
+class EventCode(IntEnum):
+    """Codes of the records that come in, by the wire's own names."""
+
+    ENLIST = 0
+    ROSTER_CHANGE = 1
+    WAKE = 2
+    PING_RESULT = 3
+    PEER_DATA = 4
+    KILLED = 5
+    JOINED = 6
+    DISCONNECTED = 7
+    RECEIPT = 8
+    TRAFFIC_REPORT = 9
+    OFFERED_LOAD = 10
+    HEAT = 11
+    TENURE = 12
+    LEDGER_LINE = 13
+    CONTEXT = 14
+
+
+class CommandCode(IntEnum):
+    """Codes of the records that go out, by the wire's own names."""
+
+    RELOAD = 64
+    BENCH = 65
+    NOTE_DOWN = 66
+    TOUCH = 67
+    BROADCAST_TO = 68
+    WATCH = 69
+    SET_LEVEL = 70
+    ASK_RECEIPT = 71
+    ATTACH_TABLE = 72
+    WAKE_AT = 73
+    PUT_LINE = 74
+    DROP_LINES = 75
+    BAIL_OUT = 76
+    ON_BEHALF = 77
+
+
+class RecordLayout(NamedTuple):
+    """The layout of one record.
+
+    Attributes:
+        name: The wire's name of it, for texts of errors.
+        prefix: Its code, as the byte that it begins with.
+        fixed: Its fixed fields, in the notation of `struct`.
+        tail: What its counted tail consists of; empty for a record without one.
+        count: The tail's counter.
+    """
 
     name: str
+    prefix: bytes
     fixed: struct.Struct
-    tail: str = ""
-    count: struct.Struct = struct.Struct("<B")
-
-
-def _shape(name: str, fixed: str = "", tail: str = "", count: str = "B") -> Shape:
-    return Shape(name, struct.Struct("<" + fixed), tail, struct.Struct("<" + count))
-
-
-EVENTS = {
-    0: _shape("ENLIST", "Q", "b", "I"),
-    1: _shape("ROSTER_CHANGE", "QB", "e", "I"),
-    2: _shape("WAKE", "Q"),
-    3: _shape("PING_RESULT", "IBd", "f"),
-    4: _shape("PEER_DATA", "I", "b", "H"),
-    5: _shape("KILLED"),
-    6: _shape("JOINED", "fBHB"),
-    7: _shape("DISCONNECTED", "H"),
-    8: _shape("RECEIPT", "HQd"),
-    9: _shape("TRAFFIC_REPORT", "BIIIdd", "f"),
-    10: _shape("OFFERED_LOAD", "IdHBI"),
-    11: _shape("HEAT", "HBIId"),
-    12: _shape("TENURE", "BH"),
-    13: _shape("LEDGER_LINE", "IfH"),
-    14: _shape("CONTEXT", "I"),
-}
-ORDERS = {
-    64: _shape("RELOAD"),
-    65: _shape("BENCH", "IB"),
-    66: _shape("NOTE_DOWN", "", "b", "H"),
-    67: _shape("TOUCH", "I"),
-    68: _shape("BROADCAST_TO", "I", "b", "H"),
-    69: _shape("WATCH", "B"),
-    70: _shape("SET_LEVEL", "HHfB"),
-    71: _shape("ASK_RECEIPT", "QB"),
-    72: _shape("ATTACH_TABLE", "HHH"),
-    73: _shape("WAKE_AT", "Qd"),
-    74: _shape("PUT_LINE", "fIH"),
-    75: _shape("DROP_LINES", "H"),
-    76: _shape("BAIL_OUT", "", "b", "H"),
-    77: _shape("ON_BEHALF", "I"),
-}
-
-
-def unpack(body: bytes, shapes: dict[int, Shape]) -> Iterator[tuple[int, tuple]]:
-    """The records of a frame's body, each as its code and its fields (a tail is the last field)."""
-    at, end = 0, len(body)
-    while at < end:
-        code = body[at]
-        shape = shapes.get(code)
-        if shape is None:
+    tail: str
+    count: struct.Struct
+
+
+def _layout(code: IntEnum, fixed: str = "", tail: str = "", count: str = "B") -> tuple[int, RecordLayout]:
+    layout = RecordLayout(code.name, bytes((code,)), struct.Struct("<" + fixed), tail, struct.Struct("<" + count))
+    return int(code), layout  # plain integers as keys: looking up a member of an enumeration is slower
+
+
+EVENT_LAYOUTS = dict(
+    [
+        _layout(EventCode.ENLIST, "Q", BYTES_TAIL, "I"),
+        _layout(EventCode.ROSTER_CHANGE, "QB", ENTRIES_TAIL, "I"),
+        _layout(EventCode.WAKE, "Q"),
+        _layout(EventCode.PING_RESULT, "IBd", FLOATS_TAIL),
+        _layout(EventCode.PEER_DATA, "I", BYTES_TAIL, "H"),
+        _layout(EventCode.KILLED),
+        _layout(EventCode.JOINED, "fBHB"),
+        _layout(EventCode.DISCONNECTED, "H"),
+        _layout(EventCode.RECEIPT, "HQd"),
+        _layout(EventCode.TRAFFIC_REPORT, "BIIIdd", FLOATS_TAIL),
+        _layout(EventCode.OFFERED_LOAD, "IdHBI"),
+        _layout(EventCode.HEAT, "HBIId"),
+        _layout(EventCode.TENURE, "BH"),
+        _layout(EventCode.LEDGER_LINE, "IfH"),
+        _layout(EventCode.CONTEXT, "I"),
+    ]
+)
+COMMAND_LAYOUTS = dict(
+    [
+        _layout(CommandCode.RELOAD),
+        _layout(CommandCode.BENCH, "IB"),
+        _layout(CommandCode.NOTE_DOWN, "", BYTES_TAIL, "H"),
+        _layout(CommandCode.TOUCH, "I"),
+        _layout(CommandCode.BROADCAST_TO, "I", BYTES_TAIL, "H"),
+        _layout(CommandCode.WATCH, "B"),
+        _layout(CommandCode.SET_LEVEL, "HHfB"),
+        _layout(CommandCode.ASK_RECEIPT, "QB"),
+        _layout(CommandCode.ATTACH_TABLE, "HHH"),
+        _layout(CommandCode.WAKE_AT, "Qd"),
+        _layout(CommandCode.PUT_LINE, "fIH"),
+        _layout(CommandCode.DROP_LINES, "H"),
+        _layout(CommandCode.BAIL_OUT, "", BYTES_TAIL, "H"),
+        _layout(CommandCode.ON_BEHALF, "I"),
+    ]
+)
+
+
+def unpack(body: bytes, layouts: Mapping[int, RecordLayout]) -> Iterator[tuple[int, tuple]]:
+    """The records of a frame's body, each as its code and its fields; a tail is the last field.
+
+    Raises:
+        WireError: A code is unknown, or a record runs past the body's end.
+    """
+    offset = 0
+    end = len(body)
+    while offset < end:
+        code = body[offset]
+        layout = layouts.get(code)
+        if layout is None:
             raise WireError(f"unknown record code {code}")
         try:
-            fields = shape.fixed.unpack_from(body, at + 1)
-            at += 1 + shape.fixed.size
-            if shape.tail:
-                (count,) = shape.count.unpack_from(body, at)
-                at += shape.count.size
-                size = count * {"b": 1, "f": 4, "e": ENTRY.size}[shape.tail]
-                if at + size > end:
-                    raise WireError(f"a {shape.name} record runs past its frame")
-                if shape.tail == "b":
-                    tail: object = body[at : at + size]
-                elif shape.tail == "f":
-                    tail = struct.unpack_from(f"<{count}f", body, at)
-                else:
-                    tail = tuple(ENTRY.iter_unpack(body[at : at + size]))
-                at += size
+            fields = layout.fixed.unpack_from(body, offset + 1)
+            offset += 1 + layout.fixed.size
+            if layout.tail:
+                tail, offset = _unpack_tail(body, offset, layout)
                 fields += (tail,)
         except struct.error:
-            raise WireError(f"a {shape.name} record runs past its frame") from None
+            raise WireError(f"a {layout.name} record runs past its frame") from None
         yield code, fields
 
 
-def pack(code: int, fields: tuple, shapes: dict[int, Shape]) -> bytes:
+def _unpack_tail(body: bytes, offset: int, layout: RecordLayout) -> tuple[object, int]:
+    """The tail that begins at an offset, and the offset behind it."""
+    (count,) = layout.count.unpack_from(body, offset)
+    begin = offset + layout.count.size
+    end = begin + count * TAIL_ITEM_BYTES[layout.tail]
+    if end > len(body):
+        raise WireError(f"a {layout.name} record runs past its frame")
+    if layout.tail == BYTES_TAIL:
+        return body[begin:end], end
+    if layout.tail == FLOATS_TAIL:
+        return struct.unpack_from(f"<{count}f", body, begin), end
+    return tuple(ENTRY.iter_unpack(body[begin:end])), end
+
+
+def pack(code: int, fields: tuple, layouts: Mapping[int, RecordLayout]) -> bytes:
     """One record as bytes.
 
-    >>> pack(7, (41,), EVENTS).hex()
+    >>> pack(EventCode.DISCONNECTED, (41,), EVENT_LAYOUTS).hex()
     '072900'
     """
-    shape = shapes[code]
-    if not shape.tail:
-        return bytes((code,)) + shape.fixed.pack(*fields)
+    layout = layouts[code]
+    if not layout.tail:
+        return layout.prefix + layout.fixed.pack(*fields)
     tail = fields[-1]
-    head = bytes((code,)) + shape.fixed.pack(*fields[:-1]) + shape.count.pack(len(tail))
-    if shape.tail == "b":
+    head = layout.prefix + layout.fixed.pack(*fields[:-1]) + layout.count.pack(len(tail))
+    if layout.tail == BYTES_TAIL:
         return head + tail
-    if shape.tail == "f":
+    if layout.tail == FLOATS_TAIL:
         return head + struct.pack(f"<{len(tail)}f", *tail)
     return head + b"".join(ENTRY.pack(*entry) for entry in tail)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock, number and body of the next batch; None when the input has ended."""
+    """Clock in seconds, number and body of the next batch; None once the input has ended.
+
+    Raises:
+        WireError: The batch is cut short, longer than `MAX_BATCH_BYTES`, or has no sensible clock.
+    """
     head = stream.read(BATCH_HEAD.size)
     if not head:
         return None
     if len(head) < BATCH_HEAD.size:
         raise WireError("a truncated batch header")
-    size, clock, number = BATCH_HEAD.unpack(head)
-    if size > LONGEST:
+    size, clock_s, number = BATCH_HEAD.unpack(head)
+    if size > MAX_BATCH_BYTES:
         raise WireError(f"a batch of {size} bytes is over-long")
-    if not 0 <= clock < 1e12:
+    if not 0 <= clock_s < MAX_CLOCK_S:
         raise WireError("a clock out of range")
     body = stream.read(size)
     if len(body) < size:
         raise WireError("a truncated batch")
-    return clock, number, body
+    return clock_s, number, body
--- a/hollyridge/node/config.py
+++ b/hollyridge/node/config.py
@@ -11,7 +11,9 @@
 
 from hollyridge.discovery.schema import EndpointListError, EndpointPage, WatchEvent, read
 from hollyridge.interface import AssignerConfig
-from hollyridge.platform_settings.reader import SettingsError, assigner_config_from, flattened
+from hollyridge.platform_settings.assigner_config import build_assigner_config
+from hollyridge.platform_settings.settings_reader import SettingsError
+from hollyridge.platform_settings.settings_text import flatten_settings
 from hollyridge.resp.messages import ProtocolNames
 from hollyridge.settings.address import split
 
@@ -94,10 +96,10 @@
     except ValueError:
         seed = 0
         faults.append(f"seed is not hexadecimal: {document.seed[:40]}")
-    values = flattened(document.settings)
+    values = flatten_settings(document.settings)
     config = None
     try:
-        config = assigner_config_from(values)
+        config = build_assigner_config(values)
     except SettingsError as trouble:
         faults += trouble.faults
     names = names_of(document.settings, values, faults)
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -8,15 +8,15 @@
 
 import msgspec
 import pytest
+from bench_wire import SETTINGS_TEXT
 from cryptography.hazmat.primitives.ciphers.aead import ChaCha20Poly1305
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 from stored import as_text, stored
-from test_wire import CONF
 
 from hollyridge import interface as api
 from hollyridge.benchlink import wire
-from hollyridge.benchlink.link import Instance
+from hollyridge.benchlink.instance import AssignerInstance
 from hollyridge.chp import codec as chp
 from hollyridge.chp.key_space import KeySpace
 from hollyridge.lab import rpc
@@ -302,30 +302,32 @@
 }
 
 
-def instance() -> Instance:
-    one = Instance(9, CONF)
-    one.task(7)
+def instance() -> AssignerInstance:
+    one = AssignerInstance(9, SETTINGS_TEXT)
+    one.task_index(7)
     return one
 
 
 def wire_records() -> dict[str, str]:
-    found = {name: wire.pack(code, fields, wire.EVENTS).hex() for name, (code, fields, _) in EVENTS.items()}
-    return found | {name: instance().order(order).hex() for name, order in ORDERS.items()}
+    found = {name: wire.pack(code, fields, wire.EVENT_LAYOUTS).hex() for name, (code, fields, _) in EVENTS.items()}
+    return found | {name: instance().encode_command(order).hex() for name, order in ORDERS.items()}
 
 
 def test_records_of_the_wire_stand_for_the_same_events_and_orders():
     records = stored("wire.json")
     assert wire_records() == records
     for name, (code, _, event) in EVENTS.items():
-        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENTS)
-        assert found == code and wire.EVENTS[code].name == name and instance().event(code, fields) == event, name
+        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
+        assert (
+            found == code and wire.EVENT_LAYOUTS[code].name == name and instance().decode_event(code, fields) == event
+        ), name
     for name in ORDERS:
-        ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.ORDERS)
-        assert wire.ORDERS[code].name == name
+        ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.COMMAND_LAYOUTS)
+        assert wire.COMMAND_LAYOUTS[code].name == name
 
 
 def test_every_event_and_order_that_the_wire_has_is_among_them():
-    names = {shape.name for shape in (*wire.EVENTS.values(), *wire.ORDERS.values())}
+    names = {shape.name for shape in (*wire.EVENT_LAYOUTS.values(), *wire.COMMAND_LAYOUTS.values())}
     assert names - {"ENLIST", "KILLED", "CONTEXT", "BAIL_OUT", "ON_BEHALF"} == {*EVENTS, *ORDERS}
 
 
