--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -76,7 +76,7 @@
         how = {**self.how, "timeout": self.patience(self.how.get("timeout", 5.0))}
         client = self.client = LoadBalancerClient(self.addresses[self.way], self.uid, **how)
         try:
-            client.start(dict.fromkeys(self.groups.values()), asked=asked, plea=self.pleads)
+            client.start(dict.fromkeys(self.groups.values()), number=asked, insist=self.pleads)
         except RefusedError:
             while client.pushed:  # it may have said who should be asked
                 self.take(client.pushed.popleft()[1])
--- a/hollyridge/sasp/__init__.py
+++ b/hollyridge/sasp/__init__.py
@@ -1,1 +1,1 @@
-"""SASP (RFC 4678): codec without sockets, service side, client library. See docs/sasp.md."""
+"""The Server/Application State Protocol (RFC 4678): codec, server and client library."""
--- /dev/null
+++ b/hollyridge/sasp/components.py
@@ -0,0 +1,196 @@
+"""Components of SASP as bytes, both ways: u16 type, u16 length of the whole component, body.
+
+Layouts follow RFC 4678 as generally known; `docs/sasp.md` says how certain each is. Where one is doubtful, it is one
+constant or one pair of functions here.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable, Iterable
+from typing import TypeVar
+
+from hollyridge.sasp.messages import Group, Member, MembersOf, SaspError, State, StatesOf, Weight, WeightsOf
+
+MEMBER_TYPE, GROUP_TYPE, WEIGHT_TYPE, STATE_TYPE = 0x3010, 0x3011, 0x3012, 0x3013
+MEMBERS_OF_TYPE, WEIGHTS_OF_TYPE, STATES_OF_TYPE = 0x4010, 0x4011, 0x4012
+MAX_COMPONENT_BYTES = 0xFFFF  # its length field has 16 bits
+MAX_TEXT_BYTES = 0xFF  # its length field has 8 bits
+
+U8, U16, TWO_U8 = struct.Struct(">B"), struct.Struct(">H"), struct.Struct(">BB")
+COMPONENT_HEAD = struct.Struct(">HH")  # type, length
+MEMBER_FIELDS = struct.Struct(">BH16sB")  # protocol, port, address, length of the label
+WEIGHT_FIELDS = struct.Struct(">BBH")  # state, flags, weight
+
+Read = TypeVar("Read")
+
+
+class Cursor:
+    """Bounded reading of bytes; whatever would run past the end is a SaspError."""
+
+    def __init__(self, raw: bytes, position: int, end: int) -> None:
+        self.raw = raw
+        self.position = position
+        self.end = end
+
+    def take(self, layout: struct.Struct) -> tuple:
+        """The next fields."""
+        if self.position + layout.size > self.end:
+            raise SaspError("a component ends before its fields do")
+        fields = layout.unpack_from(self.raw, self.position)
+        self.position += layout.size
+        return fields
+
+    def text(self, size_bytes: int) -> str:
+        """The next text of so many bytes."""
+        if self.position + size_bytes > self.end:
+            raise SaspError("a text runs past its component")
+        raw = self.raw[self.position : self.position + size_bytes]
+        self.position += size_bytes
+        try:
+            return raw.decode("utf-8")
+        except UnicodeDecodeError:
+            raise SaspError("a text is not UTF-8") from None
+
+    def short_text(self) -> str:
+        """The next text with its length before it."""
+        return self.text(self.take(U8)[0])
+
+    def component(self, expected_type: int) -> Cursor:
+        """The body of the next component, which must be of this type."""
+        start = self.position
+        found_type, size = self.take(COMPONENT_HEAD)
+        if found_type != expected_type:
+            raise SaspError(f"component {found_type:#06x} where {expected_type:#06x} belongs")
+        if size < COMPONENT_HEAD.size or start + size > self.end:
+            raise SaspError(f"component {expected_type:#06x} of {size} bytes does not fit")
+        self.position = start + size
+        return Cursor(self.raw, start + COMPONENT_HEAD.size, start + size)
+
+    def many(self, count: int, read: Callable[[Cursor], Read]) -> tuple[Read, ...]:
+        """So many components; a count that can't be true is refused before anything is built from it."""
+        if count * COMPONENT_HEAD.size > self.end - self.position:
+            raise SaspError(f"{count} components counted, too few bytes follow")
+        return tuple(read(self) for _ in range(count))
+
+    def expect_end(self) -> None:
+        """SaspError if bytes are left."""
+        if self.position != self.end:
+            raise SaspError(f"{self.end - self.position} bytes are left over in a component")
+
+
+def write_component(component_type: int, body: bytes) -> bytes:
+    """A component around its body; ValueError if it is too long for its length field."""
+    size = COMPONENT_HEAD.size + len(body)
+    if size > MAX_COMPONENT_BYTES:
+        raise ValueError(f"component {component_type:#06x} of {size} bytes: {MAX_COMPONENT_BYTES} at most")
+    return COMPONENT_HEAD.pack(component_type, size) + body
+
+
+def write_short_text(text: str) -> bytes:
+    """A text with its length before it; ValueError if it is too long for that."""
+    raw = text.encode()
+    if len(raw) > MAX_TEXT_BYTES:
+        raise ValueError(f"{len(raw)} bytes of text: {MAX_TEXT_BYTES} at most")
+    return bytes((len(raw),)) + raw
+
+
+def read_member(cursor: Cursor) -> Member:
+    """Read Member Data."""
+    body = cursor.component(MEMBER_TYPE)
+    protocol, port, address, label_bytes = body.take(MEMBER_FIELDS)
+    label = body.text(label_bytes)
+    body.expect_end()
+    return Member(address, port, protocol, label)
+
+
+def write_member(member: Member) -> bytes:
+    """Write Member Data."""
+    label = member.label.encode()
+    if len(label) > MAX_TEXT_BYTES:
+        raise ValueError(f"a label of {len(label)} bytes: {MAX_TEXT_BYTES} at most")
+    fields = MEMBER_FIELDS.pack(member.protocol, member.port, member.address, len(label))
+    return write_component(MEMBER_TYPE, fields + label)
+
+
+def read_group(cursor: Cursor) -> Group:
+    """Read Group Data."""
+    body = cursor.component(GROUP_TYPE)
+    uid = body.short_text()
+    name = body.short_text()
+    body.expect_end()
+    return Group(uid, name)
+
+
+def write_group(group: Group) -> bytes:
+    """Write Group Data."""
+    return write_component(GROUP_TYPE, write_short_text(group.uid) + write_short_text(group.name))
+
+
+def read_weight(cursor: Cursor) -> Weight:
+    """Read Weight Entry Data."""
+    body = cursor.component(WEIGHT_TYPE)
+    member = read_member(body)
+    state, flags, weight = body.take(WEIGHT_FIELDS)
+    body.expect_end()
+    return Weight(member, weight, flags, state)
+
+
+def write_weight(entry: Weight) -> bytes:
+    """Write Weight Entry Data."""
+    fields = WEIGHT_FIELDS.pack(entry.state, entry.flags, entry.weight)
+    return write_component(WEIGHT_TYPE, write_member(entry.member) + fields)
+
+
+def read_state(cursor: Cursor) -> State:
+    """Read Member State Data."""
+    body = cursor.component(STATE_TYPE)
+    member = read_member(body)
+    state, quiesce = body.take(TWO_U8)
+    body.expect_end()
+    return State(member, bool(quiesce), state)
+
+
+def write_state(entry: State) -> bytes:
+    """Write Member State Data."""
+    return write_component(STATE_TYPE, write_member(entry.member) + TWO_U8.pack(entry.state, entry.quiesce))
+
+
+def _reader_of(component_type: int, read_entry: Callable, build: Callable[[Group, tuple], Read]) -> Callable:
+    """Reader of a component that holds a group and a counted list of entries."""
+
+    def read_all(cursor: Cursor) -> Read:
+        body = cursor.component(component_type)
+        (count,) = body.take(U16)
+        group = read_group(body)
+        entries = body.many(count, read_entry)
+        body.expect_end()
+        return build(group, entries)
+
+    return read_all
+
+
+read_members_of = _reader_of(MEMBERS_OF_TYPE, read_member, MembersOf)
+read_weights_of = _reader_of(WEIGHTS_OF_TYPE, read_weight, WeightsOf)
+read_states_of = _reader_of(STATES_OF_TYPE, read_state, StatesOf)
+
+
+def _write_list(component_type: int, write_entry: Callable, batch: tuple) -> bytes:
+    group, entries = batch
+    body = U16.pack(len(entries)) + write_group(group) + b"".join(map(write_entry, entries))
+    return write_component(component_type, body)
+
+
+def write_members_of(batches: Iterable[MembersOf]) -> bytes:
+    """Write each Group of Member Data."""
+    return b"".join(_write_list(MEMBERS_OF_TYPE, write_member, batch) for batch in batches)
+
+
+def write_weights_of(batches: Iterable[WeightsOf]) -> bytes:
+    """Write each Group of Weight Entry Data."""
+    return b"".join(_write_list(WEIGHTS_OF_TYPE, write_weight, batch) for batch in batches)
+
+
+def write_states_of(batches: Iterable[StatesOf]) -> bytes:
+    """Write each Group of Member State Data."""
+    return b"".join(_write_list(STATES_OF_TYPE, write_state, batch) for batch in batches)
--- /dev/null
+++ b/hollyridge/sasp/held_weights.py
@@ -0,0 +1,68 @@
+"""The weight tables that a load balancer holds, as messages of the service change them. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from hollyridge.sasp import codec
+from hollyridge.sasp.codec import Member, WeightFlags
+from hollyridge.sasp.ownership_extension import GROUP_NAME
+
+
+class Entry(NamedTuple):
+    """What is held of one member; `flags` are `WeightFlags`."""
+
+    weight: int
+    flags: int
+
+
+class HeldWeights:
+    """The tables that a load balancer holds, by group: changed by whole messages, never half.
+
+    The first entries of a group on a connection replace what was held of it, later ones change it: members that this
+    service never knew must not stay. A group sent without entries leaves what is held.
+
+    Attributes:
+        tables: Entries by member, by group; replaced as a whole, so that a reader keeps the tables that it has.
+        fresh: Groups of which this connection has sent something.
+
+    >>> held, member = HeldWeights(), Member.at("127.1.0.1", 80)
+    >>> held.take((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 9),)),))
+    >>> [(member.host, entry.weight) for member, entry in held.lines("a").items()]
+    [('127.1.0.1', 9)]
+    >>> held.take((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 0, WeightFlags.QUIESCE),)),))
+    >>> held.lines("a")
+    {}
+    """
+
+    def __init__(self) -> None:
+        self.tables: dict[str, dict[Member, Entry]] = {}
+        self.fresh: set[str] = set()
+
+    def new_stream(self) -> None:
+        """A new connection has begun."""
+        self.fresh = set()
+
+    def take(self, groups: Iterable[codec.WeightsOf], whole: bool = False) -> None:
+        """Apply one message; `whole` for a Get Weights Reply, which has all of each group."""
+        tables = dict(self.tables)
+        fresh = set(self.fresh)
+        for group, weights in groups:
+            if not weights or group.name == GROUP_NAME:
+                continue
+            changed_groups = fresh - self.fresh if whole else fresh
+            table = dict(tables.get(group.name, {})) if group.name in changed_groups else {}
+            for entry in weights:
+                if entry.weight > 0 and not entry.flags & WeightFlags.QUIESCE:
+                    table[entry.member] = Entry(entry.weight, entry.flags)
+                else:
+                    table.pop(entry.member, None)
+            tables[group.name] = table
+            fresh.add(group.name)
+        self.tables = tables
+        self.fresh = fresh
+
+    def lines(self, group: str) -> dict[Member, Entry]:
+        """What is held of a group, by member."""
+        return self.tables.get(group, {})
--- /dev/null
+++ b/hollyridge/sasp/load_balancers.py
@@ -0,0 +1,185 @@
+"""Requests of load balancers: who they are, when they count as joined, and which connection serves which proxy.
+
+A load balancer that takes pushes is joined when it registers its groups, one that asks with its first question. Where
+assigners share a fleet it is joined only once this one owns it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from hollyridge.membership.leases import ForwardProxy, StaleToken
+from hollyridge.sasp import codec
+from hollyridge.sasp.codec import Code
+from hollyridge.sasp.connection import Connection, SentMark
+from hollyridge.sasp.ownership import OwnershipHooks
+from hollyridge.sasp.ownership_extension import OwnershipRequest, read_request
+from hollyridge.sasp.registration import Refusals
+from hollyridge.sasp.weight_replies import WeightReplies
+from hollyridge.sessions.session_tracker import SessionTracker
+
+if TYPE_CHECKING:
+    from hollyridge.sasp.server import SaspServer
+
+MAX_NAME_BYTES = 64  # of a UID or a group's name, as RFC 4678 has it
+
+
+class LoadBalancerRequests:
+    """Answers load balancers, and binds their connections to the engine's proxies."""
+
+    def __init__(
+        self,
+        server: SaspServer,
+        presence: SessionTracker,
+        refusals: Refusals,
+        ownership: OwnershipHooks,
+        weight_replies: WeightReplies,
+    ) -> None:
+        self.server = server
+        self.engine = server.engine
+        self.clock = server.clock
+        self.config = server.config
+        self.zone_of: Callable[[str], int] = server.zone_of
+        self.presence = presence
+        self.refusals = refusals
+        self.ownership = ownership
+        self.weight_replies = weight_replies
+
+    # Who it is and what it wants.
+
+    def identify(self, connection: Connection, uid: str) -> int:
+        """Take the name by which a connection goes from now on; the return code."""
+        if not uid or len(uid.encode()) > MAX_NAME_BYTES:
+            return Code.UID_SIZE
+        if uid == self.config.fleet or connection.registers_members:
+            return Code.NOT_FROM_YOU
+        if connection.uid and connection.uid != uid:
+            return Code.UNKNOWN_BALANCER
+        if self.refusals.check(connection, self.refusals.access.may_be(connection.bearer, uid)):
+            return Code.NOT_FROM_YOU
+        connection.uid = uid
+        return Code.OK
+
+    def set_state(self, connection: Connection, message: codec.SetBalancer) -> int:
+        """Set LB State: the name, and whether changes are pushed; the return code."""
+        code = self.identify(connection, message.uid)
+        if code == Code.OK:
+            connection.flags = message.flags
+            if connection.views:
+                code = self.join(connection)
+        return code
+
+    def ownership_request_in(
+        self, connection: Connection, groups: tuple[codec.MembersOf, ...]
+    ) -> OwnershipRequest | None:
+        """The request for an owner that a registration is, None if it is an ordinary one."""
+        if not self.ownership.shared or not groups or connection.proxy >= 0:
+            return None
+        return read_request(groups[0].group.name)
+
+    def register_groups(self, connection: Connection, groups: Iterable[codec.Group]) -> int:
+        """Take the groups that it wants, and join it; the return code."""
+        groups = list(groups)
+        for group in groups:
+            if len(group.name.encode()) > MAX_NAME_BYTES:
+                return Code.GROUP_NAME_SIZE
+            if group.name not in self.config.groups:
+                return Code.INVALID_GROUP
+            code = self.identify(connection, group.uid)
+            if code != Code.OK:
+                return code
+        for group in groups:
+            self.weight_replies.add_group(connection, group.name)
+        return self.join(connection) if groups else Code.OK
+
+    def deregister_groups(self, connection: Connection, groups: tuple[codec.MembersOf, ...]) -> int:
+        """Take groups without members from it; without any group left it has left. The return code."""
+        for batch in groups:
+            name = batch.group.name
+            if batch.group.uid != connection.uid or name not in connection.views:
+                return Code.UNKNOWN_GROUP if batch.group.uid == connection.uid else Code.UNKNOWN_BALANCER
+            if not batch.members:
+                del connection.views[name]
+        if not connection.views and connection.proxy >= 0:
+            self.presence.end(connection.number)
+            self.unbind(self.clock(), connection)
+        return Code.OK
+
+    def get_weights(self, connection: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
+        """Answer one that asks. Its first answer waits a little for a table, so that it is not empty."""
+        code = self.register_groups(connection, message.groups)
+        if code == Code.OK and not connection.answers.take(self.clock()):
+            self.server.counts["asked_too_often"] += 1
+            code = Code.NOT_FROM_YOU
+        if code != Code.OK:
+            return codec.GetWeightsReply(code, self.presence.interval, ())
+        if connection.proxy >= 0 and not connection.weights_ready.is_set():
+            self.server.loop.wake()
+            connection.weights_ready.wait(self.presence.first_answer / 1e6)
+        batches = self.weight_replies.in_full(connection, message.groups)
+        if not connection.push:
+            connection.sent_marks.extend(SentMark(0, *mark) for mark in connection.pending)
+            connection.pending.clear()
+        return codec.GetWeightsReply(Code.OK, self.presence.interval, batches)
+
+    # Joining and leaving.
+
+    def join(self, connection: Connection) -> int:
+        """Count it as joined, if it is not yet; the return code."""
+        now = self.clock()
+        if self.ownership.shared and connection.proxy < 0:
+            refusal = self.ownership.claim(connection, self.zone_of(connection.address[0]))
+            if refusal is not None:
+                self._redirect_newcomer(connection, refusal)
+                return Code.NOT_FROM_YOU
+        started = self.presence.start(now, connection.number, connection.uid, connection.push)
+        if started.turned_away:
+            return Code.NOT_FROM_YOU
+        if started.close >= 0 and started.close in self.server.streams:
+            older = self.server.streams[started.close]
+            self.server.close(older, "a newer connection has the same uid")
+            self.unbind(now, older)
+        return self._bind(now, connection) if started.joined else Code.OK
+
+    def _bind(self, now: int, connection: Connection) -> int:
+        zone = self.zone_of(connection.address[0])
+        proxy = None
+        if zone >= 0:
+            proxy = self.engine.join(now, self.server, connection.uid, zone, self.config.default_rate)
+        if proxy is None or proxy < 0:
+            self.presence.end(connection.number)
+            return Code.NOT_FROM_YOU
+        connection.proxy = proxy
+        self.server.by_proxy[proxy] = connection
+        self.server.log.info("proxy_joined", uid=connection.uid, proxy=proxy, zone=zone, push=connection.push)
+        return Code.OK
+
+    def unbind(self, now: int, connection: Connection) -> None:
+        """Let the connection serve its proxy no more, if it has one."""
+        if connection.proxy >= 0:
+            self.server.by_proxy.pop(connection.proxy, None)
+            self.engine.leave(now, connection.proxy)
+            connection.proxy = -1
+
+    def _redirect_newcomer(self, connection: Connection, refusal: StaleToken | ForwardProxy) -> None:
+        """Tell it ahead of the reply which assigner it should ask, and end the connection that it had here before."""
+        older = self.server.streams.get(self.presence.by_uid.get(connection.uid, -1))
+        if isinstance(refusal, ForwardProxy):
+            self.ownership.send_redirect(connection, refusal.name)
+            if older is not None and older is not connection:
+                self._release(older, "its newer connection was redirected")
+
+    def _release(self, connection: Connection, reason: str) -> None:
+        """End a connection whose proxy is another assigner's already."""
+        self.unbind(self.clock(), connection)
+        self.server.close(connection, reason)
+
+    def redirect(self, connection: Connection, assigner: str, reason: str) -> None:
+        """Give the proxy up to another assigner (empty: whichever answers)."""
+        if assigner:  # it closes the connection itself once it has read that; if not, its next request is refused
+            self.ownership.send_redirect(connection, assigner)
+            self.unbind(self.clock(), connection)
+            self.presence.end(connection.number)
+        else:
+            self._release(connection, reason)
--- /dev/null
+++ b/hollyridge/sasp/ownership.py
@@ -0,0 +1,70 @@
+"""What the SASP server asks of the assigners that share the fleet, and tells load balancers of the answer.
+
+Where no fleet is shared, each load balancer is served and nothing is sent.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
+from hollyridge.peers.peer_service import PeerService
+from hollyridge.sasp import codec
+from hollyridge.sasp.connection import Connection
+from hollyridge.sasp.ownership_extension import Owned, OwnershipReply, Redirected, write_reply
+
+MAX_MESSAGE_ID = 0xFFFFFFFF
+
+
+def message_id(connection: Connection) -> int:
+    """The number of a pushed message: the decision behind the last update, as 32 bits."""
+    return connection.version & MAX_MESSAGE_ID
+
+
+class OwnershipHooks:
+    """Ownership of load balancers, by `peers` (None: no fleet is shared).
+
+    `zone_name` gives the name of a zone's index.
+    """
+
+    def __init__(self, peers: PeerService | None, zone_name: Callable[[int], str]) -> None:
+        self.peers = peers
+        self.zone_name = zone_name
+
+    @property
+    def shared(self) -> bool:
+        """Whether other assigners share the fleet."""
+        return self.peers is not None
+
+    def claim(self, connection: Connection, zone: int) -> StaleToken | ForwardProxy | None:
+        """Claim the load balancer; None if it is ours, else why not."""
+        request = connection.ownership_request
+        answer = self.peers.came(connection.uid, self.zone_name(zone), request.number, request.insist)
+        if type(answer) is not LeaseGranted:
+            return answer
+        connection.fence = answer.fence
+        connection.fence_unsent = answer.fence > 0
+        return None
+
+    def acknowledge(self, connection: Connection) -> None:
+        """A request of the load balancer has come: it still takes us for its owner."""
+        if self.peers is not None and connection.proxy >= 0:
+            self.peers.acked(connection.uid, connection.fence)
+
+    def release(self, uid: str) -> None:
+        """The load balancer has left."""
+        if self.peers is not None:
+            self.peers.ended(uid)
+
+    def owned_entry(self, connection: Connection) -> codec.WeightsOf:
+        """The group that tells the load balancer that it is ours, and for how long."""
+        lease_s = self.peers.terms.lease.length / 1e6
+        return write_reply(connection.uid, Owned(connection.fence, lease_s, self.peers.terms.name))
+
+    def send_redirect(self, connection: Connection, assigner: str) -> None:
+        """Tell the load balancer which assigner it should ask; nothing if that one's address is not known."""
+        address = self.peers.address_of(assigner, "sasp")
+        if address:
+            reply: OwnershipReply = Redirected(address)
+            message = codec.SendWeights((write_reply(connection.uid, reply),))
+            connection.reply(codec.encode(message_id(connection), message))
--- /dev/null
+++ b/hollyridge/sasp/registration.py
@@ -0,0 +1,183 @@
+"""Requests about members: registration, deregistration and quiescing, from members, agents and load balancers.
+
+Decides who may ask for what and keeps which member a task's index stands for. What becomes of the list is decided in
+`hollyridge.registration`, through the engine.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from types import MappingProxyType
+from typing import TYPE_CHECKING, NamedTuple
+
+from hollyridge.core.event_loop import EventLoop
+from hollyridge.registration import members
+from hollyridge.sasp import codec
+from hollyridge.sasp.codec import Code
+from hollyridge.sasp.config import SaspConfig
+from hollyridge.sasp.connection import Connection
+from hollyridge.sessions.access import AccessControl
+from hollyridge.sessions.session_tracker import SessionTracker
+
+if TYPE_CHECKING:
+    from structlog import BoundLogger
+
+CODE_OF_REFUSAL: Mapping[members.Refusal | None, Code] = MappingProxyType(
+    {
+        None: Code.OK,
+        members.Refusal.ALREADY_REGISTERED: Code.ALREADY_REGISTERED,
+        members.Refusal.NOT_REGISTERED: Code.NOT_REGISTERED,
+        members.Refusal.FULL: Code.NOT_FROM_YOU,
+        members.Refusal.NO_ZONE: Code.NOT_FROM_YOU,
+        members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
+    }
+)
+# Members whose index is in use no more are forgotten once there are this many times as many as indices, and more.
+STALE_MEMBERS_FACTOR = 4
+STALE_MEMBERS_MARGIN = 1024
+
+
+class Allocation(NamedTuple):
+    """What a registration asks for, with the indices that it was given; `added` are the keys that had none before."""
+
+    requests: tuple[members.MemberRequest, ...]
+    added: tuple[tuple, ...]
+
+
+class Refusals:
+    """What a bearer may not do is logged, and refused by a return code."""
+
+    def __init__(self, access: AccessControl, log: BoundLogger) -> None:
+        self.access = access
+        self.log = log
+
+    def check(self, connection: Connection, reason: str) -> bool:
+        """Whether it is refused: it is unless `reason` is empty."""
+        if reason:
+            self.log.warning("access_denied", peer=connection.address[0], reason=reason)
+        return bool(reason)
+
+
+class MemberRequests:
+    """Answers requests about members.
+
+    Attributes:
+        by_task: The member that a task's index stands for.
+        registered_by_balancer: By a member's key, whether a load balancer registered it.
+    """
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        config: SaspConfig,
+        presence: SessionTracker,
+        refusals: Refusals,
+        zone_of: Callable[[str], int],
+    ) -> None:
+        self.engine = loop.engine
+        self.clock = loop.clock
+        self.config = config
+        self.presence = presence
+        self.refusals = refusals
+        self.zone_of = zone_of
+        self.by_task: dict[int, codec.Member] = {}
+        self.registered_by_balancer: dict[tuple, bool] = {}
+
+    def register(self, connection: Connection, message: codec.Register) -> int:
+        """Put members on the list; the return code."""
+        code = self._authorize_all(connection, message.by_balancer, (batch.group for batch in message.groups))
+        if code != Code.OK:
+            return code
+        now = self.clock()
+        wanted = [member for batch in message.groups for member in batch.members]
+        if len(wanted) > self.config.max_members_per_request:
+            return Code.NOT_FROM_YOU
+        may_register = self.refusals.access.may_register
+        if any(self.refusals.check(connection, may_register(connection.bearer, member.host)) for member in wanted):
+            return Code.NOT_FROM_YOU
+        own = len(wanted) == 1 and wanted[0].host == connection.address[0]
+        allocation = self._allocate(now, wanted, own)
+        refusal = self.engine.update_endpoints(now, members.Registered(connection.number, allocation.requests))
+        if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
+            for key in allocation.added:
+                self.engine.task_indices.release(now, key)
+        else:
+            connection.registers_members = True
+            for request in allocation.requests:
+                self.registered_by_balancer[request.key] = message.by_balancer
+        return CODE_OF_REFUSAL[refusal]
+
+    def _allocate(self, now: int, wanted: Iterable[codec.Member], own: bool) -> Allocation:
+        requests = []
+        added = []
+        for member in wanted:
+            new = member.key not in self.engine.task_indices.index
+            zone = self.zone_of(member.host)
+            allocated = self.engine.task_indices.allocate(now, member.key) if zone >= 0 else -1
+            task = -1 if allocated is None else allocated
+            if task >= 0:
+                if new:
+                    added.append(member.key)
+                self.by_task[task] = member._replace(label="")
+            listed_task = max(task, 0) if zone < 0 else task  # a member without a zone is refused for that, not as full
+            requests.append(members.MemberRequest(member.key, listed_task, zone, member.label, own))
+        return Allocation(tuple(requests), tuple(added))
+
+    def deregister(self, connection: Connection, message: codec.Deregister) -> int:
+        """Take members off the list; the return code."""
+        code = self._authorize_all(connection, message.by_balancer, (batch.group for batch in message.groups))
+        if code != Code.OK:
+            return code
+        keys = tuple(member.key for batch in message.groups for member in batch.members)
+        everyone = not message.by_balancer and any(not batch.members for batch in message.groups)
+        event = members.Deregistered(connection.number, None if everyone else keys)
+        return CODE_OF_REFUSAL[self.engine.update_endpoints(self.clock(), event)]
+
+    def set_states(self, connection: Connection, message: codec.SetMembers) -> int:
+        """Quiesce members or end that; the return code, of the last one refused if any was."""
+        code = Code.OK
+        for batch in message.groups:
+            code = self._authorize(connection, message.by_balancer, batch.group)
+            if code != Code.OK:
+                return code
+            for state in batch.states:
+                event = members.Quiesced(connection.number, state.member.key, state.quiesce)
+                refusal = self.engine.update_endpoints(self.clock(), event)
+                code = CODE_OF_REFUSAL[refusal] or code
+        return code
+
+    def _authorize_all(self, connection: Connection, by_balancer: bool, groups: Iterable[codec.Group]) -> int:
+        for group in groups:
+            code = self._authorize(connection, by_balancer, group)
+            if code != Code.OK:
+                return code
+        return Code.OK
+
+    def _authorize(self, connection: Connection, by_balancer: bool, group: codec.Group) -> int:
+        """Whether this connection may change members of this group, as a return code."""
+        if by_balancer:
+            allowed = self.config.balancers_register and connection.uid == group.uid
+            return Code.OK if allowed else Code.NOT_FROM_YOU
+        if connection.uid:
+            return Code.NOT_FROM_YOU
+        if group.uid != self.config.fleet:
+            known = group.uid in self.presence.by_uid
+            return Code.NOT_FROM_YOU if known else Code.NOT_CONTACTED_YET
+        return Code.OK if group.name == self.config.members_group else Code.INVALID_GROUP
+
+    def connection_lost(self, now: int, connection: Connection) -> None:
+        """The connection has ended; what it registered is held for a while."""
+        if connection.registers_members:
+            self.engine.update_endpoints(now, members.StreamLost(connection.number))
+
+    def forget_stale(self) -> None:
+        """Drop members whose index stands for nothing any more, once they are many."""
+        indices = self.engine.task_indices
+        for task in [
+            task
+            for task in self.by_task
+            if len(self.by_task) > STALE_MEMBERS_FACTOR * len(indices) + STALE_MEMBERS_MARGIN
+            and indices.names[task] not in indices.index
+            and not self.engine.update_builder.mentions(task)
+        ]:
+            self.registered_by_balancer.pop(self.by_task.pop(task).key, None)
--- a/hollyridge/sasp/weight_advice.py
+++ b/hollyridge/sasp/weight_advice.py
@@ -57,7 +57,7 @@
         self.sent: dict[int, int] = {}
         self.withheld: set[int] = set()  # sent as 0 because they were closed, whatever the table holds
 
-    def advise(  # noqa: PLR0913, PLR0917 - the table, its change and two questions about tasks; asked for each message
+    def advise(
         self,
         weights: Mapping[int, float],
         changed: Iterable[int],
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -298,14 +298,14 @@
         ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
     )
     with pytest.raises(RefusedError):
-        asking.start(METHODS, asked=5)
+        asking.start(METHODS, number=5)
     told = ownership_extension.read_reply(asking.pushed[0][1].groups)
     assert told == ownership_extension.Redirected(f"127.0.0.1:{three.ports[2][0]}")
     asking.close()
     pleading = LoadBalancerClient(
         ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
     )
-    pleading.start(METHODS, asked=6, plea=True)
+    pleading.start(METHODS, number=6, insist=True)
     first = pleading.receive(3)[1].groups
     assert ownership_extension.read_reply(first).fence == 6 and any(row.group.name in METHODS for row in first)
     assert not any(w.weight for row in first if row.group.name == ownership_extension.GROUP_NAME for w in row.weights)
