--- a/tests/test_sasp.py
+++ b/tests/sasp/test_sasp_codec.py
@@ -1,12 +1,11 @@
-"""SASP as bytes: what goes out comes back, and nothing that comes in does harm."""
+"""SASP as bytes: what is written is read back, and nothing that is received does harm."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from hollyridge.sasp import codec
-from hollyridge.sasp.client import HeldWeights, MemberRegistrar
-from hollyridge.sasp.codec import Code, Group, Member, MembersOf, StatesOf, Weight, WeightFlags, WeightsOf
+from hollyridge.sasp.codec import Code, Group, Member, MembersOf, StatesOf, Weight, WeightsOf
 
 u8, u16 = st.integers(0, 255), st.integers(0, 0xFFFF)
 texts = st.text(max_size=60)
@@ -39,13 +38,13 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32 - 1), messages)
-def test_what_goes_out_comes_back(number, message):
+def test_a_message_is_read_as_it_was_written(number, message):
     assert codec.decode(codec.encode(number, message)) == (number, message)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(messages, st.lists(st.tuples(st.integers(0, 400), u8), max_size=6), st.integers(0, 40))
-def test_a_spoilt_frame_is_read_or_refused(message, spoils, cut):
+def test_a_corrupted_frame_is_read_or_refused(message, spoils, cut):
     raw = bytearray(codec.encode(1, message))
     for at, value in spoils:
         raw[at % len(raw)] = value
@@ -87,7 +86,7 @@
 
 
 @pytest.mark.parametrize("what, raw, owed", BAD, ids=[row[0] for row in BAD])
-def test_bad_frames(what, raw, owed):
+def test_a_malformed_frame_is_refused_and_answered_where_it_can_be(what, raw, owed):
     with pytest.raises(codec.SaspError) as trouble:
         for frame in codec.Framer(1 << 16).feed(raw):
             codec.decode(frame)
@@ -97,59 +96,7 @@
         assert (number, reply) == (5, codec.RegisterReply(Code.NOT_UNDERSTOOD))
 
 
-def test_too_long_is_refused_before_it_leaves():
+def test_a_component_that_is_too_long_is_not_written():
     crowd = tuple(Member.at("::1", port, "x" * 200) for port in range(400))
     with pytest.raises(ValueError):
         codec.encode(1, codec.Register(False, (MembersOf(Group("f", "t"), crowd),)))
-
-
-A, B = Member.at("127.0.0.1", 1), Member.at("127.0.0.1", 2)
-
-
-def told(group, **figures):
-    rows = {"a": A, "b": B}
-    return WeightsOf(
-        Group("gw", group),
-        tuple(Weight(rows[k], v, WeightFlags.CONTACT if v else WeightFlags.QUIESCE) for k, v in figures.items()),
-    )
-
-
-HELD = [
-    # messages, each with whether a stream began before it; what is held of group "x" afterwards
-    ([(False, [told("x", a=5, b=3)]), (False, [told("x", a=0)])], {B: 3}),
-    ([(False, [told("x", a=5, b=3)]), (True, [told("x", a=2)])], {A: 2}),
-    ([(False, [told("x", a=5)]), (True, [told("x")])], {A: 5}),
-    ([(False, [told("x", a=5), told("x", b=4)])], {A: 5, B: 4}),
-]
-
-
-@pytest.mark.parametrize("story, left", HELD)
-def test_what_a_balancer_holds(story, left):
-    held = HeldWeights()
-    for anew, rows in story:
-        if anew:
-            held.new_stream()
-        before = held.tables
-        held.take(rows)
-        assert held.tables is not before  # a reader in mid-pick keeps the old one whole
-    assert {m: e.weight for m, e in held.lines("x").items()} == left
-
-
-def test_an_answer_replaces_the_group():
-    held = HeldWeights()
-    held.take([told("x", a=5, b=3)])
-    held.take([told("x", b=1)], whole=True)
-    assert {m: e.weight for m, e in held.lines("x").items()} == {B: 1}
-
-
-def test_a_large_fleet_is_registered_in_parts():
-    """A component's size is told in 16 bits: two thousand members with labels do not fit in one."""
-    crowd = [
-        Member.at(f"127.1.{k // 200}.{k % 200 + 1}", 9000, f"shelf-{k} run=r{k} up=1000000.000") for k in range(2000)
-    ]
-    parts = list(MemberRegistrar.batches(crowd))
-    assert [member for part in parts for member in part] == crowd and list(MemberRegistrar.batches([])) == [()]
-    for part in parts:
-        codec.encode(1, codec.Register(False, (MembersOf(Group("f", "g"), part),)))
-    with pytest.raises(ValueError):
-        codec.encode(1, codec.Register(False, (MembersOf(Group("f", "g"), tuple(crowd)),)))
--- /dev/null
+++ b/tests/sasp/test_sasp_server.py
@@ -0,0 +1,243 @@
+"""The SASP server on loopback sockets, with clients that behave well or badly."""
+
+import socket as plain
+import time
+
+import gevent
+import pytest
+from gevent import socket
+from service_rig import GROUPS, rig, wait_for  # noqa: F401 - `rig` is a fixture
+
+from hollyridge.sasp import codec
+from hollyridge.sasp.client import Client, ConnectionLostError, LoadBalancerClient, MemberRegistrar, RefusedError
+from hollyridge.sasp.codec import Code, Group, Member, MembersOf, WeightFlags
+
+ALL = {g: {1, 2, 3, 4} for g in GROUPS}
+
+
+def test_a_pushed_balancer_holds_the_table_and_loses_drained_tasks(rig):  # noqa: F811 - the fixture
+    r = rig()
+    agent, gw = r.agent(), r.balancer()
+    held, book = r.holds(gw)
+    assert held == ALL
+    agent.quiesce([r.members()[0]])
+    held, book = r.holds(gw, book, 0.5)
+    assert held == {g: {2, 3, 4} for g in GROUPS}
+    agent.deregister([r.members()[1]])
+    assert r.holds(gw, book, 0.5)[0] == {g: {3, 4} for g in GROUPS}
+    other = r.balancer("gw-2", zone=2)  # who joins later gets none of them
+    assert r.holds(other)[0] == {g: {3, 4} for g in GROUPS}
+
+
+def test_a_member_that_registers_itself_and_vanishes_is_removed(rig):  # noqa: F811 - the fixture
+    r = rig(roster__hold_own_s=0.3)
+    r.agent()
+    gw = r.balancer()
+    own = r.open(MemberRegistrar, "shelf", source="127.1.0.50")
+    own.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
+    held, book = r.holds(gw, seconds=0.6)
+    assert all(50 in some for some in held.values())
+    own.close()
+    assert r.holds(gw, book, 1.0)[0] == ALL
+
+
+def test_an_agent_that_reconnects_keeps_its_list(rig):  # noqa: F811 - the fixture
+    r = rig(roster__hold_agent_s=1)
+    agent, gw = r.agent(), r.balancer()
+    book = r.holds(gw, seconds=0.5)[1]
+    agent.close()
+    gevent.sleep(0.4)
+    r.agent()
+    held, _ = r.holds(gw, book, 1.2)
+    assert held == ALL and r.engine.endpoint_source.returns == 4 and not r.engine.endpoint_source.restarts
+
+
+def test_a_balancer_that_asks_once_gets_a_table_and_is_closed(rig):  # noqa: F811 - the fixture
+    r = rig()
+    r.agent()
+    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
+    reply = gw.weights(GROUPS)
+    assert reply.interval == 1 and {len(row.weights) for row in reply.groups} == {4}
+    assert len(r.front.by_proxy) == 1
+    with pytest.raises(ConnectionLostError):
+        gw._read(4)
+    assert not r.front.by_proxy and not r.engine.servers
+
+
+def test_a_balancer_that_goes_on_asking_stays_and_sees_a_drain(rig):  # noqa: F811 - the fixture
+    r = rig(promises__drain_grace_s=3)
+    agent = r.agent()
+    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
+    gw.weights(GROUPS)
+    agent.quiesce([r.members()[0]])
+    gevent.sleep(1.0)
+    (row, *_) = gw.weights(GROUPS).groups
+    assert {w.member.host: w.weight > 0 for w in row.weights if w.flags & WeightFlags.QUIESCE}.get(
+        "127.1.0.1"
+    ) is not True
+    gevent.sleep(1.5)
+    assert gw.weights(GROUPS).code == Code.OK and len(r.engine.servers) == 1
+    with pytest.raises(RefusedError):
+        for _ in range(30):
+            gw.weights(GROUPS)
+    assert r.front.counts["asked_too_often"] == 1
+
+
+def test_a_balancer_that_reads_nothing_harms_no_other(rig):  # noqa: F811 - the fixture
+    r = rig(sasp__send_buffer_bytes=4096, proxies__tasks_most=400, channel__messages_most=200)
+    agent = r.agent(tasks=4)
+    slow, quick = r.open(LoadBalancerClient, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
+    slow.sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
+    slow.start(GROUPS)
+    book = r.holds(quick, seconds=0.4)[1]
+    crowd = [Member.at(f"127.3.1.{k}", 9000, "run=a up=100") for k in range(1, 200)]
+    for _ in range(8):
+        agent.register(crowd)
+        book = r.holds(quick, book, 0.25)[1]
+        agent.deregister(crowd)
+        held, book = r.holds(quick, book, 0.25)
+    for _ in range(20):  # the quick one sees it all
+        held, book = (held, book) if held == ALL else r.holds(quick, book, 0.25)
+    assert held == ALL
+    assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index) and "quick" in r.engine.proxy_indices.index
+
+
+def test_quiesce_between_a_computed_and_a_sent_table(rig):  # noqa: F811 - the fixture
+    r = rig(channel__lines_per_s=15, channel__most_waiting=2000, channel__worst_transit_s=1)
+    agent, gw = r.agent(), r.balancer()  # its table takes a second to leave
+    assert wait_for(lambda: r.engine.queue.waiting_lines, 0.9)
+    agent.quiesce([r.members()[0]])
+    first = gw.receive(5)[1]
+    told = [w for row in first.groups for w in row.weights]
+    closed = [w for w in told if w.member.host == "127.1.0.1"]  # mostly it is not told of at all
+    assert len(told) > len(closed) and all(w.weight == 0 and w.flags & WeightFlags.QUIESCE for w in closed)
+
+
+NONSENSE = [
+    b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    b"\0" * 64,
+    codec.encode(1, codec.SendWeights(())),
+    codec.encode(1, codec.GetWeights(()))[:5] + b"\x7f\xff\xff\xff" + b"x" * 100,
+]
+
+
+@pytest.mark.parametrize("raw", NONSENSE)
+def test_a_malformed_frame_closes_its_own_connection_only(rig, raw):  # noqa: F811 - the fixture
+    r = rig()
+    r.agent()
+    gw, bad = r.balancer(), r.raw()
+    bad.sendall(raw)
+    assert bad.recv(100) == b""
+    assert r.holds(gw)[0] == ALL and r.front.counts["bad_frames"] == 1
+
+
+def test_connections_end_after_half_a_frame_silence_or_dripping_bytes(rig):  # noqa: F811 - the fixture
+    r = rig(sasp__frame_s=0.5, sasp__hello_s=0.5)
+    half, silent, dripping = r.raw(), r.raw(), r.raw()
+    half.sendall(NONSENSE[2][:10])
+    begun = time.monotonic()
+    frame = codec.encode(1, codec.SetBalancer("x" * 60, 0, 0))
+    with pytest.raises(OSError):
+        for byte in frame:
+            dripping.sendall(bytes((byte,)))
+            gevent.sleep(0.05)
+        raise OSError("it was read on and on") if not r.front.counts["closed"] else OSError
+    assert half.recv(10) == b"" and silent.recv(10) == b""
+    assert time.monotonic() - begun < 6 and not r.front.streams
+
+
+BAD_REQUESTS = [
+    # who asks, what, the code that answers it
+    (Client, codec.Register(True, (MembersOf(Group("gw", "no-such-group"), ()),)), Code.INVALID_GROUP),
+    (Client, codec.Register(True, (MembersOf(Group("gw", "x" * 100), ()),)), Code.GROUP_NAME_SIZE),
+    (Client, codec.SetBalancer("", 0, 0), Code.UID_SIZE),
+    (Client, codec.SetBalancer("shelf", 0, 0), Code.NOT_FROM_YOU),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("gw-9", "tasks"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_CONTACTED_YET,
+    ),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "other"), (Member.at("127.1.0.9", 1),)),)),
+        Code.INVALID_GROUP,
+    ),
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("10.0.0.1", 1),)),)),
+        Code.NOT_FROM_YOU,
+    ),  # no zone holds it
+    (
+        Client,
+        codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),) * 2),)),
+        Code.DUPLICATE_MEMBER,
+    ),
+    (
+        Client,
+        codec.Deregister(False, 0, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_REGISTERED,
+    ),
+    (
+        Client,
+        codec.Register(True, (MembersOf(Group("gw", "read-chapter"), (Member.at("127.1.0.9", 1),)),)),
+        Code.NOT_FROM_YOU,
+    ),
+]
+
+
+@pytest.mark.parametrize("kind, message, code", BAD_REQUESTS)
+def test_bad_requests_get_their_code(rig, kind, message, code):  # noqa: F811 - the fixture
+    r = rig()
+    r.agent()
+    client = r.open(kind, source="127.1.0.200")
+    assert client.call(message).code == code
+    assert len(r.engine.endpoint_source.entries) == 4
+
+
+def test_another_uid_is_refused_and_a_newer_connection_of_one_uid_takes_over(rig):  # noqa: F811 - the fixture
+    r = rig()
+    agent, first = r.agent(), r.balancer()
+    with pytest.raises(RefusedError) as refused:
+        first.weights(())
+        first.ask(codec.GetWeights((Group("gw-2", "read-chapter"),)))
+    assert refused.value.code == Code.UNKNOWN_BALANCER
+    second = r.balancer()  # the same name on a newer stream
+    assert r.holds(second)[0] == ALL
+    with pytest.raises(ConnectionLostError):
+        while first.receive(1):
+            pass
+    assert len(r.engine.servers) == 1
+    other = r.open(MemberRegistrar, "shelf")
+    with pytest.raises(RefusedError):
+        other.deregister([r.members()[0]])  # it is the agent's
+    agent.deregister([r.members()[0]])
+
+
+def test_a_storm_of_connects_leaves_other_balancers_their_tables(rig):  # noqa: F811 - the fixture
+    r = rig(sasp__connections_most=300, sasp__connects_per_s=400)
+    r.agent()
+    gw = r.balancer()
+    storm = []
+    for _ in range(1000):
+        storm.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
+    held, _ = r.holds(gw, seconds=1.5)
+    assert held == ALL and r.front.counts["refused"] > 300 and len(r.front.streams) <= 300
+    for one in storm:
+        if one.successful():
+            one.value.close()
+    gevent.sleep(0.2)
+    assert r.holds(r.balancer("gw-2", zone=2))[0] == ALL
+
+
+def test_a_step_of_the_wall_clock_changes_nothing(rig, monkeypatch):  # noqa: F811 - the fixture
+    r = rig()
+    r.agent()
+    gw = r.balancer()
+    r.holds(gw)
+    real, real_ns = time.time, time.time_ns
+    before = dict(r.engine.counts)
+    for hours in (1, -1):
+        monkeypatch.setattr(time, "time", lambda hours=hours: real() + 3600 * hours)
+        monkeypatch.setattr(time, "time_ns", lambda hours=hours: real_ns() + 3600 * 10**9 * hours)
+        assert gw.receive(0.7) is None
+    assert r.engine.counts["messages"] == before["messages"] and len(r.engine.servers) == 1
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from test_service import GROUPS, Rig, rig, wait_for  # noqa: F401
+from service_rig import GROUPS, Rig, rig, wait_for  # noqa: F401
 
 from hollyridge.chp import codec
 from hollyridge.chp.key_space import KeySpace
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 import zmq.green as zmq
 from click.testing import CliRunner
 from gevent import socket
-from test_service import wait_for
+from service_rig import wait_for
 
 from hollyridge.chp import codec as clone
 from hollyridge.cli.main import main
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 from helpers import SECOND, START, entry, roster
-from test_service import rig, wait_for  # noqa: F401
+from service_rig import rig, wait_for  # noqa: F401
 from test_solving import news, started
 
 from hollyridge import interface as api
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -8,8 +8,8 @@
 import trustme
 from gevent import socket
 from gevent import ssl as green_ssl
+from service_rig import GROUPS, LOOPBACK, rig, tries, wait_for  # noqa: F401
 from test_clone import clone_rig, hosts, open_gateway
-from test_service import GROUPS, LOOPBACK, rig, tries, wait_for  # noqa: F401
 from zmq import auth
 
 from hollyridge.keys.curve import client_keys
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -13,7 +13,7 @@
 import pytest
 from click.testing import CliRunner
 from helpers import SECOND, START, bootstrap, entry, roster
-from test_service import rig, wait_for  # noqa: F401
+from service_rig import rig, wait_for  # noqa: F401
 
 from hollyridge import interface as api
 from hollyridge.cli.main import main
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -6,7 +6,7 @@
 import gevent
 import pytest
 from gevent import socket
-from test_service import rig, tries  # noqa: F401
+from service_rig import rig, tries  # noqa: F401
 
 from hollyridge.lab.flood import flood
 from hollyridge.limits.fair_share import ALL, FairShareLimiter, level
