--- a/tests/limits/test_limits_flood.py
+++ b/tests/limits/test_limits_flood.py
@@ -4,7 +4,7 @@
 
 import gevent
 from gevent import socket
-from test_service import rig, tries  # noqa: F401 - a fixture is used by its name
+from service_rig import rig, tries  # noqa: F401 - a fixture is used by its name
 
 from hollyridge.lab.experiments.flood import flood
 from hollyridge.otlp.sender import post, request_of
