--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -14,7 +14,7 @@
 from hollyridge.lab import scenario as scripts
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.experiments.policies import POLICIES
-from hollyridge.lab.stand_ins.live import LiveStage
+from hollyridge.lab.stand_ins.live import LiveEnvironment
 from hollyridge.settings.ini import FaultsError
 
 RULES = {
@@ -62,7 +62,7 @@
         main = gevent.getcurrent()
         gevent.signal_handler(signal.SIGTERM, lambda: main.throw(DayError("ended by a signal")))
         try:
-            outcome = Day(script, LiveStage(script, folder, policy), seed, tick).play()
+            outcome = Day(script, LiveEnvironment(script, folder, policy), seed, tick).play()
         except DayError as trouble:
             click.echo(f"the day could not be played: {trouble}", err=True)
             for log in sorted(folder.glob("*.log")):
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -66,7 +66,7 @@
     from hollyridge.lab.experiments.policies import POLICIES
     from hollyridge.lab.reports.page import write
     from hollyridge.lab.reports.profiler import Meter
-    from hollyridge.lab.stand_ins.virtual import VirtualStage
+    from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
     script = load(scenario, settings, fronts, times, assigners)
     if policy and policy not in POLICIES:
@@ -81,7 +81,7 @@
     if meter is not None:
         meter.start()
     try:
-        outcome = Day(script, VirtualStage(script, policy, seed, ties, record), seed).play()
+        outcome = Day(script, SimulatedEnvironment(script, policy, seed, ties, record), seed).play()
     except DayError as trouble:
         click.echo(f"the day could not be played: {trouble}", err=True)
         sys.exit(2)
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -39,17 +39,21 @@
 
 
 class Day:
-    """The story of a day, on whichever stage: `stage` brings the world, the houses of stand-ins, the assigner and
-    the agent's line to it. `tick(part)` is told how far the day is."""
+    """Plays a day in an environment, which brings the clock, the workers that run stand-ins, the assigners and their
+    agents. `on_progress` takes the part of the day that has passed."""
 
     def __init__(
-        self, script: Scenario, stage, seed: int | None = None, tick: Callable[[float], None] = lambda part: None
+        self,
+        script: Scenario,
+        environment,
+        seed: int | None = None,
+        on_progress: Callable[[float], None] = lambda part: None,
     ) -> None:
-        self.script, self.stage, self.tick = script, stage, tick
-        self.world = stage.world
+        self.script, self.environment, self.on_progress = script, environment, on_progress
+        self.world = environment.world
         self.terms = script.terms
         self.rng = Random(script.day.seed if seed is None else seed)
-        self.record = stage.record
+        self.record = environment.record
         self.zones = self.terms.zone_names
         self.units: dict[str, Unit] = {}
         self.proxies: dict[str, int] = {}  # uid: zone
@@ -71,11 +75,11 @@
         return str(network.network_address + number)
 
     def start_assigner(self, number: int) -> None:
-        self.stage.start_assigner(number)
+        self.environment.start_assigner(number)
         self.record("assigner", number=number, up=True)
 
     def kill_assigner(self, number: int) -> None:
-        self.stage.kill_assigner(number)
+        self.environment.kill_assigner(number)
         self.record("assigner", number=number, up=False)
 
     def tell(self, what: str, *words, silent: bool = False) -> None:
@@ -120,7 +124,7 @@
             cache_keys=fleet.cache_keys,
             cache_gain=fleet.cache_gain,
         )
-        self.task_houses[unit.zone].do(
+        self.task_workers[unit.zone].do(
             "task",
             name=unit.name,
             host=unit.host,
@@ -141,15 +145,15 @@
     def stop_task(self, unit: Unit) -> None:
         if unit.up:
             unit.up = False
-            self.task_houses[unit.zone].do("kill", name=unit.name)
+            self.task_workers[unit.zone].do("kill", name=unit.name)
 
-    def lay_out(self) -> None:
+    def set_up(self) -> None:
         names = len(self.zones)
-        self.task_houses = [self.stage.house(f"tasks-{z}", self.heard) for z in range(names)]
-        self.proxy_houses = [self.stage.house(f"proxies-{z}", self.heard) for z in range(names)]
+        self.task_workers = [self.environment.start_worker(f"tasks-{z}", self.heard) for z in range(names)]
+        self.proxy_workers = [self.environment.start_worker(f"proxies-{z}", self.heard) for z in range(names)]
         for number in range(self.assigners):
             self.start_assigner(number)
-        self.agents = [self.stage.agent(number) for number in range(self.assigners)]
+        self.agents = [self.environment.agent(number) for number in range(self.assigners)]
         self.spare = 10
         for k in range(self.script.fleet.tasks):
             self.new_unit(k % names, cold=False)
@@ -157,7 +161,7 @@
             for agent in self.agents:
                 agent.running(unit.key, unit.name, unit.run, unit.born)
         for agent in self.agents:
-            self.stage.settle(agent)
+            self.environment.wait_for_sync(agent)
         weights = [self.rng.lognormvariate(0, 0.5) for _ in range(self.script.fleet.proxies)]
         for k, weight in enumerate(weights):
             uid, zone = f"gw-{k}", k % names
@@ -174,7 +178,7 @@
                 plan=self.plan(self.fronts[k // names % len(self.fronts)]),
                 seed=self.rng.randrange(1 << 30),
             )
-            self.proxy_houses[zone].do("proxy", **self.proxy_terms[uid])
+            self.proxy_workers[zone].do("proxy", **self.proxy_terms[uid])
 
     def new_unit(self, zone: int, cold: bool) -> Unit:
         self.spare += 1
@@ -199,7 +203,7 @@
         return dict(
             methods=methods,
             front=front,
-            **self.stage.addresses,
+            **self.environment.addresses,
             pick=terms.proxies.pick,
             outlier_after=terms.proxies.outlier_after,
             apply_us=self.script.net.apply_us,
@@ -252,7 +256,7 @@
     def go_dark(self, units: list[Unit], silent: bool) -> None:
         for unit in units:
             if silent and unit.up:
-                self.task_houses[unit.zone].do("set", name=unit.name, silent=True)
+                self.task_workers[unit.zone].do("set", name=unit.name, silent=True)
             else:
                 self.stop_task(unit)
             self.tell("gone", unit.key, unit.run, silent=silent)
@@ -279,7 +283,7 @@
             self.world.sleep(trouble.for_s / steps)
             for unit in units:
                 if unit.up:
-                    self.task_houses[unit.zone].do("set", name=unit.name, slow=1 + (trouble.size - 1) * step / steps)
+                    self.task_workers[unit.zone].do("set", name=unit.name, slow=1 + (trouble.size - 1) * step / steps)
         units = [unit for unit in units if unit.up]
         self.go_dark(units, False)
         self.world.sleep(trouble.extra)
@@ -296,9 +300,9 @@
 
     def scale(self, trouble: TroubleSection, value: float, zone: int = -1) -> None:
         """RPCs of the proxies of one zone, or of all, times so many by this trouble."""
-        for at, house in enumerate(self.proxy_houses):
+        for at, worker in enumerate(self.proxy_workers):
             if zone in (-1, at):
-                house.do("factor", name="", cause=f"{trouble.kind}-{trouble.at_s}", value=value)
+                worker.do("factor", name="", cause=f"{trouble.kind}-{trouble.at_s}", value=value)
 
     def shift(self, trouble: TroubleSection) -> None:
         """`size` of the traffic of the other zones moves to one zone, for good."""
@@ -326,8 +330,8 @@
     def links(self, zone: int, others: list[int]) -> list[tuple[object, list[str]]]:
         """Houses of proxies with what is at the far end of their links, between a zone and others."""
         return [
-            (self.proxy_houses[zone], [self.octet(z) for z in others]),
-            *((self.proxy_houses[z], [self.octet(zone)]) for z in others),
+            (self.proxy_workers[zone], [self.octet(z) for z in others]),
+            *((self.proxy_workers[z], [self.octet(zone)]) for z in others),
         ]
 
     def zone_cut(self, trouble: TroubleSection) -> None:
@@ -336,20 +340,20 @@
         zone = self.zones.index(self.zone_of(trouble))
         others = [z for z in range(len(self.zones)) if z != zone]
         ways = self.links(zone, others)
-        for house, ends in ways if trouble.form == "all" else ways[1:]:
-            house.do("set", name="", cut=ends)
+        for worker, ends in ways if trouble.form == "all" else ways[1:]:
+            worker.do("set", name="", cut=ends)
         if trouble.form == "all":
             inside = [k for k in range(self.assigners) if self.assigners > 1 and k % len(self.zones) == zone]
-            for at, house in enumerate(self.proxy_houses):
+            for at, worker in enumerate(self.proxy_workers):
                 far = [k for k in range(self.assigners) if (k in inside) != (at == zone)]
-                house.do("set", name="", away=far)
+                worker.do("set", name="", away=far)
                 for uid in [uid for uid, z in self.proxies.items() if z == at]:
-                    house.do("leave", name=uid, far=far)
+                    worker.do("leave", name=uid, far=far)
         self.world.sleep(trouble.for_s)
-        for house, _ in ways:
-            house.do("set", name="", cut=[])
-        for house in self.proxy_houses:
-            house.do("set", name="", away=[])
+        for worker, _ in ways:
+            worker.do("set", name="", cut=[])
+        for worker in self.proxy_workers:
+            worker.do("set", name="", away=[])
 
     def slow_link(self, trouble: TroubleSection) -> None:
         """`size` seconds more each way and `extra` of what is sent lost, between one zone and all others or one."""
@@ -358,18 +362,18 @@
         if trouble.form == "pair":
             others = self.rng.sample(others, min(1, len(others)))
         ways = self.links(zone, others)
-        for house, ends in ways:
-            house.do("set", name="", links={end: [trouble.size, trouble.extra] for end in ends})
+        for worker, ends in ways:
+            worker.do("set", name="", links={end: [trouble.size, trouble.extra] for end in ends})
         self.world.sleep(trouble.for_s)
-        for house, _ in ways:
-            house.do("set", name="", links={})
+        for worker, _ in ways:
+            worker.do("set", name="", links={})
 
-    def for_a_while(self, trouble: TroubleSection, houses: list, name: str, after: dict, **what) -> None:
-        for house in houses:
-            house.do("set", name=name, **what)
+    def for_a_while(self, trouble: TroubleSection, workers: list, name: str, after: dict, **what) -> None:
+        for worker in workers:
+            worker.do("set", name=name, **what)
         self.world.sleep(trouble.for_s)
-        for house in houses:
-            house.do("set", name=name, **after)
+        for worker in workers:
+            worker.do("set", name=name, **after)
 
     def together(self, jobs: list[tuple], gap: float = 0.0) -> None:
         """Do all of these beside each other, begun one after the other, until all are done."""
@@ -395,7 +399,7 @@
     def at_tasks(self, trouble: TroubleSection, after: dict, **what) -> None:
         self.together(
             [
-                (partial(self.for_a_while, **what), trouble, [self.task_houses[u.zone]], u.name, after)
+                (partial(self.for_a_while, **what), trouble, [self.task_workers[u.zone]], u.name, after)
                 for u in self.some(self.standing_units(trouble.zone), trouble.part)
             ]
         )
@@ -427,15 +431,15 @@
         while self.world.now() < until:
             for unit in units:
                 if unit.up:
-                    self.task_houses[unit.zone].do("pause", name=unit.name, seconds=trouble.size)
+                    self.task_workers[unit.zone].do("pause", name=unit.name, seconds=trouble.size)
             self.world.sleep(trouble.size * 3)
 
     def streams_broken(self, trouble: TroubleSection) -> None:
         for uid in self.some(list(self.proxies), trouble.part):
-            self.proxy_houses[self.proxies[uid]].do("break", name=uid)
+            self.proxy_workers[self.proxies[uid]].do("break", name=uid)
 
     def late_sums(self, trouble: TroubleSection) -> None:
-        self.for_a_while(trouble, self.proxy_houses, "", {"late": 0.0}, late=trouble.size)
+        self.for_a_while(trouble, self.proxy_workers, "", {"late": 0.0}, late=trouble.size)
 
     def surge(self, trouble: TroubleSection) -> None:
         self.scale(trouble, trouble.size)
@@ -449,7 +453,7 @@
                 (
                     partial(self.for_a_while, deaf=True),
                     trouble,
-                    [self.proxy_houses[self.proxies[uid]]],
+                    [self.proxy_workers[self.proxies[uid]]],
                     uid,
                     {"deaf": False},
                 )
@@ -459,7 +463,7 @@
 
     def slow_orders(self, trouble: TroubleSection) -> None:
         """Each message of orders takes `size` seconds to be read."""
-        self.for_a_while(trouble, self.proxy_houses, "", {"slow_orders": 0.0}, slow_orders=trouble.size)
+        self.for_a_while(trouble, self.proxy_workers, "", {"slow_orders": 0.0}, slow_orders=trouble.size)
 
     def proxies_stalled(self, trouble: TroubleSection) -> None:
         """No turn for `size` seconds, again every `extra`, then all that came at once."""
@@ -471,7 +475,7 @@
             uids = self.some(list(self.proxies), trouble.part)
         while self.world.now() < until:
             for uid in uids:
-                self.proxy_houses[self.proxies[uid]].do("pause", name=uid, seconds=trouble.size)
+                self.proxy_workers[self.proxies[uid]].do("pause", name=uid, seconds=trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
     def assigner_stalled(self, trouble: TroubleSection) -> None:
@@ -481,7 +485,7 @@
         while self.world.now() < until:
             for number in some:
                 self.record("stalled", assigner=number, seconds=trouble.size)
-                self.world.spawn(self.stage.stall_assigner, number, trouble.size)
+                self.world.spawn(self.environment.stall_assigner, number, trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
     def peers_cut(self, trouble: TroubleSection) -> None:
@@ -494,9 +498,9 @@
         if trouble.form == "halves":
             pairs |= {(b, a) for a, b in pairs}
         lossy = trouble.form == "lossy"
-        self.stage.cut_peers(set() if lossy else pairs, min(0.9, trouble.size) if lossy else 0.0)
+        self.environment.cut_peers(set() if lossy else pairs, min(0.9, trouble.size) if lossy else 0.0)
         self.world.sleep(trouble.for_s)
-        self.stage.cut_peers(set(), 0.0)
+        self.environment.cut_peers(set(), 0.0)
 
     def some_assigners(self, trouble: TroubleSection) -> list[int]:
         return sorted(self.some(list(range(self.assigners)), trouble.part)) if self.assigners > 1 else [0]
@@ -517,7 +521,7 @@
 
     def drop_proxies(self, uids: list[str]) -> None:
         for uid in uids:
-            self.proxy_houses[self.proxies[uid]].do("kill", name=uid)
+            self.proxy_workers[self.proxies[uid]].do("kill", name=uid)
 
     def raise_proxies(self, uids: list[str]) -> None:
         for uid in uids:  # it comes back with a standing table of what is listed now
@@ -526,7 +530,7 @@
             near = [key for key in home if self.zones[zone] == self.zones[self.zone_at(key)]] or home
             self.proxy_terms[uid]["standing"] = self.rng.sample(near, min(5, len(near)))
             self.proxy_terms[uid]["seed"] += 1
-            self.proxy_houses[zone].do("proxy", **self.proxy_terms[uid])
+            self.proxy_workers[zone].do("proxy", **self.proxy_terms[uid])
 
     def zone_at(self, key: str) -> int:
         return next(u.zone for u in self.units.values() if u.key == key)
@@ -549,14 +553,14 @@
         """Raises DayError where the day could not be played as scripted."""
         begun = self.world.now()
         try:
-            begun = self.stage.act(self)
+            begun = self.environment.play(self)
         finally:
-            self.stage.end()
+            self.environment.end()
         missing = set(self.script.troubles) - self.begun
-        self.failures += self.stage.failures
+        self.failures += self.environment.failures
         if missing or self.failures:
             raise DayError("; ".join(self.failures) or f"troubles that never began: {sorted(missing)}")
-        rows = self.stage.recorded()
+        rows = self.environment.recorded()
         for row in self.troubles:
             row["begun"], row["ended"] = ((row[key] - begun) / 1e6 for key in ("begun", "ended"))
         compared = compare(rows) if len(self.fronts) > 1 else (0, 0, "")
--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -9,7 +9,7 @@
 
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.scenario import KINDS, Scenario, TroubleSection
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
 RANGES = {
     # kind: for_s, part, size, extra; each from and to
@@ -71,7 +71,7 @@
 
 def play(script: Scenario, seed: int, policy: str) -> Outcome | None:
     try:
-        return Day(script, VirtualStage(script, policy, seed), seed).play()
+        return Day(script, SimulatedEnvironment(script, policy, seed), seed).play()
     except DayError:
         return None
 
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -17,7 +17,7 @@
 from hollyridge.lab.day import Day
 from hollyridge.lab.experiments.hunt import drawn, with_troubles
 from hollyridge.lab.scenario import TroubleSection
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
 RANGES = {
     # kind: for_s, part of assigners or of what it strikes, size, extra; each from and to
@@ -64,7 +64,7 @@
     loaded.fleet = loaded.fleet.model_copy(update={"shared": shared})
     if not own:
         loaded = with_troubles(loaded, draw(Random(seed), loaded.day.length_s))
-    stage = VirtualStage(loaded, "", seed)
+    stage = SimulatedEnvironment(loaded, "", seed)
     outcome = Day(loaded, stage, seed).play()
     rows = stage.record.rows
     seen = Evidence(rows)
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -38,7 +38,11 @@
     "streams.py",
     "task.py",
     "task_model.py",
+    "gateways.py",
+    "simulated_process.py",
+    "simulation.py",
     "virtual.py",
+    "virtual_stand_ins.py",
     "world.py",
 )
 
--- /dev/null
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -0,0 +1,196 @@
+"""The client libraries' gateways, and the agent's registrar, on simulated connections."""
+
+from __future__ import annotations
+
+from hollyridge.client import ChpGateway
+from hollyridge.client.sasp import BEATS, SaspTables
+from hollyridge.lab.stand_ins.proxy import Proxy
+from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
+from hollyridge.lab.stand_ins.streams import FrameQueue, SimulatedStream
+from hollyridge.sasp import codec, ownership_extension
+from hollyridge.sasp.client import (
+    ConnectionLostError,
+    HeartbeatTimeoutError,
+    HeldWeights,
+    MemberRegistrar,
+    RefusedError,
+)
+from hollyridge.sasp.codec import Group, Wants
+
+BACKOFF_BASE_S = 0.1
+MAX_BACKOFF_S = 1.5
+MAX_BACKOFF_DOUBLINGS = 5
+FIRST_ANSWER_S = 5.0  # how long the first answer may take where no lease shortens it
+BALANCER_HEALTH = 0x7F  # the highest that SASP's SetLBState message has
+REGISTRATION_NUMBER = 3  # the registration is the third message of a stream
+
+
+class SeededBackoff:
+    """Backoff between sessions, drawn from the proxy's own generator."""
+
+    def wait(self, failed: int) -> float:
+        """Seconds before the next attempt after so many failed in a row."""
+        return self.rng.random() * min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(failed, MAX_BACKOFF_DOUBLINGS))
+
+
+class VirtualSaspGateway(SeededBackoff, SaspTables):
+    """A SASP gateway on a simulated connection to one of the assigners."""
+
+    def __init__(self, simulation: Simulation, proxy: Proxy, **terms: object) -> None:
+        super().__init__(proxy.uid, proxy.names, **terms)
+        self.simulation = simulation
+        self.proxy = proxy
+        self.held = HeldWeights()
+        self.stream: SimulatedStream | None = None
+        self.addresses = [tuple(address) for address in simulation.addresses["sasp"]]
+        self.ways = len(simulation.processes)
+        self.groups = {method["name"]: method["group"] for method in proxy.methods}
+
+    def session(self) -> None:
+        """One connection, until it ends.
+
+        Raises:
+            ConnectionError: The assigner is down.
+            RefusedError: It refused the registration.
+            HeartbeatTimeoutError: It did not answer in time.
+        """
+        process = self.simulation.processes[self.way]
+        if process.service is None:
+            raise ConnectionError("nobody listens")
+        frames = FrameQueue(self.simulation.world)
+        question = self.begin()
+        stream = self.stream = SimulatedStream(process, self.proxy.host, frames.put)
+        heartbeat = codec.SetBalancer(self.uid, BALANCER_HEALTH, int(Wants.PUSH | Wants.NO_CHANGE))
+        self._open(stream, heartbeat, question)
+        _Session(self, stream, frames, heartbeat).run()
+
+    def _open(self, stream: SimulatedStream, heartbeat: codec.Message, question: int) -> None:
+        groups = tuple(codec.MembersOf(Group(self.uid, name), ()) for name in dict.fromkeys(self.groups.values()))
+        self.send(stream, 1, heartbeat)
+        self.send(stream, 2, ownership_extension.question(self.uid, question, self.pleads))
+        self.send(stream, REGISTRATION_NUMBER, codec.Register(True, groups))
+
+    def send(self, stream: SimulatedStream, number: int, message: codec.Message) -> None:
+        """Send a message and record it."""
+        frame = codec.encode(number, message)
+        self.proxy.record.frame("said", self.uid, self.proxy.stream, frame)
+        stream.send_to_server(frame)
+
+    def receive(self, frame: bytes) -> tuple[int, codec.Message]:
+        """Record and decode a frame, and apply the weights that it brings."""
+        self.proxy.record.frame("heard", self.uid, self.proxy.stream, frame)
+        replied, message = codec.decode(frame)
+        if isinstance(message, codec.SendWeights):
+            self.proxy.apply(sum(len(group.weights) for group in message.groups))
+            self.take(message)
+        elif getattr(message, "code", 0) and replied == REGISTRATION_NUMBER:
+            raise RefusedError(message.code)
+        return replied, message
+
+    def hang_up(self) -> None:
+        """End the connection, if there is one."""
+        stream, self.stream = self.stream, None
+        if stream is not None:
+            stream.close()
+
+
+class _Session:
+    """Reads one SASP connection and keeps its heartbeat.
+
+    Attributes:
+        last_number: Number of the last message sent.
+        last_sent_s: When it was sent.
+        answered: Whether its answer has arrived.
+    """
+
+    def __init__(
+        self, gateway: VirtualSaspGateway, stream: SimulatedStream, frames: FrameQueue, heartbeat: codec.Message
+    ) -> None:
+        self.gateway = gateway
+        self.stream = stream
+        self.frames = frames
+        self.heartbeat = heartbeat
+        self.last_number = REGISTRATION_NUMBER
+        self.last_sent_s = gateway.clock()
+        self.answered = False
+        self.first_answer_s = gateway.patience(FIRST_ANSWER_S)
+
+    def run(self) -> None:
+        """Read frames until the stream ends or the gateway stops."""
+        while not self.gateway.stopped:
+            try:
+                frame = self.frames.get(self._wait_s())
+            except TimeoutError:
+                frame = b""
+            if frame is None:
+                return
+            if frame:
+                self._on_frame(frame)
+            self._keep_heartbeat()
+
+    def _wait_s(self) -> float | None:
+        lease_s = self.gateway.own.lease
+        if lease_s:
+            return lease_s / BEATS
+        return None if self.answered else self.first_answer_s
+
+    def _on_frame(self, frame: bytes) -> None:
+        replied, message = self.gateway.receive(frame)
+        self.answered = self.answered or replied >= self.last_number
+        if replied >= REGISTRATION_NUMBER or isinstance(message, codec.SendWeights):
+            self.gateway.alive()
+
+    def _keep_heartbeat(self) -> None:
+        lease_s = self.gateway.own.lease
+        waited_s = self.gateway.clock() - self.last_sent_s
+        limit_s = lease_s / 2 if self.last_number > REGISTRATION_NUMBER else self.first_answer_s
+        if not self.answered and waited_s >= limit_s:
+            raise HeartbeatTimeoutError("no answer in time")
+        if lease_s and waited_s >= lease_s / BEATS and self.answered:
+            self.last_sent_s = self.gateway.clock()
+            self.answered = False
+            self.last_number += 1
+            self.gateway.send(self.stream, self.last_number, self.heartbeat)
+
+
+class VirtualChpGateway(SeededBackoff, ChpGateway):
+    """The client library's own CHP gateway, on simulated sockets."""
+
+
+class VirtualRegistrar(MemberRegistrar):
+    """The agent's connection: requests are taken and answered at once."""
+
+    def __init__(self, process: AssignerProcess, fleet: str, agent: str, stream_number: int) -> None:
+        """Connect; `agent` and `stream_number` name the stream in recordings."""
+        self.record = process.simulation.record
+        self.agent = agent
+        self.group = Group(fleet, "tasks")
+        self.stream_number = stream_number
+        self.number = 0
+        self.lost = False
+        self.stream = SimulatedStream(process, "127.0.0.1", self._on_frame)
+
+    @property
+    def connected(self) -> bool:
+        """Whether the stream stands at both ends."""
+        return self.stream.open and not self.lost
+
+    def _on_frame(self, frame: bytes | None) -> None:
+        self.lost = self.lost or frame is None
+
+    def call(self, message: codec.Message) -> codec.Message:
+        """Send a request and return its answer.
+
+        Raises:
+            ConnectionLostError: The stream has ended.
+        """
+        if not self.connected:
+            raise ConnectionLostError("closed by the service")
+        self.number += 1
+        frame = codec.encode(self.number, message)
+        self.record.frame("said", self.agent, self.stream_number, frame)
+        connection = self.stream.connection
+        self.stream.server.take(connection, frame)
+        reply = connection.replies.pop()
+        self.record.frame("heard", self.agent, self.stream_number, reply)
+        return codec.decode(reply)[1]
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -1,4 +1,4 @@
-"""The real stage: an assigner in a process of its own, houses of stand-ins in others, sockets on loopback."""
+"""The real environment of a day: each assigner in a process of its own, stand-ins in others, sockets on loopback."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     def do(self, what: str, **terms) -> None:
         if self.process.poll() is not None:
-            raise DayError("a house of stand-ins has ended")
+            raise DayError("a worker process of stand-ins has ended")
         self.process.stdin.write(msgspec.json.encode({"do": what, **terms}) + b"\n")
         self.process.stdin.flush()
 
@@ -79,7 +79,7 @@
         return probe.getsockname()[1]
 
 
-class LiveStage:
+class LiveEnvironment:
     """`policy` names another decision module of the laboratory."""
 
     def __init__(self, script: Scenario, folder: Path, policy: str = "") -> None:
@@ -92,7 +92,7 @@
             name: [["127.0.0.1", ports[at]] for ports in self.ports]
             for at, name in enumerate(("sasp", "otlp", "clone"))
         }
-        self.houses: list[WorkerHandle] = []
+        self.workers: list[WorkerHandle] = []
         self.failures: list[str] = []
         self.assigners: list = [None] * count
         self.starts = 0
@@ -104,14 +104,14 @@
         for number in range(count):
             self.settings_file(number)
 
-    def house(self, name: str, heard: Callable[[dict], None]) -> WorkerHandle:
-        self.houses.append(WorkerHandle(self.folder, name, heard))
-        return self.houses[-1]
+    def start_worker(self, name: str, heard: Callable[[dict], None]) -> WorkerHandle:
+        self.workers.append(WorkerHandle(self.folder, name, heard))
+        return self.workers[-1]
 
     def agent(self, number: int) -> Agent:
         return Agent(("127.0.0.1", self.ports[number][0]), self.script.terms.sasp.fleet, self.record, number=number)
 
-    def settle(self, agent: Agent) -> None:
+    def wait_for_sync(self, agent: Agent) -> None:
         agent.synced.wait(5)
 
     def settings_file(self, number: int) -> Path:
@@ -185,18 +185,18 @@
         if self.relay is not None:
             self.relay.cut, self.relay.lost = pairs, lost
 
-    def act(self, day: Day) -> int:
+    def play(self, day: Day) -> int:
         """Let the day pass; returns when it began."""
-        day.lay_out()
+        day.set_up()
         begun = now_us()
         jobs = [gevent.spawn(day.cause, name, trouble) for name, trouble in self.script.troubles.items()]
         length = self.script.day.length_s
         while (passed := (now_us() - begun) / 1e6) < length:
-            day.tick(min(1.0, passed / length))
+            day.on_progress(min(1.0, passed / length))
             gevent.sleep(0.25)
             if day.failures:
                 raise DayError("; ".join(day.failures))
-        day.tick(1.0)
+        day.on_progress(1.0)
         gevent.killall(jobs)
         return begun
 
@@ -225,8 +225,8 @@
         return rows
 
     def end(self) -> None:
-        for house in self.houses[::-1]:
-            house.end()
+        for worker in self.workers[::-1]:
+            worker.end()
         for assigner in self.assigners:
             if assigner is not None and assigner.poll() is None:
                 self.end_assigner(assigner)
--- /dev/null
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -0,0 +1,245 @@
+"""The simulated process of one assigner: the real service on simulated sockets, clock, disk and peers' datagrams."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from copy import copy
+from random import Random
+
+from greenlet import GreenletExit
+
+from hollyridge.decisions.assigner import Assigner
+from hollyridge.lab.experiments.policies import POLICIES
+from hollyridge.lab.reports.record import STATE
+from hollyridge.lab.stand_ins.simulation import OTLP_PORT, SASP_PORT, US_PER_S, Simulation
+from hollyridge.lab.stand_ins.sockets import Context
+from hollyridge.otlp.reading import METRICS
+from hollyridge.otlp.sender import Figure
+from hollyridge.peers.peer_service import PeerConfig
+from hollyridge.sasp.server import SaspServer
+from hollyridge.service import Service
+from hollyridge.settings.assigner import ServiceConfig
+from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
+
+STATE_INTERVAL_US = 500_000  # how often the assigner's status is recorded
+CONNECTION_CHECK_S = 0.1  # how often connections are checked, as the real server does
+MIN_TURN_US = 500  # the engine runs at most once in this time
+SIMULATED_KEY = b"simulated" * 4  # of the shared fleet
+
+
+class SimulatedProcess:
+    """Runs one assigner, and runs it again after it was killed.
+
+    Attributes:
+        service: The assigner; None while it is down.
+        stalled_until_us: Until when the process gets no turn.
+        disk: Its state file, which outlives it.
+    """
+
+    def __init__(self, simulation: Simulation, number: int) -> None:
+        self.simulation = simulation
+        self.number = number
+        self.world = simulation.world
+        self.service: Service | None = None
+        self.context: Context | None = None
+        self.stalled_until_us = 0
+        self.turn = 0  # the engine's next run; one that was planned before it is obsolete
+        self.starts = 0
+        self.disk = b""
+
+    # Start and end.
+
+    def start(self) -> None:
+        """Start the assigner."""
+        self.starts += 1
+        service = self._make_service()
+        self._attach(service)
+        self.service, self.names = service, service.names()
+        if service.clone is not None:
+            service.clone.start()
+        if service.solving is not None:
+            service.solving.apply = lambda call, words: call(*words)
+        self._attach_disk(service)
+        service.begin()
+        self.schedule_engine()
+        self.world.spawn(self._watch_connections, service)
+
+    def _make_service(self) -> Service:
+        simulation = self.simulation
+        epoch = f"{self.number:08x}{self.starts:08x}"
+        config = self._config()
+        return Service(
+            config,
+            simulation.log,
+            POLICIES.get(simulation.policy, Assigner),
+            self.world.now,
+            self._open_context,
+            epoch,
+            Random(f"{simulation.seed} {epoch}").randbytes,
+            self._peer_config(config),
+        )
+
+    def _config(self) -> ServiceConfig:
+        """The scenario's settings with this process's addresses."""
+        config, port = copy(self.simulation.script.terms), self.simulation.first_port(self.number)
+        if config.clone.listen:
+            config.clone = config.clone.model_copy(update={"listen": f"127.0.0.1:{port}"})
+        config.sasp = config.sasp.model_copy(update={"listen": f"127.0.0.1:{port + SASP_PORT}"})
+        config.otlp = config.otlp.model_copy(update={"listen": f"127.0.0.1:{port + OTLP_PORT}"})
+        return config
+
+    def _peer_config(self, config: ServiceConfig) -> PeerConfig | None:
+        """This assigner's part in a shared fleet; None if it shares nothing."""
+        simulation = self.simulation
+        if not simulation.script.fleet.shared:
+            return None
+        zones = config.zone_names
+        addresses = [simulation.peer_address(number) for number in range(len(simulation.processes))]
+        return config.fleet_terms_of(
+            f"a{self.number}",
+            ("127.0.0.1", int(addresses[self.number].rpartition(":")[2])),
+            tuple(addresses),
+            SIMULATED_KEY,
+            zones[self.number % len(zones)],
+        )
+
+    def _attach(self, service: Service) -> None:
+        """Let the simulated clock and network drive the service."""
+        if service.fleet is not None:
+            service.fleet.send = self._send_datagram
+        service.loop.wake = self.schedule_engine
+        service.loop.spawn = self.world.spawn
+        service.loop.sleep = lambda seconds: self._sleep(service, seconds)
+
+    def _attach_disk(self, service: Service) -> None:
+        if service.keeping is not None:
+            service.keeping.apply = lambda call, words: call(*words)
+            service.keeping.write = self._write_disk
+            service.keeping.read = self._read_disk
+            service.keeping.wall_ms = lambda: self.world.now() // 1000
+
+    def kill(self) -> None:
+        """Kill the assigner: its connections break, its disk stays."""
+        service, self.service = self.service, None
+        self.simulation.status.append(service.status())
+        for connection in list(service.front.streams.values()):
+            self.world.spawn(connection.sock.close)
+        if self.context is not None:
+            self.context.end()
+
+    def _open_context(self) -> Context:
+        self.context = Context(self.simulation.network, idle=self._wait_while_stalled)
+        return self.context
+
+    def _write_disk(self, _path: object, raw: bytes) -> None:
+        self.disk = raw
+
+    def _read_disk(self, _path: object) -> bytes:
+        if not self.disk:
+            raise FileNotFoundError
+        return self.disk
+
+    # Peers.
+
+    def _send_datagram(self, address: str, raw: bytes) -> None:
+        simulation, peer = self.simulation, self.simulation.peers.get(address)
+        if peer is None or (self.number, peer.number) in simulation.peers_cut:
+            return
+        if simulation.rng.random() < simulation.peers_lost:
+            return
+        delay_s = simulation.delay_s(simulation.net.far_ms)
+        self.world.later(delay_s, peer.receive_datagram, simulation.peer_address(self.number), raw)
+
+    def receive_datagram(self, address: str, raw: bytes) -> None:
+        """Take a datagram of a peer."""
+        if self.service is not None and not self.defer_if_stalled(self.receive_datagram, address, raw):
+            self.service.fleet.heard(address, raw)
+
+    # Turns of the process.
+
+    def _sleep(self, service: Service, seconds: float) -> None:
+        """Sleep for a greenlet of the service, which ends with its assigner."""
+        self.world.sleep(seconds)
+        self._wait_while_stalled()
+        if self.service is not service:
+            raise GreenletExit
+
+    def _wait_while_stalled(self) -> None:
+        while self.stalled_until_us > self.world.now():
+            self.world.sleep((self.stalled_until_us - self.world.now()) / US_PER_S)
+
+    def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
+        """Whether the process gets no turn now; if so, `call` runs when it gets one again."""
+        if self.stalled_until_us <= self.world.now():
+            return False
+        self.world.when(self.stalled_until_us, self.world.start, call, arguments)
+        return True
+
+    def schedule_engine(self) -> None:
+        """Run the engine soon, in place of the run that was planned."""
+        self.turn += 1
+        self.world.when(self.world.now() + MIN_TURN_US, self.world.start, self._run_engine, (self.turn,))
+
+    def _run_engine(self, turn: int) -> None:
+        if turn != self.turn or self.service is None or self.defer_if_stalled(self._run_engine, turn):
+            return
+        due = self.service.engine.run(self.world.now())
+        self.turn += 1
+        next_run = max(due, self.world.now() + MIN_TURN_US)
+        self.world.when(next_run, self.world.start, self._run_engine, (self.turn,))
+
+    # What the real server's own greenlets do.
+
+    def _watch_connections(self, service: Service) -> None:
+        """Check connections and record the status until the assigner ends."""
+        recorded_at = 0
+        while self.service is service:
+            self.world.sleep(CONNECTION_CHECK_S)
+            now = self.world.now()
+            if self.stalled_until_us > now:
+                continue
+            if now >= recorded_at:
+                recorded_at = now + STATE_INTERVAL_US
+                self._record_state(service)
+            self._check_connections(service.front, now)
+
+    def _record_state(self, service: Service) -> None:
+        status = service.engine.status()
+        core = {key: status[key] for key in STATE}
+        self.simulation.record("state", assigner=self.number, **core, **status["module"])
+        if service.fleet is not None:
+            self.simulation.record("claims", assigner=self.number, uids=list(service.fleet.owners.mine))
+
+    def _check_connections(self, server: SaspServer, now: int) -> None:
+        send_buffer_bytes = self.simulation.script.terms.sasp.send_buffer_bytes
+        for number, connection in list(server.streams.items()):
+            consumed = connection.sock.consumed_bytes
+            server.presence.check_backlog(now, number, consumed, connection.sent - consumed > send_buffer_bytes)
+        for number, reason in server.presence.overdue(now):
+            if number in server.streams:
+                server.close(server.streams[number], reason)
+
+    # Load reports.
+
+    def report(self, source: str, figures: list[Figure]) -> None:
+        """Take a load report, as the OTLP intake does with a decoded one."""
+        if self.service is None or self.defer_if_stalled(self.report, source, figures):
+            return
+        now = self.world.now()
+        for figure in figures:
+            point = self._data_point(source, figure)
+            if point is not None:
+                self.service.engine.report(now, point)
+
+    def _data_point(self, source: str, figure: Figure) -> DataPoint | None:
+        """The point that a figure stands for; None if it names something unknown."""
+        names, kind, attributes = self.names, METRICS[figure.name], figure.attributes
+        method = names.method(attributes["method"]) if "method" in attributes else 0
+        if kind in (Kind.RPCS, Kind.UNANSWERED):
+            place = names.proxy(attributes["proxy"]), method
+        else:
+            place = names.zone(attributes.get("zone", "")) or 0, names.task(attributes["task"])
+        if None in place:
+            return None
+        start = figure.start or figure.end
+        return DataPoint(source, kind, place, 0 if kind in LOADS else method, figure.value, start, figure.end)
--- /dev/null
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -0,0 +1,118 @@
+"""What the parts of the simulated environment share: clock, network, addresses, and what runs where.
+
+Streams, proxies, agents and assigner processes need the environment that they run in, and the environment makes all of
+them. They depend on this module only, so that imports go one way.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from random import Random
+from typing import Protocol
+
+from hollyridge.lab.reports.record import Recorder
+from hollyridge.lab.scenario import Scenario
+from hollyridge.lab.stand_ins.sockets import Network
+from hollyridge.lab.stand_ins.task import Task
+from hollyridge.lab.stand_ins.world import VirtualWorld
+from hollyridge.otlp.sender import Figure
+from hollyridge.service import Service
+
+US_PER_S = 1_000_000
+FIRST_ASSIGNER_PORT = 6000
+PORTS_PER_ASSIGNER = 10
+CHP_PORT, SASP_PORT, OTLP_PORT, PEER_PORT = 0, 4, 5, 6  # after the first port of an assigner; CHP takes three
+FIRST_TASK_PORT = 20000
+DELAY_SEED_OFFSET = 7  # keeps the network's generator apart from the day's
+
+
+class AssignerProcess(Protocol):
+    """The process that one assigner runs in, as its clients and peers may use it.
+
+    Attributes:
+        service: The assigner; None while it is down.
+        stalled_until_us: Until when the process gets no turn.
+    """
+
+    number: int
+    simulation: Simulation
+    service: Service | None
+    stalled_until_us: int
+
+    def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
+        """Whether the process gets no turn now; if so, `call` runs when it gets one again."""
+
+    def report(self, source: str, figures: list[Figure]) -> None:
+        """Take a load report."""
+
+    def receive_datagram(self, address: str, raw: bytes) -> None:
+        """Take a datagram of a peer."""
+
+
+class Simulation:
+    """Shared state of one simulated day.
+
+    Attributes:
+        tasks_by_key: The task that listens at an address.
+        processes: The assigners' processes by number.
+        peers: The same by the address that their peers know them by.
+        peers_cut: Pairs of assigners, from and to, between which no datagram passes.
+        peers_lost: Fraction of the other datagrams that is lost.
+        status: Last status of each assigner that was killed or has ended.
+    """
+
+    def __init__(self, script: Scenario, policy: str, seed: int, ties: int | None) -> None:
+        self.script = script
+        self.policy = policy
+        self.seed = seed
+        self.world = VirtualWorld(ties)
+        self.record = Recorder(None, self.world.now)
+        self.rng = Random(seed + DELAY_SEED_OFFSET)
+        self.net = script.net
+        self.network = Network(self.world, lambda: self.delay_s(self.net.orders_ms))
+        self.tasks_by_key: dict[str, Task] = {}
+        self.last_task_port = FIRST_TASK_PORT
+        self.log = ErrorLog()
+        self.status: list[dict] = []
+        self.processes: Sequence[AssignerProcess] = ()
+        self.peers: dict[str, AssignerProcess] = {}
+        self.peers_cut: set[tuple[int, int]] = set()
+        self.peers_lost = 0.0
+        self.addresses = {
+            "sasp": self._addresses(SASP_PORT),
+            "otlp": self._addresses(OTLP_PORT),
+            "clone": self._addresses(CHP_PORT),
+        }
+
+    def _addresses(self, offset: int) -> list[list]:
+        count = self.script.terms.assigner.assigners
+        return [["127.0.0.1", self.first_port(number) + offset] for number in range(count)]
+
+    @staticmethod
+    def first_port(number: int) -> int:
+        """The first of an assigner's ports."""
+        return FIRST_ASSIGNER_PORT + PORTS_PER_ASSIGNER * number
+
+    def peer_address(self, number: int) -> str:
+        """The address that an assigner's peers know it by."""
+        return f"127.0.0.1:{self.first_port(number) + PEER_PORT}"
+
+    def delay_s(self, mean_ms: float) -> float:
+        """One network delay, varied by the scenario's jitter."""
+        return mean_ms / 1e3 * (1 + self.net.jitter * (2 * self.rng.random() - 1))
+
+
+class ErrorLog:
+    """A logger that keeps errors, for they fail the day, and drops everything else."""
+
+    def __init__(self) -> None:
+        self.errors: list[str] = []
+
+    def info(self, event: str, **facts: object) -> None:
+        """Drop the event."""
+
+    debug = warning = info
+
+    def error(self, event: str, **facts: object) -> None:
+        """Keep the event with its error."""
+        self.errors.append(f"{event}: {facts.get('error', '')}")
--- /dev/null
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -0,0 +1,203 @@
+"""Proxies, tasks and agents of the simulated environment: the real stand-ins on simulated connections."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hollyridge.client.gateway import Gateway
+from hollyridge.lab.stand_ins import rpc
+from hollyridge.lab.stand_ins.agent import Agent
+from hollyridge.lab.stand_ins.command_handler import CommandHandler
+from hollyridge.lab.stand_ins.gateways import VirtualChpGateway, VirtualRegistrar, VirtualSaspGateway
+from hollyridge.lab.stand_ins.proxy import Proxy
+from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
+from hollyridge.lab.stand_ins.sockets import Context, Library
+from hollyridge.lab.stand_ins.task import Task
+from hollyridge.lab.stand_ins.task_model import Build
+from hollyridge.otlp.sender import Figure
+from hollyridge.sasp.client import ConnectionLostError
+
+CONNECT_TIMEOUT_S = 0.25
+AGENT_POLL_S = 0.02
+AGENT_RETRY_S = 0.2
+
+
+class VirtualPipe:
+    """A proxy's connection to one task, opened at the first RPC."""
+
+    def __init__(self, simulation: Simulation, proxy: Proxy, task_key: str) -> None:
+        self.simulation = simulation
+        self.proxy = proxy
+        self.task_key = task_key
+        self.task: Task | None = None
+        self.number = 0
+        same_zone = proxy.host.split(".")[1] == task_key.split(".")[1]
+        self.one_way_ms = simulation.net.near_ms if same_zone else simulation.net.far_ms
+
+    def _delay_s(self) -> float:
+        return self.simulation.delay_s(self.one_way_ms)
+
+    def _connect(self, task: Task | None, timeout_s: float) -> bool:
+        """Whether `task`, which listens there now, took the connection or has it already."""
+        world = self.simulation.world
+        if task is not None and task is self.task and not task.down:
+            return True
+        if task is not None and task.silent and task is not self.task:
+            world.sleep(min(timeout_s, CONNECT_TIMEOUT_S))
+            return False
+        if task is None or task.down:
+            self.task = None
+            world.sleep(self._delay_s() * 2)
+            return False
+        world.sleep(self._delay_s() * 2 + task.dial_s)
+        if not task.connect():
+            return False
+        self.task = task
+        return True
+
+    def call(
+        self, proxy: str, method: int, token: str, work: float, timeout: float, key: int = -1
+    ) -> tuple[int, rpc.Answer | None]:
+        """Send an RPC; returns its outcome and answer. `NOT_SENT` proves that it never ran."""
+        world = self.simulation.world
+        task = self.simulation.tasks_by_key.get(self.task_key)
+        if not self._connect(task, timeout):
+            return rpc.NOT_SENT, None
+        self.number += 1
+        result = world.result()
+        call = rpc.Call(self.number, proxy, method, token, work, key)
+        world.later(
+            self._delay_s(),
+            task.take,
+            call,
+            lambda answer: world.later(self._delay_s(), result.set, answer),
+        )
+        try:
+            answer = result.get(timeout=timeout)
+        except TimeoutError:
+            return rpc.NO_ANSWER, None
+        return (answer.outcome if answer else rpc.NO_ANSWER), answer
+
+    def close(self) -> None:
+        """Close the connection, if it is open."""
+        if self.task is not None:
+            self.task.disconnect()
+            self.task = None
+
+
+class VirtualProxy(Proxy):
+    """A proxy whose connections, clock and reports are simulated."""
+
+    def __init__(self, simulation: Simulation, **terms: object) -> None:
+        self.simulation = simulation
+        super().__init__(simulation.world, record=simulation.record, **terms)
+
+    def open(self, front: str, standing: list[str]) -> Gateway:
+        """The gateway for one protocol, with a first table of `standing`."""
+        simulation = self.simulation
+        terms = {
+            "standing": dict.fromkeys(standing, 1.0),
+            "pick": self.plan["pick"],
+            "rng": self.rng,
+            "sleep": self.world.sleep,
+            "clock": self.seconds,
+            "numbers_from": self.wall() >> 16,
+        }
+        if front == "sasp":
+            return VirtualSaspGateway(simulation, self, **terms)
+        context = Context(simulation.network, cut=lambda _endpoint: self.gateway.way in self.away)
+        connection_options = {
+            "source": self.host,
+            "zmq": Library(self.world),
+            "context": context,
+            "heard": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
+        }
+        return VirtualChpGateway(
+            simulation.addresses["clone"], self.uid, self.names, connection_options, before=self.apply, **terms
+        )
+
+    def wall(self) -> int:
+        """Time of day (ns): the simulated clock's."""
+        return self.world.now() * 1000
+
+    def dial(self, task: str) -> VirtualPipe:
+        """A connection to the task at this address."""
+        return VirtualPipe(self.simulation, self, task)
+
+    def say(self, figures: list[Figure]) -> None:
+        """Hand a load report to the assigner, without OTLP's bytes."""
+        self.simulation.processes[self.gateway.way].report(self.uid, figures)
+
+
+class VirtualCommandHandler(CommandHandler):
+    """Runs tasks and proxies in this process, on simulated connections."""
+
+    def __init__(self, simulation: Simulation, on_message: Callable[[dict], None]) -> None:
+        """`on_message` takes what a worker process would write to its standard output."""
+        self.simulation = simulation
+        self.on_message = on_message
+        self.tasks: dict[str, Task] = {}
+        self.proxies: dict[str, VirtualProxy] = {}
+        self.effects: dict[str, int] = {}
+
+    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **terms: object) -> None:
+        """Start a task; port 0 stands for a free one."""
+        simulation = self.simulation
+        if not port:
+            simulation.last_task_port += 1
+        key = f"{host}:{port or simulation.last_task_port}"
+        task = Task(
+            simulation.world,
+            name,
+            key,
+            run,
+            Build(**build),
+            effects=self.effects,
+            record=simulation.record,
+            fell=lambda task: self.on_message({"fell": task.name}),
+            **terms,
+        )
+        self.tasks[name] = simulation.tasks_by_key[key] = task
+        self.on_message({"started": name, "key": key, "run": run})
+
+    def do_proxy(self, **terms: object) -> None:
+        """Start a proxy."""
+        self.proxies[terms["uid"]] = VirtualProxy(self.simulation, **terms)
+
+
+class VirtualAgent(Agent):
+    """The agent of one assigner, on simulated connections."""
+
+    def __init__(self, process: AssignerProcess) -> None:
+        self.process = process
+        simulation = process.simulation
+        fleet = simulation.script.terms.sasp.fleet
+        super().__init__(("", 0), fleet, simulation.record, simulation.world.spawn, process.number)
+
+    def run(self) -> None:
+        """Keep a stream to the assigner, for ever."""
+        world = self.process.simulation.world
+        while True:
+            if self.process.service is None:
+                world.sleep(AGENT_RETRY_S)
+                continue
+            self.stream += 1
+            client = VirtualRegistrar(self.process, self.fleet, self.who, self.stream)
+            self.told = {}
+            self.due.set()
+            try:
+                self._keep_in_sync(client)
+            except ConnectionLostError:
+                pass  # recorded below like any other end
+            self.record("stream", who=self.who, stream=self.stream, up=False)
+            world.sleep(AGENT_RETRY_S)
+
+    def _keep_in_sync(self, client: VirtualRegistrar) -> None:
+        world = self.process.simulation.world
+        while client.connected:
+            while self.process.stalled_until_us > world.now():
+                world.sleep(AGENT_POLL_S)
+            if self.due.is_set():
+                self.due.clear()
+                self.sync(client)
+            world.sleep(AGENT_POLL_S)
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -15,7 +15,7 @@
 from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.day import Day, Outcome
 from hollyridge.lab.reports.record import Recorder, frame_of, parts_of, read_all
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 from hollyridge.sasp import client as sasp_client
 
 KINDS = {
@@ -45,9 +45,9 @@
 
 
 @cache
-def played() -> tuple[VirtualStage, Day, Outcome]:
+def played() -> tuple[SimulatedEnvironment, Day, Outcome]:
     loaded = scenario.load(FOLDER / "day.ini")
-    stage = VirtualStage(loaded, "", 1)
+    stage = SimulatedEnvironment(loaded, "", 1)
     day = Day(loaded, stage, 1)
     return stage, day, day.play()
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -12,7 +12,7 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 from hollyridge.store import learned_estimates, state_file
 from hollyridge.store.state_file import SavedState, StateFileError, TaskEstimate
 
@@ -162,8 +162,8 @@
     )
     loaded, told = scenario.load(path), []
     for _ in range(2):
-        stage = VirtualStage(loaded, "", 3)
+        stage = SimulatedEnvironment(loaded, "", 3)
         outcome = Day(loaded, stage, 3).play()
         assert all(v.kept for v in outcome.verdicts) and stage.status[-1]["kept"]["recalled"] > 0
         told.append(stage.record.rows)
-    assert told[0] == told[1] and isinstance(stage.seats[0].service.engine.assigner, Assigner)
+    assert told[0] == told[1] and isinstance(stage.processes[0].service.engine.assigner, Assigner)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,7 +21,7 @@
 from hollyridge.lab.stand_ins import rpc, sockets
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.task_model import Budget, Build, Warmth
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 from hollyridge.lab.stand_ins.world import VirtualWorld
 
 ROOT = Path(__file__).parent.parent
@@ -115,7 +115,7 @@
 
 def outcome(path=SMALL, policy="", seed=3, ties=None):
     loaded = scenario.load(path)
-    return Day(loaded, VirtualStage(loaded, policy, seed, ties), seed).play()
+    return Day(loaded, SimulatedEnvironment(loaded, policy, seed, ties), seed).play()
 
 
 def test_the_order_of_equal_moments_decides_nothing_that_matters():
@@ -312,7 +312,7 @@
     path = tmp_path / "one.ini"
     path.write_text("\n".join(lines) + "\n")
     loaded = scenario.load(path)
-    stage = VirtualStage(loaded, "", 3)
+    stage = SimulatedEnvironment(loaded, "", 3)
     told = Day(loaded, stage, 3).play()
     assert all(v.kept for v in told.verdicts)
     assert set(span(stage.record.rows, "x")) and known(stage.record.rows, span(stage.record.rows, "x"))
@@ -399,7 +399,7 @@
 def test_pages_of_recordings_and_comparisons(tmp_path):
     record, kept = tmp_path / "day.jsonl", tmp_path / "kept.jsonl"
     loaded = scenario.load(SMALL)
-    Day(loaded, VirtualStage(loaded, "", 3, None, str(record)), 3).play()
+    Day(loaded, SimulatedEnvironment(loaded, "", 3, None, str(record)), 3).play()
     rows = [
         {
             "variant": v,
@@ -431,7 +431,7 @@
 def test_three_assigners_and_both_fronts():
     """Each proxy is with one at a time; the rules are checked by who knew what, the tables by protocol."""
     loaded = scenario.load(THREE)
-    stage = VirtualStage(loaded, "", 5)
+    stage = SimulatedEnvironment(loaded, "", 5)
     told = Day(loaded, stage, 5).play()
     assert all(v.kept for v in told.verdicts), told.verdicts
     assert told.parity[0] > 200 and told.parity[1] == 0, told.parity
@@ -447,7 +447,7 @@
 @pytest.mark.parametrize("policy, rule", [("bare", 1), ("deaf", 3), ("chatty", 5)])
 def test_saboteurs_are_caught_among_three(policy, rule):
     loaded = scenario.load(THREE, fronts=("sasp",))
-    told = Day(loaded, VirtualStage(loaded, policy, 5), 5).play()
+    told = Day(loaded, SimulatedEnvironment(loaded, policy, 5), 5).play()
     assert rule in {v.rule for v in told.verdicts if not v.kept}
 
 
@@ -455,7 +455,7 @@
     raws = []
     for _ in range(2):
         loaded = scenario.load(SMALL, fronts=("clone",))
-        stage = VirtualStage(loaded, "", 3)
+        stage = SimulatedEnvironment(loaded, "", 3)
         assert all(v.kept for v in Day(loaded, stage, 3).play().verdicts)
         raws.append([msgspec.json.encode(row) for row in stage.record.rows])
         status = stage.status[-1]["clone"]
@@ -520,7 +520,7 @@
     day = scenario.Scenario(
         loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.terms
     )
-    tries = [Day(day, VirtualStage(day, "even", seed), seed).play().figures for seed in range(1, 9)]
+    tries = [Day(day, SimulatedEnvironment(day, "even", seed), seed).play().figures for seed in range(1, 9)]
     found = sum(told["tries"] for told in tries) / sum(told["rpcs"] for told in tries)
     assert found == pytest.approx((1 - part ** (more + 1)) / (1 - part), rel=0.03)
 
@@ -548,7 +548,7 @@
     after, before = [], []
     for fronts in (("sasp",), ("clone",)):
         loaded = scenario.load(path, fronts=fronts)
-        line = dict(Day(loaded, VirtualStage(loaded, "", 2), 2).play().figures["timeline"])
+        line = dict(Day(loaded, SimulatedEnvironment(loaded, "", 2), 2).play().figures["timeline"])
         after.append(sum(line[s] for s in range(10, 14)) / 4)
         before.append(line[2])
     assert min(before) > 0.8 and after[0] < 0.6 and after[1] > after[0]
@@ -578,5 +578,5 @@
         + "\n[net]\norders_ms = 250\n"
     )
     loaded = scenario.load(path, fronts=("clone",))
-    told = Day(loaded, VirtualStage(loaded, "", 2), 2).play()
+    told = Day(loaded, SimulatedEnvironment(loaded, "", 2), 2).play()
     assert all(v.kept for v in told.verdicts)
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -21,7 +21,7 @@
 from hollyridge.decisions.assigner import NOISE_FLOOR, Assigner
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
-from hollyridge.lab.stand_ins.virtual import VirtualStage
+from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 from hollyridge.settings.solve import load
 from hollyridge.solver import linear_program
 from hollyridge.solver.engine_adapter import fleet_of, proposals
@@ -395,7 +395,7 @@
     loaded = scenario.load(path)
     raws = []
     for _ in range(2):
-        stage = VirtualStage(loaded, "", 3)
+        stage = SimulatedEnvironment(loaded, "", 3)
         told = Day(loaded, stage, 3).play()
         assert all(v.kept for v in told.verdicts)
         solver = stage.status[-1]["solver"]
