--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -174,8 +174,8 @@
         "seed": seed,
         "served": cut.figures["served"],
         "broken": broken,
-        "drawn": list(worst.troubles),
-        "needed": list(less.troubles),
+        "drawn": list(worst.faults),
+        "needed": list(less.faults),
         "nearest": {v.rule: v.nearest for v in cut.verdicts},
     }
     click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -12,7 +12,7 @@
 from hollyridge.lab.checks.metrics import figures_of
 from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.checks.parity import compare
-from hollyridge.lab.scenario import Scenario, TroubleSection
+from hollyridge.lab.scenario import FaultSection, Scenario
 
 
 class DayError(Exception):
@@ -51,7 +51,7 @@
     ) -> None:
         self.script, self.environment, self.on_progress = script, environment, on_progress
         self.world = environment.world
-        self.terms = script.terms
+        self.terms = script.config
         self.rng = Random(script.day.seed if seed is None else seed)
         self.record = environment.record
         self.zones = self.terms.zone_names
@@ -224,10 +224,10 @@
     def standing_units(self, zone: str = "") -> list[Unit]:
         return [u for u in self.units.values() if u.up and zone in ("", self.zones[u.zone])]
 
-    def zone_of(self, trouble: TroubleSection) -> str:
+    def zone_of(self, trouble: FaultSection) -> str:
         return trouble.zone or self.rng.choice(self.zones)
 
-    def release(self, trouble: TroubleSection) -> None:
+    def release(self, trouble: FaultSection) -> None:
         """Each old task drains, is replaced by a new one under another address, and goes."""
         old = self.some(self.standing_units(), trouble.part)
         gap = trouble.for_s / max(len(old), 1)
@@ -242,7 +242,7 @@
             self.stop_task(unit)
             self.tell("gone", unit.key, unit.run)
 
-    def zone_lost(self, trouble: TroubleSection) -> None:
+    def zone_lost(self, trouble: FaultSection) -> None:
         """Its tasks die and come back cold; `all`: they fall silent, and its proxies die with them."""
         zone, every = self.zone_of(trouble), trouble.form == "all"
         lost = self.standing_units(zone)
@@ -268,14 +268,14 @@
             self.run_task(unit, cold=True)
             self.tell_running(unit)
 
-    def vanish(self, trouble: TroubleSection) -> None:
+    def vanish(self, trouble: FaultSection) -> None:
         """Machines go silent: no answer, no reset connection."""
         lost = self.some(self.standing_units(trouble.zone), trouble.part)
         self.go_dark(lost, True)
         self.world.sleep(trouble.for_s)
         self.come_back(lost)
 
-    def ageing(self, trouble: TroubleSection) -> None:
+    def ageing(self, trouble: FaultSection) -> None:
         """Slower and slower, `size` times at the end; then they die and come back cold after `extra` seconds."""
         units = self.some(self.standing_units(trouble.zone), trouble.part)
         steps = max(1, round(trouble.for_s * 2))
@@ -289,7 +289,7 @@
         self.world.sleep(trouble.extra)
         self.come_back(units)
 
-    def grow(self, trouble: TroubleSection) -> None:
+    def grow(self, trouble: FaultSection) -> None:
         """The fleet grows to `size` times as many within the time, new ones cold; `extra` of it in traffic follows."""
         count = max(1, round((trouble.size - 1) * len(self.standing_units())))
         for made in range(1, count + 1):
@@ -298,13 +298,13 @@
             self.scale(trouble, 1 + (trouble.size - 1) * trouble.extra * made / count)
             self.world.sleep(trouble.for_s / count)
 
-    def scale(self, trouble: TroubleSection, value: float, zone: int = -1) -> None:
+    def scale(self, trouble: FaultSection, value: float, zone: int = -1) -> None:
         """RPCs of the proxies of one zone, or of all, times so many by this trouble."""
         for at, worker in enumerate(self.proxy_workers):
             if zone in (-1, at):
                 worker.do("factor", name="", cause=f"{trouble.kind}-{trouble.at_s}", value=value)
 
-    def shift(self, trouble: TroubleSection) -> None:
+    def shift(self, trouble: FaultSection) -> None:
         """`size` of the traffic of the other zones moves to one zone, for good."""
         zone = self.zones.index(self.zone_of(trouble))
         rates = [0.0] * len(self.zones)
@@ -317,7 +317,7 @@
                 self.scale(trouble, 1 + moved * (sum(rates) - rate) / rate if at == zone else 1 - moved, at)
             self.world.sleep(trouble.for_s / steps)
 
-    def restart_in_place(self, trouble: TroubleSection) -> None:
+    def restart_in_place(self, trouble: FaultSection) -> None:
         """Killed and back under the same address before the agent has noticed."""
         for unit in self.some(self.standing_units(), trouble.part):
             self.stop_task(unit)
@@ -334,7 +334,7 @@
             *((self.proxy_workers[z], [self.octet(zone)]) for z in others),
         ]
 
-    def zone_cut(self, trouble: TroubleSection) -> None:
+    def zone_cut(self, trouble: FaultSection) -> None:
         """Tasks of one zone can't be reached from the others; `all`: nor the other way round, and streams and reports
         reach assigners of their own side only. A lone assigner is on the other side; of several each zone has some."""
         zone = self.zones.index(self.zone_of(trouble))
@@ -355,7 +355,7 @@
         for worker in self.proxy_workers:
             worker.do("set", name="", away=[])
 
-    def slow_link(self, trouble: TroubleSection) -> None:
+    def slow_link(self, trouble: FaultSection) -> None:
         """`size` seconds more each way and `extra` of what is sent lost, between one zone and all others or one."""
         zone = self.zones.index(self.zone_of(trouble))
         others = [z for z in range(len(self.zones)) if z != zone]
@@ -368,7 +368,7 @@
         for worker, _ in ways:
             worker.do("set", name="", links={})
 
-    def for_a_while(self, trouble: TroubleSection, workers: list, name: str, after: dict, **what) -> None:
+    def for_a_while(self, trouble: FaultSection, workers: list, name: str, after: dict, **what) -> None:
         for worker in workers:
             worker.do("set", name=name, **what)
         self.world.sleep(trouble.for_s)
@@ -396,7 +396,7 @@
             if failure is not None:
                 raise failure
 
-    def at_tasks(self, trouble: TroubleSection, after: dict, **what) -> None:
+    def at_tasks(self, trouble: FaultSection, after: dict, **what) -> None:
         self.together(
             [
                 (partial(self.for_a_while, **what), trouble, [self.task_workers[u.zone]], u.name, after)
@@ -404,28 +404,28 @@
             ]
         )
 
-    def hang(self, trouble: TroubleSection) -> None:
+    def hang(self, trouble: FaultSection) -> None:
         self.at_tasks(trouble, {"hung": False}, hung=True)
 
-    def errors(self, trouble: TroubleSection) -> None:
+    def errors(self, trouble: FaultSection) -> None:
         self.at_tasks(trouble, {"errors": 0.0}, errors=trouble.size)
 
-    def method_fails(self, trouble: TroubleSection) -> None:
+    def method_fails(self, trouble: FaultSection) -> None:
         """One method's RPCs fail or are left unanswered there; the others are served as usual."""
         names = list(self.terms.methods)
         method = names.index(trouble.method) if trouble.method else self.rng.randrange(len(names))
         self.at_tasks(trouble, {"fails": []}, fails=[method, trouble.size, trouble.form == "silence"])
 
-    def handshake_slow(self, trouble: TroubleSection) -> None:
+    def handshake_slow(self, trouble: FaultSection) -> None:
         """New connections take `size` seconds more and `extra` times the work."""
         self.at_tasks(trouble, {"handshake": 1.0, "dial_s": 0.0}, handshake=trouble.extra, dial_s=trouble.size)
 
-    def false_loads(self, trouble: TroubleSection) -> None:
+    def false_loads(self, trouble: FaultSection) -> None:
         """They tell `size` of their load and are `extra` times slower; `busy`: they tell that they are full."""
         slow = 1.0 if trouble.form == "busy" else max(1.0, trouble.extra)
         self.at_tasks(trouble, {"lie": [], "slow": 1.0}, lie=[trouble.form, trouble.size], slow=slow)
 
-    def pauses(self, trouble: TroubleSection) -> None:
+    def pauses(self, trouble: FaultSection) -> None:
         until = self.world.now() + trouble.for_s * 1e6
         units = self.some(self.standing_units(trouble.zone), trouble.part)
         while self.world.now() < until:
@@ -434,19 +434,19 @@
                     self.task_workers[unit.zone].do("pause", name=unit.name, seconds=trouble.size)
             self.world.sleep(trouble.size * 3)
 
-    def streams_broken(self, trouble: TroubleSection) -> None:
+    def streams_broken(self, trouble: FaultSection) -> None:
         for uid in self.some(list(self.proxies), trouble.part):
             self.proxy_workers[self.proxies[uid]].do("break", name=uid)
 
-    def late_sums(self, trouble: TroubleSection) -> None:
+    def late_sums(self, trouble: FaultSection) -> None:
         self.for_a_while(trouble, self.proxy_workers, "", {"late": 0.0}, late=trouble.size)
 
-    def surge(self, trouble: TroubleSection) -> None:
+    def surge(self, trouble: FaultSection) -> None:
         self.scale(trouble, trouble.size)
         self.world.sleep(trouble.for_s)
         self.scale(trouble, 1.0)
 
-    def unread(self, trouble: TroubleSection) -> None:
+    def unread(self, trouble: FaultSection) -> None:
         """Some proxies read nothing from their streams, which stay open."""
         self.together(
             [
@@ -461,11 +461,11 @@
             ]
         )
 
-    def slow_orders(self, trouble: TroubleSection) -> None:
+    def slow_orders(self, trouble: FaultSection) -> None:
         """Each message of orders takes `size` seconds to be read."""
         self.for_a_while(trouble, self.proxy_workers, "", {"slow_orders": 0.0}, slow_orders=trouble.size)
 
-    def proxies_stalled(self, trouble: TroubleSection) -> None:
+    def proxies_stalled(self, trouble: FaultSection) -> None:
         """No turn for `size` seconds, again every `extra`, then all that came at once."""
         until = self.world.now() + trouble.for_s * 1e6
         if trouble.form == "zone":
@@ -478,7 +478,7 @@
                 self.proxy_workers[self.proxies[uid]].do("pause", name=uid, seconds=trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
-    def assigner_stalled(self, trouble: TroubleSection) -> None:
+    def assigner_stalled(self, trouble: FaultSection) -> None:
         """It stands still for `size` seconds, again every `extra`; its sockets stay open."""
         until = self.world.now() + trouble.for_s * 1e6
         some = self.some_assigners(trouble)
@@ -488,7 +488,7 @@
                 self.world.spawn(self.environment.stall_assigner, number, trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
-    def peers_cut(self, trouble: TroubleSection) -> None:
+    def peers_cut(self, trouble: FaultSection) -> None:
         """Assigners hear each other no more: halves of them, or one is not heard by the others, or `size` of all is
         lost. Proxies reach all as before."""
         every = list(range(self.assigners))
@@ -502,10 +502,10 @@
         self.world.sleep(trouble.for_s)
         self.environment.cut_peers(set(), 0.0)
 
-    def some_assigners(self, trouble: TroubleSection) -> list[int]:
+    def some_assigners(self, trouble: FaultSection) -> list[int]:
         return sorted(self.some(list(range(self.assigners)), trouble.part)) if self.assigners > 1 else [0]
 
-    def assigner_killed(self, trouble: TroubleSection) -> None:
+    def assigner_killed(self, trouble: FaultSection) -> None:
         killed = self.some_assigners(trouble)
         for number in killed:
             self.kill_assigner(number)
@@ -513,7 +513,7 @@
         for number in killed:
             self.start_assigner(number)
 
-    def proxies_killed(self, trouble: TroubleSection) -> None:
+    def proxies_killed(self, trouble: FaultSection) -> None:
         killed = self.some(list(self.proxies), trouble.part)
         self.drop_proxies(killed)
         self.world.sleep(trouble.for_s)
@@ -535,7 +535,7 @@
     def zone_at(self, key: str) -> int:
         return next(u.zone for u in self.units.values() if u.key == key)
 
-    def cause(self, name: str, trouble: TroubleSection) -> None:
+    def cause(self, name: str, trouble: FaultSection) -> None:
         self.world.sleep(trouble.at_s)
         begun = self.world.now()
         try:
@@ -556,7 +556,7 @@
             begun = self.environment.play(self)
         finally:
             self.environment.end()
-        missing = set(self.script.troubles) - self.begun
+        missing = set(self.script.faults) - self.begun
         self.failures += self.environment.failures
         if missing or self.failures:
             raise DayError("; ".join(self.failures) or f"troubles that never began: {sorted(missing)}")
--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from hollyridge.lab.day import Day, DayError, Outcome
-from hollyridge.lab.scenario import KINDS, Scenario, TroubleSection
+from hollyridge.lab.scenario import FAULT_FORMS, FaultSection, Scenario
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
 RANGES = {
@@ -41,31 +41,31 @@
 
 def drawn(
     rng: Random, kinds: list[str], ranges: dict[str, tuple], first: float, last: float
-) -> dict[str, TroubleSection]:
+) -> dict[str, FaultSection]:
     """Troubles of these kinds that begin between two moments (s), their figures drawn from the ranges."""
     troubles = {}
     for at, kind in enumerate(kinds):
         spans, parts, sizes, extras = ranges[kind]
-        troubles[f"{kind}-{at}"] = TroubleSection(
+        troubles[f"{kind}-{at}"] = FaultSection(
             kind=kind,
             at_s=round(rng.uniform(first, last), 2),
             for_s=round(rng.uniform(*spans), 2),
             part=round(rng.uniform(*parts), 3),
             size=round(rng.uniform(*sizes), 3),
             extra=round(rng.uniform(*extras), 3),
-            how=rng.choice(KINDS[kind] or ("",)),
+            how=rng.choice(FAULT_FORMS[kind] or ("",)),
         )
     return troubles
 
 
-def draw(rng: Random, length: float, most: int) -> dict[str, TroubleSection]:
+def draw(rng: Random, length: float, most: int) -> dict[str, FaultSection]:
     """Some troubles that begin in the first three quarters of the day."""
     return drawn(rng, rng.sample(sorted(RANGES), rng.randint(1, most)), RANGES, 1, 0.75 * length)
 
 
-def with_troubles(script: Scenario, troubles: dict[str, TroubleSection]) -> Scenario:
+def with_troubles(script: Scenario, troubles: dict[str, FaultSection]) -> Scenario:
     return Scenario(
-        script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.terms
+        script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.config
     )
 
 
@@ -114,9 +114,9 @@
     going = True
     while going:
         going = False
-        for name in list(script.troubles):
-            fewer = with_troubles(script, {k: t for k, t in script.troubles.items() if k != name})
-            tried = play(fewer, seed, policy) if fewer.troubles else None
+        for name in list(script.faults):
+            fewer = with_troubles(script, {k: t for k, t in script.faults.items() if k != name})
+            tried = play(fewer, seed, policy) if fewer.faults else None
             if still(tried):
                 script, outcome, going = fewer, tried, True
                 break
@@ -134,7 +134,7 @@
         "fleet": script.fleet,
         "load": script.load,
         "net": script.net,
-        **{f"trouble {k}": t for k, t in script.troubles.items()},
+        **{f"trouble {k}": t for k, t in script.faults.items()},
     }
     for name, section in sections.items():
         lines.append(f"\n[{name}]")
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -16,7 +16,7 @@
 from hollyridge.lab.checks.ownership import Gap, believed, doubles, gaps, moves
 from hollyridge.lab.day import Day
 from hollyridge.lab.experiments.hunt import drawn, with_troubles
-from hollyridge.lab.scenario import TroubleSection
+from hollyridge.lab.scenario import FaultSection
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
 RANGES = {
@@ -36,7 +36,7 @@
     `believed_s`: the longest that two claimed one proxy; `moves`: changes of owner."""
 
     seed: int
-    troubles: tuple[str, ...]
+    faults: tuple[str, ...]
     gaps: tuple[Gap, ...]
     double: int
     believed_s: float
@@ -46,7 +46,7 @@
     wrongly_gone: int
 
 
-def draw(rng: Random, length: float) -> dict[str, TroubleSection]:
+def draw(rng: Random, length: float) -> dict[str, FaultSection]:
     first = rng.choice(HARD)
     # Proxies of a zone that is cut off from all but an assigner that is killed could have none, whatever is done.
     others = set(RANGES) - {first} - (set() if first == "peers_cut" else {"zone_cut"})
@@ -71,11 +71,11 @@
     gone = sum(status["peers"]["counts"]["gone"] for status in stage.status if "peers" in status)
     dying = any(
         t.kind in ("assigner_killed", "assigner_stalled") or t.form in ("halves", "one_way")
-        for t in loaded.troubles.values()
+        for t in loaded.faults.values()
     )  # whom nobody hears is rightly held for gone
     return Told(
         seed,
-        tuple(loaded.troubles),
+        tuple(loaded.faults),
         tuple(gaps(seen)),
         doubles(rows),
         believed(rows),
@@ -115,7 +115,7 @@
         "orphaned_p99_s": seconds[min(len(seconds) - 1, int(0.99 * len(seconds)))] if seconds else 0.0,
         "orphaned_max_s": seconds[-1] if seconds else 0.0,
         "worst_seed": worst.seed,
-        "worst_troubles": list(worst.troubles),
+        "worst_troubles": list(worst.faults),
         "doubly_ordered": sum(told.double for told in found),
         "believed_by_two_max_s": max(told.believed_s for told in found),
         "moves": sum(told.moves for told in found),
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -86,7 +86,7 @@
         self.script, self.folder, self.policy = script, folder, policy
         self.world = LiveWorld()
         self.record = Recorder(folder / "day.jsonl")
-        count = script.terms.assigner.assigners
+        count = script.config.assigner.assigners
         self.ports = [(free_port(), free_port(), free_ports(3)) for _ in range(count)]
         self.addresses = {
             name: [["127.0.0.1", ports[at]] for ports in self.ports]
@@ -109,7 +109,7 @@
         return self.workers[-1]
 
     def agent(self, number: int) -> Agent:
-        return Agent(("127.0.0.1", self.ports[number][0]), self.script.terms.sasp.fleet, self.record, number=number)
+        return Agent(("127.0.0.1", self.ports[number][0]), self.script.config.sasp.fleet, self.record, number=number)
 
     def wait_for_sync(self, agent: Agent) -> None:
         agent.synced.wait(5)
@@ -133,7 +133,7 @@
             parser.set(section, key, value)
         if self.relay is not None:
             known = [f"127.0.0.1:{port}" for port in self.relay.known]
-            zones = self.script.terms.zone_names
+            zones = self.script.config.zone_names
             if not parser.has_section("peers"):
                 parser.add_section("peers")
             parser["peers"].update(
@@ -189,7 +189,7 @@
         """Let the day pass; returns when it began."""
         day.set_up()
         begun = now_us()
-        jobs = [gevent.spawn(day.cause, name, trouble) for name, trouble in self.script.troubles.items()]
+        jobs = [gevent.spawn(day.cause, name, trouble) for name, trouble in self.script.faults.items()]
         length = self.script.day.length_s
         while (passed := (now_us() - begun) / 1e6) < length:
             day.on_progress(min(1.0, passed / length))
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -85,7 +85,7 @@
         }
 
     def _addresses(self, offset: int) -> list[list]:
-        count = self.script.terms.assigner.assigners
+        count = self.script.config.assigner.assigners
         return [["127.0.0.1", self.first_port(number) + offset] for number in range(count)]
 
     @staticmethod
--- a/hollyridge/lab/stand_ins/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -44,7 +44,7 @@
         super().__init__(script, policy, seed, ties)
         self.record_path = record
         self.failures: list[str] = []
-        self.processes = [SimulatedProcess(self, number) for number in range(script.terms.assigner.assigners)]
+        self.processes = [SimulatedProcess(self, number) for number in range(script.config.assigner.assigners)]
         self.peers = {self.peer_address(process.number): process for process in self.processes}
 
     def start_worker(self, _name: str, on_message: Callable[[dict], None]) -> VirtualCommandHandler:
@@ -86,7 +86,7 @@
         def run_day() -> None:
             day.set_up()
             begun.append(self.world.now())
-            for name, trouble in self.script.troubles.items():
+            for name, trouble in self.script.faults.items():
                 self.world.spawn(day.cause, name, trouble)
 
         self.world.spawn(run_day)
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -269,7 +269,7 @@
     "script: fleet": (scenario.FleetSection, {}),
     "script: load": (scenario.LoadSection, {}),
     "script: net": (scenario.NetSection, {}),
-    "script: trouble NAME": (scenario.TroubleSection, {"kind": "release", "at_s": 1.0}),
+    "script: trouble NAME": (scenario.FaultSection, {"kind": "release", "at_s": 1.0}),
 }
 
 
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -136,7 +136,7 @@
 
 def test_troubles_of_scripts_and_recordings_by_name():
     kinds = stored("troubles.json")
-    assert {kind: list(ways) for kind, ways in scenario.KINDS.items()} == kinds
+    assert {kind: list(ways) for kind, ways in scenario.FAULT_FORMS.items()} == kinds
     assert all(callable(getattr(played()[1], kind)) for kind in kinds)
 
 
@@ -162,5 +162,5 @@
     ),
     "status.json": lambda: as_text(status()),
     "outcome-keys.json": lambda: as_text(outcome_keys()),
-    "troubles.json": lambda: as_text({kind: list(ways) for kind, ways in scenario.KINDS.items()}),
+    "troubles.json": lambda: as_text({kind: list(ways) for kind, ways in scenario.FAULT_FORMS.items()}),
 }
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -352,9 +352,9 @@
 def test_every_kind_of_trouble_is_hunted_and_tested():
     tested = {name.strip() for name in TROUBLES}
     shared = {"peers_cut"}  # strikes shared fleets only, which have a command of their own
-    assert set(hunt.RANGES) == set(scenario.KINDS) - shared - {"unread"} and shared <= set(takeover.RANGES)
+    assert set(hunt.RANGES) == set(scenario.FAULT_FORMS) - shared - {"unread"} and shared <= set(takeover.RANGES)
     in_days = {"unread", "streams_broken", "assigner_killed", "proxies_killed", *shared}
-    assert set(scenario.KINDS) - tested == in_days
+    assert set(scenario.FAULT_FORMS) - tested == in_days
 
 
 def test_times_of_a_day():
@@ -377,7 +377,7 @@
     broken = {v.rule for v in found.verdicts if not v.kept}
     assert 3 in broken
     less, cut = hunt.cut_down(seed, worst, found, "deaf")
-    assert len(less.troubles) <= 2 and broken <= {v.rule for v in cut.verdicts if not v.kept}
+    assert len(less.faults) <= 2 and broken <= {v.rule for v in cut.verdicts if not v.kept}
     path = tmp_path / "found.ini"
     hunt.write(path, seed, less, cut)
     again = outcome(path, "deaf", seed)
@@ -387,7 +387,7 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "examples" / "lab").glob("*.ini")))
 def test_lab_examples_are_fine(path):
-    assert scenario.load(path).troubles
+    assert scenario.load(path).faults
 
 
 def test_a_recorder_without_a_file_keeps_rows():
@@ -514,11 +514,11 @@
     part, more = 0.5, 2
     loaded = scenario.load(SMALL)
     quiet = loaded.load.model_copy(update={"client_retries": more, "work_ms": [5.0, 5.0, 5.0]})
-    trouble = scenario.TroubleSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
-    terms = [m.model_copy(update={"repeats": "idempotent"}) for m in loaded.terms.methods.values()]
-    loaded.terms.methods.update(zip(list(loaded.terms.methods), terms))
+    trouble = scenario.FaultSection(kind="errors", at_s=0, for_s=16, part=1.0, size=part)
+    terms = [m.model_copy(update={"repeats": "idempotent"}) for m in loaded.config.methods.values()]
+    loaded.config.methods.update(zip(list(loaded.config.methods), terms))
     day = scenario.Scenario(
-        loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.terms
+        loaded.path, loaded.day, loaded.fleet, quiet, loaded.net, {"errors": trouble}, loaded.overrides, loaded.config
     )
     tries = [Day(day, SimulatedEnvironment(day, "even", seed), seed).play().figures for seed in range(1, 9)]
     found = sum(told["tries"] for told in tries) / sum(told["rpcs"] for told in tries)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -103,4 +103,4 @@
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*-day.ini")))
 def test_examples_are_fine(path):
-    assert scenario.load(path).troubles
+    assert scenario.load(path).faults
