--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -66,7 +66,7 @@
     from hollyridge.lab.experiments.policies import POLICIES
     from hollyridge.lab.reports.page import write
     from hollyridge.lab.reports.profiler import Meter
-    from hollyridge.lab.stand_ins.virtual import VirtualStage
+    from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
     script = load(scenario, settings, fronts, times, assigners)
     if policy and policy not in POLICIES:
@@ -81,7 +81,7 @@
     if meter is not None:
         meter.start()
     try:
-        outcome = Day(script, VirtualStage(script, policy, seed, ties, record), seed).play()
+        outcome = Day(script, SimulatedEnvironment(script, policy, seed, ties, record), seed).play()
     except DayError as trouble:
         click.echo(f"the day could not be played: {trouble}", err=True)
         sys.exit(2)
@@ -174,8 +174,8 @@
         "seed": seed,
         "served": cut.figures["served"],
         "broken": broken,
-        "drawn": list(worst.troubles),
-        "needed": list(less.troubles),
+        "drawn": list(worst.faults),
+        "needed": list(less.faults),
         "nearest": {v.rule: v.nearest for v in cut.verdicts},
     }
     click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
