--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -166,7 +166,7 @@
         """Tell it ahead of the reply which assigner it should ask, and end the connection that it had here before."""
         older = self.server.streams.get(self.presence.by_uid.get(connection.uid, -1))
         if isinstance(refusal, ForwardProxy):
-            self.ownership.send_redirect(connection, refusal.name)
+            self.ownership.send_redirect(connection, refusal.owner)
             if older is not None and older is not connection:
                 self._release(older, "its newer connection was redirected")
 
