--- a/hollyridge/lab/virtual.py
+++ b/hollyridge/lab/virtual.py
@@ -360,8 +360,8 @@
                         place,
                         0 if kind in LOADS else method,
                         figure.value,
-                        figure.start or figure.end,
-                        figure.end,
+                        figure.start_ns or figure.end_ns,
+                        figure.end_ns,
                     ),
                 )
 
--- /dev/null
+++ b/hollyridge/otlp/errors.py
@@ -0,0 +1,43 @@
+"""The error that a request is answered with, and the statuses of HTTP and gRPC that go with it."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from hollyridge.errors import HollyridgeError
+
+REASON_PHRASES = {
+    HTTPStatus.OK: "OK",
+    HTTPStatus.BAD_REQUEST: "Bad Request",
+    HTTPStatus.FORBIDDEN: "Forbidden",
+    HTTPStatus.NOT_FOUND: "Not Found",
+    HTTPStatus.METHOD_NOT_ALLOWED: "Method Not Allowed",
+    HTTPStatus.REQUEST_TIMEOUT: "Request Timeout",
+    HTTPStatus.LENGTH_REQUIRED: "Length Required",
+    HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large",
+    HTTPStatus.UNSUPPORTED_MEDIA_TYPE: "Unsupported Media Type",
+    HTTPStatus.TOO_MANY_REQUESTS: "Too Many Requests",
+    HTTPStatus.SERVICE_UNAVAILABLE: "Service Unavailable",
+}
+# Codes of google.rpc.Code in the body of an error, as the OTLP specification asks for.
+GRPC_INVALID_ARGUMENT = 3
+GRPC_RESOURCE_EXHAUSTED = 8
+
+
+class BadRequestError(HollyridgeError):
+    """A request that is rejected.
+
+    Attributes:
+        status: The HTTP status of the answer.
+        retry_after_us: How long the sender has to wait before it tries again (429 only).
+    """
+
+    def __init__(self, status: HTTPStatus, reason: str, retry_after_us: int = 0) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.retry_after_us = retry_after_us
+
+    @property
+    def grpc_code(self) -> int:
+        """The code for the body of the answer."""
+        return GRPC_RESOURCE_EXHAUSTED if self.status == HTTPStatus.TOO_MANY_REQUESTS else GRPC_INVALID_ARGUMENT
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -1,21 +1,19 @@
-"""The OTLP receiver: `POST /v1/metrics` by HTTP, protobuf or JSON, gzip or plain; `GET` for pages such as
-`/status` and `/fleet`.
+"""The receiver of reports: `POST /v1/metrics` in OTLP, `GET` of pages such as `/status`, `POST` of operators' actions.
 
-Errors are answered as the protocol has them: 400 for what can't be read, 413 for too much, 429 with a time to
-come back when a sender is too fast, partial success for points that do not count.
+Errors are answered as the OTLP specification has them: 400 for what cannot be read, 413 for too much, 429 with a time
+after which to retry for a source that exceeds its share, partial success for data points that do not count.
 """
 
 from __future__ import annotations
 
-import zlib
 from collections.abc import Callable
-from typing import NamedTuple
+from http import HTTPStatus
+from typing import TYPE_CHECKING, NamedTuple
 
 import gevent
-from gevent.pool import Pool
-from gevent.pywsgi import WSGIHandler, WSGIServer
+from gevent import socket
 from google.protobuf import json_format
-from google.protobuf.message import DecodeError
+from google.protobuf.message import Message
 from google.rpc.status_pb2 import Status
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import (
     ExportMetricsServiceRequest,
@@ -23,241 +21,233 @@
 )
 
 from hollyridge.core.event_loop import EventLoop
-from hollyridge.keys.tls import peer_common_name
 from hollyridge.limits.fair_share import FairShareLimiter
-from hollyridge.otlp.reading import AttributeNames, CumulativeState, read
+from hollyridge.otlp.errors import BadRequestError
+from hollyridge.otlp.http_server import JSON, PROTOBUF, HttpRequest, HttpResponse, create_server, send
+from hollyridge.otlp.reading import ALREADY_COUNTED, NOT_ALLOWED, AttributeNames, CumulativeState, read_points
+from hollyridge.otlp.request_body import BodyEncoding, BodyLimits, decode_body, read_body
 from hollyridge.sessions.access import AccessControl
 
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    403: "Forbidden",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    411: "Length Required",
-    413: "Content Too Large",
-    415: "Unsupported Media Type",
-    429: "Too Many Requests",
-    503: "Service Unavailable",
-}
-THREADED = 64 * 1024  # bytes of body from which it is unpacked off the hub's thread
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+METRICS_PATH = "/v1/metrics"
+MAX_QUOTED_PATH_CHARS = 80
+MAX_QUOTED_METHOD_CHARS = 16
+FAIR_SHARE_PERIOD_US = 1_000_000  # the budget of points is stated for a second
+POINTS_PER_YIELD = 500  # data points between two turns of other greenlets
+KEEP_ALIVE_STATUSES = (HTTPStatus.OK, HTTPStatus.TOO_MANY_REQUESTS)  # else the rest of the body may be unread
+OPEN_ACCESS = AccessControl(False, ())
 
 
 class OtlpConfig(NamedTuple):
-    """Sizes in bytes, times in seconds; `points_per_s` is what all senders together may say."""
+    """Settings of the receiver; `points_per_s` is the budget of all sources together."""
 
     host: str
     port: int
-    body_most: int
-    body_s: float
-    connections_most: int
+    max_body_bytes: int
+    body_timeout_s: float
+    max_connections: int
     points_per_s: float
 
 
-class BadRequestError(Exception):
-    """A request that is turned down, with its HTTP status; `wait` microseconds before it may come again."""
-
-    def __init__(self, status: int, why: str, wait: int = 0) -> None:
-        super().__init__(why)
-        self.status, self.wait = status, wait
-
-
-def inflate(raw: bytes, most: int) -> bytes:
-    """A gzip body, `most` bytes at the most however small it came. Raises BadError."""
-    try:
-        engine = zlib.decompressobj(wbits=31)
-        out = engine.decompress(raw, most + 1)
-    except zlib.error:
-        raise BadRequestError(400, "the body is no gzip") from None
-    if len(out) > most:
-        raise BadRequestError(413, f"a body of over {most} bytes")
-    if not engine.eof:
-        raise BadRequestError(400, "the gzip body is cut off")
-    return out
-
-
-def parse(raw: bytes, gzipped: bool, as_json: bool, most: int) -> ExportMetricsServiceRequest:
-    body = inflate(raw, most) if gzipped else raw
-    try:
-        if as_json:
-            return json_format.Parse(
-                body, ExportMetricsServiceRequest(), ignore_unknown_fields=True, max_recursion_depth=32
-            )
-        return ExportMetricsServiceRequest.FromString(body)
-    except (DecodeError, json_format.ParseError, UnicodeDecodeError, RecursionError, ValueError):
-        raise BadRequestError(400, "the body is no metrics request") from None
-
-
-OPEN = AccessControl(False, ())
-BEARER = "hollyridge.bearer"
+class Page(NamedTuple):
+    """What `GET` of a path answers; `write` returns None while there is nothing to show."""
 
+    content_type: str
+    write: Callable[[], bytes | None]
 
-def secured(secure: Callable) -> type[WSGIServer]:
-    """A server whose connections are made TLS ones by `secure`, with the bearer in each request's environment."""
 
-    class Handler(WSGIHandler):
-        def get_environ(self) -> dict:
-            return {**super().get_environ(), BEARER: peer_common_name(self.socket)}
+class HttpOptions(NamedTuple):
+    """What the server offers beside metrics, and to whom.
 
-    class Server(WSGIServer):
-        handler_class = Handler
+    Attributes:
+        pages: Answers of `GET` by path.
+        actions: Effects of `POST` by path, for known principals, or without keys from the same machine.
+        access: Who may report what.
+        secure: Makes a connection a TLS one; None for plain HTTP.
+    """
 
-        def handle(self, sock, address: tuple) -> None:
-            try:
-                sock = secure(sock)
-            except OSError:
-                sock.close()
-                return
-            super().handle(sock, address)
-
-    return Server
+    pages: dict[str, Page]
+    actions: dict[str, Callable[[], None]]
+    access: AccessControl = OPEN_ACCESS
+    secure: Callable[[socket.socket], socket.socket] | None = None
 
 
 class MetricsServer:
-    """`pages`: what `GET` of a path answers, its type and the call that writes it (None: nothing there yet). `deeds`:
-    what `POST` of a path does, for known bearers, or from the same machine where there are no keys."""
+    """The receiver.
+
+    Args:
+        loop: Its engine is given the data points; its clock is used.
+        config: Address and limits.
+        names: Look-ups of what reports name.
+        options: Pages, actions, access and TLS.
+        log: A structlog logger.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
-        terms: OtlpConfig,
+        config: OtlpConfig,
         names: AttributeNames,
-        pages: dict[str, tuple[str, Callable]],
-        log,
-        access: AccessControl = OPEN,
-        secure: Callable | None = None,
-        deeds: dict[str, Callable[[], None]] | None = None,
+        options: HttpOptions,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.access, self.deeds = access, deeds or {}
-        self.loop, self.terms, self.names, self.pages, self.log = loop, terms, names, pages, log
-        self.running = CumulativeState(loop.engine.limits.max_series)
-        self.fair = FairShareLimiter(terms.points_per_s, 1_000_000, terms.connections_most)
+        self.loop = loop
+        self.config = config
+        self.names = names
+        self.pages = options.pages
+        self.actions = options.actions
+        self.access = options.access
+        self.log = log
+        self.body_limits = BodyLimits(config.max_body_bytes, config.body_timeout_s)
+        self.cumulative = CumulativeState(loop.engine.limits.max_series)
+        self.fair_share = FairShareLimiter(config.points_per_s, FAIR_SHARE_PERIOD_US, config.max_connections)
         self.counts = dict.fromkeys(("requests", "points", "rejected", "bad", "slowed"), 0)
-        self.why: dict[str, int] = {}
-        kind = WSGIServer if secure is None else secured(secure)
-        self.server = kind(
-            (terms.host, terms.port), self.serve, log=None, error_log=None, spawn=Pool(terms.connections_most)
-        )
+        self.uncounted: dict[str, int] = {}  # data points that did not count, by reason
+        self.server = create_server((config.host, config.port), self.serve, config.max_connections, options.secure)
 
     def start(self) -> int:
+        """Listen; returns the port. Raises OSError if the address is taken."""
         self.server.start()
-        self.log.info("otlp listens", host=self.terms.host, port=self.server.server_port)
+        self.log.info("otlp_server_started", host=self.config.host, port=self.server.server_port)
         return self.server.server_port
 
     def stop(self) -> None:
+        """Close the listener and end all requests."""
         self.server.stop(timeout=0)
 
     def serve(self, environ: dict, start_response: Callable) -> list[bytes]:
-        path, verb = environ.get("PATH_INFO", ""), environ.get("REQUEST_METHOD", "")
-        kind = environ.get("CONTENT_TYPE", "").split(";")[0].strip()
-        as_json = kind == "application/json"
-        extra: list[tuple[str, str]] = []
-        try:
-            if path in self.pages and verb == "GET":
-                written, call = self.pages[path]
-                body = call()
-                if body is None:
-                    raise BadRequestError(503, "nothing is known yet")
-                kind, status = written, 200
-            elif path in self.deeds and verb == "POST":
-                why = self.access.known(environ.get(BEARER, ""))
-                if why or self.access.open and not environ.get("REMOTE_ADDR", "").startswith(("127.", "::1")):
-                    raise BadRequestError(403, why or "only from this machine")
-                self.deeds[path]()
-                self.log.info("asked for", deed=path, peer=environ.get("REMOTE_ADDR"))
-                kind, status, body = "application/json", 200, b"{}"
-            else:
-                status, body = 200, self.metrics(environ, path, verb, kind, as_json)
-        except BadRequestError as trouble:
-            status, kind = trouble.status, kind if as_json else "application/x-protobuf"
-            self.counts["slowed" if status == 429 else "bad"] += 1
-            if status == 429:
-                extra = [("Retry-After", str(max(1, -(-trouble.wait // 1_000_000))))]
-            answer = Status(code=8 if status == 429 else 3, message=str(trouble))
-            body = json_format.MessageToJson(answer).encode() if as_json else answer.SerializeToString()
-            self.log.warning("report refused", peer=environ.get("REMOTE_ADDR"), status=status, why=str(trouble))
-        if status not in (200, 429):  # what is left of the body is not worth reading
-            extra.append(("Connection", "close"))
-        start_response(
-            f"{status} {REASONS[status]}",
-            [("Content-Type", kind or "application/x-protobuf"), ("Content-Length", str(len(body))), *extra],
-        )
-        return [body]
-
-    def body(self, environ: dict) -> bytes:
+        """The WSGI application."""
+        request = HttpRequest.from_environ(environ)
         try:
-            length = int(environ.get("CONTENT_LENGTH") or -1)
-        except ValueError:
-            length = -1
-        if length < 0 and environ.get("HTTP_TRANSFER_ENCODING", "").lower() != "chunked":
-            raise BadRequestError(411, "no length")
-        if length > self.terms.body_most:
-            raise BadRequestError(413, f"a body of {length} bytes ({self.terms.body_most} at most)")
-        try:
-            with gevent.Timeout(self.terms.body_s, TimeoutError):
-                raw = environ["wsgi.input"].read(length if length >= 0 else self.terms.body_most + 1)
-        except TimeoutError:
-            raise BadRequestError(408, "the body did not come in time") from None
-        except OSError as trouble:
-            raise BadRequestError(400, f"the body broke off: {trouble}") from None
-        if len(raw) > self.terms.body_most:
-            raise BadRequestError(413, f"a body of over {self.terms.body_most} bytes")
-        if len(raw) < length:
-            raise BadRequestError(400, "the body is shorter than told")
-        return raw
-
-    def metrics(self, environ: dict, path: str, verb: str, kind: str, as_json: bool) -> bytes:
-        if path != "/v1/metrics":
-            raise BadRequestError(404, f"nothing at {path[:80]}")
-        if verb != "POST":
-            raise BadRequestError(405, f"{verb[:16]} is not spoken here")
-        if not as_json and kind != "application/x-protobuf":
-            raise BadRequestError(415, "application/x-protobuf or application/json is wanted")
-        packing = environ.get("HTTP_CONTENT_ENCODING", "identity")
-        if packing not in ("identity", "gzip"):
-            raise BadRequestError(415, "gzip is the only content encoding spoken")
-        sender = environ.get(BEARER, "") or environ.get("REMOTE_ADDR", "?")
-        wait = self.fair.retry_after_us(self.loop.clock(), sender)
-        if wait:
-            raise BadRequestError(429, "more points a second than are read of one sender now; come again", wait)
-        raw, most = self.body(environ), 8 * self.terms.body_most
-        if len(raw) >= THREADED:  # unpacking is one long call: it would hold up all streams
-            request = gevent.get_hub().threadpool.apply(parse, (raw, packing == "gzip", as_json, most))
+            response = self.respond(request)
+        except BadRequestError as error:
+            response = self.error_response(request, error)
+        return send(response, start_response)
+
+    def respond(self, request: HttpRequest) -> HttpResponse:
+        """Answer a request; raises BadRequestError."""
+        if request.path in self.pages and request.method == "GET":
+            return self.show_page(self.pages[request.path])
+        if request.path in self.actions and request.method == "POST":
+            return self.run_action(request)
+        return HttpResponse(HTTPStatus.OK, request.content_type, self.receive_metrics(request))
+
+    def error_response(self, request: HttpRequest, error: BadRequestError) -> HttpResponse:
+        """Count and log a rejected request; returns its answer."""
+        headers: list[tuple[str, str]] = []
+        if error.status == HTTPStatus.TOO_MANY_REQUESTS:
+            self.counts["slowed"] += 1
+            retry_after_s = -(-error.retry_after_us // 1_000_000)  # rounded up
+            headers.append(("Retry-After", str(max(1, retry_after_s))))
         else:
-            request = parse(raw, packing == "gzip", as_json, most)
-        return self.count(request, environ.get("REMOTE_ADDR", "?"), environ.get(BEARER, ""), as_json, sender)
+            self.counts["bad"] += 1
+        if error.status not in KEEP_ALIVE_STATUSES:
+            headers.append(("Connection", "close"))
+        self.log.warning("request_rejected", peer=request.peer, status=int(error.status), reason=str(error))
+        body = serialize(Status(code=error.grpc_code, message=str(error)), request.is_json)
+        return HttpResponse(error.status, JSON if request.is_json else PROTOBUF, body, tuple(headers))
+
+    @staticmethod
+    def show_page(page: Page) -> HttpResponse:
+        """Answer with a page."""
+        body = page.write()
+        if body is None:
+            raise BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE, "nothing is known yet")
+        return HttpResponse(HTTPStatus.OK, page.content_type, body)
+
+    def run_action(self, request: HttpRequest) -> HttpResponse:
+        """Do what an operator asks for, if they may."""
+        denial = self.access.known(request.principal)
+        if denial:
+            raise BadRequestError(HTTPStatus.FORBIDDEN, denial)
+        if self.access.open and not request.is_local:
+            raise BadRequestError(HTTPStatus.FORBIDDEN, "only from this machine")
+        self.actions[request.path]()
+        self.log.info("operator_action_run", action=request.path, peer=request.peer)
+        return HttpResponse(HTTPStatus.OK, JSON, b"{}")
+
+    def receive_metrics(self, request: HttpRequest) -> bytes:
+        """Read and count a report; returns the body of the answer."""
+        encoding = body_encoding(request)
+        source = request.principal or request.peer
+        retry_after_us = self.fair_share.retry_after_us(self.loop.clock(), source)
+        if retry_after_us:
+            raise BadRequestError(
+                HTTPStatus.TOO_MANY_REQUESTS,
+                "more points a second than are read of one sender now; come again",
+                retry_after_us,
+            )
+        raw = read_body(request.environ, self.body_limits)
+        export = decode_body(raw, encoding, self.config.max_body_bytes)
+        response = self.count_points(export, request, source)
+        return serialize(response, request.is_json)
 
-    def names_for(self, bearer: str) -> AttributeNames:
-        """Lookups as this sender may use them."""
+    def names_for(self, principal: str) -> AttributeNames:
+        """Look-ups that reject zones and proxies which this principal may not report for."""
         if self.access.open:
             return self.names
-        zone, proxy = self.names.zone, self.names.proxy
+        zone = self.names.zone
+        proxy = self.names.proxy
         return self.names._replace(
-            zone=lambda name: -1 if self.access.may_report(bearer, name) else zone(name),
-            proxy=lambda name: -1 if self.access.may_be(bearer, name) else proxy(name),
+            zone=lambda name: NOT_ALLOWED if self.access.may_report(principal, name) else zone(name),
+            proxy=lambda name: NOT_ALLOWED if self.access.may_be(principal, name) else proxy(name),
         )
 
-    def count(self, request: ExportMetricsServiceRequest, peer: str, bearer: str, as_json: bool, sender: str) -> bytes:
-        now, rejected, total = self.loop.clock(), {}, 0
-        for point in read(request, peer, self.names_for(bearer), self.running):
+    def count_points(
+        self, export: ExportMetricsServiceRequest, request: HttpRequest, source: str
+    ) -> ExportMetricsServiceResponse:
+        """Hand each data point to the engine; returns what was rejected, and why."""
+        now_us = self.loop.clock()
+        rejected: dict[str, int] = {}
+        total = 0
+        for point in read_points(export, request.peer, self.names_for(request.principal), self.cumulative):
             total += 1
-            why = point if isinstance(point, str) else self.loop.engine.report(now, point)
-            if why and why != "counted before":  # a repeat after a lost answer is a success to its sender
-                rejected[why] = rejected.get(why, 0) + 1
-            if why:
-                self.why[why] = self.why.get(why, 0) + 1
-            if total % 500 == 0:
+            reason = point if isinstance(point, str) else self.loop.engine.report(now_us, point)
+            if reason:
+                self.uncounted[reason] = self.uncounted.get(reason, 0) + 1
+                if reason != ALREADY_COUNTED:  # a retry after a lost answer is a success to its sender
+                    rejected[reason] = rejected.get(reason, 0) + 1
+            if total % POINTS_PER_YIELD == 0:
                 gevent.sleep(0)
-        self.fair.record(now, sender, total)
+        self.fair_share.record(now_us, source, total)
         self.counts["requests"] += 1
         self.counts["points"] += total
         self.counts["rejected"] += sum(rejected.values())
-        answer = ExportMetricsServiceResponse()
-        if rejected:
-            answer.partial_success.rejected_data_points = sum(rejected.values())
-            answer.partial_success.error_message = ", ".join(f"{why}: {n}" for why, n in sorted(rejected.items()))
-        return json_format.MessageToJson(answer).encode() if as_json else answer.SerializeToString()
+        return export_response(rejected)
 
     def status(self) -> dict:
-        return {**self.counts, "why": self.why, "senders": len(self.fair.sources), **self.fair.counts}
+        """Counters for the status page; the keys are the page's."""
+        sources = len(self.fair_share.sources)
+        return {**self.counts, "why": self.uncounted, "senders": sources, **self.fair_share.counts}
+
+
+def body_encoding(request: HttpRequest) -> BodyEncoding:
+    """Check that a request is one for metrics; raises BadRequestError."""
+    if request.path != METRICS_PATH:
+        raise BadRequestError(HTTPStatus.NOT_FOUND, f"nothing at {request.path[:MAX_QUOTED_PATH_CHARS]}")
+    if request.method != "POST":
+        method = request.method[:MAX_QUOTED_METHOD_CHARS]
+        raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, f"{method} is not spoken here")
+    if request.content_type not in (JSON, PROTOBUF):
+        raise BadRequestError(HTTPStatus.UNSUPPORTED_MEDIA_TYPE, "application/x-protobuf or application/json is wanted")
+    content_encoding = request.environ.get("HTTP_CONTENT_ENCODING", "identity")
+    if content_encoding not in ("identity", "gzip"):
+        raise BadRequestError(HTTPStatus.UNSUPPORTED_MEDIA_TYPE, "gzip is the only content encoding spoken")
+    return BodyEncoding(content_encoding == "gzip", request.is_json)
+
+
+def export_response(rejected: dict[str, int]) -> ExportMetricsServiceResponse:
+    """The answer to a report; partial success if points were rejected."""
+    response = ExportMetricsServiceResponse()
+    if rejected:
+        reasons = ", ".join(f"{reason}: {count}" for reason, count in sorted(rejected.items()))
+        response.partial_success.rejected_data_points = sum(rejected.values())
+        response.partial_success.error_message = reasons
+    return response
+
+
+def serialize(message: Message, as_json: bool) -> bytes:
+    """Encode an answer in the encoding of its request."""
+    return json_format.MessageToJson(message).encode() if as_json else message.SerializeToString()
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -1,25 +1,26 @@
-"""OTLP metrics as points: names to indices, delta and cumulative sums, gauges. No sockets, no clock.
+"""Reads OTLP metrics as data points: names to indices, cumulative sums to increases. No sockets, no clock.
 
-| metric | kind | attributes | what |
+| metric | kind | attributes | meaning |
 | --- | --- | --- | --- |
-| `hollyridge.tries` | sum | proxy, zone, task, method | tries that ended |
-| `hollyridge.tries.failed` | sum | the same | tries without a good answer |
-| `hollyridge.tries.time` | sum, s | the same | time that good tries took, summed |
-| `hollyridge.rpcs` | sum | proxy, method | RPCs that came, repeats and those pushed back included |
-| `hollyridge.rpcs.unanswered` | sum | the same | RPCs let in that got no answer |
+| `hollyridge.tries` | sum | proxy, zone, task, method | attempts that ended |
+| `hollyridge.tries.failed` | sum | the same | attempts that failed |
+| `hollyridge.tries.time` | sum, s | the same | duration of successful attempts, summed |
+| `hollyridge.rpcs` | sum | proxy, method | RPCs offered, retries and rejected ones included |
+| `hollyridge.rpcs.unanswered` | sum | the same | RPCs admitted that got no answer |
 | `hollyridge.task.util` | gauge | task | part of its cores in use |
 | `hollyridge.task.queue` | gauge | task | RPCs waiting |
 
-`task` is `host:port` as registered. `service.instance.id` of the resource names the sender.
+`task` is `host:port` as registered. `service.instance.id` of the resource names the source.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
 from opentelemetry.proto.collector.metrics.v1.metrics_service_pb2 import ExportMetricsServiceRequest
-from opentelemetry.proto.metrics.v1.metrics_pb2 import AggregationTemporality
+from opentelemetry.proto.common.v1.common_pb2 import KeyValue
+from opentelemetry.proto.metrics.v1.metrics_pb2 import AggregationTemporality, Metric, NumberDataPoint
 
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
@@ -34,10 +35,15 @@
 }
 CUMULATIVE = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
+MAX_SOURCE_CHARS = 64  # of a name that a source gives itself
+NOT_ALLOWED = -1  # the index of a zone or proxy that the source may not report for
+# Reasons for which a data point does not count; they are keys of the status page and part of answers.
+ALREADY_COUNTED = "counted before"
+NOT_THIS_SENDER = "not for this sender"
 
 
 class AttributeNames(NamedTuple):
-    """How names are looked up; each returns None for what is not known, -1 for what is not for this sender."""
+    """Look-ups of indices by name; each returns None for unknown names, `NOT_ALLOWED` for others' names."""
 
     zone: Callable[[str], int | None]
     task: Callable[[str], int | None]
@@ -45,93 +51,164 @@
     method: Callable[[str], int | None]
 
 
-def attributes(pairs) -> dict[str, str]:
-    return {pair.key: pair.value.string_value for pair in pairs if pair.value.HasField("string_value")}
+class Labels(NamedTuple):
+    """What a data point is about, as indices: `place` is (zone, task) or (proxy, method), as in DataPoint."""
+
+    source: str
+    place: tuple[int, int]
+    method: int
+
+
+class RunningTotal(NamedTuple):
+    """The newest point of a cumulative series; times in nanoseconds of the source's clock."""
+
+    start_ns: int
+    end_ns: int
+    value: float
 
 
-def value_of(point) -> float:
-    return float(point.as_int) if point.HasField("as_int") else point.as_double
+class Increase(NamedTuple):
+    """What was added to a cumulative series since `start_ns`."""
+
+    value: float
+    start_ns: int
 
 
 class CumulativeState:
-    """Running totals of cumulative series, so that what came since can be told. A start that moved is a sender
-    that began anew; a total that fell without it is no sensible figure."""
-
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.last: dict[tuple, tuple[int, int, float]] = {}
-
-    def since(self, key: tuple, start: int, end: int, value: float) -> tuple[float, int] | str:
-        before = self.last.get(key)
-        if before is not None and before[0] == start:
-            _, upto, total = before
-            if end <= upto:
-                return "counted before"
-            if value < total:
+    """Running totals of cumulative series, to compute increases.
+
+    A start time that has moved means that the source has restarted. A total that fell without it is invalid.
+    """
+
+    def __init__(self, max_series: int) -> None:
+        self.max_series = max_series
+        self.totals: dict[tuple, RunningTotal] = {}
+
+    def increase(self, key: tuple, total: RunningTotal) -> Increase | str:
+        """Take the newest total of a series; returns the increase, or the reason for which it does not count."""
+        previous = self.totals.get(key)
+        if previous is not None and previous.start_ns == total.start_ns:
+            if total.end_ns <= previous.end_ns:
+                return ALREADY_COUNTED
+            if total.value < previous.value:
                 return "no sensible figure"
+            increase = Increase(total.value - previous.value, previous.end_ns)
         else:
-            if before is None and len(self.last) >= self.most:
+            if previous is None and len(self.totals) >= self.max_series:
                 return "too many series"
-            upto, total = start, 0.0
-        self.last[key] = (start, end, value)
-        return value - total, upto
+            increase = Increase(total.value, total.start_ns)
+        self.totals[key] = total
+        return increase
 
 
-def read(
-    request: ExportMetricsServiceRequest, peer: str, names: AttributeNames, running: CumulativeState
+def read_points(
+    request: ExportMetricsServiceRequest, peer: str, names: AttributeNames, cumulative: CumulativeState
 ) -> Iterator[DataPoint | str]:
-    """Each data point as a `DataPoint`, or as the reason for which it does not count."""
+    """Each data point of a request, or the reason for which it does not count.
+
+    Args:
+        request: The decoded request.
+        peer: Address of the sender; names the source if the request does not.
+        names: Look-ups as this sender may use them.
+        cumulative: Running totals, updated.
+    """
     for resource in request.resource_metrics:
-        source = attributes(resource.resource.attributes).get("service.instance.id", peer)[:64]
+        attributes = string_attributes(resource.resource.attributes)
+        source = attributes.get("service.instance.id", peer)[:MAX_SOURCE_CHARS]
         for scope in resource.scope_metrics:
             for metric in scope.metrics:
-                form = metric.WhichOneof("data")
-                kind = METRICS.get(metric.name)
-                if form is None:
-                    continue
-                points = getattr(metric, form).data_points
-                if kind is None:
-                    yield from ["unknown metric"] * len(points)
-                elif form != ("gauge" if kind in LOADS else "sum"):
-                    yield from ["wrong kind of metric"] * len(points)
-                else:
-                    temporality = getattr(metric, form).aggregation_temporality if form == "sum" else DELTA
-                    for point in points:
-                        yield one(source, kind, point, temporality, names, running)
-
-
-def one(
-    source: str, kind: Kind, point, temporality: int, names: AttributeNames, running: CumulativeState
-) -> DataPoint | str:
-    told = attributes(point.attributes)
-    method = 0
-    if kind in (Kind.RPCS, Kind.UNANSWERED):
-        proxy, method = names.proxy(told.get("proxy", "")), names.method(told.get("method", ""))
-        if proxy is None or method is None:
-            return "unknown proxy" if proxy is None else "unknown method"
-        if proxy < 0:
-            return "not for this sender"
-        place = proxy, method
+                yield from read_metric(metric, source, names, cumulative)
+
+
+def read_metric(
+    metric: Metric, source: str, names: AttributeNames, cumulative: CumulativeState
+) -> Iterator[DataPoint | str]:
+    """Each data point of a metric, or the reason for which it does not count."""
+    form = metric.WhichOneof("data")
+    if form is None:
+        return
+    data = getattr(metric, form)
+    kind = METRICS.get(metric.name)
+    if kind is None:
+        yield from ["unknown metric"] * len(data.data_points)
+    elif form != ("gauge" if kind in LOADS else "sum"):
+        yield from ["wrong kind of metric"] * len(data.data_points)
     else:
-        task = names.task(told.get("task", ""))
-        zone = 0 if kind in LOADS else names.zone(told.get("zone", ""))
-        if task is None or zone is None:
-            return "unknown task" if task is None else "unknown zone"
-        if zone < 0:
-            return "not for this sender"
-        place = zone, task
-        if "method" in told and kind not in LOADS:
-            method = names.method(told["method"])
-            if method is None:
-                return "unknown method"
-        if kind not in LOADS and told.get("proxy"):
-            source = f"{source}/{told['proxy'][:64]}"
-    value, start, end = value_of(point), point.start_time_unix_nano, point.time_unix_nano
-    if temporality == CUMULATIVE and kind not in LOADS:
-        since = running.since((source, kind, place, method), start, end, value)
-        if isinstance(since, str):
-            return since
-        value, start = since
+        temporality = data.aggregation_temporality if form == "sum" else DELTA
+        read_labels = LABEL_READERS[kind]
+        for point in data.data_points:
+            labels = read_labels(string_attributes(point.attributes), source, names)
+            yield labels if isinstance(labels, str) else read_point(point, kind, temporality, labels, cumulative)
+
+
+def read_point(
+    point: NumberDataPoint, kind: Kind, temporality: int, labels: Labels, cumulative: CumulativeState
+) -> DataPoint | str:
+    """One data point with its value as an increase, or the reason for which it does not count."""
+    value = float(point.as_int) if point.HasField("as_int") else point.as_double
+    start_ns = point.start_time_unix_nano
+    end_ns = point.time_unix_nano
+    if temporality == CUMULATIVE:
+        key = (labels.source, kind, labels.place, labels.method)
+        increase = cumulative.increase(key, RunningTotal(start_ns, end_ns, value))
+        if isinstance(increase, str):
+            return increase
+        value, start_ns = increase
     elif temporality != DELTA:
         return "no temporality"
-    return DataPoint(source, kind, place, method, value, start, end)
+    return DataPoint(labels.source, kind, labels.place, labels.method, value, start_ns, end_ns)
+
+
+def rpc_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
+    """Labels of what a proxy reports about a method."""
+    proxy = names.proxy(attributes.get("proxy", ""))
+    if proxy is None:
+        return "unknown proxy"
+    method = names.method(attributes.get("method", ""))
+    if method is None:
+        return "unknown method"
+    if proxy == NOT_ALLOWED:
+        return NOT_THIS_SENDER
+    return Labels(source, (proxy, method), method)
+
+
+def load_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
+    """Labels of a task's load; it counts for no zone."""
+    task = names.task(attributes.get("task", ""))
+    if task is None:
+        return "unknown task"
+    return Labels(source, (0, task), 0)
+
+
+def attempt_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
+    """Labels of attempts at a task from a zone. A proxy that is named makes the source a finer one."""
+    task = names.task(attributes.get("task", ""))
+    if task is None:
+        return "unknown task"
+    zone = names.zone(attributes.get("zone", ""))
+    if zone is None:
+        return "unknown zone"
+    if zone == NOT_ALLOWED:
+        return NOT_THIS_SENDER
+    method = names.method(attributes["method"]) if "method" in attributes else 0
+    if method is None:
+        return "unknown method"
+    if attributes.get("proxy"):
+        source = f"{source}/{attributes['proxy'][:MAX_SOURCE_CHARS]}"
+    return Labels(source, (zone, task), method)
+
+
+LABEL_READERS: dict[Kind, Callable[[dict[str, str], str, AttributeNames], Labels | str]] = {
+    Kind.TRIES: attempt_labels,
+    Kind.FAILED: attempt_labels,
+    Kind.TIME: attempt_labels,
+    Kind.RPCS: rpc_labels,
+    Kind.UNANSWERED: rpc_labels,
+    Kind.UTIL: load_labels,
+    Kind.QUEUE: load_labels,
+}
+
+
+def string_attributes(pairs: Iterable[KeyValue]) -> dict[str, str]:
+    """The attributes whose value is a string."""
+    return {pair.key: pair.value.string_value for pair in pairs if pair.value.HasField("string_value")}
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -19,7 +19,7 @@
 from hollyridge.keys.curve import Curve
 from hollyridge.keys.tls import load_keys, server_context, server_handshake
 from hollyridge.limits.connection_limiter import ConnectionLimiter
-from hollyridge.otlp.intake import MetricsServer
+from hollyridge.otlp.intake import HttpOptions, MetricsServer, Page
 from hollyridge.otlp.reading import AttributeNames
 from hollyridge.peers.datagram_transport import DatagramTransport
 from hollyridge.peers.peer_service import PeerConfig, PeerService
@@ -125,14 +125,16 @@
                 self.loop, terms.keeping_terms(), log, self.task_name, names.task, gevent.get_hub().threadpool.apply
             )
         pages = {
-            "/status": ("application/json", lambda: msgspec.json.encode(self.status())),
-            "/fleet": ("text/plain; charset=utf-8", self.described),
+            "/status": Page("application/json", lambda: msgspec.json.encode(self.status())),
+            "/fleet": Page("text/plain; charset=utf-8", self.described),
         }
-        deeds = {}
+        actions = {}
         if self.fleet is not None:
-            pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
-            deeds = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        self.intake = MetricsServer(self.loop, terms.otlp_terms(), names, pages, log, self.access, secure, deeds)
+            pages["/peers"] = Page("application/json", lambda: msgspec.json.encode(self.fleet.status()))
+            actions = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
+        self.intake = MetricsServer(
+            self.loop, terms.otlp_terms(), names, HttpOptions(pages, actions, self.access, secure), log
+        )
 
     def task_name(self, task: int) -> str:
         address, port, _ = self.engine.task_indices.names[task]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -369,7 +369,7 @@
     (lambda r: [tries(r, method="no-such")], 1, 0),
     (lambda r: [tries(r, value=float("nan")), tries(r, value=-3.0), tries(r, end=0.0)], 3, 0),
     (lambda r: [tries(r)._replace(name="something.else"), tries(r)], 1, 10),
-    (lambda r: [tries(r)._replace(start=None)], 1, 0),
+    (lambda r: [tries(r)._replace(start_ns=None)], 1, 0),
 ]
 
 
