--- a/tests/discovery/test_discovery_watch_state.py
+++ b/tests/discovery/test_discovery_watch_state.py
@@ -4,7 +4,7 @@
 
 from helpers import SECOND
 
-from hollyridge.discovery.watch_state import WatchAction, WatchInput, WatchState
+from hollyridge.discovery.watch_state import ConnectionPhase, WatchAction, WatchInput, WatchState
 
 
 def test_failed_attempts_are_retried_with_growing_backoff():
@@ -42,3 +42,23 @@
     state.handle(SECOND + 7, WatchInput.CONNECT_STARTED)
     state.handle(SECOND + 9, WatchInput.CONNECTION_CLOSED)
     assert state.failures == 1 and state.handle(SECOND + 9, WatchInput.TICK) is WatchAction.NONE
+
+
+def test_the_phase_follows_the_connection():
+    state = WatchState(2 * SECOND, Random(5))
+    assert state.phase is ConnectionPhase.IDLE
+    state.handle(0, WatchInput.CONNECT_STARTED)
+    assert state.phase is ConnectionPhase.CONNECTING and state.connected and not state.watching
+    state.handle(1, WatchInput.EVENT_RECEIVED)
+    assert state.phase is ConnectionPhase.WATCHING and state.connected and state.watching
+    state.handle(2, WatchInput.CONNECTION_CLOSED)
+    assert state.phase is ConnectionPhase.IDLE and not state.connected
+
+
+def test_bytes_without_an_event_keep_a_connection_only_for_the_propagation_time():
+    state, now = WatchState(2 * SECOND, Random(5)), 0
+    state.handle(now, WatchInput.CONNECT_STARTED)
+    while state.handle(now, WatchInput.TICK) is WatchAction.NONE:
+        now += SECOND
+        state.handle(now, WatchInput.DATA_RECEIVED)
+    assert now == 6 * SECOND
