--- /dev/null
+++ b/tests/sessions/test_sessions_access.py
@@ -0,0 +1,77 @@
+"""Access control: open, closed and by principal; a table that is replaced."""
+
+import ipaddress
+
+import pytest
+
+from hollyridge.sessions.access import AccessControl, Principal
+
+GATE = Principal("gate", "gate-key", ("gw-*", "edge"), (), ("abdali",))
+AGENT = Principal("agent", "", (), (ipaddress.ip_network("127.1.0.0/16"), ipaddress.ip_network("::1/128")), ())
+
+
+@pytest.mark.parametrize("access", [AccessControl(False, ()), AccessControl(True, ()), AccessControl(False, [GATE])])
+def test_without_keys_or_without_principals_everyone_may_do_everything(access):
+    assert access.open and access.curve_known("any-key")
+    assert access.known("anyone") == access.may_be("anyone", "gw-1") == ""
+    assert access.may_register("anyone", "10.0.0.1") == access.may_report("anyone", "khalda") == ""
+
+
+@pytest.mark.parametrize(
+    ("name", "uid", "denial"),
+    [
+        ("gate", "gw-7", ""),
+        ("gate", "edge", ""),
+        ("gate", "edge-2", "gate may not go by that name"),
+        ("agent", "gw-7", "agent may not go by that name"),
+        ("other", "gw-7", "other is not known"),
+        ("", "gw-7", "a stranger is not known"),
+    ],
+)
+def test_a_principal_acts_as_the_proxies_of_its_patterns(name, uid, denial):
+    assert AccessControl(True, [GATE, AGENT]).may_be(name, uid) == denial
+
+
+@pytest.mark.parametrize(
+    ("name", "host", "denial"),
+    [
+        ("agent", "127.1.3.4", ""),
+        ("agent", "::1", ""),
+        ("agent", "127.2.0.1", "agent may not register that address"),
+        ("agent", "::2", "agent may not register that address"),
+        ("gate", "127.1.3.4", "gate may not register that address"),
+        ("other", "127.1.3.4", "other is not known"),
+    ],
+)
+def test_a_principal_registers_members_within_its_networks(name, host, denial):
+    assert AccessControl(True, [GATE, AGENT]).may_register(name, host) == denial
+
+
+@pytest.mark.parametrize(
+    ("name", "zone", "denial"),
+    [
+        ("gate", "abdali", ""),
+        ("gate", "khalda", "gate may not report for that zone"),
+        ("other", "abdali", "other is not known"),
+    ],
+)
+def test_a_principal_reports_for_its_zones(name, zone, denial):
+    assert AccessControl(True, [GATE, AGENT]).may_report(name, zone) == denial
+
+
+def test_a_curve_key_is_known_by_its_principal():
+    access = AccessControl(True, [GATE, AGENT])
+    assert access.curve_known("gate-key") and not access.curve_known("other-key") and not access.curve_known("")
+    assert access.by_curve == {"gate-key": "gate"}
+
+
+def test_removing_the_last_principal_admits_nobody():
+    access = AccessControl(True, [GATE])
+    access.replace([])
+    assert not access.open and access.known("gate") == "gate is not known" and not access.curve_known("gate-key")
+
+
+def test_naming_the_first_principal_closes_access_to_others():
+    access = AccessControl(True, ())
+    access.replace([GATE])
+    assert not access.open and access.known("gate") == "" and access.known("other") == "other is not known"
