--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -24,7 +24,7 @@
 from hollyridge.keys.curve import Curve
 from hollyridge.keys.tls import load_keys, server_context, server_handshake
 from hollyridge.limits.connection_limiter import ConnectionLimiter
-from hollyridge.otlp.intake import MetricsServer
+from hollyridge.otlp.intake import HttpOptions, MetricsServer, Page
 from hollyridge.otlp.reading import AttributeNames
 from hollyridge.peers.datagram_transport import DatagramTransport
 from hollyridge.peers.peer_service import PeerConfig, PeerService
@@ -191,23 +191,15 @@
     def build_metrics_server(self) -> MetricsServer:
         """The receiver of load reports, with the status pages."""
         pages = {
-            "/status": ("application/json", lambda: msgspec.json.encode(self.status())),
-            "/fleet": ("text/plain; charset=utf-8", self.described),
+            "/status": Page("application/json", lambda: msgspec.json.encode(self.status())),
+            "/fleet": Page("text/plain; charset=utf-8", self.described),
         }
         actions = {}
         if self.fleet is not None:
-            pages["/peers"] = "application/json", lambda: msgspec.json.encode(self.fleet.status())
+            pages["/peers"] = Page("application/json", lambda: msgspec.json.encode(self.fleet.status()))
             actions = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
-        return MetricsServer(
-            self.loop,
-            self.terms.otlp_config(),
-            self.report_names,
-            pages,
-            self.log,
-            self.access,
-            self.secure_handshake(),
-            actions,
-        )
+        options = HttpOptions(pages, actions, self.access, self.secure_handshake())
+        return MetricsServer(self.loop, self.terms.otlp_config(), self.report_names, options, self.log)
 
     def secure_handshake(self) -> Callable | None:
         """What turns an accepted socket into a TLS one; None where connections are open."""
