--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -106,7 +106,7 @@
 
     def restore(self, state: state_file.SavedState) -> None:
         """Submit the estimates of a saved state that can be used."""
-        restored = learned_estimates.recalled(state, self.terms.fleet, self.wall_ms(), self.index_of)
+        restored = learned_estimates.restore_own(state, self.terms.fleet, self.wall_ms(), self.index_of)
         event = restored.event
         restored_tasks = len(event.estimates) if event is not None else 0
         self.counts["left_out"] += sum(restored.left_out.values())
@@ -129,7 +129,7 @@
         estimates, push_price = learnt()
         if not estimates:
             return  # the state on disk holds more
-        state = learned_estimates.noted(self.terms.fleet, self.wall_ms(), estimates, push_price, self.name_of)
+        state = learned_estimates.to_saved_state(self.terms.fleet, self.wall_ms(), estimates, push_price, self.name_of)
         try:
             self.apply(self.write, (self.terms.path, state_file.pack(state)))
         except OSError as error:
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -50,7 +50,7 @@
     return f"{','.join(zones)}/{','.join(methods)}"
 
 
-def noted(
+def to_saved_state(
     fleet: str, saved_ms: int, estimates: Iterable[LearnedEstimate], push_price: float, name_of: Callable[[int], str]
 ) -> SavedState:
     """The state to save; tasks by their names, for indices are given anew in each run."""
@@ -67,7 +67,7 @@
     return SavedState(fleet, saved_ms, rows, round(push_price, DIGITS))
 
 
-def recalled(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
+def restore_own(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
     """The estimates of this assigner's own last run.
 
     A state from the future was saved before the clock was set back: nobody knows its age, so it counts as old.
--- a/tests/store/test_store_learned_estimates.py
+++ b/tests/store/test_store_learned_estimates.py
@@ -28,7 +28,7 @@
     ],
 )
 def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
-    told = learned_estimates.recalled(state, "f", now, INDEX)
+    told = learned_estimates.restore_own(state, "f", now, INDEX)
     assert (len(told.event.estimates), told.event.age_us) == (rows, age_s * SECOND) if rows else told.event is None
 
 
