--- a/tests/test_kept.py
+++ b/tests/core/test_core_persistence.py
@@ -1,8 +1,8 @@
-"""What was learnt, kept on disk and told again: whole or not at all, and believed the less the older it is."""
+"""Learned estimates are kept on disk and restored after a restart, and count the less the older they are."""
 
 import gevent
 from helpers import SECOND, START, entry, roster
-from test_service import rig, wait_for  # noqa: F401
+from test_service import rig, wait_for  # noqa: F401 - a fixture
 from test_solving import news, started
 
 from hollyridge import interface as api
@@ -17,8 +17,8 @@
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
-def taught():
-    """A module that has learnt that one of four tasks does half as much."""
+def trained():
+    """A decision module that has learned that one of four tasks does half as much."""
     module, now = started(), START
     for _ in range(10):
         now += SECOND
@@ -27,8 +27,8 @@
     return module
 
 
-def test_recalled_sizes_stand_at_once_and_the_less_the_older_they_are():
-    rows, price = taught().learnt()
+def test_restored_estimates_count_at_once_and_the_less_the_older_they_are():
+    rows, price = trained().learnt()
     assert len(rows) == 4 and rows[3].capacity < 0.6 * rows[0].capacity
     found = {}
     for age_s in (0, 30, 3600):
@@ -40,13 +40,13 @@
     assert found[0] < found[30] < found[3600] and found[0] < 0.75 and found[3600] > 0.9
 
 
-def test_what_is_known_better_stays_and_what_is_closed_or_cold_is_not_told():
-    module, now = taught(), START + 20 * SECOND
+def test_restored_estimates_change_neither_what_is_known_better_nor_closed_or_cold_tasks():
+    module, now = trained(), START + 20 * SECOND
     before = list(module.est.busy)
-    told = api.EstimatesRestored(
+    restored = api.EstimatesRestored(
         (api.LearnedEstimate(0, 900.0, 0.5, 4.0, 9.0), api.LearnedEstimate(99, 900.0, 10.0, 4.0, 9.0)), 0.0, 0
     )
-    module.decide(now, [told])
+    module.decide(now, [restored])
     assert module.est.busy == before and module.solver.skill[0] < 2
     module.decide(now, [roster([entry(1, state=api.TaskState.GONE), entry(2, started_at=now)], api.UpdateKind.DELTA)])
     module.decide(
@@ -55,27 +55,27 @@
     assert module.est.busy[2] == 0.0 and module.solver.skill[1] < 2
 
 
-def test_an_assigner_keeps_what_it_learnt_and_tells_it_after_a_restart(rig, tmp_path):  # noqa: F811
+def test_an_assigner_restores_its_estimates_after_a_restart_and_survives_a_damaged_file(rig, tmp_path):  # noqa: F811 - a fixture
     path = tmp_path / "kept.state"
-    one = rig(kept__file=str(path), kept__every_s=0.2)
-    one.agent()
-    assert wait_for(lambda: len(one.engine.assigner.roster.state) == 4)
+    first = rig(kept__file=str(path), kept__every_s=0.2)
+    first.agent()
+    assert wait_for(lambda: len(first.engine.assigner.roster.state) == 4)
     for i in range(4):
-        one.engine.assigner.est.served[i], one.engine.assigner.est.busy[i] = 30.0 - i, 1.0
+        first.engine.assigner.est.served[i], first.engine.assigner.est.busy[i] = 30.0 - i, 1.0
     assert wait_for(path.exists)
     gevent.sleep(0.3)
-    two = rig(kept__file=str(path), kept__every_s=60)
-    two.agent()
-    assert wait_for(lambda: any(two.engine.assigner.est.busy))
-    assert two.service.status()["kept"]["recalled"] == 4
-    three = rig(kept__file=str(tmp_path / "spoilt"), kept__every_s=60)
-    (tmp_path / "spoilt").write_bytes(WHOLE[:-3])
-    three.agent()
+    second = rig(kept__file=str(path), kept__every_s=60)
+    second.agent()
+    assert wait_for(lambda: any(second.engine.assigner.est.busy))
+    assert second.service.status()["kept"]["recalled"] == 4
+    damaged = rig(kept__file=str(tmp_path / "damaged"), kept__every_s=60)
+    (tmp_path / "damaged").write_bytes(WHOLE[:-3])
+    damaged.agent()
     gevent.sleep(0.3)
-    assert three.service.status()["kept"]["recalled"] == 0 and three.job.dead is False
+    assert damaged.service.status()["kept"]["recalled"] == 0 and damaged.job.dead is False
 
 
-def test_a_day_with_restarts_keeps_state_and_is_the_same_again(tmp_path):
+def test_a_simulated_day_with_restarts_keeps_its_state_and_repeats_exactly(tmp_path):
     from test_solving import SOLVE
 
     text = (SOLVE.parent / "lab" / "small.ini").read_text()
@@ -92,10 +92,10 @@
 for_s = 1
 """
     )
-    loaded, told = scenario.load(path), []
+    loaded, recordings = scenario.load(path), []
     for _ in range(2):
         stage = VirtualStage(loaded, "", 3)
         outcome = Day(loaded, stage, 3).play()
         assert all(v.kept for v in outcome.verdicts) and stage.status[-1]["kept"]["recalled"] > 0
-        told.append(stage.record.rows)
-    assert told[0] == told[1] and isinstance(stage.seats[0].service.engine.assigner, Assigner)
+        recordings.append(stage.record.rows)
+    assert recordings[0] == recordings[1] and isinstance(stage.seats[0].service.engine.assigner, Assigner)
--- a/tests/registration/test_registration_index_allocator.py
+++ b/tests/registration/test_registration_index_allocator.py
@@ -7,15 +7,15 @@
     used = set()
     indices, now = IndexAllocator(rest=100, most=200, still_used=used.__contains__), 0
     for week in range(2000):
-        at = indices.allocate(now, f"task-{week}")
-        assert at is not None and indices.names[at] == f"task-{week}"
-        used = {at}
+        index = indices.allocate(now, f"task-{week}")
+        assert index is not None and indices.names[index] == f"task-{week}"
+        used = {index}
         now += 10
         indices.release(now, f"task-{week}")
     assert len(indices.names) <= 13
 
 
-def test_an_index_rests_while_an_order_may_name_it():
+def test_an_index_is_kept_back_while_a_table_may_name_it():
     used = {0}
     indices = IndexAllocator(rest=10, most=5, still_used=lambda i: i in used)
     indices.allocate(0, "a")
--- a/tests/registration/test_registration_members.py
+++ b/tests/registration/test_registration_members.py
@@ -28,14 +28,14 @@
 
 
 class Fleet:
-    """Members with a clock; `states` is what the module has been told."""
+    """Members with a clock; `states` is what the decisions know."""
 
     def __init__(self):
-        self.book, self.now, self.states, self.started = MemberRegistry(TERMS, 0), 0, {}, {}
+        self.registry, self.now, self.states, self.started = MemberRegistry(TERMS, 0), 0, {}, {}
 
-    def take(self, what, after=0.0):
+    def take(self, event, after=0.0):
         self.now += round(after * SECOND)
-        outcome = self.book.handle(self.now, what)
+        outcome = self.registry.handle(self.now, event)
         for entry in outcome.change.endpoints if outcome.change else ():
             self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at_us
         return outcome.refusal
@@ -49,7 +49,7 @@
         return self
 
 
-def test_the_first_list_waits_till_registrations_pause():
+def test_the_first_list_waits_until_registrations_pause():
     fleet = Fleet()
     for task in range(5):
         fleet.register(task, after=0.3)
@@ -60,8 +60,8 @@
 
 def test_an_empty_fleet_settles_in_the_end():
     fleet = Fleet()
-    assert fleet.book.handle(2 * SECOND, Tick()).change is None
-    assert fleet.book.handle(3 * SECOND, Tick()).change.endpoints == ()
+    assert fleet.registry.handle(2 * SECOND, Tick()).change is None
+    assert fleet.registry.handle(3 * SECOND, Tick()).change.endpoints == ()
 
 
 RUNS = [
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("first, second, starts", RUNS)
-def test_restart_or_reconnection(first, second, starts):
+def test_a_reconnection_is_told_from_a_restart_by_its_label(first, second, starts):
     fleet = Fleet().settled()
     fleet.register(1, stream=1, label=first)
     before = fleet.started[1]
@@ -84,7 +84,7 @@
     assert fleet.states[1] == TaskState.READY
 
 
-def test_ages():
+def test_a_start_is_read_from_the_label_and_now_where_there_is_none():
     fleet = Fleet().settled()
     fleet.register(1, label="run=a up=100")
     fleet.register(2, label="run=b up=1.5")
@@ -104,7 +104,7 @@
     assert fleet.take(Deregistered(2, ((1,),))) is None and fleet.states[1] == TaskState.GONE
 
 
-def test_streams_that_break():
+def test_members_of_a_lost_stream_stay_for_a_while_those_of_agents_longer():
     fleet = Fleet().settled()
     fleet.register(1, stream=1, own=True)
     fleet.register(2, stream=2, own=False)
@@ -114,25 +114,25 @@
     assert fleet.states[1] == TaskState.GONE and fleet.states[2] == TaskState.READY
     fleet.register(2, stream=3, label="run=a up=105", after=20)
     fleet.take(Tick(), after=60)
-    assert fleet.states[2] == TaskState.READY  # its list's bearer came back and said it again
+    assert fleet.states[2] == TaskState.READY  # its agent reconnected and registered it again
 
 
 def test_refusals_leave_everything_as_it_was():
     fleet = Fleet().settled()
-    row = members.MemberRequest((1,), 1, 0, "", False)
+    request = members.MemberRequest((1,), 1, 0, "", False)
     cases = [
-        (Registered(1, (row, row)), Refusal.TWICE),
-        (Registered(1, (row._replace(zone=-1),)), Refusal.NO_ZONE),
-        (Registered(1, (row._replace(task=-1),)), Refusal.FULL),
+        (Registered(1, (request, request)), Refusal.TWICE),
+        (Registered(1, (request._replace(zone=-1),)), Refusal.NO_ZONE),
+        (Registered(1, (request._replace(task=-1),)), Refusal.FULL),
         (Deregistered(1, ((7,),)), Refusal.NOT_REGISTERED),
-        (Registered(1, tuple(row._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL),
+        (Registered(1, tuple(request._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL),
     ]
-    for what, why in cases:
-        assert fleet.take(what) == why and set(fleet.states) == {99}
+    for event, refusal in cases:
+        assert fleet.take(event) == refusal and set(fleet.states) == {99}
     assert fleet.register(1) is None and fleet.register(1) == Refusal.ALREADY_REGISTERED
 
 
-def test_drains_end_by_word_or_by_a_new_registration():
+def test_a_drain_ends_by_a_request_or_by_a_new_registration():
     fleet = Fleet().settled()
     fleet.register(1)
     fleet.take(Quiesced(1, (1,), True))
@@ -142,5 +142,5 @@
     fleet.take(Quiesced(1, (1,), True))
     fleet.register(1, stream=2)
     assert fleet.states[1] == TaskState.READY
-    full = fleet.book.handle(fleet.now, RefreshRequested()).change
+    full = fleet.registry.handle(fleet.now, RefreshRequested()).change
     assert full.kind == api.UpdateKind.FULL and len(full.endpoints) == 2
--- a/tests/store/test_store_learned_estimates.py
+++ b/tests/store/test_store_learned_estimates.py
@@ -6,18 +6,17 @@
 from helpers import SECOND
 
 from hollyridge import interface as api
-from hollyridge.store import learned_estimates, state_file
+from hollyridge.store import learned_estimates
 from hollyridge.store.state_file import SavedState, TaskEstimate
 
 ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
-WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
 INDEX = {"127.1.0.1:9000": 0, "127.1.0.2:9000": 1}.get
 
 
 @pytest.mark.parametrize(
-    "state, now, rows, age_s",
+    "state, now_ms, used, age_s",
     [
         (SavedState("f", 1000, ROWS, 0.6), 3000, 2, 2),
         (SavedState("other", 1000, ROWS, 0.6), 3000, 0, 0),  # another fleet's
@@ -27,18 +26,21 @@
         (SavedState("f", 1000, [TaskEstimate("127.1.0.1:9000", 5.0, 1.0, 900.0)], 0.6), 3000, 0, 0),
     ],
 )
-def test_what_is_believed_of_ones_own_last_run(state, now, rows, age_s):
-    told = learned_estimates.restore_own(state, "f", now, INDEX)
-    assert (len(told.event.estimates), told.event.age_us) == (rows, age_s * SECOND) if rows else told.event is None
+def test_estimates_of_the_last_run_are_used_if_plausible_and_listed(state, now_ms, used, age_s):
+    restored = learned_estimates.restore_own(state, "f", now_ms, INDEX)
+    if used:
+        assert (len(restored.event.estimates), restored.event.age_us) == (used, age_s * SECOND)
+    else:
+        assert restored.event is None
 
 
-def test_what_a_peer_lends_can_not_be_far_from_what_one_knows():
-    own = [api.LearnedEstimate(k, does, 3.0, 1.0, 1.0) for k, does in enumerate((10.0, 12.0, 14.0))]
+def test_estimates_of_a_peer_are_limited_to_the_range_of_ones_own():
+    own = [api.LearnedEstimate(k, capacity, 3.0, 1.0, 1.0) for k, capacity in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
-    told = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
-    assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in told.event.estimates] == [
+    restored = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
+    assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in restored.event.estimates] == [
         (24.0, 1.0, 1.0, 1.0),
         (6.0, 1.0, 1.0, 1.0),
     ]
-    assert told.event.push_price == 0.0 and told.left_out == {"not listed": 1}
+    assert restored.event.push_price == 0.0 and restored.left_out == {"not listed": 1}
     assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
--- a/tests/store/test_store_table_versions.py
+++ b/tests/store/test_store_table_versions.py
@@ -8,17 +8,17 @@
 
 
 def test_every_version_can_be_reached_from_every_kept_one():
-    rng, store, truth = Random(4), TableStore(keep=10), {}
+    rng, store, tables = Random(4), TableStore(keep=10), {}
     for version in range(1, 60):
         lines = {rng.randrange(20): rng.choice([0.0, 1.0, 2.0]) for _ in range(rng.randrange(5))}
         levels = {0: (rng.random(), 0)} if rng.random() < 0.2 else {}
         store.put(version, 0, lines, levels, clear=rng.random() < 0.1)
-        truth[version] = store.latest(0)
+        tables[version] = store.latest(0)
         for old in range(1, version + 1):
             change = store.since(0, old)
             assert (change is None) == (old <= version - 10)
             if change is not None:
-                held = dict(truth[old].lines)
+                held = dict(tables[old].lines)
                 held.update(change.lines)
                 assert {k: w for k, w in held.items() if w} == dict(store.latest(0).lines)
     with pytest.raises(ValueError):
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -68,7 +68,10 @@
 def test_what_a_module_learnt_is_the_state_file_and_back():
     raw = bytes.fromhex(stored("state.json")["whole"])
     assert (
-        state_file.pack(learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)) == raw
+        state_file.pack(
+            learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)
+        )
+        == raw
     )
     told = learned_estimates.restore_own(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
     assert told == api.EstimatesRestored(tuple(LEARNT), 0.625, 2_000_000)
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -13,7 +13,7 @@
 import pytest
 import structlog
 from click.testing import CliRunner
-from engine_rig import House
+from engine_rig import EngineRig
 from helpers import SECOND
 from stored import FOLDER, ROOT, as_text, shape, stored, text_of
 from test_formats_records import played
@@ -316,7 +316,7 @@
 
 
 def told_of_a_failure() -> list[str]:
-    house = House(Fails)
+    house = EngineRig(Fails)
     house.run(0.01)
     house.engine.recent_events.clear()
     with structlog.testing.capture_logs() as logs:
