--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -12,8 +12,6 @@
 from collections.abc import Callable, Hashable
 from typing import TYPE_CHECKING, NamedTuple
 
-from hdrh.histogram import HdrHistogram
-
 from hollyridge.core.decision_log import DecisionLog, DecisionSummary
 from hollyridge.core.endpoint_source import EndpointSource
 from hollyridge.core.engine_limits import EngineLimits
@@ -21,6 +19,8 @@
 from hollyridge.core.failure_recovery import DecisionModuleError, FailureRecovery
 from hollyridge.core.protocol_server import ProtocolServer
 from hollyridge.core.status import engine_status, spread
+from hollyridge.core.task_states import TaskStates
+from hollyridge.core.update_sender import UpdateSender
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.paced_queue import PacedQueue
 from hollyridge.delivery.update_builder import UpdateBuilder
@@ -28,7 +28,6 @@
     Ack,
     AssignerConfig,
     Command,
-    Endpoint,
     Event,
     LogNote,
     ProxyJoined,
@@ -37,13 +36,11 @@
     RefreshEndpoints,
     SetTimer,
     SetWeight,
-    TaskState,
     UpdateKind,
     WatchEndpoints,
 )
 from hollyridge.registration import members
 from hollyridge.registration.index_allocator import IndexAllocator
-from hollyridge.store.table_versions import TableStore
 from hollyridge.telemetry.report_aggregator import TASK_TRAFFIC, DataPoint, ReportAggregator
 
 if TYPE_CHECKING:
@@ -51,14 +48,9 @@
 
 __all__ = ["DecisionModuleError", "Engine", "EngineLimits", "ProxyDetails", "spread"]
 
-TABLE_VERSIONS_KEPT = 64  # versions of a table from which a proxy that lags can be brought forward by differences
 MAX_PROXY_INDICES = 65_535  # the interface numbers proxies in 16 bits
 SERIES_EXPIRY_PERIODS = 60  # report periods after which a series that is not reported any more is forgotten
-CONFIDENCE_PERIODS = 4  # report periods for which a weight rests on the task's last load report
 LOGGED_ENDPOINTS = 20  # in the log line of an endpoint list update
-MAX_LATENCY_US = 60_000_000  # the histogram's upper end
-LATENCY_DIGITS = 3  # significant digits of the histogram
-NEVER_US = -1 << 60
 
 COUNTERS = (  # keys of the status page
     "decisions",
@@ -106,7 +98,6 @@
         task_in_use: Whether a server may still send something about a task; set by the servers' owner.
         may_command: Whether this assigner may command a proxy now, by its name; None where proxies are not shared.
         decision_number: Of the last decision; versions of tables are numbered by it.
-        latency: From an event's submission to the update that it led to, in microseconds.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - callers in four packages pass these by position
@@ -141,26 +132,31 @@
             limits.max_reports_per_period,
             SERIES_EXPIRY_PERIODS * config.report_period_us,
         )
-        self.update_builder = self._new_update_builder()
-        self.queue = self._new_queue()
+        self.counts = dict.fromkeys(COUNTERS, 0)
+        self.update_sender = UpdateSender(len(config.methods), limits, self.counts)
+        self.task_states = TaskStates(config, self.update_builder.ejected)
         self.servers: dict[int, ProtocolServer] = {}
         self.proxy_details: dict[int, ProxyDetails] = {}
-        self.endpoints: dict[int, Endpoint] = {}
-        self.last_report_at: dict[int, int] = {}  # by task
+        self.endpoints = self.task_states.endpoints
         self.task_in_use: Callable[[int], bool] = _no_task_in_use
         self.may_command: Callable[[int, Hashable], bool] | None = None
         self.event_queue = EventQueue(limits.max_pending_events)
         self.failure_recovery = FailureRecovery()
-        self.decision_log = DecisionLog(self.is_closed, self.is_warming_up)
+        self.decision_log = DecisionLog(self.task_states.is_closed, self.task_states.is_warming_up)
         self.decision_number = 0
         self.has_decided = False
         self.ran_at = now
         self.next_collect_at = now + config.report_period_us
-        self.refused_commands: dict[str, int] = {}
-        self.counts = dict.fromkeys(COUNTERS, 0)
-        self.latency = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
-    # Events, from protocol servers, the endpoint list and load reports.
+    @property
+    def update_builder(self) -> UpdateBuilder:
+        """The tables as commanded, and which proxies use them."""
+        return self.update_sender.update_builder
+
+    @property
+    def queue(self) -> PacedQueue:
+        """The updates that wait."""
+        return self.update_sender.queue
 
     @property
     def pending_events(self) -> deque[tuple[int, Event]]:
@@ -177,6 +173,8 @@
         """The events that were decided on last."""
         return self.event_queue.recent
 
+    # Events, from protocol servers, the endpoint list and load reports.
+
     def submit(self, now_us: int, event: Event) -> None:
         """Queue an event for the next decision; load reports are dropped when too many events wait."""
         if not self.event_queue.submit(now_us, event):
@@ -237,7 +235,7 @@
         reason = self.reports.add(now_us, point)
         task = point.place[1]
         if not reason and task in self.endpoints and point.kind in TASK_TRAFFIC:
-            self.last_report_at[task] = now_us
+            self.task_states.last_report_at[task] = now_us
         return reason
 
     def update_endpoints(self, now_us: int, event: object) -> members.Refusal | None:
@@ -245,12 +243,9 @@
         outcome = self.endpoint_source.handle(now_us, event)
         change = outcome.change
         if change is not None:
-            for endpoint in change.endpoints:
-                self.endpoints[endpoint.task] = endpoint
+            self.task_states.apply(change)
         for key in outcome.left:  # what is known of an index ends with its holder, even if the list never said so
-            task = self.task_indices.index.get(key)
-            self.endpoints.pop(task, None)
-            self.last_report_at.pop(task, None)
+            self.task_states.forget(self.task_indices.index.get(key))
             self.task_indices.release(now_us, key)
         if change is not None:
             self.log.info(
@@ -266,29 +261,19 @@
 
     def is_warming_up(self, now_us: int, task: int) -> bool:
         """Whether the task started less than the warm-up time ago."""
-        endpoint = self.endpoints.get(task)
-        return (
-            endpoint is not None
-            and endpoint.started_at_us > 0
-            and now_us - endpoint.started_at_us < self.config.warm_up_us
-        )
+        return self.task_states.is_warming_up(now_us, task)
 
     def is_closed(self, task: int) -> bool:
         """Whether the task must not be sent to: it is not listed, not ready, or ejected."""
-        endpoint = self.endpoints.get(task)
-        return endpoint is None or endpoint.state != TaskState.READY or task in self.update_builder.ejected
+        return self.task_states.is_closed(task)
 
     def is_running(self, task: int) -> bool:
         """Whether the task is listed, draining or not."""
-        endpoint = self.endpoints.get(task)
-        return endpoint is not None and endpoint.state != TaskState.GONE
+        return self.task_states.is_running(task)
 
     def is_confident(self, now_us: int, task: int) -> bool:
         """Whether the task's weight rests on recent load reports, not on its listed size."""
-        report_age_us = now_us - self.last_report_at.get(task, NEVER_US)
-        return report_age_us < CONFIDENCE_PERIODS * self.config.report_period_us and not self.is_warming_up(
-            now_us, task
-        )
+        return self.task_states.is_confident(now_us, task)
 
     # The loop.
 
@@ -306,7 +291,7 @@
         self._collect_reports(now_us)
         if self.endpoint_source.settled and (not self.has_decided or self.event_queue.has_due(now_us)):
             self._decide(now_us)
-        self._send_due_updates(now_us)
+        self.update_sender.send_due(now_us, self.servers, self._may_send)
         return self._next_run_at(now_us)
 
     def _tick_endpoint_source(self, now_us: int) -> None:
@@ -322,17 +307,9 @@
         period_us = self.config.report_period_us
         self.next_collect_at = max(self.next_collect_at + period_us, now_us + period_us // 2)
 
-    def _send_due_updates(self, now_us: int) -> None:
-        while (update := self.queue.take(now_us)) is not None:
-            server = self.servers.get(update.proxy)
-            if server is None:
-                continue
-            if self.may_command is not None and not self.may_command(now_us, self.proxy_details[update.proxy].name):
-                self.counts["withheld"] += 1  # its lease ran out while the update waited or the process stood still
-                continue
-            server.write(update.proxy, update)
-            self.counts["messages"] += 1
-            self.latency.record_value(min(max(now_us - update.decided_at_us, 1), MAX_LATENCY_US))
+    def _may_send(self, now_us: int, proxy: int) -> bool:
+        """Whether a proxy is still this assigner's: its lease may have run out while an update waited."""
+        return self.may_command is None or self.may_command(now_us, self.proxy_details[proxy].name)
 
     def _next_run_at(self, now_us: int) -> int:
         times = [self.next_collect_at, self.endpoint_source.next_deadline(now_us), self.queue.due]
@@ -379,16 +356,10 @@
             self._queue_updates(now_us, oldest_us, table_commands)
 
     def _queue_updates(self, now_us: int, oldest_us: int, commands: list[Command]) -> None:
-        capabilities = {proxy: server.capabilities for proxy, server in self.servers.items()}
-        updates, refused = self.update_builder.build(oldest_us, self.decision_number, commands, capabilities)
-        for reason, count in refused.items():
-            self.refused_commands[reason] = self.refused_commands.get(reason, 0) + count
-        for update in updates:
-            lines, full_lines = self.servers[update.proxy].count_lines(update.proxy, update)
-            self.queue.put(now_us, update, lines, full_lines)
+        batch = self.update_sender.enqueue(now_us, oldest_us, self.decision_number, commands, self.servers)
         self.counts["puts"] += sum(type(command) is SetWeight for command in commands)
         if self.log_decisions:
-            summary = DecisionSummary(self.decision_number, len(updates), self.queue.waiting_lines, refused)
+            summary = DecisionSummary(self.decision_number, len(batch.updates), self.queue.waiting_lines, batch.refused)
             self.decision_log.write(self.log, now_us, commands, summary)
 
     def _recover(self, now_us: int, error: Exception) -> None:
@@ -396,21 +367,14 @@
         self.counts["module_failures"] += 1
         self.failure_recovery.record(self.log, now_us, self.decision_number, error, self.recent_events)
         self.assigner = self.make_assigner(self.config, self.seed)
-        self.update_builder = self._new_update_builder()
-        self.queue = self._new_queue()
+        self.update_sender.reset()
+        self.task_states.ejected = self.update_builder.ejected
         self.event_queue.reset()
         self.pending_events.append((now_us, self.endpoint_source.full_list(UpdateKind.CACHED)))
         for proxy, details in self.proxy_details.items():
             event = ProxyJoined(details.usual_rate_per_s, False, proxy, details.zone)
             self.pending_events.append((now_us, event))
 
-    def _new_update_builder(self) -> UpdateBuilder:
-        return UpdateBuilder(len(self.config.methods), TableStore(TABLE_VERSIONS_KEPT))
-
-    def _new_queue(self) -> PacedQueue:
-        limits = self.limits
-        return PacedQueue(limits.lines_per_s, limits.message_overhead_lines, limits.max_waiting_lines)
-
     def status(self) -> dict:
         """Counts and levels for the status page and the log."""
         return engine_status(self)
--- /dev/null
+++ b/hollyridge/core/update_sender.py
@@ -0,0 +1,89 @@
+"""The way of commands to the proxies: they become updates, wait in the paced queue and are written when due."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from hdrh.histogram import HdrHistogram
+
+from hollyridge.core.engine_limits import EngineLimits
+from hollyridge.core.protocol_server import ProtocolServer
+from hollyridge.delivery.paced_queue import PacedQueue
+from hollyridge.delivery.update_builder import UpdateBatch, UpdateBuilder
+from hollyridge.interface import Command
+from hollyridge.store.table_versions import TableStore
+
+TABLE_VERSIONS_KEPT = 64  # versions of a table from which a proxy that lags can be brought forward by differences
+MAX_LATENCY_US = 60_000_000  # the histogram's upper end
+LATENCY_DIGITS = 3  # significant digits of the histogram
+
+
+class UpdateSender:
+    """Builds, queues and writes updates.
+
+    Args:
+        methods: How many RPC methods there are.
+        limits: The queue's pace and bounds.
+        counts: Where messages that are sent or withheld are counted.
+
+    Attributes:
+        update_builder: The tables as commanded, and which proxies use them.
+        queue: The updates that wait.
+        refused_commands: How many commands could not be carried, by reason.
+        latency: From an event's submission to the update that it led to, in microseconds.
+    """
+
+    def __init__(self, methods: int, limits: EngineLimits, counts: dict[str, int]) -> None:
+        self.methods = methods
+        self.limits = limits
+        self.counts = counts
+        self.refused_commands: dict[str, int] = {}
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
+        self.reset()
+
+    def reset(self) -> None:
+        """Start with no tables and an empty queue, as a new decision module expects."""
+        limits = self.limits
+        self.update_builder = UpdateBuilder(self.methods, TableStore(TABLE_VERSIONS_KEPT))
+        self.queue = PacedQueue(limits.lines_per_s, limits.message_overhead_lines, limits.max_waiting_lines)
+
+    def enqueue(
+        self,
+        now_us: int,
+        oldest_us: int,
+        decision: int,
+        commands: list[Command],
+        servers: Mapping[int, ProtocolServer],
+    ) -> UpdateBatch:
+        """Queue the updates that follow from the commands of a decision.
+
+        Args:
+            now_us: The time.
+            oldest_us: When the oldest event that led to the decision was submitted.
+            decision: Its number.
+            commands: Its commands about tables.
+            servers: The protocol server of each joined proxy.
+        """
+        capabilities = {proxy: server.capabilities for proxy, server in servers.items()}
+        batch = self.update_builder.build(oldest_us, decision, commands, capabilities)
+        for reason, count in batch.refused.items():
+            self.refused_commands[reason] = self.refused_commands.get(reason, 0) + count
+        for update in batch.updates:
+            lines, full_lines = servers[update.proxy].count_lines(update.proxy, update)
+            self.queue.put(now_us, update, lines, full_lines)
+        return batch
+
+    def send_due(
+        self, now_us: int, servers: Mapping[int, ProtocolServer], may_send: Callable[[int, int], bool]
+    ) -> None:
+        """Write the updates that may leave by now; one that `may_send` forbids is dropped and counted."""
+        while (update := self.queue.take(now_us)) is not None:
+            server = servers.get(update.proxy)
+            if server is None:
+                continue
+            if not may_send(now_us, update.proxy):
+                self.counts["withheld"] += 1
+                continue
+            server.write(update.proxy, update)
+            self.counts["messages"] += 1
+            self.latency.record_value(min(max(now_us - update.decided_at_us, 1), MAX_LATENCY_US))
