--- a/hollyridge/peers/__init__.py
+++ b/hollyridge/peers/__init__.py
@@ -1,2 +1,1 @@
-"""Assigners of one fleet that speak to each other: packets under a key, datagrams, and what membership decides carried
-out."""
+"""Communication between the assigners of one fleet: sealed packets, datagrams, and membership carried out."""
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -1,10 +1,12 @@
-"""Carries out what membership decides: one for each assigner that shares its fleet."""
+"""Carries out what membership and leases decide, for one assigner that shares its fleet."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import NamedTuple
+from typing import Any, NamedTuple
+
+from structlog.typing import FilteringBoundLogger
 
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.limits.log_sampling import should_log
@@ -19,17 +21,33 @@
     ReleaseProxy,
     StaleToken,
 )
-from hollyridge.membership.messages import ClaimedProxies, MemberFacts, SharedEstimates, Status
+from hollyridge.membership.messages import ClaimedProxies, MemberFacts, Message, SharedEstimates, Status
 from hollyridge.membership.swim import MemberChanged, MessageReceived, SendMessage, Swim, SwimConfig
-from hollyridge.peers.codec import PacketGuard, PeerError
-from hollyridge.store import learned_estimates
+from hollyridge.peers.codec import OpenedPacket, PacketGuard, PeerError
+from hollyridge.peers.estimate_exchange import EstimateExchange, TaskLookup
+from hollyridge.peers.status_page import peers_page
 
-ROWS = 200  # proxies in one word about claims
+CLAIMS_PER_MESSAGE = 200  # with the longest uids they fit into a packet
+MIN_SLEEP_S = 0.002  # between two ticks: what is due together is done together
+LONG_AGO_US = -1 << 60  # since when this assigner counts as alive: it never waits for itself to settle
+US_PER_S = 1e6
 
 
 class PeerConfig(NamedTuple):
-    """`listen` is where it listens, `known_as` where peers reach it, `seeds` some of them; `zone` and `weight` say what
-    proxies it should have; times in microseconds."""
+    """How one assigner takes part in a shared fleet.
+
+    Attributes:
+        name: Its name, unique in the fleet.
+        listen: Host and port of its datagram socket.
+        known_as: Address (host:port) by which peers reach it.
+        seeds: Addresses of some peers.
+        secret: The fleet's key.
+        zone: Its zone.
+        weight: Its share of the proxies, relative to the other members.
+        pace: Pace of failure detection.
+        lease: Durations of leases.
+        services: Addresses of its protocol servers by service name.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -40,217 +58,218 @@
     weight: float
     pace: SwimConfig
     lease: LeaseConfig
+    services: tuple[tuple[str, str], ...] = ()
 
 
 class PeerService:
-    """Fronts call `request_lease`, `acknowledge_token`, `end_proxy`. `send(address, raw)` puts a packet on the wire;
-    `serves` has the addresses of this assigner's fronts by name; `task_name` and `task_of` go between tasks' indices
-    and names."""
+    """One assigner's part in a shared fleet.
+
+    Protocol servers call `request_lease`, `acknowledge_token`, `end_proxy` and `address_of`; the engine asks `owned`
+    before each command.
+
+    Attributes:
+        config: What it was started with.
+        guard: Seals and opens its packets.
+        swim: Failure detection.
+        lease_manager: Leases on proxies.
+        send: Puts a packet on the wire, given address and content; set by whoever owns the transport.
+        stopped: Ends `run`.
+        counts: Totals for the status page.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
         config: PeerConfig,
-        log,
-        fresh: Callable[[int], bytes],
-        serves: dict[str, str],
-        task_name: Callable[[int], str],
-        task_of: Callable[[str], int | None],
+        log: FilteringBoundLogger,
+        random_bytes: Callable[[int], bytes],
+        tasks: TaskLookup,
     ) -> None:
-        self.task_name, self.task_of = task_name, task_of
-        self.loop, self.engine, self.config, self.log = loop, loop.engine, config, log
-        self.guard = PacketGuard(config.secret, config.name, fresh)
+        self.loop = loop
+        self.engine = loop.engine
+        self.config = config
+        self.log = log
+        self.guard = PacketGuard(config.secret, config.name, random_bytes)
         self.send: Callable[[str, bytes], None] = lambda address, raw: None
-        facts = MemberFacts(
-            config.known_as, self.guard.run.hex(), config.zone, config.weight, False, tuple(sorted(serves.items()))
-        )
-        rng = Random(f"{config.name} {facts.run_id}")
+        run_id = self.guard.run_id.hex()
+        facts = MemberFacts(config.known_as, run_id, config.zone, config.weight, False, config.services)
+        rng = Random(f"{config.name} {run_id}")
         self.swim = Swim(config.name, facts, config.pace, rng, config.seeds)
         self.lease_manager = LeaseManager(config.name, config.lease)
-        self.since: dict[str, int] = {}
-        self.claims_at, self.stopped = 0, False
+        self.stopped = False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
         self.engine.may_command = self.owned
-
-    # Life.
+        self._estimates = EstimateExchange(loop.engine, tasks)
+        self._alive_since_us: dict[str, int] = {}
+        self._next_claims_us = 0
 
     def begin(self) -> None:
-        """Before anything is served."""
-        self.stand(self.loop.clock())
+        """Makes this assigner a member of its own fleet; to be called before proxies are served."""
+        self._update_members(self.loop.clock())
 
     def run(self) -> None:
+        """Blocks until `stopped` is set."""
         while not self.stopped:
-            now = self.loop.clock()
-            self.tick(now)
-            due = min(self.swim.next_deadline_us(), now + self.config.pace.ack_timeout_us)
-            self.loop.sleep(max(0.002, (due - now) / 1e6))
-
-    def tick(self, now: int) -> None:
-        self.do(now, self.swim.handle(now, swim.Tick()))
-        self.carry(now, self.lease_manager.handle(now, leases.Tick()))
-        if now >= self.claims_at:
-            self.claims_at = now + self.config.lease.duration_us
-            self.lend(now)
-            rows = [(uid, claim.fencing_token) for uid, claim in self.lease_manager.held.items()]
-            some = self.swim.alive()
-            for at in range(0, max(1, len(rows)), ROWS):
-                for name in sorted(some):
-                    self.put(some[name].facts.address, ClaimedProxies(tuple(rows[at : at + ROWS]), at == 0))
-
-    def lend(self, now: int) -> None:
-        """What was learnt of tasks goes to the others: an heir knows the sizes of what it begins to use."""
-        learnt = getattr(self.engine.assigner, "learnt", None)
-        rows, price = learnt() if learnt is not None else ([], 0.0)
-        some = self.swim.alive()
-        for at in range(0, len(rows), ROWS // 2):
-            named = tuple(
-                (self.task_name(row.task), *(round(x, 4) for x in row[1:])) for row in rows[at : at + ROWS // 2]
-            )
-            for name in sorted(some):
-                self.put(some[name].facts.address, SharedEstimates(named, round(price, 4), 0))
-
-    def borrow(self, now: int, message: SharedEstimates) -> None:
-        learnt = getattr(self.engine.assigner, "learnt", None)
-        if learnt is not None:
-            told = learned_estimates.lent(
-                message.estimates, message.push_price, message.age_ms * 1000, self.task_of, learnt()[0]
-            )
-            if told.event is not None:
-                self.counts["borrowed"] += len(told.event.estimates)
-                self.engine.submit(now, told.event)
+            now_us = self.loop.clock()
+            self.tick(now_us)
+            due_us = min(self.swim.next_deadline_us(), now_us + self.config.pace.ack_timeout_us)
+            self.loop.sleep(max(MIN_SLEEP_S, (due_us - now_us) / US_PER_S))
+
+    def tick(self, now_us: int) -> None:
+        """Does what is due: probes, expired leases, moves, and claims and estimates once in a lease's duration."""
+        self._carry_out(now_us, self.swim.handle(now_us, swim.Tick()))
+        self._release(self.lease_manager.handle(now_us, leases.Tick()))
+        if now_us >= self._next_claims_us:
+            self._next_claims_us = now_us + self.config.lease.duration_us
+            self._broadcast(self._estimates.outgoing())
+            self._broadcast(self._claims())
 
     def leave(self) -> None:
-        """Said at a planned end: others need not find out."""
+        """Announces a planned shutdown, so that peers need not detect it."""
         self.stopped = True
-        self.do(self.loop.clock(), self.swim.handle(self.loop.clock(), swim.LeaveRequested()))
+        self._carry_out(self.loop.clock(), self.swim.handle(self.loop.clock(), swim.LeaveRequested()))
 
     def drain(self, on: bool = True) -> None:
-        """Take no proxies from now on, and hand over those there are, so many a period."""
-        now = self.loop.clock()
+        """Takes no more proxies and hands over those held, some in each period; or, with `on` false, ends that."""
+        now_us = self.loop.clock()
         self.lease_manager.draining = on
-        self.do(now, self.swim.handle(now, swim.FactsChanged(self.swim.facts._replace(draining=on))))
-        self.stand(now)
-
-    # Peers.
+        facts = self.swim.facts._replace(draining=on)
+        self._carry_out(now_us, self.swim.handle(now_us, swim.FactsChanged(facts)))
+        self._update_members(now_us)
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
-        """A datagram."""
+        """Processes a datagram from this address (host:port)."""
         self.counts["packets_in"] += 1
         try:
             opened = self.guard.open(raw)
-        except PeerError as trouble:
-            self.counts["bad_packets"] += 1
-            if should_log(self.counts["bad_packets"]):
-                self.log.warning("bad packet", peer=address, why=str(trouble), times=self.counts["bad_packets"])
+        except PeerError as error:
+            self._reject(address, error)
             return
         if opened.answer is not None:
             self.counts["packets_out"] += 1
             self.send(address, opened.answer)
-        now, message = self.loop.clock(), opened.message
-        if isinstance(message, SharedEstimates):
-            self.borrow(now, message)
-        elif isinstance(message, ClaimedProxies):
-            self.lease_manager.handle(now, leases.ClaimsReceived(opened.name, message.claims, message.starts_list))
-        elif message is not None:
-            self.do(now, self.swim.handle(now, MessageReceived(address, message)))
+        self._dispatch(address, opened)
+
+    def request_lease(
+        self, uid: str, zone: str, fencing_token: int, fallback_request: bool
+    ) -> LeaseGranted | StaleToken | ForwardProxy:
+        """Decides who is to own a proxy that asks.
+
+        Args:
+            uid: The proxy.
+            zone: Its zone.
+            fencing_token: Number of its request. A client that can't number its requests has 0; it is served here,
+                as it could not be forwarded either.
+            fallback_request: Whether it could not reach the member that it was forwarded to.
+        """
+        event = ProxyAsked(uid, zone, fencing_token, fallback_request or not fencing_token)
+        (action,) = self.lease_manager.handle(self.loop.clock(), event)
+        return action
+
+    def acknowledge_token(self, uid: str, fencing_token: int) -> None:
+        """Renews the lease on a proxy that has acknowledged, or ends it if its newest request went elsewhere."""
+        event = leases.TokenAcknowledged(uid, fencing_token)
+        self._release(self.lease_manager.handle(self.loop.clock(), event))
 
-    def put(self, address: str, message) -> None:
+    def end_proxy(self, uid: str) -> None:
+        """Ends the lease on a proxy whose connection has ended."""
+        self.lease_manager.handle(self.loop.clock(), leases.ProxyEnded(uid))
+
+    def owned(self, now_us: int, uid: str) -> bool:
+        """Tells whether a command to this proxy may be sent, and counts those withheld."""
+        is_owned = self.lease_manager.may_order(now_us, uid)
+        self.counts["withheld"] += not is_owned
+        return is_owned
+
+    def address_of(self, name: str, service: str) -> str:
+        """Returns a member's address for a service, such as `sasp`; empty if unknown."""
+        member = self.swim.members.get(name)
+        return dict(member.facts.services).get(service, "") if member is not None else ""
+
+    def status(self) -> dict[str, Any]:
+        """Returns the content of the page `/peers`."""
+        counts = {**self.counts, **self.swim.counts, **self.lease_manager.counts, **self.guard.counts}
+        return peers_page(self.loop.clock(), self.swim, self.lease_manager, counts)
+
+    def _claims(self) -> list[ClaimedProxies]:
+        claims = [(uid, lease.fencing_token) for uid, lease in self.lease_manager.held.items()]
+        return [
+            ClaimedProxies(tuple(claims[start : start + CLAIMS_PER_MESSAGE]), start == 0)
+            for start in range(0, max(1, len(claims)), CLAIMS_PER_MESSAGE)
+        ]
+
+    def _broadcast(self, messages: Iterable[Message]) -> None:
+        alive = self.swim.alive()
+        names = sorted(alive)
+        for message in messages:
+            for name in names:
+                self._send_message(alive[name].facts.address, message)
+
+    def _send_message(self, address: str, message: Message) -> None:
         self.counts["packets_out"] += 1
         self.send(address, self.guard.seal(message))
 
-    def do(self, now: int, some: list) -> None:
-        changed = False
-        for one in some:
-            if isinstance(one, SendMessage):
-                self.put(one.address, one.message)
-            elif isinstance(one, MemberChanged):
-                self.log.info("peer", name=one.name, status=one.status.name.lower(), restarted=one.restarted or None)
-                changed = True
-        if changed:
-            self.stand(now)
-
-    def stand(self, now: int) -> None:
-        """Who is there, for ownership. A member that is suspected keeps its place: it is there or gone, not both."""
-        there = self.swim.alive()
-        self.since = {name: self.since.get(name, now) for name in there}
-        mine = self.swim.facts
-        standing = {
-            name: MemberState(
-                one.facts.zone, one.facts.weight, self.since[name], not one.facts.draining, one.status == Status.SUSPECT
-            )
-            for name, one in there.items()
-        }
-        standing[self.config.name] = MemberState(mine.zone, mine.weight, -1 << 60, not mine.draining)
-        self.lease_manager.handle(now, leases.MembersChanged(standing))
-
-    # Proxies.
-
-    def request_lease(self, uid: str, zone: str, asked: int, plea: bool) -> LeaseGranted | StaleToken | ForwardProxy:
-        """Who is to order it. One that can't number its questions (`asked` 0) is taken: it could not be sent on."""
-        (told,) = self.lease_manager.handle(self.loop.clock(), ProxyAsked(uid, zone, asked, plea or not asked))
-        return told
-
-    def acknowledge_token(self, uid: str, asked: int) -> None:
-        self.carry(
-            self.loop.clock(), self.lease_manager.handle(self.loop.clock(), leases.TokenAcknowledged(uid, asked))
-        )
-
-    def end_proxy(self, uid: str) -> None:
-        self.lease_manager.handle(self.loop.clock(), leases.ProxyEnded(uid))
+    def _reject(self, address: str, error: PeerError) -> None:
+        self.counts["bad_packets"] += 1
+        count = self.counts["bad_packets"]
+        if should_log(count):
+            self.log.warning("packet_rejected", peer=address, reason=str(error), count=count)
 
-    def owned(self, now: int, uid: str) -> bool:
-        """Whether an order to this proxy may leave."""
-        may = self.lease_manager.may_order(now, uid)
-        self.counts["withheld"] += not may
-        return may
-
-    def address_of(self, name: str, front: str) -> str:
-        """Where a member's front is reached; empty if that is not known."""
-        one = self.swim.members.get(name)
-        return dict(one.facts.services).get(front, "") if one is not None else ""
-
-    def carry(self, now: int, some: list) -> None:
-        for one in some:
-            if isinstance(one, ReleaseProxy):
-                proxy = self.engine.proxy_indices.index.get(one.uid)
-                front = self.engine.servers.get(proxy)
-                self.log.info("proxy let go", uid=one.uid, why=one.reason, to=one.new_owner or None)
-                if front is not None:
-                    front.redirect(proxy, one.new_owner, one.reason)
-
-    # Watchers.
-
-    def status(self) -> dict:
-        now = self.loop.clock()
+    def _dispatch(self, address: str, opened: OpenedPacket) -> None:
+        now_us = self.loop.clock()
+        message = opened.message
+        if isinstance(message, SharedEstimates):
+            self.counts["borrowed"] += self._estimates.take(now_us, message)
+        elif isinstance(message, ClaimedProxies):
+            event = leases.ClaimsReceived(opened.name, message.claims, message.starts_list)
+            self.lease_manager.handle(now_us, event)
+        elif message is not None:
+            self._carry_out(now_us, self.swim.handle(now_us, MessageReceived(address, message)))
+
+    def _carry_out(self, now_us: int, actions: list[swim.Action]) -> None:
+        members_changed = False
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self._send_message(action.address, action.message)
+            elif isinstance(action, MemberChanged):
+                self.log.info(
+                    "peer_status_changed",
+                    name=action.name,
+                    status=action.status.name.lower(),
+                    restarted=action.restarted or None,
+                )
+                members_changed = True
+        if members_changed:
+            self._update_members(now_us)
+
+    def _update_members(self, now_us: int) -> None:
+        """Hands the members that are alive to the lease manager.
+
+        A suspected member keeps its place until it is declared gone.
+        """
+        alive = self.swim.alive()
+        self._alive_since_us = {name: self._alive_since_us.get(name, now_us) for name in alive}
         members = {
-            name: {
-                "status": one.status.name.lower(),
-                "incarnation": one.incarnation,
-                "zone": one.facts.zone,
-                "weight": one.facts.weight,
-                "drains": one.facts.draining,
-                "run": one.facts.run_id[:8],
-                "since_s": round((now - one.since_us) / 1e6, 1),
-                "serves": dict(one.facts.services),
-                "claims": len(self.lease_manager.claims.get(name, ())),
-            }
-            for name, one in sorted(self.swim.members.items())
-        }
-        mine = {
-            uid: {
-                "fence": claim.fencing_token,
-                "since_s": round((now - claim.since_us) / 1e6, 1),
-                "heard_s": round((now - claim.renewed_at_us) / 1e6, 1),
-                "plea": claim.fallback_at_us >= 0,
-            }
-            for uid, claim in sorted(self.lease_manager.held.items())
-        }
-        return {
-            "name": self.config.name,
-            "run": self.swim.facts.run_id[:8],
-            "drains": self.lease_manager.draining,
-            "members": members,
-            "owns": mine,
-            "disagreements": self.lease_manager.disagreements()[:100],
-            "counts": {**self.counts, **self.swim.counts, **self.lease_manager.counts, **self.guard.counts},
+            name: MemberState(
+                zone=member.facts.zone,
+                weight=member.facts.weight,
+                since_us=self._alive_since_us[name],
+                accepts_proxies=not member.facts.draining,
+                suspected=member.status == Status.SUSPECT,
+            )
+            for name, member in alive.items()
         }
+        own = self.swim.facts
+        members[self.config.name] = MemberState(own.zone, own.weight, LONG_AGO_US, not own.draining)
+        self.lease_manager.handle(now_us, leases.MembersChanged(members))
+
+    def _release(self, actions: list[leases.Action]) -> None:
+        """Closes the streams of proxies whose lease has ended."""
+        for action in actions:
+            if not isinstance(action, ReleaseProxy):
+                continue
+            proxy = self.engine.proxy_indices.index.get(action.uid)
+            server = self.engine.servers.get(proxy)
+            self.log.info("lease_released", uid=action.uid, reason=action.reason, new_owner=action.new_owner or None)
+            if server is not None:
+                server.redirect(proxy, action.new_owner, action.reason)
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -22,6 +22,7 @@
 from hollyridge.otlp.intake import MetricsServer
 from hollyridge.otlp.reading import AttributeNames
 from hollyridge.peers.datagram_transport import DatagramTransport
+from hollyridge.peers.estimate_exchange import TaskLookup
 from hollyridge.peers.peer_service import PeerConfig, PeerService
 from hollyridge.registration.members import MemberRegistry
 from hollyridge.sasp.codec import Member
@@ -61,15 +62,9 @@
         fleet = fleet or terms.fleet_terms()
         if fleet is not None:
             fronts = {"sasp": sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
-            self.fleet = PeerService(
-                self.loop,
-                fleet,
-                log,
-                fresh,
-                {name: at for name, at in fronts.items() if at},
-                self.task_name,
-                names.task,
-            )
+            services = tuple(sorted((name, at) for name, at in fronts.items() if at))
+            tasks = TaskLookup(self.task_name, names.task)
+            self.fleet = PeerService(self.loop, fleet._replace(services=services), log, fresh, tasks)
         zone_name = dict(enumerate(terms.zone_names)).get
         keeper = ConnectionLimiter(
             sasp.connections_most,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from hollyridge.lab.live import free_port, free_ports
 from hollyridge.membership.messages import ClaimedProxies, GossipMessage, Join, MemberFacts, Ping
 from hollyridge.membership.rendezvous import preferred_owner
-from hollyridge.peers.codec import HEAD, MOST, PacketGuard, PeerError
+from hollyridge.peers.codec import HEADER, MAX_PACKET_BYTES, PacketGuard, PeerError, nonce
 from hollyridge.sasp import ownership_extension
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
@@ -47,7 +47,7 @@
     a, b = acquainted()
     raw = a.seal(Ping(1, "b", (GossipMessage("a", 0, 3, MemberFacts("127.0.0.1:1", "r")),)))
     assert b.open(raw).message.updates[0].facts.address == "127.0.0.1:1"
-    with pytest.raises(PeerError, match="come before"):
+    with pytest.raises(PeerError, match="received before"):
         b.open(raw)
     stranger = PacketGuard(bytes(32), "c", os.urandom)
     for guard, packet in ((stranger, a.seal(Join(()))), (b, stranger.seal(Join(())))):
@@ -74,11 +74,11 @@
     "spoil",
     [
         lambda raw: raw[:-1],
-        lambda raw: raw[: HEAD.size],
+        lambda raw: raw[: HEADER.size],
         lambda raw: b"",
         lambda raw: b"HRP9" + raw[4:],
         lambda raw: raw[:30] + bytes([raw[30] ^ 1]) + raw[31:],
-        lambda raw: raw + b"x" * MOST,
+        lambda raw: raw + b"x" * MAX_PACKET_BYTES,
         lambda raw: raw[:20] + b"\xff" * 8 + raw[28:],
     ],
 )
@@ -93,9 +93,9 @@
     a, b = acquainted()
     for inside in (b"", b"\x93\x63\xa1a\x90", b"\x93\x02\xa1a\x93\x01\x02\x03", b"\x93\x02\xa1b\x93\x01\xa1b\x90"):
         a.number += 1
-        head = HEAD.pack(b"HRP1", a.run, a.number)
+        head = HEADER.pack(b"HRP1", a.run_id, a.number)
         with pytest.raises(PeerError):
-            b.open(head + a.box.encrypt(a.nonce(a.number), inside, head))
+            b.open(head + a.cipher.encrypt(nonce(a.number), inside, head))
 
 
 # Three assigners on sockets.
