--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -79,7 +79,7 @@
                         "lines": len(listed),
                         "weight": round(plan.tables[z][listed[0]], 4),
                         "arrives": round(sum(plan.shares[z][i] for i in listed), 4),
-                        "fill": round(max(plan.fill[i] for i in listed), 4),
+                        "fill": round(max(plan.utilization[i] for i in listed), 4),
                     }
                 )
     served = {
@@ -91,7 +91,7 @@
         "served": served,
         "moves": plan.moves._asdict(),
         "gain": round(plan.gain, 4),
-        "why": list(plan.why),
+        "why": list(plan.reasons),
         "took_s": round(took, 4),
     }
     if as_json:
@@ -103,7 +103,7 @@
             f"{row['zone']:<14}{row['tasks']:<20}{row['lines']:>6}{row['weight']:>9.3f}{row['arrives']:>9.1%}"
             f"{row['fill']:>8.0%}"
         )
-    for line in plan.why:
+    for line in plan.reasons:
         click.echo(line)
     m = plan.moves
     click.echo(
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -56,8 +56,8 @@
             self.counts["unknown"] += 1
             return
         plan = self.apply(self.planner.take, (fleet,))
-        if plan is None or plan.stands:
-            self.log.warning("no new plan", why=plan.stands if plan is not None else "none ever was")
+        if plan is None or plan.stale_reason:
+            self.log.warning("no new plan", why=plan.stale_reason if plan is not None else "none ever was")
             return  # an old proposal runs out, then the loop goes on alone
         now, told = self.loop.clock(), proposals(plan, self.pushes_back)
         for proposal in told:
--- a/hollyridge/settings/solve.py
+++ b/hollyridge/settings/solve.py
@@ -64,19 +64,19 @@
         (
             "solve",
             {
-                "crossing": fleet.crossing,
-                "handshake": fleet.handshake,
+                "crossing": fleet.cross_zone_cost,
+                "handshake": fleet.handshake_cost,
                 "settle_s": fleet.settle_s,
-                "busy": fleet.busy,
-                "least_lines": fleet.least_lines,
-                "most_lines": fleet.most_lines,
-                "pick": fleet.pick,
+                "busy": fleet.target_utilization,
+                "least_lines": fleet.min_table_size,
+                "most_lines": fleet.max_table_size,
+                "pick": fleet.balancing_policy,
             },
         )
     ]
     sections += [(f"method {m.name}", {"criticality": m.criticality, "work": m.work}) for m in fleet.methods]
     sections += [
-        (f"zone {z.name}", {"proxies": z.proxies, "demand": ", ".join(map(str, z.demand)), "out": z.out})
+        (f"zone {z.name}", {"proxies": z.proxy_count, "demand": ", ".join(map(str, z.demand_rps)), "out": z.in_flight})
         for z in fleet.zones
     ]
     for name, task in zip(names, fleet.tasks):
@@ -85,15 +85,15 @@
                 f"tasks {name}",
                 {
                     "zone": fleet.zones[task.zone].name,
-                    "rate": task.rate,
-                    "doubt": task.doubt,
-                    "part": task.part,
-                    "connections": 0 if math.isinf(task.connections) else int(task.connections),
-                    "open": "yes" if task.open else "no",
+                    "rate": task.capacity_rps,
+                    "doubt": task.uncertainty,
+                    "part": task.slow_start_factor,
+                    "connections": 0 if math.isinf(task.max_connections) else int(task.max_connections),
+                    "open": "yes" if task.accepts_requests else "no",
                 },
             )
         )
-    for zone, table in zip(fleet.zones, fleet.held):
+    for zone, table in zip(fleet.zones, fleet.current_tables):
         if table:
             sections.append((f"held {zone.name}", {names[i]: weight for i, weight in table.items()}))
     return "\n".join(
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -53,17 +53,21 @@
         held,
         config.cross_zone_cost,
         handshake,
-        pick=pick,
-        least_lines=max(2, 2 * config.initial_table_size),
+        balancing_policy=pick,
+        min_table_size=max(2, 2 * config.initial_table_size),
     )
 
 
 def without_the_gone(fleet: Fleet) -> Fleet:
     """Only the tasks that are open or still in a table, numbered anew."""
-    kept = [i for i, task in enumerate(fleet.tasks) if task.open or any(i in table for table in fleet.held)]
+    kept = [
+        i
+        for i, task in enumerate(fleet.tasks)
+        if task.accepts_requests or any(i in table for table in fleet.current_tables)
+    ]
     number = {i: at for at, i in enumerate(kept)}
-    held = tuple({number[i]: weight for i, weight in table.items()} for table in fleet.held)
-    return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), held=held)
+    held = tuple({number[i]: weight for i, weight in table.items()} for table in fleet.current_tables)
+    return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), current_tables=held)
 
 
 def stated_part(config: api.AssignerConfig, now: int, started: int) -> float:
--- a/hollyridge/solver/fleet.py
+++ b/hollyridge/solver/fleet.py
@@ -18,9 +18,9 @@
     """`demand`: RPCs a second by method. `out`: RPCs that one of its proxies has under way."""
 
     name: str
-    proxies: int
-    demand: tuple[float, ...]
-    out: float = 1.0
+    proxy_count: int
+    demand_rps: tuple[float, ...]
+    in_flight: float = 1.0
 
 
 class Task(NamedTuple):
@@ -29,11 +29,11 @@
 
     name: str
     zone: int
-    rate: float
-    doubt: float = 0.0
-    part: float = 1.0
-    connections: float = math.inf
-    open: bool = True
+    capacity_rps: float
+    uncertainty: float = 0.0
+    slow_start_factor: float = 1.0
+    max_connections: float = math.inf
+    accepts_requests: bool = True
 
 
 class Fleet(NamedTuple):
@@ -45,15 +45,15 @@
     methods: tuple[Method, ...]
     zones: tuple[Zone, ...]
     tasks: tuple[Task, ...]
-    held: tuple[dict[int, float], ...] = ()
-    crossing: float = 0.1
-    handshake: float = 0.05
+    current_tables: tuple[dict[int, float], ...] = ()
+    cross_zone_cost: float = 0.1
+    handshake_cost: float = 0.05
     settle_s: float = 2.0
-    busy: float = 0.85
-    least_lines: int = 5
-    most_lines: int = 0
-    pick: str = "p2c"
-    cut: frozenset[tuple[int, int]] = frozenset()
+    target_utilization: float = 0.85
+    min_table_size: int = 5
+    max_table_size: int = 0
+    balancing_policy: str = "p2c"
+    partitions: frozenset[tuple[int, int]] = frozenset()
 
 
 class InvalidFleetError(Exception):
@@ -75,29 +75,29 @@
         if wrong(method.criticality) or wrong(method.work, 1e-9):
             faults.append(f"method {method.name}: criticality and work")
     for zone in fleet.zones:
-        if len(zone.demand) != len(fleet.methods) or any(map(wrong, zone.demand)):
+        if len(zone.demand_rps) != len(fleet.methods) or any(map(wrong, zone.demand_rps)):
             faults.append(f"zone {zone.name}: demand, one figure a method")
-        if wrong(zone.proxies) or wrong(zone.out):
+        if wrong(zone.proxy_count) or wrong(zone.in_flight):
             faults.append(f"zone {zone.name}: proxies")
     for task in fleet.tasks:
         if not 0 <= task.zone < len(fleet.zones):
             faults.append(f"task {task.name}: zone")
         if (
-            wrong(task.rate)
-            or wrong(task.doubt, 0, 1)
-            or wrong(task.part, 0, 1)
-            or wrong(task.connections, 0, math.inf)
+            wrong(task.capacity_rps)
+            or wrong(task.uncertainty, 0, 1)
+            or wrong(task.slow_start_factor, 0, 1)
+            or wrong(task.max_connections, 0, math.inf)
         ):
             faults.append(f"task {task.name}: rate, doubt, part or connections")
-    if fleet.held and len(fleet.held) != len(fleet.zones):
+    if fleet.current_tables and len(fleet.current_tables) != len(fleet.zones):
         faults.append("tables held: one a zone")
-    for zone, table in zip(fleet.zones, fleet.held):
+    for zone, table in zip(fleet.zones, fleet.current_tables):
         if any(not 0 <= task < len(fleet.tasks) or wrong(share, 0, 1e9) for task, share in table.items()):
             faults.append(f"zone {zone.name}: table held")
-    for name in ("crossing", "handshake"):
-        if wrong(getattr(fleet, name)):
+    for name, value in (("crossing", fleet.cross_zone_cost), ("handshake", fleet.handshake_cost)):
+        if wrong(value):
             faults.append(name)
-    if wrong(fleet.settle_s, 1e-6) or wrong(fleet.busy, 1e-6, 1.0):
+    if wrong(fleet.settle_s, 1e-6) or wrong(fleet.target_utilization, 1e-6, 1.0):
         faults.append("settle_s or busy")
     if not fleet.methods or not fleet.zones:
         faults.append("no method or no zone")
--- a/hollyridge/solver/linear_program.py
+++ b/hollyridge/solver/linear_program.py
@@ -69,23 +69,27 @@
 def room_of(fleet: Fleet, task: int) -> float:
     """Work a second that a task may get: less by what its rate may be wrong."""
     row = fleet.tasks[task]
-    return row.rate * max(0.0, 1 - row.doubt) * row.part * fleet.busy if row.open else 0.0
+    return (
+        row.capacity_rps * max(0.0, 1 - row.uncertainty) * row.slow_start_factor * fleet.target_utilization
+        if row.accepts_requests
+        else 0.0
+    )
 
 
 def classes(fleet: Fleet, dropped: frozenset[tuple[int, int]] = frozenset()) -> list[Class]:
     """`dropped`: pairs of zone and task that are not to be used."""
     alike: dict[tuple, list[int]] = {}
-    held = fleet.held or tuple({} for _ in fleet.zones)
+    held = fleet.current_tables or tuple({} for _ in fleet.zones)
     for i, task in enumerate(fleet.tasks):
         room = room_of(fleet, i)
         if room > 0:
             links = tuple(i in table for table in held)
             barred = tuple((z, i) in dropped for z in range(len(fleet.zones)))
             size = round(math.log(room) / math.log(LIKE))
-            alike.setdefault((task.zone, size, task.connections, links, barred), []).append(i)
+            alike.setdefault((task.zone, size, task.max_connections, links, barred), []).append(i)
     rows = []
     for (zone, _, connections, links, _), tasks in sorted(alike.items()):
-        kept = sum(z.proxies for z, held_there in zip(fleet.zones, links) if held_there)
+        kept = sum(z.proxy_count for z, held_there in zip(fleet.zones, links) if held_there)
         rooms = tuple(room_of(fleet, i) for i in tasks)
         rows.append(Class(tuple(tasks), rooms, zone, sum(rooms), max(0.0, connections - kept) * len(tasks), links))
     return rows
@@ -183,18 +187,23 @@
     """The program of a fleet: flows by zone and class, parts let in, connections opened, how full classes are."""
 
     def __init__(self, fleet: Fleet, deadline_s: float, dropped: frozenset[tuple[int, int]] = frozenset()) -> None:
-        self.fleet, self.groups, self.slopes = fleet, classes(fleet, dropped), segments(fleet.busy)
+        self.fleet, self.groups, self.slopes = fleet, classes(fleet, dropped), segments(fleet.target_utilization)
         lp = self.lp = Lp(deadline_s)
         zones, groups = range(len(fleet.zones)), self.groups
         # All work is counted in parts of this.
-        self.whole = sum(sum(d * m.work for d, m in zip(zone.demand, fleet.methods)) for zone in fleet.zones) or 1.0
+        self.whole = sum(sum(d * m.work for d, m in zip(zone.demand_rps, fleet.methods)) for zone in fleet.zones) or 1.0
         self.flows, self.opens = {}, {}
         for z in zones:
             for g, group in enumerate(groups):
-                if (z, group.zone) not in fleet.cut and (z, group.tasks[0]) not in dropped:
+                if (z, group.zone) not in fleet.partitions and (z, group.tasks[0]) not in dropped:
                     self.flows[z, g] = lp.column()
-                    if not group.held[z] and fleet.held and fleet.zones[z].proxies and fleet.handshake > 0:
-                        shakes = fleet.zones[z].proxies * len(group.tasks) * fleet.handshake / fleet.settle_s
+                    if (
+                        not group.held[z]
+                        and fleet.current_tables
+                        and fleet.zones[z].proxy_count
+                        and fleet.handshake_cost > 0
+                    ):
+                        shakes = fleet.zones[z].proxy_count * len(group.tasks) * fleet.handshake_cost / fleet.settle_s
                         self.opens[z, g] = lp.column(), shakes / self.whole
         self.parts = [[lp.column(0.0, 0.0, 1.0) for _ in fleet.methods] for _ in zones]
         self.fills = [
@@ -202,7 +211,8 @@
         ]
         for z, zone in enumerate(fleet.zones):
             work = [
-                (self.parts[z][k], -zone.demand[k] * method.work / self.whole) for k, method in enumerate(fleet.methods)
+                (self.parts[z][k], -zone.demand_rps[k] * method.work / self.whole)
+                for k, method in enumerate(fleet.methods)
             ]
             lp.row(0.0, 0.0, [*((self.flows[z, g], 1.0) for g in range(len(groups)) if (z, g) in self.flows), *work])
         for g, group in enumerate(groups):
@@ -217,7 +227,7 @@
                 ],
             )
             if here and group.links < 1e9:
-                links = [(self.opens[z, g][0], float(fleet.zones[z].proxies * len(group.tasks))) for z in here]
+                links = [(self.opens[z, g][0], float(fleet.zones[z].proxy_count * len(group.tasks))) for z in here]
                 lp.row(-highspy.kHighsInf, group.links, links)
             for z in here:  # lines that are filled open the fewest connections
                 lp.row(
@@ -227,7 +237,7 @@
         for level, rank in zip(self.levels, ranks(fleet)):
             for z, zone in enumerate(fleet.zones):
                 for k in rank:
-                    if zone.demand[k] > 0:
+                    if zone.demand_rps[k] > 0:
                         lp.row(0.0, highspy.kHighsInf, [(self.parts[z][k], 1.0), (level, -1.0)])
 
     def serve(self) -> list[list[float]]:
@@ -238,7 +248,7 @@
             lp.price({level: -1.0})
             lp.floor(level, max(0.0, float(lp.solve()[level]) - TOUCH), 1.0)
             mine = {
-                self.parts[z][k]: zone.demand[k] * fleet.methods[k].work / self.whole
+                self.parts[z][k]: zone.demand_rps[k] * fleet.methods[k].work / self.whole
                 for z, zone in enumerate(fleet.zones)
                 for k in rank
             }
@@ -250,7 +260,9 @@
 
     def place(self) -> numpy.ndarray:
         """Where what is served goes at the least cost."""
-        costs = {column: self.fleet.crossing * (self.groups[g].zone != z) for (z, g), column in self.flows.items()}
+        costs = {
+            column: self.fleet.cross_zone_cost * (self.groups[g].zone != z) for (z, g), column in self.flows.items()
+        }
         costs.update((column, shakes) for column, shakes in self.opens.values())
         costs.update((fill, slope) for fills in self.fills for fill, (_, slope) in zip(fills, self.slopes))
         self.lp.price(costs)
@@ -283,7 +295,7 @@
     rooms = dict(zip(group.tasks, group.rooms))
     for z in need:
         many = math.ceil(count * (need[z] + part * (wish[z] - need[z])) - 1e-9)
-        many = min(count, max(1, many, fleet.least_lines - len(work[z])))
+        many = min(count, max(1, many, fleet.min_table_size - len(work[z])))
         start = z * count // len(fleet.zones)
         turned = {i: at for at, i in enumerate(group.tasks[start:] + group.tasks[:start])}
         lines = sorted(group.tasks, key=lambda i: (round(load[i] / rooms[i], 9), turned[i]))[:many]
--- a/hollyridge/solver/planner.py
+++ b/hollyridge/solver/planner.py
@@ -31,11 +31,11 @@
     tables: tuple[dict[int, float], ...]
     shares: tuple[dict[int, float], ...]
     served: tuple[tuple[float, ...], ...]
-    fill: dict[int, float]
+    utilization: dict[int, float]
     moves: Moves
     gain: float
-    why: tuple[str, ...]
-    stands: str = ""
+    reasons: tuple[str, ...]
+    stale_reason: str = ""
 
 
 def pruned(fleet: Fleet, answer: linear_program.Answer) -> frozenset[tuple[int, int]]:
@@ -44,11 +44,11 @@
     dropped = set()
     for z, work in enumerate(answer.work):
         whole = sum(work.values())
-        held = fleet.held[z] if fleet.held else {}
+        held = fleet.current_tables[z] if fleet.current_tables else {}
         ranked = sorted(work.items(), key=lambda row: (-row[1], row[0] not in held, row[0]))
         for place, (i, amount) in enumerate(ranked):
             small = amount < WORTH * whole / len(work) and i not in held
-            if place >= fleet.least_lines and (small or fleet.most_lines and place >= fleet.most_lines):
+            if place >= fleet.min_table_size and (small or fleet.max_table_size and place >= fleet.max_table_size):
                 dropped.add((z, i))
         if dropped:
             dropped |= {(z, i) for i in range(len(fleet.tasks)) if i not in work} if whole else set()
@@ -61,17 +61,17 @@
     work = [dict(row) for row in answer.work]
     rooms = {i: room for i in range(len(fleet.tasks)) if (room := linear_program.room_of(fleet, i)) > 0}
     for z, mine in enumerate(work):
-        lacking = min(fleet.least_lines, len(rooms)) - len(mine)
+        lacking = min(fleet.min_table_size, len(rooms)) - len(mine)
         if lacking <= 0 or not mine:
             continue
         load = dict.fromkeys(rooms, 0.0)
         for at, row in enumerate(work):
             for i, amount in row.items() if at != z else ():
                 load[i] += amount
-        held = fleet.held[z] if fleet.held else {}
+        held = fleet.current_tables[z] if fleet.current_tables else {}
         start = z * len(rooms) // len(work)  # zones begin at different ones of those that are alike
         others = sorted(
-            (i for i in rooms if i not in mine and (z, fleet.tasks[i].zone) not in fleet.cut),
+            (i for i in rooms if i not in mine and (z, fleet.tasks[i].zone) not in fleet.partitions),
             key=lambda i: (i not in held, fleet.tasks[i].zone != z, load[i] / rooms[i], (i - start) % len(rooms)),
         )
         some = [*mine, *others[:lacking]]
@@ -82,7 +82,7 @@
 def demand(fleet: Fleet, parts: tuple[tuple[float, ...], ...]) -> list[float]:
     """Work a second that is let in, by zone."""
     return [
-        sum(d * m.work * part for d, m, part in zip(zone.demand, fleet.methods, row))
+        sum(d * m.work * part for d, m, part in zip(zone.demand_rps, fleet.methods, row))
         for zone, row in zip(fleet.zones, parts)
     ]
 
@@ -106,7 +106,11 @@
     shares = []
     for z, table in enumerate(tables):
         lines = {i: w for i, w in table.items() if w > 0}
-        found = arrivals(list(lines.values()), fleet.zones[z].out, times_of(fleet, lines), fleet.pick) if lines else ()
+        found = (
+            arrivals(list(lines.values()), fleet.zones[z].in_flight, times_of(fleet, lines), fleet.balancing_policy)
+            if lines
+            else ()
+        )
         shares.append(dict(zip(lines, found)))
     return tuple(shares)
 
@@ -115,14 +119,14 @@
     """What the program minimises, for any tables: how full tasks are, and crossings; without what changes cost."""
     whole = sum(work) or 1.0
     cost = sum(
-        fleet.crossing * share * work[z] / whole
+        fleet.cross_zone_cost * share * work[z] / whole
         for z, table in enumerate(shares)
         for i, share in table.items()
         if fleet.tasks[i].zone != z
     )
     for i, amount in loads(shares, work).items():
         left, room = amount, linear_program.room_of(fleet, i)
-        for part, slope in linear_program.segments(fleet.busy):
+        for part, slope in linear_program.segments(fleet.target_utilization):
             here = min(left, part * room)
             cost += slope * here / whole
             left -= here
@@ -134,26 +138,26 @@
     opened = closed = lines = 0
     shaken: dict[int, float] = {}
     for z, table in enumerate(tables):
-        held = fleet.held[z] if fleet.held else {}
+        held = fleet.current_tables[z] if fleet.current_tables else {}
         top, before = max(table.values(), default=1.0), max(held.values(), default=1.0)
         new, gone = [i for i in table if i not in held], [i for i in held if i not in table]
         moved = [i for i in table if i in held and abs(table[i] / top - held[i] / before) > 0.1 * held[i] / before]
-        opened += fleet.zones[z].proxies * len(new)
-        closed += fleet.zones[z].proxies * len(gone)
-        lines += fleet.zones[z].proxies * (len(new) + len(gone) + len(moved))
+        opened += fleet.zones[z].proxy_count * len(new)
+        closed += fleet.zones[z].proxy_count * len(gone)
+        lines += fleet.zones[z].proxy_count * (len(new) + len(gone) + len(moved))
         for i in new:
-            shaken[i] = shaken.get(i, 0.0) + fleet.zones[z].proxies * fleet.handshake / fleet.settle_s
+            shaken[i] = shaken.get(i, 0.0) + fleet.zones[z].proxy_count * fleet.handshake_cost / fleet.settle_s
     worst = max((amount / max(linear_program.room_of(fleet, i), 1e-9) for i, amount in shaken.items()), default=0.0)
     return Moves(opened, closed, lines, round(worst, 4))
 
 
 def worth(fleet: Fleet, parts: list[list[float]] | tuple) -> float:
     """The part of the criticality asked for that is served."""
-    asked = sum(d * m.criticality for zone in fleet.zones for d, m in zip(zone.demand, fleet.methods))
+    asked = sum(d * m.criticality for zone in fleet.zones for d, m in zip(zone.demand_rps, fleet.methods))
     got = sum(
         d * m.criticality * part
         for zone, row in zip(fleet.zones, parts)
-        for d, m, part in zip(zone.demand, fleet.methods, row)
+        for d, m, part in zip(zone.demand_rps, fleet.methods, row)
     )
     return got / asked if asked else 1.0
 
@@ -162,27 +166,29 @@
     told = []
     served = worth(fleet, answer.served)
     for k, method in enumerate(fleet.methods):
-        row = [answer.served[z][k] for z, zone in enumerate(fleet.zones) if zone.demand[k] > 0]
+        row = [answer.served[z][k] for z, zone in enumerate(fleet.zones) if zone.demand_rps[k] > 0]
         if row and min(row) < 0.999:
             span = f"{min(row):.0%}" if max(row) - min(row) < 0.005 else f"{min(row):.0%} to {max(row):.0%} by zone"
             told.append(f"too little for everyone: {span} of {method.name} can be let in")
     for z, zone in enumerate(fleet.zones):
         full = [i for group in answer.full for i in group.tasks if fleet.tasks[i].zone == z]
-        cold = sum(fleet.tasks[i].part < 1 for i in full)
+        cold = sum(fleet.tasks[i].slow_start_factor < 1 for i in full)
         if full:
             told.append(f"{len(full)} tasks in {zone.name} at their limit" + (f", {cold} of them cold" if cold else ""))
     if served < 0.999:
         for z, zone in enumerate(fleet.zones):
-            rates = [task.rate for task in fleet.tasks if task.zone == z] or [task.rate for task in fleet.tasks]
+            rates = [task.capacity_rps for task in fleet.tasks if task.zone == z] or [
+                task.capacity_rps for task in fleet.tasks
+            ]
             if rates:
                 more = fleet._replace(tasks=(*fleet.tasks, Task("one more", z, median(rates))))
                 gain = worth(more, linear_program.served(more, deadline_s)) - served
                 told.append(f"one more task in {zone.name}, warm, would serve {gain:.1%} more")
-        cold = fleet._replace(tasks=tuple(task._replace(part=1.0) for task in fleet.tasks))
+        cold = fleet._replace(tasks=tuple(task._replace(slow_start_factor=1.0) for task in fleet.tasks))
         gain = worth(cold, linear_program.served(cold, deadline_s)) - served
         if gain > 0.001:
             told.append(f"once all are warm {gain:.1%} more is served")
-        known = fleet._replace(handshake=0.0)
+        known = fleet._replace(handshake_cost=0.0)
         gain = worth(known, linear_program.served(known, deadline_s)) - served
         if gain > 0.001:
             told.append(f"once the new connections stand {gain:.1%} more is served")
@@ -203,7 +209,9 @@
     for z, work in enumerate(widened(fleet, answer)):
         whole = sum(work.values())
         if not whole:
-            tables.append(dict(fleet.held[z]) if fleet.held else {})  # nothing comes there: as it is
+            tables.append(
+                dict(fleet.current_tables[z]) if fleet.current_tables else {}
+            )  # nothing comes there: as it is
             continue
         tables.append(
             dict(
@@ -211,9 +219,9 @@
                     work,
                     weights_for(
                         [amount / whole for amount in work.values()],
-                        fleet.zones[z].out,
+                        fleet.zones[z].in_flight,
                         times_of(fleet, work),
-                        fleet.pick,
+                        fleet.balancing_policy,
                     ),
                 )
             )
@@ -221,9 +229,14 @@
     plan = tuple(tables)
     shares, work = arriving(fleet, plan), demand(fleet, answer.served)
     fill = {
-        i: amount / max(fleet.tasks[i].rate * fleet.tasks[i].part, 1e-9) for i, amount in loads(shares, work).items()
+        i: amount / max(fleet.tasks[i].capacity_rps * fleet.tasks[i].slow_start_factor, 1e-9)
+        for i, amount in loads(shares, work).items()
     }
-    before = cost_of(fleet, arriving(fleet, fleet.held), work) if fleet.held and any(fleet.held) else 0.0
+    before = (
+        cost_of(fleet, arriving(fleet, fleet.current_tables), work)
+        if fleet.current_tables and any(fleet.current_tables)
+        else 0.0
+    )
     gain = (before - cost_of(fleet, shares, work)) / before if before > 0 else 1.0
     why = reasons(fleet, answer, fill, deadline_s) if explain else []
     return Plan(plan, shares, answer.served, fill, moves(fleet, plan), gain, tuple(why))
@@ -248,4 +261,4 @@
         except linear_program.SolverTimeoutError as trouble:
             self.counts["late"] += 1
             why = f"late: {trouble}"
-        return self.last._replace(stands=why) if self.last is not None else None
+        return self.last._replace(stale_reason=why) if self.last is not None else None
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -129,7 +129,7 @@
         rng = Random(seed)
         tasks = [(k % 2, rng.uniform(8, 30), 1.0) for k in range(3)]
         asked = [rng.uniform(4, 9), rng.uniform(4, 9)]
-        one = fleet(tasks, asked, least_lines=1, pick="random")
+        one = fleet(tasks, asked, min_table_size=1, balancing_policy="random")
         plan = solve(one)
         splits = [(a / 20, b / 20, (20 - a - b) / 20) for a, b in product(range(21), repeat=2) if a + b <= 20]
         best = min(
@@ -144,22 +144,24 @@
 def test_no_task_is_filled_past_what_it_can_do(name):
     one, deadline, _ = load(SOLVE / f"{name}.ini")
     plan = solve(one, deadline)
-    assert max(plan.fill.values()) <= one.busy and plan.moves.opened > 0
+    assert max(plan.utilization.values()) <= one.target_utilization and plan.moves.opened > 0
     naive = sum(
-        zone.proxies * sum(i not in held for i, task in enumerate(one.tasks) if task.open)
-        for zone, held in zip(one.zones, one.held)
+        zone.proxy_count * sum(i not in held for i, task in enumerate(one.tasks) if task.accepts_requests)
+        for zone, held in zip(one.zones, one.current_tables)
     )
     assert plan.moves.opened < naive
     low = [k for k, m in enumerate(one.methods) if m.criticality == 2][0]
     for row in plan.served:
         assert row[low] <= min(row[:low]) + 1e-6  # the less critical gives way first
-    assert any("one more task in khalda" in line for line in plan.why)
+    assert any("one more task in khalda" in line for line in plan.reasons)
 
 
 def test_all_zones_get_the_same_part_and_none_is_left_out():
-    plan = solve(fleet([(0, 30.0, 1.0), (0, 10.0, 1.0)], [60, 40], busy=0.8))
+    plan = solve(fleet([(0, 30.0, 1.0), (0, 10.0, 1.0)], [60, 40], target_utilization=0.8))
     assert plan.served[0][0] == pytest.approx(plan.served[1][0], abs=1e-4) == pytest.approx(0.32, abs=1e-3)
-    cut = solve(fleet([(0, 30.0, 1.0), (1, 5.0, 1.0)], [20, 20], busy=0.8, cut=frozenset({(0, 1), (1, 0)})))
+    cut = solve(
+        fleet([(0, 30.0, 1.0), (1, 5.0, 1.0)], [20, 20], target_utilization=0.8, partitions=frozenset({(0, 1), (1, 0)}))
+    )
     assert cut.served[0][0] == pytest.approx(1.0, abs=1e-3) and cut.served[1][0] == pytest.approx(0.2, abs=1e-3)
 
 
@@ -167,23 +169,32 @@
     """Three tasks could carry it; a table of ten is what was asked for, held lines and the zone's own first."""
     tasks = [(k % 2, 10.0, 1.0) for k in range(14)]
     held = [{0: 1.0, 1: 1.0}, {}]
-    plan = solve(fleet(tasks, [15, 2], held=held, least_lines=10, handshake=0.001))
+    plan = solve(fleet(tasks, [15, 2], held=held, min_table_size=10, handshake_cost=0.001))
     first = plan.tables[0]
     assert len(first) >= 10 <= len(plan.tables[1]) and {0, 1, 2, 4, 6, 8, 10, 12} <= set(first)
-    assert max(plan.fill.values()) < 0.35
-    assert len(solve(fleet(tasks[:4], [15, 2], held=held, least_lines=10)).tables[0]) == 4  # there are no more
+    assert max(plan.utilization.values()) < 0.35
+    assert len(solve(fleet(tasks[:4], [15, 2], held=held, min_table_size=10)).tables[0]) == 4  # there are no more
 
 
 def test_connections_that_tasks_take_are_a_limit():
-    one = fleet([(0, 10.0, 1.0)] * 6, [20], held=[{0: 1.0}], least_lines=1, handshake=0.01)
-    tight = one._replace(tasks=tuple(t._replace(connections=0 if i in (1, 2) else 50) for i, t in enumerate(one.tasks)))
+    one = fleet([(0, 10.0, 1.0)] * 6, [20], held=[{0: 1.0}], min_table_size=1, handshake_cost=0.01)
+    tight = one._replace(
+        tasks=tuple(t._replace(max_connections=0 if i in (1, 2) else 50) for i, t in enumerate(one.tasks))
+    )
     table = solve(tight).tables[0]
     assert not {1, 2} & set(table) and 0 in table
 
 
 @pytest.mark.parametrize(
     "change",
-    [dict(rate=math.nan), dict(rate=math.inf), dict(rate=-1.0), dict(part=2.0), dict(zone=7), dict(doubt=math.nan)],
+    [
+        dict(capacity_rps=math.nan),
+        dict(capacity_rps=math.inf),
+        dict(capacity_rps=-1.0),
+        dict(slow_start_factor=2.0),
+        dict(zone=7),
+        dict(uncertainty=math.nan),
+    ],
 )
 def test_nonsense_leaves_tables_as_they_are(change):
     good = fleet([(0, 10.0, 1.0)] * 4, [20])
@@ -194,7 +205,7 @@
     assert planner.take(bad) is None
     first = planner.take(good)
     again = planner.take(bad)
-    assert again.tables == first.tables and "t0" in again.stands and not first.stands
+    assert again.tables == first.tables and "t0" in again.stale_reason and not first.stale_reason
     assert planner.counts == {"solved": 1, "late": 0, "nonsense": 2}
 
 
@@ -216,7 +227,7 @@
     good = planner.take(one)
     planner.deadline_s = 1e-4
     late = planner.take(one)
-    assert late.tables == good.tables and late.stands.startswith("late")
+    assert late.tables == good.tables and late.stale_reason.startswith("late")
 
 
 def test_the_deadline_is_for_one_answer_not_for_all_together():
@@ -236,7 +247,8 @@
     one = fleet([(k % 3, rng.uniform(8, 12), 1.0) for k in range(30)], [60, 50, 40])
     plan = solve(one)
     noisy = one._replace(
-        held=plan.tables, tasks=tuple(t._replace(rate=t.rate * rng.uniform(0.95, 1.05)) for t in one.tasks)
+        current_tables=plan.tables,
+        tasks=tuple(t._replace(capacity_rps=t.capacity_rps * rng.uniform(0.95, 1.05)) for t in one.tasks),
     )
     again = solve(noisy)
     gap = sum(abs(a.get(i, 0) - b.get(i, 0)) for a, b in zip(plan.shares, again.shares) for i in {*a, *b})
@@ -248,11 +260,11 @@
     """A program's split between tasks that are equally full is arbitrary; if each zone of proxies kept to a few of its
     own, what comes unevenly within a second would overfill these in turn."""
     tasks = [(0, rate, 1.0) for rate in (13.0, 15.0, 13.0, 20.0, 12.0, 16.0)]
-    plan = solve(fleet(tasks, [14, 14, 14], held=[dict.fromkeys(range(6), 1.0)] * 3, pick="random"))
+    plan = solve(fleet(tasks, [14, 14, 14], held=[dict.fromkeys(range(6), 1.0)] * 3, balancing_policy="random"))
     for i, (_, rate, _) in enumerate(tasks):
         shares = [table[i] for table in plan.shares]
         assert max(shares) - min(shares) < 1e-6 and shares[0] == pytest.approx(rate / 89, rel=0.01)
-    assert max(plan.fill.values()) - min(plan.fill.values()) < 0.01
+    assert max(plan.utilization.values()) - min(plan.utilization.values()) < 0.01
 
 
 def test_a_table_that_loses_half_its_weight_brings_the_rest_along():
@@ -367,13 +379,13 @@
         now += SECOND
         news(module, now)
     one = fleet_of(module, now, 0.05, 100.0)
-    assert len(one.tasks) == 4 and one.zones[0].proxies == 2
-    assert one.zones[0].demand[0] == pytest.approx(80, rel=0.01)
-    assert one.tasks[0].rate == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
+    assert len(one.tasks) == 4 and one.zones[0].proxy_count == 2
+    assert one.zones[0].demand_rps[0] == pytest.approx(80, rel=0.01)
+    assert one.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
     plan = solve(one)
     told = proposals(plan, True)
     assert [p.zone for p in told] == [0] and len(told[0].weights) == 4
-    short = solve(one._replace(zones=(one.zones[0]._replace(demand=(1000.0,)),)))
+    short = solve(one._replace(zones=(one.zones[0]._replace(demand_rps=(1000.0,)),)))
     assert proposals(short, False) == [] and proposals(short, True)
 
 
