--- a/hollyridge/solver/__init__.py
+++ b/hollyridge/solver/__init__.py
@@ -1,1 +1,1 @@
-"""The weight solver: weights within capacity, with the cost of moving connections. Decides; no I/O."""
+"""The weight solver: weights within capacity, counting the cost of moving connections. Decisions only, no I/O."""
--- /dev/null
+++ b/hollyridge/solver/placement.py
@@ -0,0 +1,201 @@
+"""Where the work of each zone goes: the flow model's answer for classes, shared out over their tasks."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from typing import NamedTuple
+
+import numpy as np
+
+from hollyridge.solver.fleet import Fleet
+from hollyridge.solver.flow_model import FlowModel
+from hollyridge.solver.task_classes import TaskClass
+
+MIN_SPREAD_FRACTION = 0.03  # of what a zone sends to a class, shared out over all its lines: none is left idle
+MIN_REMAINING_FRACTION = 0.1  # of a task's capacity that counts as free although it is full
+MAX_FILL = 0.99  # that the reserve for bursts is computed for: it grows without bounds towards 1
+SATURATED_FILL = 0.999  # from which a class counts as full
+NEGLIGIBLE_FRACTION = 1e-6  # of the total demand: the solver's tolerance, not a flow
+ROUNDING_GUARD = 1e-9  # so that a whole number that came out a little high is not rounded up
+FILL_DIGITS = 9  # by which fills are compared: differences below are rounding
+
+
+class Placement(NamedTuple):
+    """The answer of the flow model by task.
+
+    Attributes:
+        served: By zone and method, the fraction that is admitted.
+        work: By zone of proxies, the work a second for each task.
+        saturated: Classes that are full.
+    """
+
+    served: tuple[tuple[float, ...], ...]
+    work: tuple[dict[int, float], ...]
+    saturated: tuple[TaskClass, ...]
+
+
+def served_fractions(fleet: Fleet, deadline_s: float) -> list[list[float]]:
+    """Returns by zone and method the fraction that can be admitted.
+
+    Raises:
+        SolverTimeoutError: The deadline passed.
+    """
+    return FlowModel(fleet, deadline_s).maximise_served()
+
+
+def place(fleet: Fleet, deadline_s: float, excluded: frozenset[tuple[int, int]] = frozenset()) -> Placement:
+    """Decides what is admitted and where it goes.
+
+    Args:
+        fleet: A valid fleet.
+        deadline_s: For the whole answer.
+        excluded: Pairs (zone of proxies, task) that are not to be used.
+
+    Raises:
+        SolverTimeoutError: The deadline passed.
+    """
+    model = FlowModel(fleet, deadline_s, excluded)
+    served = model.maximise_served()
+    values = model.minimise_cost()
+    distribution = _Distribution(fleet, model, values)
+    for zone in range(len(fleet.zones)):
+        distribution.fill_zone(zone)
+    return Placement(tuple(map(tuple, served)), tuple(distribution.work), _saturated(model, values))
+
+
+def fill_evenly(load: dict[int, float], capacities: dict[int, float], amount: float) -> dict[int, float]:
+    """Shares out work so that tasks end up equally full, the emptiest first; every task gets a little.
+
+    Args:
+        load: Present load of the tasks.
+        capacities: Their capacities.
+        amount: Work to share out.
+
+    >>> shares = fill_evenly({1: 3.0, 2: 1.0, 3: 0.0}, {1: 2.0, 2: 2.0, 3: 4.0}, 3.0)
+    >>> {task: round(share, 2) for task, share in shares.items()}
+    {1: 0.02, 2: 0.33, 3: 2.65}
+    """
+    spread = MIN_SPREAD_FRACTION * amount
+    remaining = amount - spread
+    total_capacity = sum(capacities.values())
+    by_fill = sorted(load, key=lambda task: (load[task] / capacities[task], task))
+    level = filled_load = filled_capacity = 0.0
+    for position, task in enumerate(by_fill):
+        filled_load += load[task]
+        filled_capacity += capacities[task]
+        level = (remaining + filled_load) / filled_capacity
+        following = by_fill[position + 1 : position + 2]
+        if not following or level <= load[following[0]] / capacities[following[0]]:
+            break
+    return {
+        task: spread * capacities[task] / total_capacity + max(0.0, level * capacities[task] - load[task])
+        for task in load
+    }
+
+
+def _saturated(model: FlowModel, values: np.ndarray) -> tuple[TaskClass, ...]:
+    return tuple(
+        group
+        for group, fills in zip(model.classes, model.fills)
+        if sum(values[fill] for fill in fills) * model.total_work > SATURATED_FILL * group.capacity
+    )
+
+
+class _Distribution:
+    """Shares out the flows of an answer, one zone of tasks after the other.
+
+    Attributes:
+        work: By zone of proxies, the work a second for each task.
+    """
+
+    def __init__(self, fleet: Fleet, model: FlowModel, values: np.ndarray) -> None:
+        self.work: list[dict[int, float]] = [{} for _ in fleet.zones]
+        self._fleet = fleet
+        self._model = model
+        self._load = {task: 0.0 for group in model.classes for task in group.tasks}
+        self._flows = {key: float(values[column]) * model.total_work for key, column in model.flows.items()}
+
+    def fill_zone(self, zone_of_tasks: int) -> None:
+        """Shares out all flows to the tasks of one zone."""
+        model = self._model
+        indices = [index for index, group in enumerate(model.classes) if group.zone == zone_of_tasks]
+        for index in indices:
+            self._fill_new(index)
+        remaining = self._remaining_capacity([model.classes[index] for index in indices])
+        for zone in range(len(self._fleet.zones)):
+            held = [index for index in indices if (zone, index) in self._flows and (zone, index) not in model.opened]
+            amount = sum(self._flows[zone, index] for index in held)
+            if amount > 0:
+                lines = [task for index in held for task in model.classes[index].tasks]
+                self._fill_held(zone, lines, amount, remaining)
+
+    def _fill_new(self, index: int) -> None:
+        """Places what zones send to a class that they do not hold yet, on the tasks with the least load so far."""
+        group = self._model.classes[index]
+        zones = range(len(self._fleet.zones))
+        negligible = NEGLIGIBLE_FRACTION * self._model.total_work
+        amounts = {z: self._flows[z, index] for z in zones if self._flows.get((z, index), 0.0) > negligible}
+        handshakes = {
+            z: self._model.opened[z, index].handshake_load * self._model.total_work
+            for z in zones
+            if (z, index) in self._model.opened
+        }
+        capacities = dict(zip(group.tasks, group.capacities))
+        for zone, fraction in _opened_fractions(group, amounts, handshakes).items():
+            lines = self._emptiest(zone, group, fraction, capacities)
+            total = sum(capacities[task] for task in lines)
+            for task in lines:
+                self.work[zone][task] = amounts[zone] * capacities[task] / total
+                self._load[task] += self.work[zone][task]
+
+    def _emptiest(self, zone: int, group: TaskClass, fraction: float, capacities: dict[int, float]) -> list[int]:
+        """Chooses the tasks of a class to which a zone opens connections."""
+        count = len(group.tasks)
+        wanted = math.ceil(count * fraction - ROUNDING_GUARD)
+        wanted = min(count, max(1, wanted, self._fleet.min_table_size - len(self.work[zone])))
+        start = zone * count // len(self._fleet.zones)  # zones begin at different ones of equally full tasks
+        position = {task: at for at, task in enumerate(group.tasks[start:] + group.tasks[:start])}
+        by_fill = sorted(
+            group.tasks, key=lambda task: (round(self._load[task] / capacities[task], FILL_DIGITS), position[task])
+        )
+        return by_fill[:wanted]
+
+    def _remaining_capacity(self, groups: Sequence[TaskClass]) -> dict[int, float]:
+        return {
+            task: max(capacity - self._load[task], MIN_REMAINING_FRACTION * capacity)
+            for group in groups
+            for task, capacity in zip(group.tasks, group.capacities)
+        }
+
+    def _fill_held(self, zone: int, lines: Sequence[int], amount: float, remaining: dict[int, float]) -> None:
+        """Places what a zone sends to tasks that it holds, over all of them in one zone of tasks, by free capacity.
+
+        The program's own split between classes of one zone is arbitrary where they are equally full. If each zone of
+        proxies kept to its own few tasks there, what arrives unevenly within a second would overfill these.
+        """
+        total = sum(remaining[task] for task in lines)
+        for task in lines:
+            self.work[zone][task] = amount * remaining[task] / total
+            self._load[task] += self.work[zone][task]
+
+
+def _opened_fractions(group: TaskClass, amounts: dict[int, float], handshakes: dict[int, float]) -> dict[int, float]:
+    """Returns the fraction of its connections to a class that each zone opens.
+
+    Zones open as many as their work would fill; and for bursts and uncertain capacities the more, the less of the class
+    is free (twice as many at half, all when it is full), as far as there is capacity left for the handshakes.
+
+    Args:
+        group: The class.
+        amounts: Work by zone.
+        handshakes: Load of opening all connections, by zone that has to open them.
+    """
+    total = sum(amounts.values())
+    needed = {zone: min(1.0, amount / group.capacity) for zone, amount in amounts.items() if zone in handshakes}
+    fill = min(MAX_FILL, total / group.capacity)
+    wanted = {zone: min(1.0, fraction / (1 - fill)) for zone, fraction in needed.items()}
+    free = group.capacity - total - sum(needed[zone] * handshakes[zone] for zone in needed)
+    extra = sum((wanted[zone] - needed[zone]) * handshakes[zone] for zone in needed)
+    granted = max(0.0, min(1.0, free / extra)) if extra > 0 else 1.0
+    return {zone: needed[zone] + granted * (wanted[zone] - needed[zone]) for zone in needed}
--- /dev/null
+++ b/hollyridge/solver/task_classes.py
@@ -0,0 +1,70 @@
+"""Classes of similar tasks, the nodes of the flow model.
+
+Grouping keeps the linear program small, and gives equal tasks equal weights whatever their names.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from hollyridge.solver.fleet import Fleet
+
+SIMILAR_CAPACITY_RATIO = 1.1  # tasks whose usable capacities differ by more are not similar
+
+
+class TaskClass(NamedTuple):
+    """Tasks of one zone with similar capacity, the same connections and the same tables that hold them.
+
+    Attributes:
+        tasks: Their indices.
+        capacities: Usable capacity of each, work a second.
+        zone: Index of their zone.
+        capacity: Sum of the capacities.
+        free_connections: New connections that they take in all.
+        held_by: By zone of proxies, whether its current table holds them.
+    """
+
+    tasks: tuple[int, ...]
+    capacities: tuple[float, ...]
+    zone: int
+    capacity: float
+    free_connections: float
+    held_by: tuple[bool, ...]
+
+
+def usable_capacity(fleet: Fleet, index: int) -> float:
+    """Returns the work a second that a task may be given, the uncertainty of its capacity deducted."""
+    task = fleet.tasks[index]
+    if not task.accepts_requests:
+        return 0.0
+    return task.capacity_rps * max(0.0, 1 - task.uncertainty) * task.slow_start_factor * fleet.target_utilization
+
+
+def group_tasks(fleet: Fleet, excluded: frozenset[tuple[int, int]] = frozenset()) -> list[TaskClass]:
+    """Groups the tasks that have capacity, in a fixed order.
+
+    Args:
+        fleet: The fleet.
+        excluded: Pairs (zone of proxies, task) that are not to be used.
+    """
+    similar: dict[tuple, list[int]] = {}
+    current_tables = fleet.current_tables or tuple({} for _ in fleet.zones)
+    for index, task in enumerate(fleet.tasks):
+        capacity = usable_capacity(fleet, index)
+        if capacity <= 0:
+            continue
+        held_by = tuple(index in table for table in current_tables)
+        excluded_by = tuple((zone, index) in excluded for zone in range(len(fleet.zones)))
+        size = round(math.log(capacity) / math.log(SIMILAR_CAPACITY_RATIO))
+        key = (task.zone, size, task.max_connections, held_by, excluded_by)
+        similar.setdefault(key, []).append(index)
+    return [_class_of(fleet, key, tasks) for key, tasks in sorted(similar.items())]
+
+
+def _class_of(fleet: Fleet, key: tuple, tasks: list[int]) -> TaskClass:
+    zone, _, max_connections, held_by, _ = key
+    current_connections = sum(z.proxy_count for z, is_held in zip(fleet.zones, held_by) if is_held)
+    capacities = tuple(usable_capacity(fleet, index) for index in tasks)
+    free_connections = max(0.0, max_connections - current_connections) * len(tasks)
+    return TaskClass(tuple(tasks), capacities, zone, sum(capacities), free_connections, held_by)
--- a/hollyridge/solver/two_choices.py
+++ b/hollyridge/solver/two_choices.py
@@ -1,84 +1,106 @@
-"""What really arrives at each line when proxies draw two by weight and take the one with less of their own out.
+"""Shares that arrive at each task when proxies pick by power of two choices.
 
-A proxy with L RPCs a second out to a line for t seconds each has a Poisson number of them out there, with mean L t
-(Little's law; a proxy sees its own only). Of two drawn lines i and j the first is kept unless the second has fewer out:
+Proxies draw two lines (tasks of their table) by weight and take the one with fewer of their own RPCs in flight. A proxy
+that sends L RPCs a second to a line, for t seconds each, has a Poisson number of them in flight there with mean L t
+(Little's law; a proxy sees its own only). Of two drawn lines i and j the first is kept unless the second has fewer:
 
     share(i) = sum over j of w(i) w(j) (P[out(i) <= out(j)] + P[out(i) < out(j)])
 
-with w normalised. Shares and means hang on each other; a damped iteration settles them. At light load nothing is out
-and shares are the weights; the busier a proxy's lines, the more its choices even out what is under way there.
+with w normalised. Shares and means depend on each other; a damped iteration settles them. At light load nothing is in
+flight and the shares are the weights; the busier the lines, the more a proxy's choices even out what is in flight.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-import numpy
+import numpy as np
 
-DEPTH = 12  # RPCs of one proxy at one line that are told apart
-ROUNDS = 60
+MAX_IN_FLIGHT = 12  # RPCs of one proxy at one line that are told apart; more count as one
+SHARE_ITERATIONS = 60  # damping by a half settles to the tolerance well within them
+SHARE_TOLERANCE = 1e-9
+WEIGHT_ITERATIONS = 40
+WEIGHT_TOLERANCE = 1e-6  # relative
+MIN_WEIGHT_STEP = 0.5  # factors by which one iteration may change a weight: keeps it from oscillating
+MAX_WEIGHT_STEP = 2.0
+MIN_SHARE = 1e-12  # in place of a share that is divided by
 
 
-def poisson(means: numpy.ndarray) -> numpy.ndarray:
-    """Chances of 0, 1 ... by row; the last column holds the rest."""
-    rows = numpy.zeros((len(means), DEPTH))
-    rows[:, 0] = numpy.exp(-means)
-    for k in range(1, DEPTH):
-        rows[:, k] = rows[:, k - 1] * means / k
-    rows[:, -1] += numpy.maximum(0.0, 1.0 - rows.sum(axis=1))
-    return rows
+def poisson(means: np.ndarray) -> np.ndarray:
+    """Returns the probabilities of 0, 1 ... by row; the last column holds the rest."""
+    probabilities = np.zeros((len(means), MAX_IN_FLIGHT))
+    probabilities[:, 0] = np.exp(-means)
+    for count in range(1, MAX_IN_FLIGHT):
+        probabilities[:, count] = probabilities[:, count - 1] * means / count
+    probabilities[:, -1] += np.maximum(0.0, 1.0 - probabilities.sum(axis=1))
+    return probabilities
 
 
 def arrivals(
-    weights: Sequence[float], out: float, times: Sequence[float] | None = None, pick: str = "p2c"
+    weights: Sequence[float], in_flight: float, times: Sequence[float] | None = None, policy: str = "p2c"
 ) -> list[float]:
-    """Shares of the RPCs that arrive at each line. `out`: RPCs that one proxy has under way in all; `times`: how long
-    one takes at each line, relative to each other.
+    """Returns the shares of the RPCs that arrive at each line.
+
+    Args:
+        weights: Weight of each line.
+        in_flight: RPCs that one proxy has in flight in all.
+        times: Service time at each line, relative to each other; equal if left out.
+        policy: How proxies pick; any but `p2c` keeps to the weights.
 
     >>> [round(share, 3) for share in arrivals([3, 1], 0.0)]
     [0.75, 0.25]
-    >>> [round(share, 3) for share in arrivals([3, 1], 0.0, pick="rotate")]
+    >>> [round(share, 3) for share in arrivals([3, 1], 0.0, policy="rotate")]
     [0.75, 0.25]
     >>> arrivals([3, 1], 4.0)[0] < 0.75
     True
     """
-    w = numpy.asarray(weights, dtype=float)
-    w = w / w.sum()
-    if pick != "p2c" or len(w) < 2 or out <= 0:
-        return w.tolist()
-    t = numpy.ones(len(w)) if times is None else numpy.asarray(times, dtype=float)
-    shares = w.copy()
-    for _ in range(ROUNDS):
-        means = shares * t
-        chances = poisson(out * means / means.sum())
-        least = chances[:, ::-1].cumsum(axis=1)[:, ::-1]  # P[out >= k]
-        more = numpy.hstack([least[:, 1:], numpy.zeros((len(w), 1))])  # P[out > k]
-        found = w * (chances @ (least.T @ w) + chances @ (more.T @ w))
-        found /= found.sum()
-        if numpy.abs(found - shares).max() < 1e-9:
+    normalised = np.asarray(weights, dtype=float)
+    normalised = normalised / normalised.sum()
+    if policy != "p2c" or len(normalised) < 2 or in_flight <= 0:  # noqa: PLR2004 - two choices need two lines
+        return normalised.tolist()
+    service_times = np.ones(len(normalised)) if times is None else np.asarray(times, dtype=float)
+    shares = normalised.copy()
+    for _ in range(SHARE_ITERATIONS):
+        means = shares * service_times
+        found = _picked(normalised, poisson(in_flight * means / means.sum()))
+        if np.abs(found - shares).max() < SHARE_TOLERANCE:
             return found.tolist()
         shares = (shares + found) / 2
     return shares.tolist()
 
 
 def weights_for(
-    shares: Sequence[float], out: float, times: Sequence[float] | None = None, pick: str = "p2c"
+    shares: Sequence[float], in_flight: float, times: Sequence[float] | None = None, policy: str = "p2c"
 ) -> list[float]:
-    """Weights under which these shares arrive, as near as two choices let them: the largest is 1.
+    """Returns weights under which these shares arrive, as nearly as two choices allow; the largest weight is 1.
+
+    Args:
+        shares: Wanted share of each line.
+        in_flight: RPCs that one proxy has in flight in all.
+        times: Service time at each line, relative to each other; equal if left out.
+        policy: How proxies pick; any but `p2c` keeps to the weights.
 
     >>> wanted = [0.5, 0.3, 0.2]
     >>> [round(share, 2) for share in arrivals(weights_for(wanted, 3.0), 3.0)]
     [0.5, 0.3, 0.2]
     """
-    goal = numpy.asarray(shares, dtype=float)
-    goal = goal / goal.sum()
-    w = goal.copy()
-    if pick == "p2c" and out > 0 and len(w) > 1:
-        for _ in range(40):
-            found = numpy.asarray(arrivals(w, out, times, pick))
-            step = numpy.where(found > 0, goal / numpy.maximum(found, 1e-12), 1.0)
-            w = w * numpy.clip(step, 0.5, 2.0)
-            w /= w.sum()
-            if numpy.abs(step - 1).max() < 1e-6:
+    wanted = np.asarray(shares, dtype=float)
+    wanted = wanted / wanted.sum()
+    weights = wanted.copy()
+    if policy == "p2c" and in_flight > 0 and len(weights) > 1:
+        for _ in range(WEIGHT_ITERATIONS):
+            found = np.asarray(arrivals(weights, in_flight, times, policy))
+            step = np.where(found > 0, wanted / np.maximum(found, MIN_SHARE), 1.0)
+            weights = weights * np.clip(step, MIN_WEIGHT_STEP, MAX_WEIGHT_STEP)
+            weights /= weights.sum()
+            if np.abs(step - 1).max() < WEIGHT_TOLERANCE:
                 break
-    return (w / w.max()).tolist()
+    return (weights / weights.max()).tolist()
+
+
+def _picked(weights: np.ndarray, probabilities: np.ndarray) -> np.ndarray:
+    """Shares by the formula above, given the probabilities of each number in flight by line."""
+    at_least = probabilities[:, ::-1].cumsum(axis=1)[:, ::-1]  # P[out >= k]
+    more = np.hstack([at_least[:, 1:], np.zeros((len(weights), 1))])  # P[out > k]
+    picked = weights * (probabilities @ (at_least.T @ weights) + probabilities @ (more.T @ weights))
+    return picked / picked.sum()
--- a/tests/test_solving.py
+++ b/tests/test_solving.py
@@ -25,8 +25,9 @@
 from hollyridge.settings.solve import load
 from hollyridge.solver import linear_program
 from hollyridge.solver.engine_adapter import fleet_of, proposals
+from hollyridge.solver.evaluation import cost_of
 from hollyridge.solver.fleet import Fleet, InvalidFleetError, Method, Task, Zone
-from hollyridge.solver.planner import Planner, cost_of, solve
+from hollyridge.solver.planner import Planner, solve
 from hollyridge.solver.two_choices import arrivals, weights_for
 
 SOLVE = Path(__file__).parent.parent / "examples" / "solve"
