--- /dev/null
+++ b/tests/loaded_assigner.py
@@ -0,0 +1,27 @@
+"""A decision module with warm tasks, and the reports that keep it informed."""
+
+from helpers import SECOND, START, bootstrap, entry, roster
+
+from hollyridge import interface as api
+from hollyridge.decisions.assigner import Assigner
+
+
+def started_assigner():
+    """A module with four warm tasks and two proxies in one zone."""
+    module = Assigner(bootstrap(zones=1), 1)
+    module.decide(
+        START,
+        [roster([entry(i, 0) for i in range(4)]), *(api.ProxyJoined(20.0, False, proxy, 0) for proxy in range(2))],
+    )
+    return module
+
+
+def report_second(module, now, proposal=None, load=0.5, proxies=2, slow=1):
+    """A second of reports for four tasks of one zone, and what the module orders."""
+    events = [
+        api.TrafficReport(0, i, 20, 0, 100_000 * (slow if i in (1, 2) else 1), SECOND, (load, 0.0)) for i in range(4)
+    ]
+    events += [api.OfferedLoad(40, SECOND, proxy, 0, 0) for proxy in range(proxies)]
+    if proposal is not None:
+        events.append(api.WeightProposal(0, tuple(proposal.items())))
+    return module.decide(now, events)
--- /dev/null
+++ b/tests/solver/test_solver_engine_adapter.py
@@ -0,0 +1,82 @@
+"""Proposals in the decision module, and the fleet that it describes."""
+
+import math
+
+import pytest
+from helpers import SECOND, START, entry, roster
+from loaded_assigner import report_second, started_assigner
+
+from hollyridge import interface as api
+from hollyridge.solver.engine_adapter import fleet_of, proposals
+from hollyridge.solver.planner import Planner, solve
+
+
+def test_a_table_that_loses_half_its_weight_brings_the_rest_along():
+    """What a plan left to the tasks that stay says nothing of where all is to go now; found on the lost-zone day, where
+    two of eight tasks got nine tenths of a zone's RPCs until the gate let a push through."""
+    module, now = started_assigner(), START
+    plan = {0: 1.0, 3: 1.0, 1: 0.04, 2: 0.01}
+    for _ in range(6):
+        now += SECOND
+        report_second(module, now, plan, slow=4)
+    before = dict(module.tables.lines[0])
+    assert before[1] > 3 * before[2]
+    now += SECOND // 4
+    gone = [entry(i, state=api.TaskState.GONE) for i in (0, 3)]
+    orders = module.decide(now, [roster(gone, api.UpdateKind.DELTA)])
+    assert {o.task for o in orders if isinstance(o, api.SetWeight) and o.weight > 0} == {1, 2}
+    after = module.tables.lines[0]
+    assert 0.5 < after[2] / after[1] < 2  # the plan has lapsed
+
+
+def test_the_module_takes_what_is_proposed_where_it_gains_and_forgets_it_without_more():
+    """The gate pushes what saves latency, at once and not by tenths; a proposal that saves nothing is not pushed."""
+    ratio = {}
+    for name, proposed, slow in (
+        ("alone", None, 3),
+        ("proposed", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 3),
+        ("gains nothing", {0: 1.0, 1: 0.25, 2: 0.25, 3: 1.0}, 1),
+    ):
+        module, now = started_assigner(), START
+        for _ in range(3):
+            now += SECOND
+            report_second(module, now, slow=slow)
+        for _ in range(3):
+            now += SECOND
+            report_second(module, now, proposed, slow=slow)
+        lines = module.tables.lines[0]
+        ratio[name] = lines[1] / lines[0]
+        assert any(module.solver.proposed[0][1].values()) == (proposed is not None)
+        for _ in range(6):
+            now += SECOND
+            report_second(module, now, slow=slow)
+        assert not module.solver.proposed[0][1]
+    assert ratio["proposed"] < 0.5 < 0.7 < ratio["alone"] and ratio["gains nothing"] == 1.0
+
+
+def test_what_is_known_becomes_a_fleet_and_a_plan():
+    module, now = started_assigner(), START
+    assert fleet_of(module, now, 0.05, 100.0) is None  # nothing heard yet
+    for _ in range(6):
+        now += SECOND
+        report_second(module, now)
+    one = fleet_of(module, now, 0.05, 100.0)
+    assert len(one.tasks) == 4 and one.zones[0].proxy_count == 2
+    assert one.zones[0].demand_rps[0] == pytest.approx(80, rel=0.01)
+    assert one.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
+    plan = solve(one)
+    told = proposals(plan, True)
+    assert [p.zone for p in told] == [0] and len(told[0].weights) == 4
+    short = solve(one._replace(zones=(one.zones[0]._replace(demand_rps=(1000.0,)),)))
+    assert proposals(short, False) == [] and proposals(short, True)
+
+
+@pytest.mark.parametrize("change", [dict(load=0.0), dict(load=50.0), dict(load=-1.0)])
+def test_loads_that_can_not_be_do_no_harm(change):
+    module, now = started_assigner(), START
+    for _ in range(6):
+        now += SECOND
+        report_second(module, now, **change)
+    one = fleet_of(module, now, 0.05, math.inf)
+    if one is not None:
+        assert Planner(1.0).take(one) is not None
--- /dev/null
+++ b/tests/solver/test_solver_service.py
@@ -0,0 +1,93 @@
+"""The solver in the command line, in a simulated day and in the service."""
+
+import os
+import subprocess
+import sys
+
+import gevent
+import msgspec
+from click.testing import CliRunner
+from solver_cases import SOLVE
+from test_service import rig, wait_for  # noqa: F401 - rig is a fixture
+
+from hollyridge.cli.main import main
+from hollyridge.lab import scenario
+from hollyridge.lab.day import Day
+from hollyridge.lab.virtual import VirtualStage
+
+
+def test_the_same_in_any_process():
+    raws = set()
+    for seed in ("0", "1", "99"):
+        words = [sys.executable, "-m", "hollyridge.cli.main", "solve", str(SOLVE / "cold-fleet.ini"), "--json"]
+        ran = subprocess.run(words, env={**os.environ, "PYTHONHASHSEED": seed}, capture_output=True, check=True)
+        told = msgspec.json.decode(ran.stdout)
+        told.pop("took_s")
+        raws.add(msgspec.json.encode(told))
+    assert len(raws) == 1
+
+
+def test_what_an_assigner_knows_becomes_a_file_that_solve_reads(rig):  # noqa: F811 - the fixture
+    r = rig()
+    agent, _ = r.agent(), r.balancer()
+    address = f"http://127.0.0.1:{r.service.intake.server.server_port}"
+    runner = CliRunner()
+    thread = gevent.get_hub().threadpool
+    empty = thread.apply(runner.invoke, (main, ["solve", address]))
+    assert empty.exit_code == 1 and "no description yet" in empty.output
+    assert wait_for(lambda: len(r.engine.assigner.roster.state) == 4)
+    module = r.engine.assigner
+    for i in range(4):
+        module.est.does[i], module.est.served[i], module.est.busy[i] = 20.0, 20.0, 1.0
+    module.est.came = {0: {0: (10.0, 0)}}
+    agent.quiesce([r.members()[0]])
+    told = thread.apply(runner.invoke, (main, ["solve", address, "--json"]))
+    assert told.exit_code == 0, told.output
+    rows = msgspec.json.decode(told.stdout.strip().splitlines()[-1])["tables"]
+    first, *others = (f"{m.host}-{m.port}" for m in r.members())
+    assert {row["tasks"] for row in rows} == set(others)  # the first is draining
+
+
+def test_faults_of_a_file_are_all_named(tmp_path):
+    path = tmp_path / "bad.ini"
+    path.write_text(
+        "[solve]\nbusy = 2\n[method a]\nwork = 0\n[zone z]\ndemand = 1, 2\n[tasks t]\nzone = y\nrate = x\n"
+        "[tasks u]\nzone = y\nrate = 1\n[held q]\nt = 1\n[nothing]\n"
+    )
+    ran = CliRunner().invoke(main, ["solve", str(path)])
+    assert ran.exit_code == 2
+    for words in (
+        "[solve] busy",
+        "[method a] work",
+        "[zone z] demand",
+        "[tasks t] rate",
+        "[tasks u] zone",
+        "[held q]",
+        "[nothing]",
+    ):
+        assert words in ran.output
+
+
+def test_a_day_with_the_solver_beside_the_loop(tmp_path):
+    text = (SOLVE.parent / "lab" / "small.ini").read_text()
+    path = tmp_path / "solver.ini"
+    path.write_text(text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini")) + "\n[set solver]\non = yes\n")
+    loaded = scenario.load(path)
+    raws = []
+    for _ in range(2):
+        stage = VirtualStage(loaded, "", 3)
+        told = Day(loaded, stage, 3).play()
+        assert all(v.kept for v in told.verdicts)
+        solver = stage.status[-1]["solver"]
+        assert solver["proposed"] > 5 and solver["late"] == solver["nonsense"] == 0
+        raws.append(msgspec.json.encode(stage.record.rows))
+    assert raws[0] == raws[1]
+
+
+def test_the_solver_runs_off_the_hub_in_the_program(rig):  # noqa: F811 - the fixture
+    r = rig(solver__on=True)
+    r.agent()
+    r.balancer()
+    assert wait_for(lambda: r.service.status()["solver"]["asked"] >= 1, 5)
+    status = r.service.status()["solver"]
+    assert status["unknown"] + status["proposed"] + status["too_little"] >= 1
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,12 +1,13 @@
 """What was learnt, kept on disk and told again: whole or not at all, and believed the less the older it is."""
 
 import math
+from pathlib import Path
 
 import gevent
 import pytest
 from helpers import SECOND, START, entry, roster
+from loaded_assigner import report_second, started_assigner
 from test_service import rig, wait_for  # noqa: F401
-from test_solving import news, started
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -16,6 +17,7 @@
 from hollyridge.store import learned_estimates, state_file
 from hollyridge.store.state_file import SavedState, StateFileError, TaskEstimate
 
+EXAMPLES = Path(__file__).parent.parent / "examples"
 ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
@@ -87,7 +89,7 @@
 
 def taught():
     """A module that has learnt that one of four tasks does half as much."""
-    module, now = started(), START
+    module, now = started_assigner(), START
     for _ in range(10):
         now += SECOND
         events = [api.TrafficReport(0, i, 10 if i == 3 else 20, 0, 100_000, SECOND, (0.6, 0.0)) for i in range(4)]
@@ -100,10 +102,10 @@
     assert len(rows) == 4 and rows[3].capacity < 0.6 * rows[0].capacity
     found = {}
     for age_s in (0, 30, 3600):
-        module, now = started(), START + SECOND
+        module, now = started_assigner(), START + SECOND
         module.decide(now, [api.EstimatesRestored(tuple(rows), 2.0, age_s * SECOND)])
         assert module.gate.price >= 2.0 - 1e-9  # an old price can only hold pushes back
-        news(module, now + SECOND, load=0.5)
+        report_second(module, now + SECOND, load=0.5)
         found[age_s] = module.est.does[3] / module.est.does[0]
     assert found[0] < found[30] < found[3600] and found[0] < 0.75 and found[3600] > 0.9
 
@@ -144,12 +146,10 @@
 
 
 def test_a_day_with_restarts_keeps_state_and_is_the_same_again(tmp_path):
-    from test_solving import SOLVE
-
-    text = (SOLVE.parent / "lab" / "small.ini").read_text()
+    text = (EXAMPLES / "lab" / "small.ini").read_text()
     path = tmp_path / "kept.ini"
     path.write_text(
-        text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini"))
+        text.replace("../loopback.ini", str(EXAMPLES / "loopback.ini"))
         + f"""
 [set kept]
 file = {tmp_path}/x.state
