--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -87,8 +87,8 @@
             self.counts["unknown"] += 1
             return
         plan = self.apply(self.planner.take, (fleet,))
-        if plan is None or plan.stands:
-            reason = plan.stands if plan is not None else "none ever was"
+        if plan is None or plan.stale_reason:
+            reason = plan.stale_reason if plan is not None else "none ever was"
             self.log.warning("weight_plan_failed", reason=reason)
             return
         answered_us = self.loop.clock()
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -27,6 +27,7 @@
 from hollyridge.otlp.intake import HttpOptions, MetricsServer, Page
 from hollyridge.otlp.reading import AttributeNames
 from hollyridge.peers.datagram_transport import DatagramTransport
+from hollyridge.peers.estimate_exchange import TaskLookup
 from hollyridge.peers.peer_service import PeerConfig, PeerService
 from hollyridge.registration.members import MemberRegistry
 from hollyridge.sasp.codec import Member
@@ -118,8 +119,9 @@
             return None
         terms = self.terms
         addresses = {"sasp": terms.sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
-        served = {name: address for name, address in addresses.items() if address}
-        return PeerService(self.loop, config, self.log, random_bytes, served, self.task_name, self.report_names.task)
+        services = tuple(sorted((name, address) for name, address in addresses.items() if address))
+        tasks = TaskLookup(self.task_name, self.report_names.task)
+        return PeerService(self.loop, config._replace(services=services), self.log, random_bytes, tasks)
 
     def build_limiter(self) -> ConnectionLimiter:
         """What connections, requests and replies the servers take together."""
--- a/tests/core/test_core_persistence.py
+++ b/tests/core/test_core_persistence.py
@@ -1,9 +1,11 @@
 """Learned estimates are kept on disk and restored after a restart, and count the less the older they are."""
 
+from pathlib import Path
+
 import gevent
 from helpers import SECOND, START, entry, roster
+from loaded_assigner import report_second, started_assigner
 from service_rig import rig, wait_for  # noqa: F401 - a fixture
-from test_solving import news, started
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -13,13 +15,14 @@
 from hollyridge.store import state_file
 from hollyridge.store.state_file import SavedState, TaskEstimate
 
+EXAMPLES = Path(__file__).parents[2] / "examples"
 ROWS = [TaskEstimate("127.1.0.1:9000", 20.0, 5.0, 1.2, 0.9), TaskEstimate("127.1.0.2:9000", 40.0, 5.0, 0.8, 1.1)]
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
 def trained():
     """A decision module that has learned that one of four tasks does half as much."""
-    module, now = started(), START
+    module, now = started_assigner(), START
     for _ in range(10):
         now += SECOND
         events = [api.TrafficReport(0, i, 10 if i == 3 else 20, 0, 100_000, SECOND, (0.6, 0.0)) for i in range(4)]
@@ -32,10 +35,10 @@
     assert len(rows) == 4 and rows[3].capacity < 0.6 * rows[0].capacity
     found = {}
     for age_s in (0, 30, 3600):
-        module, now = started(), START + SECOND
+        module, now = started_assigner(), START + SECOND
         module.decide(now, [api.EstimatesRestored(tuple(rows), 2.0, age_s * SECOND)])
         assert module.push_gate.push_price >= 2.0 - 1e-9  # an old price can only hold pushes back
-        news(module, now + SECOND, load=0.5)
+        report_second(module, now + SECOND, load=0.5)
         found[age_s] = module.estimates.capacity[3] / module.estimates.capacity[0]
     assert found[0] < found[30] < found[3600] and found[0] < 0.75 and found[3600] > 0.9
 
@@ -76,12 +79,10 @@
 
 
 def test_a_simulated_day_with_restarts_keeps_its_state_and_repeats_exactly(tmp_path):
-    from test_solving import SOLVE
-
-    text = (SOLVE.parent / "lab" / "small.ini").read_text()
+    text = (EXAMPLES / "lab" / "small.ini").read_text()
     path = tmp_path / "kept.ini"
     path.write_text(
-        text.replace("../loopback.ini", str(SOLVE.parent / "loopback.ini"))
+        text.replace("../loopback.ini", str(EXAMPLES / "loopback.ini"))
         + f"""
 [set kept]
 file = {tmp_path}/x.state
