--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -1,133 +1,171 @@
-"""A blocking client of the pub-sub front. Sockets come from `zmq`, by default pyzmq's own module; hand in
-`zmq.green` to use it in greenlets."""
+"""A blocking client of the CHP server.
+
+Sockets come from `zmq`, by default pyzmq's own module; pass `zmq.green` to use it in greenlets.
+"""
 
 from __future__ import annotations
 
 import os
 import time
 from collections.abc import Callable
+from contextlib import suppress
+from types import ModuleType
+from typing import TYPE_CHECKING
 
 from hollyridge.chp import codec
 from hollyridge.chp.replica import Client, ReplicaTables
 
+if TYPE_CHECKING:
+    import zmq as pyzmq
+
+ROUTING_ID_RANDOM_BYTES = 12
+FIRST_HEARTBEAT_S = 1.0  # until the assigner has told its own
+MIN_HEARTBEAT_S, MAX_HEARTBEAT_S = 0.05, 10.0  # whatever it tells
+RETRY_HEARTBEATS = 2  # a snapshot that is not here after so many heartbeats is asked for again
+
 
 class Subscriber:
-    """One session of a proxy `uid` with the assigner at `address` (host, first port). `heard(parts)`, if given,
-    sees every message that comes in. A session that has heard nothing for `silence` seconds is over: begin
-    another, with the same `Client` to keep what is held. `plea`: whom it was sent to could not be reached."""
+    """One session of the proxy `uid` with the assigner at `address` (host, port of the snapshot socket).
+
+    `heard(parts)`, if given, is called with every message received; `keys(sock)` prepares a socket for CURVE. When a
+    session is over, begin another with the same `client` to keep what is held. `insist`: the assigner that it was
+    redirected to could not be reached.
+
+    Attributes:
+        heartbeat_s: The assigner's time between two heartbeats.
+        joined: Whether the assigner serves this session.
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
         self,
         address: tuple[str, int],
         uid: str,
         methods: list[str],
-        zmq=None,
-        context=None,
+        zmq: ModuleType | None = None,
+        context: pyzmq.Context | None = None,
         source: str = "",
         client: Client | None = None,
         heard: Callable | None = None,
         keys: Callable = lambda sock: None,
         clock: Callable[[], float] = time.monotonic,
-        plea: bool = False,
+        insist: bool = False,
     ) -> None:
         if zmq is None:
             import zmq
-        self.zmq, self.uid, self.heard = zmq, uid, heard
+        self.zmq = zmq
+        self.uid = uid
+        self.heard = heard
+        self.clock = clock
         self.client = client or Client(uid, methods)
         for replica in self.client.replicas.values():
             replica.begin()
-        question = codec.Question(self.client.judge.ask(), plea)
-        self.clock, self.identity = clock, codec.identity_of(question, os.urandom(12))
-        context = context or zmq.Context.instance()
-        self.dealer, self.sub, self.push = (context.socket(kind) for kind in (zmq.DEALER, zmq.SUB, zmq.PUSH))
-        self.dealer.identity = self.identity
+        request = codec.OwnershipRequest(self.client.fencing.ask(), insist)
+        self.routing_id = codec.routing_id_of(request, os.urandom(ROUTING_ID_RANDOM_BYTES))
+        self._connect(context or zmq.Context.instance(), address, source, keys)
+        self.last_message = self.clock()
+        self.last_heartbeat = self.last_message
+        self.asked: dict[str, float] = {}  # when a snapshot was asked for, by subtree
+        self.heartbeat_s = FIRST_HEARTBEAT_S
+        self.joined = False
+        self.acked_at = 0.0
+        for subtree in self.client.replicas:
+            self.sub.subscribe(subtree.encode())
+        self.ask(self.client.home)
+
+    def _connect(self, context: pyzmq.Context, address: tuple[str, int], source: str, keys: Callable) -> None:
+        zmq = self.zmq
+        self.dealer = context.socket(zmq.DEALER)
+        self.sub = context.socket(zmq.SUB)
+        self.push = context.socket(zmq.PUSH)
+        self.dealer.identity = self.routing_id
         host, port = address
-        at = f"{source}:0;{host}" if source else host
+        endpoint_host = f"{source}:0;{host}" if source else host
         for offset, sock in enumerate((self.dealer, self.sub, self.push)):
             sock.linger = 0
             keys(sock)
-            sock.connect(f"tcp://{at}:{port + offset}")
+            sock.connect(f"tcp://{endpoint_host}:{port + offset}")
         self.sub.subscribe(b"HUGZ")
         self.poller = zmq.Poller()
         for sock in (self.dealer, self.sub):
             self.poller.register(sock, zmq.POLLIN)
-        self.last_heard = self.last_beat = self.clock()
-        self.asked: dict[str, float] = {}
-        self.beat_s, self.joined = 1.0, False
-        self.said_at = 0.0
-        for subtree in self.client.replicas:
-            self.sub.subscribe(subtree.encode())
-        self.ask(self.client.home)
 
     def close(self) -> None:
+        """Close the sockets."""
         for sock in (self.dealer, self.sub, self.push):
             sock.close()
 
     def ask(self, subtree: str) -> None:
+        """Ask for a snapshot of a subtree, and subscribe to its changes."""
         self.asked[subtree] = self.clock()
         self.sub.subscribe(subtree.encode())
         self.dealer.send_multipart(codec.encode(codec.Icanhaz(subtree)))
 
     def ack(self) -> None:
-        """Say what is applied; also the sign of life."""
-        self.said_at = self.clock()
+        """Tell the assigner what is applied; also the heartbeat."""
+        self.acked_at = self.clock()
         home = self.client.replicas[self.client.home]
-        word = codec.Ack(home.head.epoch, self.client.seqs(), self.client.judge.asked)
-        message = codec.Kvset(
-            self.client.home + "ack", codec.uuid_of(self.identity.hex()), f"v={codec.LAYOUT}\n", codec.json(word)
-        )
-        try:
+        value = codec.Ack(home.head.epoch, self.client.seqs(), self.client.fencing.asked)
+        uuid = codec.uuid_of(self.routing_id.hex())
+        message = codec.Kvset(self.client.home + "ack", uuid, codec.PROPERTIES, codec.json(value))
+        with suppress(self.zmq.ZMQError):  # nobody reads it now; the next one makes up for it
             self.push.send_multipart(codec.encode(message), flags=self.zmq.NOBLOCK)
-        except self.zmq.ZMQError:
-            pass  # nobody is there to hear it
 
     def step(self, timeout: float) -> ReplicaTables | None:
-        """Take what comes within `timeout` seconds, at the least one look; the tables if they changed."""
-        until, changed = self.clock() + timeout, False
+        """Take what comes within `timeout` seconds, at least one look; the tables if they changed."""
+        deadline = self.clock() + timeout
+        changed = False
         while True:
-            left = max(0.0, min(until, self.said_at + self.beat_s) - self.clock())
-            for sock, _ in self.poller.poll(left * 1000):
+            left_s = max(0.0, min(deadline, self.acked_at + self.heartbeat_s) - self.clock())
+            for sock, _ in self.poller.poll(left_s * 1000):
                 changed = self.take(sock.recv_multipart()) or changed
             now = self.clock()
-            if changed or now >= self.said_at + self.beat_s:
+            if changed or now >= self.acked_at + self.heartbeat_s:
                 self.ack()
-            for subtree, at in list(self.asked.items()):  # an answer that never comes must not end the asking
-                replica = self.client.replicas.get(subtree)
-                if replica is None or not replica.asking:
-                    del self.asked[subtree]
-                elif now - at > 2 * self.beat_s:
-                    replica.begin()
-                    self.ask(subtree)
+            self._ask_again(now)
             if changed:
                 return self.client.tables
-            if self.client.go() is not None:
-                return None
-            if now >= until:
+            if self.client.go() is not None or now >= deadline:
                 return None
 
+    def _ask_again(self, now: float) -> None:
+        """Ask again for snapshots that are not here in time."""
+        for subtree, asked_at in list(self.asked.items()):
+            replica = self.client.replicas.get(subtree)
+            if replica is None or not replica.asking:
+                del self.asked[subtree]
+            elif now - asked_at > RETRY_HEARTBEATS * self.heartbeat_s:
+                replica.begin()
+                self.ask(subtree)
+
     def take(self, parts: list[bytes]) -> bool:
+        """Take one message; whether the tables changed."""
         if self.heard:
             self.heard(parts)
         try:
             message = codec.decode(parts)
-            self.last_heard = self.clock()
+            self.last_message = self.clock()
             ask, drop, changed = self.client.take(message)
         except codec.ChpError:
-            return False  # of a later layout, or spoilt: not applied; a gap if it mattered
+            return False  # of a later layout, or corrupted: not applied; the next head shows the gap if it mattered
         for subtree in ask:
             self.ask(subtree)
         for subtree in drop:
             self.sub.unsubscribe(subtree.encode())
-        home = self.client.replicas[self.client.home]
-        if type(message) is codec.Kthxbai and message.subtree == self.client.home and home.synced:
-            self.joined, self.last_beat = True, self.clock()
-        if home.synced:
-            self.beat_s = min(10.0, max(0.05, home.head.beat / 1000))
-            if type(message) is codec.Kvpub and message.key == self.client.home + "head":
-                self.last_beat = self.clock()
+        self._note_heartbeat(message)
         return changed
 
+    def _note_heartbeat(self, message: codec.Message) -> None:
+        home = self.client.replicas[self.client.home]
+        if not home.synced:
+            return
+        if type(message) is codec.Kthxbai and message.subtree == self.client.home:
+            self.joined = True
+            self.last_heartbeat = self.clock()
+        self.heartbeat_s = min(MAX_HEARTBEAT_S, max(MIN_HEARTBEAT_S, home.head.beat / 1000))
+        if type(message) is codec.Kvpub and message.key == self.client.home + "head":
+            self.last_heartbeat = self.clock()
+
     @property
     def silent_for(self) -> float:
-        """Seconds since a heartbeat of its own subtree, which only who is joined gets; before it is, since any."""
-        return self.clock() - (self.last_beat if self.joined else self.last_heard)
+        """Seconds since a heartbeat of its own subtree, which only joined sessions get; before it joins, since any."""
+        return self.clock() - (self.last_heartbeat if self.joined else self.last_message)
--- a/hollyridge/chp/key_space.py
+++ b/hollyridge/chp/key_space.py
@@ -1,4 +1,4 @@
-"""The service's side of the key space: what each subtree holds, numbered changes, snapshots. No sockets."""
+"""The server's side of the key space: what each subtree holds, numbered changes, snapshots. No sockets."""
 
 from __future__ import annotations
 
@@ -7,55 +7,72 @@
 
 
 class KeySpace:
-    """`epoch` names this run of the assigner: numbers of another run mean nothing here.
+    """What all subtrees hold.
 
-    >>> ledger = KeySpace("e1", beat=500)
-    >>> [m.key for m in ledger.set("/table/0/", 1, {"/table/0/line/a:1": b"x"})]
+    Attributes:
+        epoch: Names this run of the assigner: numbers of another run mean nothing here.
+        sequence: The newest number given to a message.
+        held: Keys and their values, by subtree.
+        heads: The newest head, by subtree.
+
+    >>> key_space = KeySpace("e1", 500)
+    >>> [message.key for message in key_space.set("/table/0/", 1, {"/table/0/line/a:1": b"x"})]
     ['/table/0/line/a:1', '/table/0/head']
-    >>> ledger.set("/table/0/", 2, {"/table/0/line/a:1": b"x"})
+    >>> key_space.set("/table/0/", 2, {"/table/0/line/a:1": b"x"})
     []
     """
 
-    def __init__(self, epoch: str, beat: int) -> None:
-        self.epoch, self.uuid, self.beat_ms = epoch, codec.uuid_of(epoch), beat
+    def __init__(self, epoch: str, heartbeat_ms: int) -> None:
+        self.epoch = epoch
+        self.uuid = codec.uuid_of(epoch)
+        self.heartbeat_ms = heartbeat_ms
         self.sequence = 0
         self.held: dict[str, dict[str, bytes]] = {}
         self.heads: dict[str, Head] = {}
 
-    def publish(self, key: str, value: bytes) -> Kvpub:
-        self.sequence += 1
-        return Kvpub(key, self.sequence, self.uuid, f"v={codec.LAYOUT}\n", value)
-
     def set(self, subtree: str, version: int, target: dict[str, bytes]) -> list[Kvpub]:
-        """Make the subtree hold this; the messages that tell so, none if it does already."""
+        """Make the subtree hold this; the messages of the change, none if it holds it already."""
         held = self.held.setdefault(subtree, {})
         changed = [(key, b"") for key in held if key not in target]
         changed += [(key, value) for key, value in target.items() if held.get(key) != value]
-        if not changed and subtree in self.heads:
-            return []
-        messages = [self.publish(key, value) for key, value in sorted(changed)]
         before = self.heads.get(subtree)
+        if not changed and before is not None:
+            return []
+        messages = [self._change(key, value) for key, value in sorted(changed)]
         self.sequence += 1
-        head = self.heads[subtree] = Head(
-            self.epoch, version, self.sequence, before.seq if before else 0, len(messages), len(target), self.beat_ms
+        head = Head(
+            epoch=self.epoch,
+            version=version,
+            seq=self.sequence,
+            prev=before.seq if before else 0,
+            count=len(messages),
+            total=len(target),
+            beat=self.heartbeat_ms,
         )
+        self.heads[subtree] = head
         self.held[subtree] = dict(target)
-        return [*messages, self.head(subtree, head)]
+        return [*messages, self._head_message(subtree, head)]
+
+    def _change(self, key: str, value: bytes) -> Kvpub:
+        self.sequence += 1
+        return Kvpub(key, self.sequence, self.uuid, codec.PROPERTIES, value)
 
-    def head(self, subtree: str, head: Head) -> Kvpub:
-        return Kvpub(subtree + "head", head.seq, self.uuid, f"v={codec.LAYOUT}\n", codec.json(head))
+    def _head_message(self, subtree: str, head: Head) -> Kvpub:
+        return Kvpub(subtree + "head", head.seq, self.uuid, codec.PROPERTIES, codec.json(head))
 
     def beat(self, subtree: str) -> Kvpub:
-        """The head again, so that who missed the last change learns of it."""
-        return self.head(subtree, self.heads[subtree])
+        """The heartbeat: the head again, so that who missed the last change notices."""
+        return self._head_message(subtree, self.heads[subtree])
 
     def snapshot(self, subtree: str) -> list[Kvsync | Kthxbai]:
+        """All messages of a snapshot."""
         head = self.heads.get(subtree)
         if head is None:
             return [Kthxbai(self.sequence, subtree)]
-        rows = [Kvsync(key, head.seq, value) for key, value in sorted(self.held[subtree].items())]
-        return [*rows, Kvsync(subtree + "head", head.seq, codec.json(head)), Kthxbai(head.seq, subtree)]
+        keys = [Kvsync(key, head.seq, value) for key, value in sorted(self.held[subtree].items())]
+        return [*keys, Kvsync(subtree + "head", head.seq, codec.json(head)), Kthxbai(head.seq, subtree)]
 
     def drop(self, subtree: str) -> None:
+        """Forget a subtree."""
         self.held.pop(subtree, None)
         self.heads.pop(subtree, None)
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -43,26 +43,26 @@
             self.methods,
             client=self.client,
             clock=self.clock,
-            plea=self.pleads,
+            insist=self.pleads,
             **self.how,
         )
         self.subscriber = subscriber
         try:
             while not self.stopped and self.subscriber is subscriber:
-                tables = subscriber.step(min(subscriber.beat_s, self.beat_s) / 2)
+                tables = subscriber.step(min(subscriber.heartbeat_s, self.beat_s) / 2)
                 go = self.client.go()
                 if go is not None:
-                    raise RedirectedError(go.to)
+                    raise RedirectedError(go.address)
                 if tables is not None:
                     self.before(sum(map(len, tables.lines.values())))
                     self.versions = tables.versions
                     self.lay(tables.lines, tables.levels)
-                if subscriber.joined and subscriber.silent_for < 2 * subscriber.beat_s:
+                if subscriber.joined and subscriber.silent_for < 2 * subscriber.heartbeat_s:
                     self.alive()
-                    self.beat_s = subscriber.beat_s
+                    self.beat_s = subscriber.heartbeat_s
                     continue
                 self.standing_stream = False
-                patience = self.silent_beats * subscriber.beat_s + 0.5
+                patience = self.silent_beats * subscriber.heartbeat_s + 0.5
                 if self.judge.held and not subscriber.joined:  # others may answer at once
                     patience = 2 * self.beat_s
                 if subscriber.silent_for > patience:
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -40,7 +40,7 @@
 
 # Recordings hold the reason a stream ended with the error's name: these stay, whatever the classes are called.
 RECORDED_NAMES = {
-    "hollyridge.chp.codec.ChpError": "CloneError",
+    "hollyridge.chp.values.ChpError": "CloneError",
     "hollyridge.client.chp.HeartbeatTimeoutError": "SilenceError",
     "hollyridge.sasp.client.ConnectionLostError": "LostError",
     "hollyridge.sasp.client.HeartbeatTimeoutError": "SilentError",
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -152,7 +152,9 @@
             return Code.NOT_FROM_YOU
         connection.proxy = proxy
         self.server.by_proxy[proxy] = connection
-        self.server.log.info("proxy_joined", uid=connection.uid, proxy=proxy, zone=zone, push=connection.push)
+        self.server.log.info(
+            "proxy_joined", uid=connection.uid, proxy=proxy, zone=zone, push=connection.push, protocol="sasp"
+        )
         return Code.OK
 
     def unbind(self, now: int, connection: Connection) -> None:
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -166,7 +166,7 @@
 
 def open_gateway(r, uid="gw-c", zone=1, **how):
     gateway = ChpGateway(
-        ("127.0.0.1", r.clone.terms.port),
+        ("127.0.0.1", r.clone.config.port),
         uid,
         list(GROUPS),
         sleep=gevent.sleep,
@@ -252,7 +252,7 @@
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
-    listen = r.clone.terms.port
+    listen = r.clone.config.port
     r.service.stop()
     r.job.join(2)
     assert wait_for(lambda: gateway.state == GatewayState.STALE, 2) and hosts(gateway) == {1, 2, 3, 4}
@@ -282,7 +282,7 @@
         return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
 
     assert wait_for(settled, 8)
-    assert wait_for(lambda: "stuck" not in r.clone.readers, 4) and "quick" in r.clone.readers
+    assert wait_for(lambda: "stuck" not in r.clone.sessions.by_uid, 4) and "quick" in r.clone.sessions.by_uid
 
 
 def test_a_snapshot_larger_than_what_may_wait_while_changes_go_on(rig):  # noqa: F811
@@ -328,7 +328,7 @@
     dealer, push = context.socket(zmq.DEALER), context.socket(zmq.PUSH)
     for offset, sock in ((0, dealer), (2, push)):
         sock.linger = 0
-        sock.connect(f"tcp://127.0.0.1:{r.clone.terms.port + offset}")
+        sock.connect(f"tcp://127.0.0.1:{r.clone.config.port + offset}")
     for parts in (
         [b"ICANHAZ?", b"/"],
         [b"ICANHAZ?", b"/table/0/"],
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -150,7 +150,10 @@
 
 def test_identities_of_chp_sessions_are_read_and_written_as_before():
     raw = bytes.fromhex("02000000000000000901") + b"random"
-    assert chp.question_of(raw) == chp.Question(9, True) and chp.identity_of(chp.Question(9, True), b"random") == raw
+    assert (
+        chp.request_of(raw) == chp.OwnershipRequest(9, True)
+        and chp.routing_id_of(chp.OwnershipRequest(9, True), b"random") == raw
+    )
 
 
 # Peers.
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -150,7 +150,7 @@
     keys.service()
     keys.curve("pubsub")
     overrides = {tuple(k.split("__")): str(v) for k, v in keys.overrides().items()}
-    listen = {("clone", "listen"): f"127.0.0.1:{r.clone.terms.port}"}
+    listen = {("clone", "listen"): f"127.0.0.1:{r.clone.config.port}"}
     r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
     gevent.sleep(0.5)
     assert gateway.sessions == 1 and r.holds(gate, seconds=0.5)[0] == {g: ALL for g in GROUPS}
