--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from hollyridge.chp import codec
-from hollyridge.chp.replica import Client, ReplicaTables
+from hollyridge.chp.proxy_replicas import ProxyReplicas, ReplicaTables
 
 if TYPE_CHECKING:
     import zmq as pyzmq
@@ -44,7 +44,7 @@
         zmq: ModuleType | None = None,
         context: pyzmq.Context | None = None,
         source: str = "",
-        client: Client | None = None,
+        client: ProxyReplicas | None = None,
         heard: Callable | None = None,
         keys: Callable = lambda sock: None,
         clock: Callable[[], float] = time.monotonic,
@@ -56,7 +56,7 @@
         self.uid = uid
         self.heard = heard
         self.clock = clock
-        self.client = client or Client(uid, methods)
+        self.client = client or ProxyReplicas(uid, methods)
         for replica in self.client.replicas.values():
             replica.begin()
         request = codec.OwnershipRequest(self.client.fencing.ask(), insist)
@@ -104,7 +104,7 @@
         """Tell the assigner what is applied; also the heartbeat."""
         self.acked_at = self.clock()
         home = self.client.replicas[self.client.home]
-        value = codec.Ack(home.head.epoch, self.client.seqs(), self.client.fencing.asked)
+        value = codec.Ack(home.head.epoch, self.client.applied_heads(), self.client.fencing.asked)
         uuid = codec.uuid_of(self.routing_id.hex())
         message = codec.Kvset(self.client.home + "ack", uuid, codec.PROPERTIES, codec.json(value))
         with suppress(self.zmq.ZMQError):  # nobody reads it now; the next one makes up for it
@@ -124,7 +124,7 @@
             self._ask_again(now)
             if changed:
                 return self.client.tables
-            if self.client.go() is not None or now >= deadline:
+            if self.client.redirect() is not None or now >= deadline:
                 return None
 
     def _ask_again(self, now: float) -> None:
@@ -161,7 +161,7 @@
         if type(message) is codec.Kthxbai and message.subtree == self.client.home:
             self.joined = True
             self.last_heartbeat = self.clock()
-        self.heartbeat_s = min(MAX_HEARTBEAT_S, max(MIN_HEARTBEAT_S, home.head.beat / 1000))
+        self.heartbeat_s = min(MAX_HEARTBEAT_S, max(MIN_HEARTBEAT_S, home.head.heartbeat_ms / 1000))
         if type(message) is codec.Kvpub and message.key == self.client.home + "head":
             self.last_heartbeat = self.clock()
 
--- a/hollyridge/chp/key_space.py
+++ b/hollyridge/chp/key_space.py
@@ -47,7 +47,7 @@
             prev=before.seq if before else 0,
             count=len(messages),
             total=len(target),
-            beat=self.heartbeat_ms,
+            heartbeat_ms=self.heartbeat_ms,
         )
         self.heads[subtree] = head
         self.held[subtree] = dict(target)
@@ -60,7 +60,7 @@
     def _head_message(self, subtree: str, head: Head) -> Kvpub:
         return Kvpub(subtree + "head", head.seq, self.uuid, codec.PROPERTIES, codec.json(head))
 
-    def beat(self, subtree: str) -> Kvpub:
+    def heartbeat(self, subtree: str) -> Kvpub:
         """The heartbeat: the head again, so that who missed the last change notices."""
         return self._head_message(subtree, self.heads[subtree])
 
--- a/hollyridge/chp/publication.py
+++ b/hollyridge/chp/publication.py
@@ -119,7 +119,7 @@
     def heartbeat(self) -> None:
         """Send the heartbeat of each subtree."""
         self.sockets.publish([codec.Hugz()])
-        self.sockets.publish([self.key_space.beat(subtree) for subtree in list(self.key_space.heads)])
+        self.sockets.publish([self.key_space.heartbeat(subtree) for subtree in list(self.key_space.heads)])
 
     # Who uses what.
 
--- a/hollyridge/chp/values.py
+++ b/hollyridge/chp/values.py
@@ -31,7 +31,7 @@
         prev: Sequence number of the head before.
         count: Messages since that one.
         total: Keys in the subtree, the head left out.
-        beat: Milliseconds between two heartbeats.
+        heartbeat_ms: Time between two heartbeats.
         layout: Version of the layout.
     """
 
@@ -41,7 +41,7 @@
     prev: int = 0
     count: int = 0
     total: int = 0
-    beat: int = 1000
+    heartbeat_ms: int = msgspec.field(name="beat", default=1000)
     layout: int = msgspec.field(name="v", default=LAYOUT)
 
 
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from hollyridge.chp.client import Subscriber
-from hollyridge.chp.replica import Client
+from hollyridge.chp.proxy_replicas import ProxyReplicas
 from hollyridge.client.gateway import Gateway, RedirectedError, several
 
 
@@ -33,7 +33,7 @@
         super().__init__(uid, methods, **terms)
         self.addresses, self.how, self.silent_beats, self.before = several(address), how or {}, silent_beats, before
         self.ways = len(self.addresses)
-        self.client, self.subscriber, self.beat_s = Client(uid, methods, self.judge), None, 1.0
+        self.client, self.subscriber, self.beat_s = ProxyReplicas(uid, methods, self.judge), None, 1.0
         self.versions: dict[str, int] = {}
 
     def session(self) -> None:
@@ -50,7 +50,7 @@
         try:
             while not self.stopped and self.subscriber is subscriber:
                 tables = subscriber.step(min(subscriber.heartbeat_s, self.beat_s) / 2)
-                go = self.client.go()
+                go = self.client.redirect()
                 if go is not None:
                     raise RedirectedError(go.address)
                 if tables is not None:
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checker.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from hollyridge.chp import codec as clone
-from hollyridge.chp.replica import Client
+from hollyridge.chp.proxy_replicas import ProxyReplicas
 from hollyridge.lab.record import frame_of, parts_of
 from hollyridge.membership.fencing import FencingChecker
 from hollyridge.registration.members import figure, read_label
@@ -92,7 +92,7 @@
     """What one proxy of the pub-sub front holds, from what was recorded of its messages."""
 
     def __init__(self, uid: str, names: list[str]) -> None:
-        self.client, self.stream = Client(uid, names, Follower()), 0
+        self.client, self.stream = ProxyReplicas(uid, names, Follower()), 0
         self.joined_in = 0
 
     def take(self, stream: int, parts: list[bytes]) -> tuple[bool, int, int, bool]:
@@ -113,7 +113,9 @@
             version = replica.head.version
             lines = 1 + (replica.head.total if isinstance(message, clone.Kthxbai) else replica.head.count)
         home = isinstance(message, clone.Kthxbai) and subtree == self.client.home
-        joined = home and self.joined_in != stream and self.client.replicas[subtree].synced and not self.client.go()
+        joined = (
+            home and self.joined_in != stream and self.client.replicas[subtree].synced and not self.client.redirect()
+        )
         if joined:
             self.joined_in = stream
         return joined, lines, version, changed
@@ -238,7 +240,7 @@
                             row["t"],
                             who,
                             method,
-                            listener.client.wanted().get(method, "?"),
+                            listener.client.bound_tables().get(method, "?"),
                             tables.versions[method],
                             some,
                         )
--- a/hollyridge/lab/update_model_check.py
+++ b/hollyridge/lab/update_model_check.py
@@ -46,7 +46,7 @@
 
 
 def head_of(head: codec.Head, count: int) -> codec.Head:
-    return codec.Head(head.epoch, head.version, head.seq, head.prev, count, head.total, head.beat)
+    return codec.Head(head.epoch, head.version, head.seq, head.prev, count, head.total, head.heartbeat_ms)
 
 
 class World:
@@ -102,7 +102,7 @@
             self.version += 1
             self.published += self.ledger.set(SUBTREE, self.version, target(self.run, self.version))
         elif move == "beat":
-            self.published.append(self.ledger.beat(SUBTREE))
+            self.published.append(self.ledger.heartbeat(SUBTREE))
         elif move == "restart":  # what was published may still arrive; the snapshot's stream does not survive
             self.run, self.version = self.run + 1, 0
             self.ledger = KeySpace(f"run{self.run}", 500)
--- a/tests/test_clone.py
+++ b/tests/test_clone.py
@@ -14,7 +14,8 @@
 
 from hollyridge.chp import codec
 from hollyridge.chp.key_space import KeySpace
-from hollyridge.chp.replica import Client, Replica
+from hollyridge.chp.proxy_replicas import ProxyReplicas
+from hollyridge.chp.replica import Replica
 from hollyridge.client import ChpGateway, GatewayState, SaspGateway
 from hollyridge.lab.record import parts_of
 from hollyridge.lab.update_model_check import World, explore
@@ -128,7 +129,7 @@
 
 @pytest.mark.parametrize("story", ["ahead", "behind"])
 def test_layouts_one_ahead_and_one_behind(story):
-    ledger, client = KeySpace("e", 500), Client("gw", ["m"])
+    ledger, client = KeySpace("e", 500), ProxyReplicas("gw", ["m"])
     told = ledger.set("/proxy/gw/", 1, {"/proxy/gw/bind/m": codec.json(codec.Bind(0))})
     lines = {f"/table/0/line/127.0.0.1:{k}": codec.json(codec.Line(k / 2)) for k in range(1, 4)}
     ledger.set("/table/0/", 1, lines)
@@ -147,7 +148,7 @@
 @pytest.mark.parametrize("path", sorted(STREAMS.glob("*.json")), ids=lambda path: path.stem)
 def test_recorded_streams_of_older_layouts_still_read(path):
     kept = json.loads(path.read_text())
-    client = Client(kept["uid"], kept["methods"])
+    client = ProxyReplicas(kept["uid"], kept["methods"])
     for row in kept["messages"]:
         client.take(codec.decode(parts_of(row)))
     assert {m: dict(lines) for m, lines in client.tables.lines.items()} == kept["lines"]
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -118,7 +118,7 @@
     ledger = KeySpace("e1", 500)
     sent = ledger.set("/table/0/", 4, {"/table/0/line/127.1.0.1:80": b'{"w":1.0,"v":1}'})
     sent += ledger.set("/table/0/", 5, {"/table/0/line/127.1.0.2:80": b'{"w":2.0,"v":1}'})
-    sent += [ledger.beat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
+    sent += [ledger.heartbeat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
     return [[part.hex() for part in chp.encode(message)] for message in sent]
 
 
