--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,10 +6,10 @@
 import gevent
 import pytest
 import trustme
+from chp_rig import clone_rig, hosts, open_gateway
 from gevent import socket
 from gevent import ssl as green_ssl
 from service_rig import GROUPS, LOOPBACK, rig, tries, wait_for  # noqa: F401
-from test_clone import clone_rig, hosts, open_gateway
 from zmq import auth
 
 from hollyridge.keys.curve import client_keys
