--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -1,26 +1,33 @@
-"""A gateway whose tables come by pub-sub."""
+"""A gateway whose tables come by CHP."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from hollyridge.chp.client import Subscriber
-from hollyridge.chp.proxy_replicas import ProxyReplicas
+from hollyridge.chp.proxy_replicas import ProxyReplicas, ReplicaTables
 from hollyridge.client.gateway import Gateway, RedirectedError, several
+from hollyridge.errors import HollyridgeError
 
+STALE_HEARTBEATS = 2  # a session stands while a heartbeat of its own subtree is not older than so many
+SILENCE_MARGIN_S = 0.5  # beside `silent_beats` heartbeats
+FIRST_REPLY_HEARTBEATS = 2  # where other assigners know of this proxy, they may answer at once
 
-class HeartbeatTimeoutError(Exception):
-    """No heartbeat of one's own subtree for too long: the session is over."""
+
+class HeartbeatTimeoutError(HollyridgeError):
+    """No heartbeat of the proxy's own subtree for too long: the session is over."""
 
 
 class ChpGateway(Gateway):
-    """`address` may be a list: when one assigner doesn't answer, the next is dialled. `how` goes to `Subscriber` (zmq,
-    context, source, heard, keys). A session ends after `silent_beats` heartbeats that did not come; the next one keeps
-    what is held and asks for what has changed."""
+    """A gateway of a CHP server.
+
+    A session ends after `silent_beats` heartbeats that did not come; the next one keeps what is held and asks for what
+    has changed.
+    """
 
     silences = (HeartbeatTimeoutError,)
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
         self,
         address: tuple[str, int] | list[tuple[str, int]],
         uid: str,
@@ -28,15 +35,32 @@
         how: dict | None = None,
         silent_beats: float = 3.0,
         before: Callable[[int], None] = lambda lines: None,
-        **terms,
+        **options: object,
     ) -> None:
-        super().__init__(uid, methods, **terms)
-        self.addresses, self.how, self.silent_beats, self.before = several(address), how or {}, silent_beats, before
+        """Make a gateway without a session.
+
+        Args:
+            address: Of an assigner, or a list of several: when one doesn't answer, the next is asked.
+            uid: Name of the proxy.
+            methods: Names of the methods.
+            how: Options of `Subscriber` (zmq, context, source, heard, keys).
+            silent_beats: Heartbeats that may be missing.
+            before: Called with the number of lines before tables are replaced.
+            options: Those of `Gateway`.
+        """
+        super().__init__(uid, methods, **options)
+        self.addresses = several(address)
         self.ways = len(self.addresses)
-        self.client, self.subscriber, self.beat_s = ProxyReplicas(uid, methods, self.judge), None, 1.0
+        self.how = how or {}
+        self.silent_beats = silent_beats
+        self.before = before
+        self.client = ProxyReplicas(uid, methods, self.judge)
+        self.subscriber: Subscriber | None = None
+        self.heartbeat_s = 1.0
         self.versions: dict[str, int] = {}
 
     def session(self) -> None:
+        """One session, until it ends."""
         subscriber = Subscriber(
             self.addresses[self.way],
             self.uid,
@@ -49,26 +73,32 @@
         self.subscriber = subscriber
         try:
             while not self.stopped and self.subscriber is subscriber:
-                tables = subscriber.step(min(subscriber.heartbeat_s, self.beat_s) / 2)
-                go = self.client.redirect()
-                if go is not None:
-                    raise RedirectedError(go.address)
-                if tables is not None:
-                    self.before(sum(map(len, tables.lines.values())))
-                    self.versions = tables.versions
-                    self.lay(tables.lines, tables.levels)
-                if subscriber.joined and subscriber.silent_for < 2 * subscriber.heartbeat_s:
+                self._take(subscriber.step(min(subscriber.heartbeat_s, self.heartbeat_s) / 2))
+                if subscriber.joined and subscriber.silent_for < STALE_HEARTBEATS * subscriber.heartbeat_s:
                     self.alive()
-                    self.beat_s = subscriber.heartbeat_s
-                    continue
-                self.standing_stream = False
-                patience = self.silent_beats * subscriber.heartbeat_s + 0.5
-                if self.judge.held and not subscriber.joined:  # others may answer at once
-                    patience = 2 * self.beat_s
-                if subscriber.silent_for > patience:
-                    raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
+                    self.heartbeat_s = subscriber.heartbeat_s
+                else:
+                    self.standing_stream = False
+                    self._check_silence(subscriber)
         finally:
             subscriber.close()  # here and not in `hang_up`: its sockets belong to this thread
 
+    def _take(self, tables: ReplicaTables | None) -> None:
+        redirect = self.client.redirect()
+        if redirect is not None:
+            raise RedirectedError(redirect.address)
+        if tables is not None:
+            self.before(sum(map(len, tables.lines.values())))
+            self.versions = tables.versions
+            self.replace_tables(tables.lines, tables.levels)
+
+    def _check_silence(self, subscriber: Subscriber) -> None:
+        patience_s = self.silent_beats * subscriber.heartbeat_s + SILENCE_MARGIN_S
+        if self.judge.held and not subscriber.joined:
+            patience_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
+        if subscriber.silent_for > patience_s:
+            raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
+
     def hang_up(self) -> None:
+        """Let the session end."""
         self.subscriber = None
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -1,8 +1,8 @@
 """What both client libraries are to their user.
 
-A gateway keeps the tables of one proxy. `run` keeps its stream, dials again after growing, jittered waits, and goes
-on for ever; call it in a thread or greenlet of its own, or let `start` do so. All else may be called from anywhere:
-tables are replaced whole, so a reader in mid-pick keeps the one it has.
+A gateway keeps the tables of one proxy. `run` keeps a session with an assigner, connects again after growing, jittered
+waits, and goes on until `stop`; call it in a thread or greenlet of its own, or let `start` do so. All else may be
+called from anywhere: tables are replaced whole, so a reader in the middle of a pick keeps the one it has.
 """
 
 from __future__ import annotations
@@ -13,17 +13,28 @@
 from enum import Enum
 from random import Random
 from types import MappingProxyType
+from typing import NamedTuple
 
 from tenacity import RetryCallState, wait_random_exponential
 
 from hollyridge.client.picking import Picker
+from hollyridge.client.recorded_names import recorded_name
+from hollyridge.errors import HollyridgeError
 from hollyridge.membership.fencing import FencingChecker
 
 NO_LINES: Mapping[str, float] = MappingProxyType({})
+MAX_HOPS = 3  # redirects followed in a row; assigners that are cut off may each name the other
+MAX_ADDRESSES = 64  # that are learnt from redirects
+LONG_SESSION_S = 5.0  # after a longer one the waits begin anew
+REDIRECT_SLEEP_S = 0.002
+MIN_RETRY_SLEEP_S = 0.02
+BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0
+MAX_BACKOFF_ATTEMPTS = 10  # more do not lengthen the wait
+REQUESTS_PER_S_BITS = 16  # room for that many requests a second in numbers taken from the time of day
 
 
 class GatewayState(Enum):
-    """FRESH: the stream stands. STALE: it does not, what is held is used. CUT_OFF: not for `cut_off_after`."""
+    """FRESH: a session stands. STALE: none does, what is held is used. CUT_OFF: so for `cut_off_after` and more."""
 
     FRESH = "fresh"
     STALE = "stale"
@@ -31,46 +42,49 @@
 
 
 def several(address: tuple[str, int] | list[tuple[str, int]]) -> list[tuple[str, int]]:
-    """
+    """One address or several, as a list.
+
     >>> several(("127.0.0.1", 80)), several([("127.0.0.1", 80), ("127.0.0.1", 81)])
     ([('127.0.0.1', 80)], [('127.0.0.1', 80), ('127.0.0.1', 81)])
     """
-    return [address] if isinstance(address[0], str) else [tuple(one) for one in address]
-
+    return [address] if isinstance(address[0], str) else [tuple(each) for each in address]
 
-# Recordings hold the reason a stream ended with the error's name: these stay, whatever the classes are called.
-RECORDED_NAMES = {
-    "hollyridge.chp.values.ChpError": "CloneError",
-    "hollyridge.client.chp.HeartbeatTimeoutError": "SilenceError",
-    "hollyridge.sasp.client.ConnectionLostError": "LostError",
-    "hollyridge.sasp.client.HeartbeatTimeoutError": "SilentError",
-}
 
+class RedirectedError(HollyridgeError):
+    """Another assigner should be asked, at `address` (`host:port`); empty: whichever answers."""
 
-def recorded_name(error: Exception) -> str:
-    """The name by which recordings know the class of an error.
-
-    >>> recorded_name(OSError("reset"))
-    'OSError'
-    """
-    kind = type(error)
-    return RECORDED_NAMES.get(f"{kind.__module__}.{kind.__qualname__}", kind.__name__)
+    def __init__(self, address: str) -> None:
+        super().__init__(address)
+        self.address = address
 
 
-class RedirectedError(Exception):
-    """Another assigner should be asked, at the address that `args` has as `host:port`; none: whichever answers."""
+class SessionEnd(NamedTuple):
+    """How a session ended: by a redirect, or because the other side was silent; else neither."""
 
-
-HOPS = 3  # times in a row that it goes where it is sent; assigners that are cut off may each mean the other
+    redirected: bool = False
+    silent: bool = False
 
 
 class Gateway:
-    """`methods` in the order of the assigner's settings. `standing` is used until a table comes. `numbers_from`: where
-    the numbers of its questions begin, above those of its last life; by default from the time of day."""
+    """Keeps the tables of the proxy `uid`. `methods` are named in the order of the assigner's settings.
+
+    Attributes:
+        tables: Weight by `host:port`, by method.
+        levels: Admission and retries, by method.
+        judge: Whose orders the proxy obeys, where assigners share a fleet.
+        addresses: Assigners that may be asked; `way` is the index of the one whose turn it is, of `ways`.
+        pleads: Whether the next session insists on being taken in.
+        standing_stream: Whether a session stands.
+        lived: Whether this session has stood at any time.
+        heard_at: When a session was last known to stand, None if never.
+        trouble: Why the last session ended.
+        sessions: How many were begun.
+        watch: Called with True when a session begins, and with False when it has ended.
+    """
 
-    silences: tuple[type[Exception], ...] = ()  # ends of a session whose other end stands still or can't be reached
+    silences: tuple[type[Exception], ...] = ()  # errors that mean that the other side has stopped or can't be reached
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
         self,
         uid: str,
         methods: list[str],
@@ -82,41 +96,66 @@
         clock: Callable[[], float] = time.monotonic,
         numbers_from: int | None = None,
     ) -> None:
+        """Make a gateway without a session.
+
+        Args:
+            uid: Name of the proxy.
+            methods: Names of the methods.
+            standing: Weight by task, used until a table is received.
+            pick: How `pick` chooses (see `Picker`).
+            rng: Source of chance.
+            cut_off_after: Seconds without a session until the state is CUT_OFF.
+            sleep: Sleeps so many seconds.
+            clock: Tells the time in seconds.
+            numbers_from: Where the numbers of its requests for an owner begin, above those of its last run; by default
+                from the time of day.
+        """
+        self.uid = uid
+        self.methods = methods
+        self.sleep = sleep
         self.clock = clock
-        self.judge = FencingChecker(int(time.time()) << 16 if numbers_from is None else numbers_from)
-        self.addresses: list[tuple[str, int]] = []
-        self.sent_to, self.hops, self.pleads = -1, 0, False
-        self.uid, self.methods, self.sleep, self.cut_off_after = uid, methods, sleep, cut_off_after
+        self.cut_off_after = cut_off_after
         self.rng = rng or Random()
-        self.tables: dict[str, Mapping[str, float]] = {m: MappingProxyType(dict(standing or {})) for m in methods}
+        self.judge = FencingChecker(int(time.time()) << REQUESTS_PER_S_BITS if numbers_from is None else numbers_from)
+        self.addresses: list[tuple[str, int]] = []
+        self.ways = 1
+        self.way = 0
+        self.redirected_to = -1  # index of the assigner that the last redirect named
+        self.hops = 0
+        self.pleads = False
+        self.tables: dict[str, Mapping[str, float]] = {
+            method: MappingProxyType(dict(standing or {})) for method in methods
+        }
         self.levels: dict[str, tuple[float, int]] = {}
         self.pickers = {method: Picker(pick, self.rng) for method in methods}
         for method, picker in self.pickers.items():
             picker.set(self.tables[method])
         self.listeners: list[Callable[[Gateway], None]] = []
-        self.heard_at: float | None = None  # when the stream was last known to stand
-        self.standing_stream = self.lived = False
-        self.ways, self.way = 1, 0  # assigners that may be dialled, and whose turn it is
+        self.heard_at: float | None = None
+        self.standing_stream = False
+        self.lived = False
         self.stopped = False
         self.trouble = ""
         self.sessions = 0
-        self.watch: Callable[[bool], None] = lambda begins: None  # told when a session begins and when it is over
+        self.watch: Callable[[bool], None] = lambda begins: None
 
     # For the user.
 
     def table_for(self, method: str) -> Mapping[str, float]:
-        """Weight by `host:port`; what is held, however old. Never half a change."""
+        """Weight by `host:port`: what is held, however old, and never half a change."""
         return self.tables.get(method, NO_LINES)
 
     def pick(
         self, method: str, out: Callable[[str], int] = lambda task: 0, avoid: frozenset | set = frozenset()
     ) -> str | None:
-        """A task for one RPC, None without lines."""
+        """A task for one RPC, None without any. `out(task)`: RPCs in flight; `avoid`: tasks not to take if possible."""
         return self.pickers[method].choose(out, avoid)
 
     def level_for(self, method: str) -> tuple[float, int]:
-        """What part of the RPCs to let in, and how to try again (0: not, 1: one on proof that the first never ran,
-        2: one after any failure, 3: two)."""
+        """The fraction of RPCs to admit, and how to retry.
+
+        Retries: 0 none, 1 one if it is certain that the attempt never ran, 2 one after any failure, 3 two of these.
+        """
         return self.levels.get(method, (1.0, 0))
 
     def on_change(self, call: Callable[[Gateway], None]) -> None:
@@ -125,102 +164,122 @@
 
     @property
     def state(self) -> GatewayState:
+        """Whether what is held is up to date."""
         if self.standing_stream:
             return GatewayState.FRESH
         return GatewayState.STALE if self.age < self.cut_off_after else GatewayState.CUT_OFF
 
     @property
     def age(self) -> float:
-        """Seconds since the stream was last known to stand; infinite if it never was."""
+        """Seconds since a session was last known to stand; infinite if none ever was."""
         return float("inf") if self.heard_at is None else self.clock() - self.heard_at
 
     def start(self) -> None:
+        """Run in a thread of its own."""
         threading.Thread(target=self.run, daemon=True, name=f"gateway {self.uid}").start()
 
     def stop(self) -> None:
+        """End the session and `run`."""
         self.stopped = True
         self.hang_up()
 
     # For the protocols.
 
-    def lay(self, tables: Mapping[str, Mapping[str, float]], levels: Mapping[str, tuple[float, int]]) -> None:
-        """Go by these from now on; methods that are not named keep what they have."""
-        laid = {method: MappingProxyType(dict(lines)) for method, lines in tables.items() if method in self.pickers}
-        self.tables = {**self.tables, **laid}
+    def session(self) -> None:
+        """One session, until it ends. Calls `alive` while it stands and `replace_tables` at changes."""
+        raise NotImplementedError
+
+    def hang_up(self) -> None:
+        """End the session that stands, if any."""
+
+    def replace_tables(
+        self, tables: Mapping[str, Mapping[str, float]], levels: Mapping[str, tuple[float, int]]
+    ) -> None:
+        """Go by these from now on; methods that are not named keep their tables."""
+        replaced = {method: MappingProxyType(dict(lines)) for method, lines in tables.items() if method in self.pickers}
+        self.tables = {**self.tables, **replaced}
         self.levels = dict(levels)
-        for method, lines in laid.items():
+        for method, lines in replaced.items():
             self.pickers[method].set(lines)
         for call in self.listeners:
             call(self)
 
     def alive(self) -> None:
-        self.heard_at, self.standing_stream, self.lived = self.clock(), True, True
-        self.sent_to, self.hops, self.pleads = -1, 0, False
+        """The session stands."""
+        self.heard_at = self.clock()
+        self.standing_stream = True
+        self.lived = True
+        self.redirected_to = -1
+        self.hops = 0
+        self.pleads = False
 
-    def sent_on(self, address: str) -> None:
-        """Another assigner is to be asked next. After some hops in a row whoever is next is asked to take it all the
-        same."""
-        self.hops += 1
-        host, _, port = address.rpartition(":")
-        at = (host.strip("[]"), int(port)) if port.isdigit() else None
-        if at is not None and at not in self.addresses and len(self.addresses) < 64:
-            self.addresses.append(at)
-            self.ways = len(self.addresses)
-        if at in self.addresses and self.hops <= HOPS:
-            self.way = self.sent_to = self.addresses.index(at)
-        else:
-            self.pleads = True
-            self.way = (self.way + 1) % self.ways
+    # Sessions one after the other.
 
     def run(self) -> None:
-        """Keep a stream until `stop`."""
+        """Keep a session until `stop`."""
         failed = 0
         while not self.stopped:
-            self.sessions += 1
-            begun = self.clock()
-            self.lived = False
-            hop = silent = False
-            try:
-                self.watch(True)
-                self.session()
-                self.trouble = "closed"
-            except RedirectedError as told:
-                self.trouble, hop = f"sent on to {told.args[0]}", True
-                self.sent_on(told.args[0])
-            except Exception as trouble:  # whatever it is, what is held is used and the stream dialled again
-                self.trouble, silent = f"{recorded_name(trouble)}: {trouble}", isinstance(trouble, self.silences)
-            self.standing_stream = False
-            self.hang_up()
-            self.watch(False)
-            if hop:
+            began = self.clock()
+            end = self._run_session()
+            if end.redirected:
                 failed = max(0, self.hops - 1)
-                self.sleep(0.002)
+                self.sleep(REDIRECT_SLEEP_S)
                 if not failed:
                     continue
             else:
-                self.turn(silent)
-                failed = 1 if self.clock() - begun > 5 else failed + 1
+                self._choose_assigner(end.silent)
+                failed = 1 if self.clock() - began > LONG_SESSION_S else failed + 1
             if not self.stopped:
-                self.sleep(0.02 + self.wait(failed))
+                self.sleep(MIN_RETRY_SLEEP_S + self.wait(failed))
+
+    def _run_session(self) -> SessionEnd:
+        self.sessions += 1
+        self.lived = False
+        end = SessionEnd()
+        try:
+            self.watch(True)
+            self.session()
+            self.trouble = "closed"
+        except RedirectedError as redirect:
+            end = SessionEnd(redirected=True)
+            self.trouble = f"sent on to {redirect.address}"
+            self._follow_redirect(redirect.address)
+        except Exception as error:  # boundary of the user's process: what is held is used, and it connects again
+            end = SessionEnd(silent=isinstance(error, self.silences))
+            self.trouble = f"{recorded_name(error)}: {error}"
+        self.standing_stream = False
+        self.hang_up()
+        self.watch(False)
+        return end
 
     @staticmethod
     def wait(failed: int) -> float:
-        """Seconds before the next try after so many that failed."""
+        """Seconds before the next session after so many that failed: random, growing."""
         state = RetryCallState(None, None, (), {})
-        state.attempt_number = min(failed, 10)
-        return wait_random_exponential(multiplier=0.1, max=2.0)(state)
-
-    def turn(self, silent: bool) -> None:
-        """The same assigner again after a stream that stood, else the next one; in a shared fleet also after one that
-        fell silent, for the others know more. Where it was sent to that one, the next is asked to take it all the
-        same."""
-        if not self.lived or silent and self.judge.held:
-            self.pleads = self.pleads or self.way == self.sent_to
+        state.attempt_number = min(failed, MAX_BACKOFF_ATTEMPTS)
+        return wait_random_exponential(multiplier=BACKOFF_S, max=MAX_BACKOFF_S)(state)
+
+    def _follow_redirect(self, address: str) -> None:
+        """Another assigner is asked next. After several redirects in a row, the next in turn has to take it in."""
+        self.hops += 1
+        host, _, port = address.rpartition(":")
+        target = (host.strip("[]"), int(port)) if port.isdigit() else None
+        if target is not None and target not in self.addresses and len(self.addresses) < MAX_ADDRESSES:
+            self.addresses.append(target)
+            self.ways = len(self.addresses)
+        if target in self.addresses and self.hops <= MAX_HOPS:
+            self.way = self.redirected_to = self.addresses.index(target)
+        else:
+            self.pleads = True
             self.way = (self.way + 1) % self.ways
 
-    def session(self) -> None:
-        """One stream, until it ends. Calls `alive` while it stands and `lay` at changes."""
-        raise NotImplementedError
+    def _choose_assigner(self, silent: bool) -> None:
+        """Choose whom to ask after a session that was not redirected.
 
-    def hang_up(self) -> None:
-        """End the stream that there is, if any."""
+        It is the same assigner after a session that stood, else the next; in a shared fleet also the next after one
+        that fell silent, for the others know more. Where a redirect had named the silent one, the next has to take it
+        in.
+        """
+        if not self.lived or (silent and self.judge.held):
+            self.pleads = self.pleads or self.way == self.redirected_to
+            self.way = (self.way + 1) % self.ways
