--- /dev/null
+++ b/tests/chp/test_chp_server.py
@@ -0,0 +1,176 @@
+"""The CHP server and its client library on real sockets."""
+
+import gevent
+import pytest
+import zmq.green as zmq
+from chp_rig import clone_rig, hosts, open_gateway
+from service_rig import GROUPS, rig, wait_for  # noqa: F401 - `rig` is a fixture
+
+from hollyridge.chp import codec
+from hollyridge.client import GatewayState, SaspGateway
+from hollyridge.sasp.codec import Member
+
+
+def test_both_libraries_hold_the_same_and_see_a_drain(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig)
+    agent, other = r.agent(), open_gateway(r)
+    one = SaspGateway(
+        ("127.0.0.1", r.sasp),
+        "gw-s",
+        list(GROUPS),
+        sleep=gevent.sleep,
+        receive_s=0.2,
+        how=dict(source="127.1.0.78", connect=gevent.socket.create_connection),
+    )
+    one.job, one.close = gevent.spawn(one.run), one.stop
+    r.clients.append(one)
+    assert wait_for(lambda: hosts(one) == hosts(other) == {1, 2, 3, 4})
+    for gateway in (one, other):
+        assert gateway.state == GatewayState.FRESH and gateway.pick("read-chapter") in gateway.table_for("read-chapter")
+    shares = [
+        {t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
+        for g in (one, other)
+    ]
+    assert shares[0] == pytest.approx(shares[1], abs=1e-3)
+    held = other.table_for("read-chapter")
+    agent.quiesce([r.members()[0]])
+    assert wait_for(lambda: hosts(one) == hosts(other) == {2, 3, 4}, 1.0)
+    assert len(held) == 4  # a reader in mid-pick keeps the one it has
+
+
+def test_admission_is_acknowledged_and_a_silent_proxy_is_cut(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig)
+    r.agent()
+    gateway = open_gateway(r)
+    assert wait_for(lambda: hosts(gateway))
+    receipts = []
+    tell = r.engine.acknowledge
+    r.engine.acknowledge = lambda now, proxy, mark, took: (receipts.append(mark), tell(now, proxy, mark, took))
+    from hollyridge import interface as api
+
+    r.engine.apply_commands(r.engine.decision_number, r.service.loop.clock(), [])
+    r.engine.decision_number += 1
+    now = r.service.loop.clock()
+    r.engine.apply_commands(now, now, [api.SetAdmission(0, 0, 0.5, 1), api.RequestAck(77, False)])
+    r.service.loop.wake()
+    assert wait_for(lambda: gateway.level_for("redeem-code") == (0.5, 1), 2)
+    assert wait_for(lambda: 77 in receipts, 2)
+    gateway.stop()
+    assert wait_for(lambda: not r.engine.servers, 4) and r.clone.counts["cut"] == 1
+
+
+def test_an_ejected_task_is_in_no_table_until_it_returns(rig):  # noqa: F811 - the fixture
+    from hollyridge import interface as api
+
+    r = clone_rig(rig)
+    r.agent()
+    gateway = open_gateway(r)
+    assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
+    for out, left in ((True, {2, 3, 4}), (False, {1, 2, 3, 4})):
+        r.engine.decision_number += 1
+        now = r.service.loop.clock()
+        r.engine.apply_commands(now, now, [api.SetEjected(0, out)])
+        r.service.loop.wake()
+        assert wait_for(lambda left=left: hosts(gateway) == left, 2)
+    late = open_gateway(r, "late")
+    assert wait_for(lambda: hosts(late) == {1, 2, 3, 4})
+
+
+def test_an_assigner_that_restarts_with_smaller_numbers_is_followed(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig)
+    r.agent()
+    gateway = open_gateway(r)
+    assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
+    listen = r.clone.config.port
+    r.service.stop()
+    r.job.join(2)
+    assert wait_for(lambda: gateway.state == GatewayState.STALE, 2) and hosts(gateway) == {1, 2, 3, 4}
+    gevent.sleep(1)
+    assert hosts(gateway) == {1, 2, 3, 4} and 1 < gateway.age < 5
+    again = rig(clone__listen=f"127.0.0.1:{listen}", clone__beat_ms=100)
+    again.agent(tasks=2)
+    assert wait_for(lambda: hosts(gateway) == {1, 2}, 8)
+    assert gateway.state == GatewayState.FRESH and gateway.client.replicas[gateway.client.home].head.seq < 50
+
+
+def test_a_subscriber_that_never_reads_is_cut_and_harms_nobody(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig, clone__waiting_most=450, proxies__tasks_most=400)
+    agent, quick = r.agent(), open_gateway(r, "quick", zone=2)
+    stuck = open_gateway(r, "stuck")
+    assert wait_for(lambda: hosts(quick) == hosts(stuck) == {1, 2, 3, 4})
+    stuck.before = lambda lines: gevent.sleep(30)
+    crowd = r.members(4) + [m._replace(port=p) for m in r.members(4) for p in range(9001, 9030)]
+    for _ in range(6):
+        agent.register(crowd)
+        gevent.sleep(0.4)
+        agent.deregister(crowd[4:])
+        gevent.sleep(0.4)
+
+    def settled():  # removals may wait a little for more of them
+        newest = {r.service.task_name(task) for task in r.engine.update_builder.store.latest(1).lines}
+        return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
+
+    assert wait_for(settled, 8)
+    assert wait_for(lambda: "stuck" not in r.clone.sessions.by_uid, 4) and "quick" in r.clone.sessions.by_uid
+
+
+def test_a_snapshot_larger_than_what_may_wait_arrives_while_changes_go_on(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
+    r.engine.endpoint_source.terms, r.engine.task_indices.max_indices = (
+        r.engine.endpoint_source.terms._replace(max_members=1000),
+        1000,
+    )
+    agent = r.agent()
+    crowd = [Member.at(f"127.{1 + k % 3}.2.{k // 3}", 9000, "run=a up=100") for k in range(300)]
+    agent.register(crowd)
+    assert wait_for(lambda: len(r.engine.endpoint_source.entries) == 304)
+    gateway = open_gateway(r)
+    for k in range(20):
+        agent.quiesce([crowd[k]])
+        gevent.sleep(0.05)
+
+    def newest():
+        lines = r.engine.update_builder.store.latest(0).lines
+        return {r.service.task_name(task) for task in lines if not r.engine.is_closed(task)}
+
+    assert wait_for(lambda: len(newest()) > 101 and set(gateway.table_for("read-chapter")) == newest(), 8)
+
+
+def test_a_drain_arrives_while_a_hundred_join_in_a_second(rig):  # noqa: F811 - the fixture
+    r = clone_rig(
+        rig, channel__lines_per_s=1500, channel__most_waiting=3000, promises__drain_grace_s=3, clone__beat_ms=500
+    )
+    agent, first = r.agent(), open_gateway(r)
+    assert wait_for(lambda: hosts(first) == {1, 2, 3, 4})
+    many = [open_gateway(r, f"gw-{k}", zone=1 + k % 3) for k in range(100)]
+    gevent.sleep(0.1)
+    agent.quiesce([r.members()[0]])
+    assert wait_for(lambda: 1 not in hosts(first), 2.0)
+    assert wait_for(lambda: all(hosts(g) == {2, 3, 4} for g in many), 10)
+
+
+def test_malformed_messages_are_counted_and_harm_nobody(rig):  # noqa: F811 - the fixture
+    r = clone_rig(rig)
+    r.agent()
+    gateway = open_gateway(r)
+    context = zmq.Context()
+    dealer, push = context.socket(zmq.DEALER), context.socket(zmq.PUSH)
+    for offset, sock in ((0, dealer), (2, push)):
+        sock.linger = 0
+        sock.connect(f"tcp://127.0.0.1:{r.clone.config.port + offset}")
+    for parts in (
+        [b"ICANHAZ?", b"/"],
+        [b"ICANHAZ?", b"/table/0/"],
+        [b"what"],
+        [b"ICANHAZ?", b"/proxy//"],
+        [b"ICANHAZ?", b"/proxy/" + b"x" * 100 + b"/"],
+        [b"\xff"] * 5,
+    ):
+        dealer.send_multipart(parts)
+        push.send_multipart(parts)
+    push.send_multipart(codec.encode(codec.Kvset("/table/0/line/127.9.9.9:1", b"u" * 16, "", b'{"w":9}')))
+    push.send_multipart(codec.encode(codec.Kvset("/proxy/gw-c/ack", b"u" * 16, "", b'{"seqs":{"/table/0/":99}}')))
+    assert wait_for(lambda: r.clone.counts["bad"] >= 9, 2)
+    assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
+    dealer.close()
+    push.close()
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -121,7 +121,7 @@
     ledger = KeySpace("e1", 500)
     sent = ledger.set("/table/0/", 4, {"/table/0/line/127.1.0.1:80": b'{"w":1.0,"v":1}'})
     sent += ledger.set("/table/0/", 5, {"/table/0/line/127.1.0.2:80": b'{"w":2.0,"v":1}'})
-    sent += [ledger.beat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
+    sent += [ledger.heartbeat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
     return [[part.hex() for part in chp.encode(message)] for message in sent]
 
 
@@ -153,7 +153,10 @@
 
 def test_identities_of_chp_sessions_are_read_and_written_as_before():
     raw = bytes.fromhex("02000000000000000901") + b"random"
-    assert chp.question_of(raw) == chp.Question(9, True) and chp.identity_of(chp.Question(9, True), b"random") == raw
+    assert (
+        chp.request_of(raw) == chp.OwnershipRequest(9, True)
+        and chp.routing_id_of(chp.OwnershipRequest(9, True), b"random") == raw
+    )
 
 
 # Peers.
