--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -15,9 +15,10 @@
 from hollyridge.decisions.endpoints import EndpointDirectory
 from hollyridge.decisions.estimates import MICROSECONDS_PER_SECOND, Estimates
 from hollyridge.decisions.outliers import OutlierDetector
+from hollyridge.decisions.pooling import per_attempt
 from hollyridge.decisions.publisher import Publisher
 from hollyridge.decisions.push_gate import PushGate
-from hollyridge.decisions.slow_start import SlowStart
+from hollyridge.decisions.slow_start import WARM, SlowStart
 from hollyridge.decisions.table_planner import Snapshot, TablePlanner
 from hollyridge.decisions.tables import TableSet
 from hollyridge.decisions.weights import Proposal, WeightController
@@ -43,7 +44,8 @@
 FRESH_PERIODS = 3  # report periods after which the newest report is old
 MIN_WARM_DIVISOR = 4  # methods are separated only while over a quarter of the tasks are warm
 DEFERRED_RETRY_DIVISOR = 8  # what found no room is tried again after an eighth of a report period
-MIN_TIMER_US = 1000
+TIMER_SLACK_DIVISOR = 2  # the timer stands in half a report period after reports were due
+MIN_TIMER_US = 1000  # one millisecond
 PRIOR_LATENCY_DIVISOR = 2  # where nothing was reported, latency counts as half its objective
 TIMER_TOKEN = 0
 
@@ -177,7 +179,7 @@
         factors = self.planner.slow_start_factors(now_us)
         for task, capacity, periods, efficiency, weight_ratio in event.estimates:
             busy_periods = periods * trust
-            if factors.get(task, 0.0) >= 1.0 and estimates.busy_periods[task] < busy_periods:
+            if factors.get(task, 0.0) >= WARM and estimates.busy_periods[task] < busy_periods:
                 estimates.answered[task] = capacity * periods * trust
                 estimates.busy_periods[task] = busy_periods
                 self.weights.efficiency[task] = 1 + (efficiency - 1) * trust
@@ -187,18 +189,18 @@
     def _improve(self, now_us: int) -> bool:
         """Works through the end of a report period; returns whether better weights are to be pushed."""
         self.weights.expire_proposals(now_us)
-        # Half a period later than reports are due, so that these come first.
-        self.next_period_at_us = now_us + self.config.report_period_us * 3 // 2
+        period_us = self.config.report_period_us
+        self.next_period_at_us = now_us + period_us + period_us // TIMER_SLACK_DIVISOR
         tasks = self.endpoints.ready_tasks()
         if not tasks:
             return self.push_gate.decide(0.0, 0.0, True)
         home = self.endpoints.zone
         self.outliers.update(self.estimates, tasks, home)
         prior_us = self.estimates.latency_objective_us / PRIOR_LATENCY_DIVISOR
-        latency_us = self.estimates.per_attempt(self.estimates.latency_sum_us, prior_us, tasks, home)
+        latency_us = per_attempt(self.estimates.latency_sum_us, self.estimates.attempts, prior_us, tasks, home)
         snapshot = self.planner.snapshot(now_us)
         self._judge_load(snapshot, tasks)
-        warm = [task for task in tasks if snapshot.factors[task] >= 1.0]
+        warm = [task for task in tasks if snapshot.factors[task] >= WARM]
         self._separate_methods(tasks, warm)
         size = self.estimates.update_sizes(self.endpoints.listed_weight, tasks, warm)
         self.estimates.decay(now_us)
@@ -219,7 +221,7 @@
         factors = snapshot.factors
         usable = {task: factor * max(row[task] for row in self.outliers.factor) for task, factor in factors.items()}
         capacity_fraction = estimates.capacity_fraction(usable)
-        cold_capacity = sum(factor * estimates.capacity[task] for task, factor in factors.items() if factor < 1.0)
+        cold_capacity = sum(factor * estimates.capacity[task] for task, factor in factors.items() if factor < WARM)
         attempts, failed = estimates.attempts_and_failures(tasks)
         age_us = snapshot.now_us - estimates.covered_until_us()
         fresh = age_us < FRESH_PERIODS * self.config.report_period_us
@@ -247,10 +249,11 @@
 
     def _demand(self) -> list[float]:
         """RPCs in a report period by zone of proxies, as reported, or else as expected when they joined."""
+        period_us = self.config.report_period_us
         demand = [0.0] * self.config.zones
         for proxy, zone in self.tables.proxy_zone.items():
-            expected = self.tables.proxy_rate[proxy] * self.config.report_period_us / MICROSECONDS_PER_SECOND
-            demand[zone] += self.estimates.offered(proxy) or expected
+            offered = self.estimates.offered(proxy)
+            demand[zone] += offered or self.tables.proxy_rate[proxy] * period_us / MICROSECONDS_PER_SECOND
         return demand
 
     def _table_costs(self, snapshot: Snapshot, costs: list[dict[int, float]]) -> tuple[float, float]:
--- a/hollyridge/decisions/estimates.py
+++ b/hollyridge/decisions/estimates.py
@@ -8,7 +8,7 @@
 
 BUSY_UTILIZATION = 0.85  # utilisation from which tasks count as busy, and which admission aims at
 OVERLOAD_FAILURE_RATIO = 0.25  # part of all attempts that fail while the fleet is overloaded
-PRIOR_ATTEMPTS = 6.0  # attempts' worth of trust in what the wider group shows
+MIN_ATTEMPTS = 6.0  # a period, from a zone's proxies; below that they show nothing of an overload
 HISTORY_DECAY = 0.75  # part of what was reported that still counts a period later
 CAPACITY_DECAY = 0.9  # the same for what a task can do, which changes less
 UTILIZATION_METRIC = "util"  # the platform's name for a task's utilisation among its load metrics
@@ -19,6 +19,8 @@
 VALID_INTERVALS = 2  # report intervals for which a report counts: it would have come again by then
 OBJECTIVE_AT_OVERLOAD = 0.6  # mean latency, in latency objectives, that scores as overload by itself
 BEST_TASKS_DIVISOR = 4  # the best quarter of the tasks shows whether all fail
+MIN_ANSWERED = 1.0  # RPCs a period; keeps a mean over answers finite where nearly all fail
+PRIOR_BUSY_PERIODS = 1.0  # busy periods' worth of trust in the listed weight
 MIN_LOAD = 1e-9  # RPCs a period; keeps a ratio to what comes finite
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -103,16 +105,18 @@
             return
         failed = min(report.failed, report.attempts)
         answered = report.attempts - failed if report.latency_us >= 0 else 0
-        self.attempts[zone][task] += failed + answered
+        attempts = failed + answered
+        latency_sum_us = answered * report.latency_us
+        self.attempts[zone][task] += attempts
         self.failed[zone][task] += failed
-        self.latency_sum_us[zone][task] += answered * report.latency_us + failed * self.failure_cost_us
+        self.latency_sum_us[zone][task] += latency_sum_us + failed * self.failure_cost_us
         metrics = dict(zip(self.config.load_metric_names, report.load))
-        reported = metrics.get(UTILIZATION_METRIC, UNKNOWN_UTILIZATION)
-        self.utilization[task] = min(reported, MAX_REPORTED_UTILIZATION)
-        span_us = max(report.interval_us, self.config.report_period_us)
-        per_period = self.config.report_period_us / span_us
+        self.utilization[task] = min(metrics.get(UTILIZATION_METRIC, UNKNOWN_UTILIZATION), MAX_REPORTED_UTILIZATION)
+        period_us = self.config.report_period_us
+        span_us = max(report.interval_us, period_us)
+        per_period = period_us / span_us
         self.traffic[zone][task] = PeriodTraffic(
-            (failed + answered) * per_period, failed * per_period, answered * report.latency_us * per_period
+            attempts * per_period, failed * per_period, latency_sum_us * per_period
         )
         self.valid_until_us[zone][task] = now_us + VALID_INTERVALS * span_us
 
@@ -123,7 +127,8 @@
         by_method = self.offered_load.setdefault(event.proxy, {})
         before = by_method.get(event.method)
         covered_us = self.joined_at_us.get(event.proxy, 0) if before is None else before.covered_until_us
-        per_period = self.config.report_period_us / max(event.interval_us, self.config.report_period_us)
+        period_us = self.config.report_period_us
+        per_period = period_us / max(event.interval_us, period_us)
         by_method[event.method] = PeriodLoad(event.rpcs * per_period, covered_us + event.interval_us)
 
     def offered_rates(self, proxy_zone: dict[int, int], zone: int, method: int) -> list[float]:
@@ -177,9 +182,10 @@
             tasks: The ready tasks.
             warm: Those that are past their slow start; others show nothing of their capacity.
         """
+        warm_tasks = set(warm)
         for task in tasks:
             if self.utilization[task] >= 0.0:
-                self._learn_capacity(task, task in warm)
+                self._learn_capacity(task, task in warm_tasks)
             self.utilization[task] = UNKNOWN_UTILIZATION
         answered = sum(self.answered[task] for task in tasks)
         busy_periods = sum(self.busy_periods[task] for task in tasks)
@@ -187,7 +193,7 @@
             return list(listed_weight)
         per_weight = answered / sum(self.busy_periods[task] * listed_weight[task] for task in tasks)
         self.capacity[:] = [
-            (rpcs + weight * per_weight) / (periods + 1.0)
+            (rpcs + weight * per_weight) / (periods + PRIOR_BUSY_PERIODS)
             for rpcs, weight, periods in zip(self.answered, listed_weight, self.busy_periods)
         ]
         scale = sum(listed_weight[task] for task in tasks) / sum(self.capacity[task] for task in tasks)
@@ -199,9 +205,10 @@
         Where cores are idle it is for weights and outlier detection to mend that, not for admission.
         """
         attempts, failed, latency_sum_us = (sum(column) for column in zip(*self.traffic[zone]))
-        if attempts < PRIOR_ATTEMPTS:
+        if attempts < MIN_ATTEMPTS:
             return 0.0
-        lateness = latency_sum_us / max(attempts - failed, 1.0) / self.latency_objective_us / OBJECTIVE_AT_OVERLOAD
+        mean_latency_us = latency_sum_us / max(attempts - failed, MIN_ANSWERED)
+        lateness = mean_latency_us / self.latency_objective_us / OBJECTIVE_AT_OVERLOAD
         return lateness + failed / attempts / OVERLOAD_FAILURE_RATIO
 
     def has_idle_capacity(self, weights: dict[int, float]) -> bool:
@@ -215,44 +222,6 @@
             > 0
         )
 
-    def per_attempt(
-        self, sums: list[list[float]], prior: float, tasks: list[int], home: list[int]
-    ) -> list[list[float]]:
-        """A figure per attempt, by zone of proxies and task.
-
-        With few attempts it leans on what all zones saw at the task and on what this zone saw in the task's zone;
-        with none it is the average.
-
-        Args:
-            sums: The figure's sums by zone of proxies and task, one of this object's columns.
-            prior: The figure where nothing was reported at all.
-            tasks: The ready tasks.
-            home: Zone by task.
-        """
-        attempts = {task: sum(column[task] for column in self.attempts) for task in tasks}
-        totals = {task: sum(column[task] for column in sums) for task in tasks}
-        weighted_prior = PRIOR_ATTEMPTS * prior
-        mean = (sum(totals.values()) + weighted_prior) / (sum(attempts.values()) + PRIOR_ATTEMPTS)
-        pooled = {task: (totals[task] + PRIOR_ATTEMPTS * mean) / (attempts[task] + PRIOR_ATTEMPTS) for task in tasks}
-        return [self._seen_from(zone, sums[zone], mean, pooled, home) for zone in self.zones]
-
-    def _seen_from(
-        self, zone: int, sums: list[float], mean: float, pooled: dict[int, float], home: list[int]
-    ) -> list[float]:
-        """`per_attempt` for one zone of proxies, from the figures that all zones saw at each task."""
-        attempts = self.attempts[zone]
-        seen = [PRIOR_ATTEMPTS * mean] * self.config.zones  # by the task's zone
-        expected = [PRIOR_ATTEMPTS * mean] * self.config.zones
-        for task, figure in pooled.items():
-            seen[home[task]] += sums[task]
-            expected[home[task]] += attempts[task] * figure
-        out = [mean] * len(attempts)
-        for task, figure in pooled.items():
-            there = home[task]
-            ratio = seen[there] / expected[there] if expected[there] > 0 else 1.0
-            out[task] = (sums[task] + PRIOR_ATTEMPTS * figure * ratio) / (attempts[task] + PRIOR_ATTEMPTS)
-        return out
-
     def _learned_columns(self) -> list[list[float]]:
         return [
             self.mean_utilization,
--- a/hollyridge/decisions/outliers.py
+++ b/hollyridge/decisions/outliers.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
-from hollyridge.decisions.estimates import PRIOR_ATTEMPTS, Estimates
+from hollyridge.decisions.estimates import Estimates
+from hollyridge.decisions.pooling import per_attempt
 from hollyridge.interface import AssignerConfig
 
 MIN_FACTOR = 1 / 16  # part of its weight left to an outlier, so that reports of it keep coming
-EXCESS_FAILURE_RATIO = (
-    0.58  # of attempts beyond the baseline; with less, task after task hands its work on till all fail
-)
+# Of attempts beyond the baseline. With less, task after task hands its work on until all fail.
+EXCESS_FAILURE_RATIO = 0.58
 CUT = 0.25  # what an outlier's factor is multiplied by each period
 RECOVERY = 4.0  # what it is multiplied by once it does better
 UNTRIED_RECOVERY = 2.0  # the same while its zone's proxies hardly try it
 MIN_ATTEMPTS = 1.0  # decayed attempts from which a task counts as tried
+MIN_ZONE_ATTEMPTS = 6.0  # decayed attempts below which a zone's proxies show nothing
+UNCUT = 1.0  # the factor of a task that is no outlier
 
 
 class OutlierDetector:
@@ -31,8 +33,8 @@
     def reset(self, task: int) -> None:
         """Forgets what an earlier run of the task did."""
         for factor in self.factor:
-            factor.extend([1.0] * (task + 1 - len(factor)))
-            factor[task] = 1.0
+            factor.extend([UNCUT] * (task + 1 - len(factor)))
+            factor[task] = UNCUT
 
     def update(self, estimates: Estimates, tasks: list[int], home: list[int]) -> None:
         """Moves the factors by one period's step.
@@ -42,9 +44,9 @@
             tasks: The ready tasks, at least one.
             home: Zone by task.
         """
-        for zone, ratio in enumerate(estimates.per_attempt(estimates.failed, 0.0, tasks, home)):
+        for zone, ratio in enumerate(per_attempt(estimates.failed, estimates.attempts, 0.0, tasks, home)):
             # Where a zone has no proxies that report, nothing is known to fail.
-            silent = sum(estimates.attempts[zone]) < PRIOR_ATTEMPTS
+            silent = sum(estimates.attempts[zone]) < MIN_ZONE_ATTEMPTS
             failure_ratio = [0.0] * len(ratio) if silent else ratio
             self._update_zone(zone, failure_ratio, estimates, tasks, home)
 
@@ -57,9 +59,9 @@
         for task in tasks:
             if failure_ratio[task] > limit:
                 factor[task] = max(MIN_FACTOR, factor[task] * CUT)
-            elif factor[task] < 1.0:
+            elif factor[task] < UNCUT:
                 recovery = RECOVERY if attempts[task] >= MIN_ATTEMPTS else UNTRIED_RECOVERY
-                factor[task] = min(1.0, factor[task] * recovery)
+                factor[task] = min(UNCUT, factor[task] * recovery)
 
     @staticmethod
     def _baseline(failure_ratio: list[float], zones: range, tasks: list[int], home: list[int]) -> float:
--- a/hollyridge/decisions/publisher.py
+++ b/hollyridge/decisions/publisher.py
@@ -11,6 +11,7 @@
 from hollyridge.decisions.admission import AdmissionController, Level
 from hollyridge.decisions.backlog import BacklogEstimator
 from hollyridge.decisions.estimates import Estimates
+from hollyridge.decisions.slow_start import WARM
 from hollyridge.decisions.table_planner import Snapshot, TableContents, TablePlanner
 from hollyridge.decisions.tables import Table
 from hollyridge.interface import Command, SetAdmission, SetWeight
@@ -98,7 +99,7 @@
         long_queue = self.backlog.soft_backlog_limit / LONG_QUEUE_DIVISOR
         return Batch(
             snapshot=snapshot,
-            cold={task for task, factor in snapshot.factors.items() if factor < 1.0},
+            cold={task for task, factor in snapshot.factors.items() if factor < WARM},
             push=push,
             may_delay=now_us < self.complete_at_us + self.max_removal_delay_us,
             queue_is_long=self.backlog.waiting() > long_queue,
@@ -122,7 +123,7 @@
     def _urgent_removals(table: Table, batch: Batch) -> list[int]:
         """What can't wait: tasks that are not ready, and such as started again while they were listed as warm."""
         ready, cold, caps = batch.snapshot.factors, batch.cold, table.caps
-        return [task for task in table.weights if task not in ready or (task in cold and caps[task] >= 1.0)]
+        return [task for task in table.weights if task not in ready or (task in cold and caps[task] >= WARM)]
 
     def _can_delay(self, number: int, removed: list[int], batch: Batch) -> bool:
         """Whether removals wait a little for more of them: nothing is lost, and overhead and messages are saved.
--- a/hollyridge/decisions/slow_start.py
+++ b/hollyridge/decisions/slow_start.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from hollyridge.decisions.estimates import BUSY_UTILIZATION, OVERLOAD_FAILURE_RATIO, PRIOR_ATTEMPTS
+from hollyridge.decisions.estimates import BUSY_UTILIZATION, OVERLOAD_FAILURE_RATIO
 from hollyridge.interface import AssignerConfig
 
+WARM = 1.0  # the factor of a task that is past its slow start
+PRIOR_ATTEMPTS = 6.0  # attempts a period that are added to those reported, as successful
 SAFE_MULTIPLE = 0.5  # part of the stated overload multiple that is used: chance piles up RPCs
 STEPS = 4  # the factor rises in quarters, so that it costs few lines
 MIN_STEPS = 0.5  # quarters that a task has at least
@@ -43,7 +45,7 @@
         config = self.config
         age_us = now_us - started_at_us
         if started_at_us <= 0 or age_us >= config.warm_up_us:
-            return 1.0
+            return WARM
         floor = config.cold_capacity_fraction
         capacity = floor + (1 - floor) * max(0, age_us) / config.warm_up_us
         steps = int(STEPS * SAFE_MULTIPLE * capacity * self.relief * config.overload_multiple)
@@ -76,15 +78,15 @@
 
         A cold task gets at most its part of what a warm one carries on average, less if most are cold.
         """
-        warm = [weight for task, weight in weights.items() if factors[task] >= 1.0]
-        cold_work = sum(factors[task] for task in weights if factors[task] < 1.0)
+        warm = [weight for task, weight in weights.items() if factors[task] >= WARM]
+        cold_work = sum(factors[task] for task in weights if factors[task] < WARM)
         sharers = max(len(warm), BUSY_UTILIZATION * len(weights) - cold_work)
         even_weight = sum(warm) / sharers if warm else UNLIMITED
         lists_cold = self.lists_cold or not warm
         limited = {}
         for task, weight in weights.items():
             factor = factors[task]
-            if factor >= 1.0:
+            if factor >= WARM:
                 limited[task] = max(weight, MIN_WEIGHT)
             elif lists_cold:
                 limited[task] = max(factor * min(weight, even_weight * outlier_factor[task]), MIN_WEIGHT)
--- a/hollyridge/decisions/table_planner.py
+++ b/hollyridge/decisions/table_planner.py
@@ -6,12 +6,13 @@
 
 from hollyridge.decisions.endpoints import EndpointDirectory
 from hollyridge.decisions.outliers import OutlierDetector
-from hollyridge.decisions.slow_start import SlowStart
+from hollyridge.decisions.slow_start import WARM, SlowStart
 from hollyridge.decisions.tables import SLICES, TableSet
 from hollyridge.decisions.weights import WeightController
 
 OVERFLOW_FRACTION = 1 / 9  # of the warm tasks, left to separated methods
 OVERFLOW_TASK_FACTOR = 1 / 16  # part of its weight that such a task keeps for the other methods
+EVEN_WEIGHT = 1.0  # of each line in the overflow table
 OVERFLOW_CAP = 2  # added to the cap of such a task, so that its line is sent when it becomes one
 
 
@@ -66,7 +67,7 @@
         """What a table should hold."""
         if number == self.tables.overflow:
             tasks = self._overflow_tasks(snapshot)
-            return TableContents(dict.fromkeys(tasks, 1.0), dict.fromkeys(tasks, 1.0))
+            return TableContents(dict.fromkeys(tasks, EVEN_WEIGHT), dict.fromkeys(tasks, WARM))
         if self.tables.is_slice(number):
             return self._slice(number, snapshot)
         return self._zone_table(number, snapshot)
@@ -75,7 +76,7 @@
         """The warm tasks of the least weight, while separated methods use them."""
         if not self.tables.methods_separated and not self.tables[self.tables.overflow].proxies:
             return []
-        warm = [(self.weights.weight[task], task) for task, factor in snapshot.factors.items() if factor >= 1.0]
+        warm = [(self.weights.weight[task], task) for task, factor in snapshot.factors.items() if factor >= WARM]
         count = max(1, round(len(warm) * OVERFLOW_FRACTION))
         return [task for _, task in sorted(warm)[:count]]
 
@@ -87,7 +88,7 @@
         whole = self.contents(whole_number, snapshot)
         share = (number - self.tables.overflow - 1) % SLICES
         tasks = [task for task in whole.weights if self.endpoints.rank[task] % SLICES == share]
-        if not any(snapshot.factors[task] >= 1.0 for task in tasks):
+        if not any(snapshot.factors[task] >= WARM for task in tasks):
             tasks = list(whole.weights)
         return TableContents({task: whole.weights[task] for task in tasks}, {task: whole.caps[task] for task in tasks})
 
@@ -116,6 +117,6 @@
         """For a proposal of few lines: no cold task gets more than it would if the table held all tasks."""
         even_weight = sum(weights.values()) / sum(factors.values())
         return {
-            task: weight if factors[task] >= 1.0 else min(weight / factors[task], even_weight)
+            task: weight if factors[task] >= WARM else min(weight / factors[task], even_weight)
             for task, weight in weights.items()
         }
--- a/hollyridge/decisions/weights.py
+++ b/hollyridge/decisions/weights.py
@@ -4,10 +4,13 @@
 
 from typing import NamedTuple
 
-from hollyridge.decisions.estimates import BUSY_UTILIZATION, PRIOR_ATTEMPTS, Estimates
+from hollyridge.decisions.estimates import BUSY_UTILIZATION, Estimates
 from hollyridge.interface import AssignerConfig
 
 MAX_STEP = 0.1  # part of a task's size by which its weight moves in a period at most, all assigners together
+MIN_ATTEMPTS = 6.0  # decayed attempts below which a zone's proxies show nothing of costs
+MAX_PULL = 1.0  # the pull at which a whole step is made
+FULL_SPILLOVER = 1.0  # tasks of another zone count as much as the own
 EFFICIENCY_GAIN = 2  # pull on the efficiency, in relative differences of cost
 EFFICIENCY_SLOWNESS = 3  # efficiency moves by a third of a weight's step
 MAX_MIN_SPILLOVER = 0.3  # spillover that a zone which lacks tasks gets at least
@@ -85,7 +88,7 @@
         for task in zone_tasks:
             # The second term draws efficiency back to 1: equal latency, chased all the way, overloads the quickest.
             pull = EFFICIENCY_GAIN * (average - cost[task]) / average - (self.efficiency[task] - 1)
-            self.efficiency[task] *= 1 + max(-1.0, min(1.0, pull)) * self.max_step / EFFICIENCY_SLOWNESS
+            self.efficiency[task] *= 1 + max(-MAX_PULL, min(MAX_PULL, pull)) * self.max_step / EFFICIENCY_SLOWNESS
             step = self.max_step * size[task]
             target = size[task] * self.efficiency[task]
             self.weight[task] += max(-step, min(step, target - self.weight[task]))
@@ -176,19 +179,19 @@
     def _learn_spillover(self, here: int, there: int, cost: list[float], has_own_tasks: bool) -> None:
         """Moves the learned part by the relative difference of cost; not where the zone's proxies report nothing."""
         if has_own_tasks:
-            reports = sum(self.estimates.attempts[here]) >= PRIOR_ATTEMPTS
+            reports = sum(self.estimates.attempts[here]) >= MIN_ATTEMPTS
             pull = (cost[here] - cost[there]) / max(cost[here], cost[there]) * reports
         else:
-            pull = 1.0
+            pull = MAX_PULL
         learned = self.learned_spillover[here][there] + pull * self.max_step
-        self.learned_spillover[here][there] = max(0.0, min(1.0, learned))
+        self.learned_spillover[here][there] = max(0.0, min(FULL_SPILLOVER, learned))
 
     def _move_spillover(self, here: int, there: int, wanted: float, way_us: float, by_steps: bool) -> None:
         """Goes to what is wanted, less what the way costs: down at once, up by steps or at once."""
         spillover = self.spillover[here]
         discount = max(0.0, 1 - WAY_COST_FACTOR * way_us / self.estimates.latency_objective_us)
         target = max(PROBE_SPILLOVER, wanted * discount)
-        limit = spillover[there] + MAX_SPILLOVER_STEP if spillover[there] and by_steps else 1.0
+        limit = spillover[there] + MAX_SPILLOVER_STEP if spillover[there] and by_steps else FULL_SPILLOVER
         spillover[there] = min(target, limit)
 
     @staticmethod
