--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -15,27 +15,20 @@
     """None where nothing is known yet of what tasks can do. One method stands for all: a zone's table is theirs in
     common, and levels stay with the module. What others send to a task, as its load tells, is not ours to share out."""
     config, estimates, endpoints, tables = module.config, module.estimates, module.endpoints, module.tables
-    period, known = (
-        config.report_period_us / 1e6,
-        [i for i in endpoints.ready_tasks() if i < len(estimates.capacity) and estimates.capacity[i] > 0],
-    )
+    period = config.report_period_us / 1e6
+    known = [i for i in endpoints.ready_tasks() if i < len(estimates.capacity) and estimates.capacity[i] > 0]
     if not known:
         return None
     usual = sum(estimates.capacity[i] for i in known) / sum(endpoints.listed_weight[i] for i in known)
     tasks = []
     for i, state in enumerate(endpoints.state):
-        does = (
-            estimates.capacity[i]
-            if i < len(estimates.capacity) and estimates.capacity[i] > 0
-            else usual * endpoints.listed_weight[i]
-        )
-        mine = estimates.attempts_and_failures([i])[0] / does if i < len(estimates.mean_utilization) else 0.0
-        others = (
-            max(0.0, estimates.mean_utilization[i] - mine)
-            if i < len(estimates.mean_utilization) and config.assigners > 1
-            else 0.0
-        )
-        heard = estimates.busy_periods[i] if i < len(estimates.busy_periods) else 0.0
+        reported = i < len(estimates.capacity)  # columns by task are all of one length
+        does = usual * endpoints.listed_weight[i]
+        if reported and estimates.capacity[i] > 0:
+            does = estimates.capacity[i]
+        mine = estimates.attempts_and_failures([i])[0] / does if reported else 0.0
+        others = max(0.0, estimates.mean_utilization[i] - mine) if reported and config.assigners > 1 else 0.0
+        heard = estimates.busy_periods[i] if reported else 0.0
         health = max((row[i] for row in module.outliers.factor if i < len(row)), default=1.0)
         tasks.append(
             Task(
