--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -219,7 +219,9 @@
         """Updates slow start and admission by what the fleet can do and what fails."""
         estimates = self.estimates
         factors = snapshot.factors
-        usable = {task: factor * max(row[task] for row in self.outliers.factor) for task, factor in factors.items()}
+        usable = {
+            task: factor * max(by_task[task] for by_task in self.outliers.factor) for task, factor in factors.items()
+        }
         capacity_fraction = estimates.capacity_fraction(usable)
         cold_capacity = sum(factor * estimates.capacity[task] for task, factor in factors.items() if factor < WARM)
         attempts, failed = estimates.attempts_and_failures(tasks)
