--- a/hollyridge/lab/reports/__init__.py
+++ b/hollyridge/lab/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept and shown of a day: recordings, cost profiles, pages and plots."""
+"""Recordings of simulated and live days, cost profiles, and HTML pages with plots."""
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -1,4 +1,4 @@
-"""What a simulated day costs and where: time by part of the program, by looking at the running frame every so often."""
+"""A sampling profiler: CPU time and memory of a simulated day, and the share of each part of the program."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# Keys of `parts` in `lab run --cost --json` and `lab sweep --json`. They are a format: what packages are called today
-# is turned into the names that readers of older results know.
+# The keys of `parts` in `lab run --cost --json` and `lab sweep --json` are a format: today's package names are
+# mapped to the keys that readers of older results know.
 REPORTED_PACKAGES = {
     "chp": "clone",
     "decisions": "rules",
@@ -43,8 +43,18 @@
 )
 
 
+SAMPLING_INTERVAL_S = 0.005  # fine enough for a day of seconds, coarse enough not to show in its cost
+
+
 def part_of(frame: FrameType | None) -> str:
-    """The part of the program whose code runs, or runs a library: its package, or its module at the top."""
+    """Name the part of the program that a stack belongs to.
+
+    Args:
+        frame: The innermost frame; frames of libraries are skipped in favour of their caller.
+
+    Returns:
+        The reported name of the package or top-level module, "elsewhere" if no frame is in this project.
+    """
     while frame is not None:
         try:
             steps = Path(frame.f_code.co_filename).relative_to(ROOT).parts
@@ -59,31 +69,43 @@
 
 
 class Meter(threading.Thread):
-    """Measures from `start` to `stop`."""
+    """Samples the stack of the thread that creates it, from `start` to `stop`.
 
-    EVERY = 0.005  # s
+    Attributes:
+        samples: Samples taken so far, by part of the program.
+    """
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
-        self.seen: Counter[str] = Counter()
-        self.over = threading.Event()
-        self.whose = threading.get_ident()
-        self.begun, self.cpu = time.monotonic(), time.process_time()
+        self.samples: Counter[str] = Counter()
+        self.stopped = threading.Event()
+        self.measured_thread = threading.get_ident()
+        self.started_s = time.monotonic()
+        self.started_cpu_s = time.process_time()
 
     def run(self) -> None:
-        while not self.over.wait(self.EVERY):
-            self.seen[part_of(sys._current_frames().get(self.whose))] += 1
+        """Take samples until `stop`."""
+        while not self.stopped.wait(SAMPLING_INTERVAL_S):
+            self.samples[part_of(sys._current_frames().get(self.measured_thread))] += 1
 
     def stop(self, simulated_s: float) -> dict:
-        """Seconds, megabytes, and the part of the samples by part of the program."""
-        self.over.set()
+        """Stop sampling.
+
+        Args:
+            simulated_s: Length of the simulated day that was measured.
+
+        Returns:
+            Seconds, peak memory in megabytes, and the share of the samples by part of the program.
+        """
+        self.stopped.set()
         self.join()
-        cpu, whole = time.process_time() - self.cpu, max(1, sum(self.seen.values()))
+        cpu_s = time.process_time() - self.started_cpu_s
+        total = max(1, sum(self.samples.values()))
         return {
             "simulated_s": simulated_s,
-            "wall_s": round(time.monotonic() - self.begun, 2),
-            "cpu_s": round(cpu, 2),
-            "cpu_per_s": round(cpu / simulated_s, 4),
+            "wall_s": round(time.monotonic() - self.started_s, 2),
+            "cpu_s": round(cpu_s, 2),
+            "cpu_per_s": round(cpu_s / simulated_s, 4),
             "rss_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
-            "parts": {part: round(count / whole, 3) for part, count in self.seen.most_common()},
+            "parts": {part: round(count / total, 3) for part, count in self.samples.most_common()},
         }
--- a/hollyridge/lab/reports/record.py
+++ b/hollyridge/lab/reports/record.py
@@ -1,4 +1,4 @@
-"""Recordings: one JSON line for each thing that passed, with the monotonic time (us) that all processes share."""
+"""Recordings of a day: one JSON line for each event, stamped with a monotonic clock that all processes share."""
 
 from __future__ import annotations
 
@@ -9,62 +9,98 @@
 
 import msgspec
 
-STATE = ("waiting", "decisions", "messages", "puts", "events")  # of the assigner's status, kept in recordings
+STATE = ("waiting", "decisions", "messages", "puts", "events")  # keys of an assigner's status that recordings keep
+BUFFER_BYTES = 1 << 16  # a day writes thousands of short lines a second
+FLUSH_INTERVAL_US = 500_000  # bounds what a killed process loses
 
 
 def now_us() -> int:
+    """The monotonic clock in microseconds; processes of one machine can compare its readings."""
     return time.monotonic_ns() // 1000
 
 
 class Recorder:
-    """Appends to a file of its own, or to `rows` where no path is given; a process that is killed loses at most the
-    last second."""
+    """Appends records to a file, or collects them in `rows` where no path is given.
+
+    A call writes one record: `recorder("done", ok=True)`. Its keyword names become keys of the record and are a part
+    of the format of recordings. A process that is killed loses at most the last second.
+
+    Attributes:
+        rows: Records collected so far; stays empty when there is a file.
+    """
 
     def __init__(self, path: Path | str | None, clock: Callable[[], int] = now_us) -> None:
-        self.file = open(path, "ab", buffering=1 << 16) if path is not None else None
-        self.clock, self.rows = clock, []
+        self.file = (
+            open(path, "ab", buffering=BUFFER_BYTES)  # noqa: SIM115 - stays open as long as the process records
+            if path is not None
+            else None
+        )
+        self.clock = clock
+        self.rows: list[dict] = []
         self.encoder = msgspec.json.Encoder()
-        self.flushed = now_us()
+        self.flushed_us = now_us()
 
-    def __call__(self, kind: str, **facts) -> None:
+    def __call__(self, kind: str, **facts: object) -> None:
+        """Write one record of this kind with these keys, stamped with the present time."""
         now = self.clock()
         row = {"k": kind, "t": now, **facts}
         if self.file is None:
             self.rows.append(row)
             return
         self.file.write(self.encoder.encode(row) + b"\n")
-        if now - self.flushed > 500_000:
+        if now - self.flushed_us > FLUSH_INTERVAL_US:
             self.flush()
 
     def frame(self, kind: str, who: str, stream: int, raw: bytes) -> None:
+        """Record one frame of a stream protocol.
+
+        Args:
+            kind: Kind of the record.
+            who: The party that sent or received it, also the record's key.
+            stream: Number of the party's connection, counted from its first.
+            raw: The frame as it was on the wire.
+        """
         self(kind, who=who, stream=stream, frame=base64.b64encode(raw).decode())
 
     def parts(self, kind: str, who: str, stream: int, parts: list[bytes]) -> None:
+        """Record one multipart message; arguments as of `frame`."""
         self(kind, who=who, stream=stream, parts=[base64.b64encode(part).decode() for part in parts])
 
     def flush(self) -> None:
+        """Hand buffered records to the operating system."""
         if self.file is not None:
             self.file.flush()
-            self.flushed = now_us()
+            self.flushed_us = now_us()
+
+
+def decode_lines(raw: bytes) -> list[dict]:
+    """Decode JSON lines; a line that does not parse, such as one cut off when its writer was killed, is left out."""
+    rows = []
+    for line in raw.splitlines():
+        try:
+            rows.append(msgspec.json.decode(line))
+        except msgspec.DecodeError:
+            continue
+    return rows
 
 
 def read_all(folder: Path | str) -> list[dict]:
-    """All records below a folder, by time; equal times keep the order of files and lines. A line cut off by a
-    kill is passed over."""
+    """Read all recordings in a folder, sorted by time.
+
+    Records of equal time keep the order of file names and lines.
+    """
     rows = []
     for path in sorted(Path(folder).glob("*.jsonl")):
-        for line in path.read_bytes().splitlines():
-            try:
-                rows.append(msgspec.json.decode(line))
-            except msgspec.DecodeError:
-                continue
+        rows += decode_lines(path.read_bytes())
     rows.sort(key=lambda row: row["t"])
     return rows
 
 
 def frame_of(row: dict) -> bytes:
+    """The frame in a record that `Recorder.frame` wrote."""
     return base64.b64decode(row["frame"])
 
 
 def parts_of(row: dict) -> list[bytes]:
+    """The message parts in a record that `Recorder.parts` wrote."""
     return [base64.b64decode(part) for part in row["parts"]]
