--- a/hollyridge/lab/experiments/__init__.py
+++ b/hollyridge/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""What plays many days: paired comparisons, searches for bad days, sweeps of sizes, takeovers and report floods."""
+"""Experiments over many days: paired comparisons, searches for bad days, scaling sweeps, takeovers, report floods."""
--- a/hollyridge/lab/experiments/experiment.py
+++ b/hollyridge/lab/experiments/experiment.py
@@ -1,200 +1,208 @@
-"""Paired experiments: two variants on the same days and seeds, with intervals, spread over processes, kept in a file so
-that an interrupted one goes on where it was."""
+"""Paired comparisons: two variants on the same days and seeds, until the answer is clear.
+
+Days are spread over processes. Results are kept in a file, so that an interrupted comparison continues where it was.
+"""
 
 from __future__ import annotations
 
-import math
 import subprocess
 import sys
-import tempfile
 from collections.abc import Callable, Iterable
 from concurrent.futures import ThreadPoolExecutor, as_completed
 from pathlib import Path
-from random import Random
 from typing import NamedTuple
 
 import msgspec
 
-DRAWS = 2000  # of the bootstrap
-LEAST_PAIRS = 8  # before it may stop early
-
+from hollyridge.lab.experiments.day_command import EXIT_CODES_OF_A_DAY, error_text
+from hollyridge.lab.experiments.paired_gap import PairedGap, gap_of
+from hollyridge.lab.experiments.variants import Checkouts, Variant
+from hollyridge.lab.reports.record import decode_lines
 
-class Variant(NamedTuple):
-    """What is tried: a decision module of the laboratory (`module` is rules.py), a settings file that takes the place
-    of the script's, or `commit:REV` of this repository."""
+REPOSITORY = Path(__file__).resolve().parents[3]
+DAY_TIMEOUT_S = 3600  # of real time; a simulated day takes seconds to minutes
+MAX_ERROR_CHARACTERS = 400  # the end of a traceback is enough to see why a day failed
+MAX_SHOWN_ERROR_CHARACTERS = 120
+BATCHES_PER_WORKER = 4  # days that each worker runs before the answer is looked at again
+SUMMARY_FIGURES = ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")
 
-    name: str
 
-    def words(self) -> list[str]:
-        if self.name.endswith(".ini"):
-            return ["--settings", str(Path(self.name).resolve())]
-        if self.name.startswith("commit:") or self.name == "module":
-            return []
-        return ["--policy", self.name]
+class Job(NamedTuple):
+    """One day to run."""
 
+    variant: Variant
+    script: str
+    seed: int
 
-class Checkouts:
-    """Commits laid out in folders of their own, as `git archive` gives them."""
+    @property
+    def key(self) -> tuple[str, str, int]:
+        """What identifies the day among the results."""
+        return self.variant.name, self.script, self.seed
 
-    def __init__(self, root: Path) -> None:
-        self.root, self.folder = root, tempfile.TemporaryDirectory(prefix="hollyridge-commits-")
 
-    def of(self, variant: Variant) -> str | None:
-        """The folder to run in; None for this tree. ValueError for a commit that is not there."""
-        if not variant.name.startswith("commit:"):
-            return None
-        revision = variant.name.removeprefix("commit:")
-        target = Path(self.folder.name) / revision.replace("/", "_")
-        if not target.exists():
-            packed = subprocess.run(["git", "-C", str(self.root), "archive", revision], capture_output=True)
-            if packed.returncode:
-                raise ValueError(f"no commit {revision}")
-            target.mkdir()
-            subprocess.run(["tar", "-x", "-C", str(target)], input=packed.stdout, check=True)
-        return str(target)
+def key_of(row: dict) -> tuple[str, str, int]:
+    """What identifies the day that a result is of; equals `Job.key`."""
+    return row["variant"], row["script"], row["seed"]
 
 
 def play(variant: Variant, script: str, seed: int, folder: str | None) -> dict:
-    """One simulated day in a process of its own."""
-    words = [
-        sys.executable,
-        "-m",
-        "hollyridge.cli.main",
-        "lab",
-        "run",
-        str(Path(script).resolve()),
-        "--seed",
-        str(seed),
-        "--json",
-        *variant.words(),
-    ]
-    ran = subprocess.run(words, capture_output=True, cwd=folder, timeout=3600)
+    """Run one simulated day in a process of its own.
+
+    Args:
+        variant: What is run.
+        script: Path of the scenario.
+        seed: Seed of the day.
+        folder: The source tree to run from; None for the present one.
+
+    Returns:
+        The day's figures, or the reason under `failed`.
+    """
+    command = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", str(Path(script).resolve())]
+    command += ["--seed", str(seed), "--json", *variant.arguments()]
+    process = subprocess.run(command, capture_output=True, cwd=folder, timeout=DAY_TIMEOUT_S)
     key = {"variant": variant.name, "script": script, "seed": seed}
-    if ran.returncode not in (0, 1):
-        return {**key, "failed": ran.stderr.decode(errors="replace")[-400:]}
-    told = msgspec.json.decode(ran.stdout)
-    told.pop("timeline", None)
-    return {**key, **told}
+    if process.returncode not in EXIT_CODES_OF_A_DAY:
+        return {**key, "failed": error_text(process.stderr, MAX_ERROR_CHARACTERS)}
+    result = msgspec.json.decode(process.stdout)
+    result.pop("timeline", None)
+    return {**key, **result}
 
 
-class Gap(NamedTuple):
-    """B less A: mean, a 95% interval by bootstrap over pairs, pairs better and worse, and the chance of such a split by
-    signs alone."""
+def read(path: Path) -> list[dict]:
+    """Read kept results; none if there is no file. A last line that was cut off is left out."""
+    return decode_lines(path.read_bytes()) if path.exists() else []
 
-    pairs: int
-    mean: float
-    low: float
-    high: float
-    better: int
-    worse: int
-    chance: float
 
-    @property
-    def clear(self) -> bool:
-        return self.pairs >= LEAST_PAIRS and (self.low > 0 or self.high < 0) and self.chance < 0.01
+def end_cut_line(path: Path) -> None:
+    """End a last line that was cut off, so that the next result starts on a line of its own."""
+    if path.exists() and not path.read_bytes().endswith(b"\n"):
+        with open(path, "ab") as file:
+            file.write(b"\n")
 
 
-def gap_of(gaps: list[float]) -> Gap:
-    """
-    >>> gap = gap_of([0.1, 0.2, 0.3, 0.1, 0.2, 0.1, 0.2, 0.1])
-    >>> gap.better, gap.worse, gap.low > 0, round(gap.chance, 4), gap.clear
-    (8, 0, True, 0.0078, True)
+def append(path: Path, row: dict) -> None:
+    """Add one result to the kept ones."""
+    with open(path, "ab") as file:
+        file.write(msgspec.json.encode(row) + b"\n")
+
+
+class Comparison:
+    """The results of two variants, old and new.
+
+    Attributes:
+        rows: Results of all days so far, those read from the file included.
     """
-    if not gaps:
-        return Gap(0, 0.0, 0.0, 0.0, 0, 0, 1.0)
-    rng = Random(1)
-    means = sorted(sum(rng.choices(gaps, k=len(gaps))) / len(gaps) for _ in range(DRAWS))
-    better, worse = sum(g > 0 for g in gaps), sum(g < 0 for g in gaps)
-    told = better + worse
-    tail = sum(math.comb(told, k) for k in range(min(better, worse) + 1)) / 2**told if told else 0.5
-    return Gap(
-        len(gaps),
-        round(sum(gaps) / len(gaps), 5),
-        round(means[DRAWS // 40], 5),
-        round(means[-DRAWS // 40 - 1], 5),
-        better,
-        worse,
-        min(1.0, 2 * tail),
-    )
-
-
-def compare(
+
+    def __init__(self, a: Variant, b: Variant, figure: str, kept: Path | None) -> None:
+        self.a = a
+        self.b = b
+        self.figure = figure
+        self.kept = kept
+        self.rows = read(kept) if kept else []
+        if kept:
+            end_cut_line(kept)
+
+    def gap(self) -> PairedGap:
+        """The difference between the variants in the results so far."""
+        return gap_of(gaps_of(self.rows, self.a, self.b, self.figure))
+
+    def add(self, row: dict) -> None:
+        """Take a new result and keep it."""
+        self.rows.append(row)
+        if self.kept:
+            append(self.kept, row)
+
+    def run(self, jobs: list[Job], workers: int, on_result: Callable[[int], None]) -> bool:
+        """Run the jobs that have no result yet, in batches, until the answer is clear.
+
+        Args:
+            jobs: All days of the comparison.
+            workers: Days to run at a time.
+            on_result: Called with the number of results after each new one.
+
+        Returns:
+            Whether jobs were left out because the answer was clear.
+
+        Raises:
+            VariantError: A variant can't be run.
+        """
+        done = {key_of(row) for row in self.rows if "failed" not in row}
+        checkouts = Checkouts(REPOSITORY)
+        folders = {variant: checkouts.of(variant) for variant in (self.a, self.b)}
+        missing = [job for job in jobs if job.key not in done]
+        batch_size = BATCHES_PER_WORKER * workers
+        with ThreadPoolExecutor(workers) as pool:
+            for first in range(0, len(missing), batch_size):
+                batch = missing[first : first + batch_size]
+                for future in as_completed([pool.submit(play, *job, folders[job.variant]) for job in batch]):
+                    self.add(future.result())
+                    on_result(len(self.rows))
+                if self.gap().clear:
+                    return first + batch_size < len(missing)
+        return False
+
+
+def compare(  # noqa: PLR0913, PLR0917 - one argument for each option of the command, which passes them in order
     a: Variant,
     b: Variant,
     scripts: list[str],
     seeds: int,
     kept: Path | None,
     at_once: int,
-    told: Callable[[int, int], None] = lambda done, whole: None,
+    on_progress: Callable[[int, int], None] = lambda done, total: None,
     figure: str = "served",
 ) -> dict:
-    """Play both on the same days and seeds until the answer is clear or the seeds are used up. ValueError for a
-    variant that can't be played."""
-    rows = read(kept) if kept else []
-    if kept and kept.exists() and not kept.read_bytes().endswith(b"\n"):
-        with open(kept, "ab") as file:
-            file.write(b"\n")  # ends a line that was cut off, so that the next one is whole
-    have = {(row["variant"], row["script"], row["seed"]) for row in rows if "failed" not in row}
-    checkouts = Checkouts(Path(__file__).resolve().parents[3])
-    folders = {variant: checkouts.of(variant) for variant in (a, b)}
-    jobs = [(variant, script, seed) for seed in range(1, seeds + 1) for script in scripts for variant in (a, b)]
-    wanted = [job for job in jobs if (job[0].name, job[1], job[2]) not in have]
-    stopped = False
-    with ThreadPoolExecutor(at_once) as pool:
-        for first in range(0, len(wanted), 4 * at_once):  # in batches, so that a clear answer ends it
-            batch = wanted[first : first + 4 * at_once]
-            for done in as_completed([pool.submit(play, *job, folders[job[0]]) for job in batch]):
-                row = done.result()
-                rows.append(row)
-                told(len(rows), len(jobs))
-                if kept:
-                    with open(kept, "ab") as file:
-                        file.write(msgspec.json.encode(row) + b"\n")
-            if gap_of(gaps_of(rows, a, b, figure)).clear:
-                stopped = first + 4 * at_once < len(wanted)
-                break
-    rows.sort(key=lambda row: (row["seed"], row["script"], row["variant"]))
+    """Run both variants on the same days and seeds until the answer is clear or the seeds are used up.
+
+    Args:
+        a: The variant to compare with.
+        b: The variant that is judged.
+        scripts: Paths of the scenarios.
+        seeds: Seeds for each scenario, counted from 1.
+        kept: File with the results; those that it holds are not run again.
+        at_once: Days to run at a time.
+        on_progress: Called with the numbers of days that are done and of all.
+        figure: The figure that is compared.
+
+    Returns:
+        The result as `lab compare --json` prints it.
+
+    Raises:
+        VariantError: A variant can't be run.
+    """
+    comparison = Comparison(a, b, figure, kept)
+    jobs = [Job(variant, script, seed) for seed in range(1, seeds + 1) for script in scripts for variant in (a, b)]
+    stopped_early = comparison.run(jobs, at_once, lambda done: on_progress(done, len(jobs)))
+    rows = sorted(comparison.rows, key=lambda row: (row["seed"], row["script"], row["variant"]))
     return {
         "a": a.name,
         "b": b.name,
         "figure": figure,
-        "stopped_early": stopped,
-        "gap": gap_of(gaps_of(rows, a, b, figure))._asdict(),
-        "variants": [summary(rows, v) for v in (a, b)],
+        "stopped_early": stopped_early,
+        "gap": comparison.gap()._asdict(),
+        "variants": [summary(rows, variant) for variant in (a, b)],
     }
 
 
 def gaps_of(rows: list[dict], a: Variant, b: Variant, figure: str) -> list[float]:
-    found = {(row["variant"], row["script"], row["seed"]): row[figure] for row in rows if "failed" not in row}
+    """Differences B minus A of a figure, for each day and seed that both have run."""
+    values = {key_of(row): row[figure] for row in rows if "failed" not in row}
     return [
-        found[b.name, script, seed] - value
-        for (name, script, seed), value in sorted(found.items())
-        if name == a.name and (b.name, script, seed) in found
+        values[b.name, script, seed] - value
+        for (name, script, seed), value in sorted(values.items())
+        if name == a.name and (b.name, script, seed) in values
     ]
 
 
 def summary(rows: Iterable[dict], variant: Variant) -> dict:
-    mine = [row for row in rows if row["variant"] == variant.name]
-    good = [row for row in mine if "failed" not in row]
-    means = {
-        key: round(sum(row[key] for row in good) / len(good), 4) if good else None
-        for key in ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")
-    }
+    """Means of a variant's figures over its days, and the days that failed, as `lab compare --json` prints them."""
+    own_rows = [row for row in rows if row["variant"] == variant.name]
+    good = [row for row in own_rows if "failed" not in row]
+    means = {key: round(sum(row[key] for row in good) / len(good), 4) if good else None for key in SUMMARY_FIGURES}
     return {
         "variant": variant.name,
         "days": len(good),
         **means,
         "days_with_a_broken_rule": sum(row["broken"] > 0 for row in good),
-        "not_played": [row["failed"][-120:] for row in mine if "failed" in row],
+        "not_played": [row["failed"][-MAX_SHOWN_ERROR_CHARACTERS:] for row in own_rows if "failed" in row],
     }
-
-
-def read(path: Path) -> list[dict]:
-    """Rows kept so far; a last line that was cut off is passed over."""
-    rows = []
-    for line in path.read_bytes().splitlines() if path.exists() else ():
-        try:
-            rows.append(msgspec.json.decode(line))
-        except msgspec.DecodeError:
-            continue
-    return rows
--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -1,85 +1,86 @@
-"""A hunt for the worst day: troubles drawn by seed from ranges, played in the simulated world; what is found is cut
-down to the fewest troubles that still show it, and written as a script."""
+"""A search for the worst day: faults are drawn by seed and run in the simulated world.
+
+The worst day that is found is reduced to the fewest faults that still show it, and written as a scenario.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
+from typing import NamedTuple
+
+from pydantic import BaseModel
 
 from hollyridge.lab.day import Day, DayError, Outcome
-from hollyridge.lab.scenario import KINDS, Scenario, TroubleSection
+from hollyridge.lab.experiments.fault_draw import FaultRanges, draw_faults, with_faults
+from hollyridge.lab.scenario import Scenario, TroubleSection
 from hollyridge.lab.stand_ins.virtual import VirtualStage
 
+FIRST_FAULT_S = 1.0  # leaves the fleet time to start
+LAST_FAULT_SHARE = 0.75  # of the day, so that what follows a fault is seen
+BROKEN_RULE_BADNESS = 10.0  # a broken rule is worse than any service
+KEPT_BADNESS = 0.9  # share of its badness that a day may not lose with one fault
+
 RANGES = {
-    # kind: for_s, part, size, extra; each from and to
-    "release": ((6, 20), (0.3, 0.99), (1, 1), (1, 1)),
-    "restart_in_place": ((0, 0), (0.1, 0.4), (1, 1), (1, 1)),
-    "vanish": ((5, 20), (0.05, 0.2), (1, 1), (1, 1)),
-    "hang": ((5, 20), (0.05, 0.25), (1, 1), (1, 1)),
-    "errors": ((5, 20), (0.05, 0.25), (0.35, 0.99), (1, 1)),
-    "pauses": ((8, 25), (0.1, 0.45), (0.1, 0.45), (1, 1)),
-    "ageing": ((10, 25), (0.1, 0.4), (5, 16), (2, 6)),
-    "method_fails": ((8, 25), (0.2, 0.55), (0.6, 1), (1, 1)),
-    "handshake_slow": ((8, 25), (0.5, 1), (0.08, 0.4), (2, 10)),
-    "grow": ((5, 20), (1, 1), (1.5, 2.5), (0.5, 1)),
-    "surge": ((4, 10), (1, 1), (1.2, 1.9), (1, 1)),
-    "shift": ((1, 8), (1, 1), (0.35, 0.75), (1, 1)),
-    "false_loads": ((8, 25), (0.1, 0.3), (0.05, 0.4), (1.5, 2.5)),
-    "late_sums": ((8, 20), (1, 1), (2, 5), (1, 1)),
-    "zone_lost": ((5, 20), (1, 1), (1, 1), (1, 1)),
-    "zone_cut": ((5, 15), (1, 1), (1, 1), (1, 1)),
-    "slow_link": ((8, 25), (1, 1), (0.1, 0.4), (0.05, 0.3)),
-    "streams_broken": ((0, 0), (0.2, 1), (1, 1), (1, 1)),
-    "slow_orders": ((5, 20), (1, 1), (0.1, 0.6), (1, 1)),
-    "proxies_killed": ((1, 5), (0.1, 0.6), (1, 1), (1, 1)),
-    "proxies_stalled": ((8, 25), (0.3, 0.9), (0.3, 2), (2, 4)),
-    "assigner_killed": ((1, 6), (1, 1), (1, 1), (1, 1)),
-    "assigner_stalled": ((8, 25), (1, 1), (0.3, 2), (2, 4)),
+    "release": FaultRanges((6, 20), (0.3, 0.99), (1, 1), (1, 1)),
+    "restart_in_place": FaultRanges((0, 0), (0.1, 0.4), (1, 1), (1, 1)),
+    "vanish": FaultRanges((5, 20), (0.05, 0.2), (1, 1), (1, 1)),
+    "hang": FaultRanges((5, 20), (0.05, 0.25), (1, 1), (1, 1)),
+    "errors": FaultRanges((5, 20), (0.05, 0.25), (0.35, 0.99), (1, 1)),
+    "pauses": FaultRanges((8, 25), (0.1, 0.45), (0.1, 0.45), (1, 1)),
+    "ageing": FaultRanges((10, 25), (0.1, 0.4), (5, 16), (2, 6)),
+    "method_fails": FaultRanges((8, 25), (0.2, 0.55), (0.6, 1), (1, 1)),
+    "handshake_slow": FaultRanges((8, 25), (0.5, 1), (0.08, 0.4), (2, 10)),
+    "grow": FaultRanges((5, 20), (1, 1), (1.5, 2.5), (0.5, 1)),
+    "surge": FaultRanges((4, 10), (1, 1), (1.2, 1.9), (1, 1)),
+    "shift": FaultRanges((1, 8), (1, 1), (0.35, 0.75), (1, 1)),
+    "false_loads": FaultRanges((8, 25), (0.1, 0.3), (0.05, 0.4), (1.5, 2.5)),
+    "late_sums": FaultRanges((8, 20), (1, 1), (2, 5), (1, 1)),
+    "zone_lost": FaultRanges((5, 20), (1, 1), (1, 1), (1, 1)),
+    "zone_cut": FaultRanges((5, 15), (1, 1), (1, 1), (1, 1)),
+    "slow_link": FaultRanges((8, 25), (1, 1), (0.1, 0.4), (0.05, 0.3)),
+    "streams_broken": FaultRanges((0, 0), (0.2, 1), (1, 1), (1, 1)),
+    "slow_orders": FaultRanges((5, 20), (1, 1), (0.1, 0.6), (1, 1)),
+    "proxies_killed": FaultRanges((1, 5), (0.1, 0.6), (1, 1), (1, 1)),
+    "proxies_stalled": FaultRanges((8, 25), (0.3, 0.9), (0.3, 2), (2, 4)),
+    "assigner_killed": FaultRanges((1, 6), (1, 1), (1, 1), (1, 1)),
+    "assigner_stalled": FaultRanges((8, 25), (1, 1), (0.3, 2), (2, 4)),
 }
 
 
-def drawn(
-    rng: Random, kinds: list[str], ranges: dict[str, tuple], first: float, last: float
-) -> dict[str, TroubleSection]:
-    """Troubles of these kinds that begin between two moments (s), their figures drawn from the ranges."""
-    troubles = {}
-    for at, kind in enumerate(kinds):
-        spans, parts, sizes, extras = ranges[kind]
-        troubles[f"{kind}-{at}"] = TroubleSection(
-            kind=kind,
-            at_s=round(rng.uniform(first, last), 2),
-            for_s=round(rng.uniform(*spans), 2),
-            part=round(rng.uniform(*parts), 3),
-            size=round(rng.uniform(*sizes), 3),
-            extra=round(rng.uniform(*extras), 3),
-            how=rng.choice(KINDS[kind] or ("",)),
-        )
-    return troubles
+class FoundDay(NamedTuple):
+    """A day that was run, with what is needed to run it again."""
 
+    seed: int
+    script: Scenario
+    outcome: Outcome
 
-def draw(rng: Random, length: float, most: int) -> dict[str, TroubleSection]:
-    """Some troubles that begin in the first three quarters of the day."""
-    return drawn(rng, rng.sample(sorted(RANGES), rng.randint(1, most)), RANGES, 1, 0.75 * length)
 
-
-def with_troubles(script: Scenario, troubles: dict[str, TroubleSection]) -> Scenario:
-    return Scenario(
-        script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.terms
-    )
+def draw(rng: Random, length_s: float, max_faults: int) -> dict[str, TroubleSection]:
+    """Draw one to `max_faults` faults of different kinds that begin in the first three quarters of the day."""
+    kinds = rng.sample(sorted(RANGES), rng.randint(1, max_faults))
+    return draw_faults(rng, kinds, RANGES, FIRST_FAULT_S, LAST_FAULT_SHARE * length_s)
 
 
 def play(script: Scenario, seed: int, policy: str) -> Outcome | None:
+    """Run a simulated day with a decision module of the laboratory; None if it can't be run."""
     try:
         return Day(script, VirtualStage(script, policy, seed), seed).play()
     except DayError:
         return None
 
 
+def broken_rules(outcome: Outcome) -> set[int]:
+    """The numbers of the rules that were broken."""
+    return {verdict.rule for verdict in outcome.verdicts if not verdict.kept}
+
+
 def badness(outcome: Outcome) -> float:
-    """A broken rule is worse than any service; then how near a rule came and what was lost."""
-    nearest = max(v.nearest for v in outcome.verdicts)
-    return 10.0 * sum(not v.kept for v in outcome.verdicts) + min(nearest, 1.0) + 1 - outcome.figures["served"]
+    """Rank a day: broken rules count most, then how near a rule came to its limit and what share was not served."""
+    nearest = max(verdict.nearest for verdict in outcome.verdicts)
+    broken = sum(not verdict.kept for verdict in outcome.verdicts)
+    return BROKEN_RULE_BADNESS * broken + min(nearest, 1.0) + 1 - outcome.figures["served"]
 
 
 def hunt(
@@ -87,64 +88,101 @@
     seeds: range,
     policy: str = "",
     most: int = 5,
-    told: Callable[[int, float], None] = lambda seed, worst: None,
-) -> tuple[int, Scenario, Outcome] | None:
-    """The seed, the script and the outcome of the worst day; None if none could be played."""
-    found = None
+    on_progress: Callable[[int, float], None] = lambda seed, worst: None,
+) -> FoundDay | None:
+    """Draw and run a day for each seed.
+
+    Args:
+        script: The scenario whose fleet and load are used; its own faults are not.
+        seeds: Seeds of the draws and of the days.
+        policy: A decision module of the laboratory; the service's own if empty.
+        most: Faults in one day at most.
+        on_progress: Called after each seed with the worst badness so far.
+
+    Returns:
+        The worst day; None if none could be run.
+    """
+    worst: FoundDay | None = None
     for seed in seeds:
-        tried = with_troubles(script, draw(Random(seed), script.day.length_s, most))
-        outcome = play(tried, seed, policy)
-        if outcome is not None and (found is None or badness(outcome) > badness(found[2])):
-            found = seed, tried, outcome
-        told(seed, badness(found[2]) if found else 0.0)
-    return found
+        candidate = with_faults(script, draw(Random(seed), script.day.length_s, most))
+        outcome = play(candidate, seed, policy)
+        if outcome is not None and (worst is None or badness(outcome) > badness(worst.outcome)):
+            worst = FoundDay(seed, candidate, outcome)
+        on_progress(seed, badness(worst.outcome) if worst else 0.0)
+    return worst
+
+
+def still_shows(reduced: Outcome, rules: set[int], current: Outcome) -> bool:
+    """Whether a reduced day still shows what was found.
+
+    Args:
+        reduced: Outcome of the day with one fault less.
+        rules: Rules that must be broken; if there are none, the day must be about as bad as the current one.
+        current: Outcome of the day with that fault.
+    """
+    if rules:
+        return rules <= broken_rules(reduced)
+    return badness(reduced) >= KEPT_BADNESS * badness(current)
+
+
+def remove_one_fault(day: FoundDay, rules: set[int], policy: str) -> FoundDay | None:
+    """Find a fault that the day does not need; None if it needs each, or has only one."""
+    for removed in list(day.script.troubles):
+        remaining = {name: fault for name, fault in day.script.troubles.items() if name != removed}
+        if not remaining:
+            continue
+        candidate = with_faults(day.script, remaining)
+        outcome = play(candidate, day.seed, policy)
+        if outcome is not None and still_shows(outcome, rules, day.outcome):
+            return FoundDay(day.seed, candidate, outcome)
+    return None
 
 
 def cut_down(seed: int, script: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
-    """Leave out troubles while what was found stays: the same broken rules, or nine tenths of the badness."""
-    broken = {v.rule for v in outcome.verdicts if not v.kept}
-
-    def still(tried: Outcome | None) -> bool:
-        if tried is None:
-            return False
-        if broken:
-            return broken <= {v.rule for v in tried.verdicts if not v.kept}
-        return badness(tried) >= 0.9 * badness(outcome)
-
-    going = True
-    while going:
-        going = False
-        for name in list(script.troubles):
-            fewer = with_troubles(script, {k: t for k, t in script.troubles.items() if k != name})
-            tried = play(fewer, seed, policy) if fewer.troubles else None
-            if still(tried):
-                script, outcome, going = fewer, tried, True
-                break
-    return script, outcome
+    """Remove faults one by one as long as the day breaks the same rules or, if it broke none, is about as bad."""
+    rules = broken_rules(outcome)
+    day = FoundDay(seed, script, outcome)
+    while (reduced := remove_one_fault(day, rules, policy)) is not None:
+        day = reduced
+    return day.script, day.outcome
+
+
+def section_lines(name: str, section: BaseModel) -> list[str]:
+    """A section of a scenario as lines of an INI file; empty values are left out."""
+    lines = [f"\n[{name}]"]
+    for key, value in section.model_dump().items():
+        text = ", ".join(map(str, value)) if isinstance(value, list) else value
+        if text != "":
+            lines.append(f"{key} = {text}")
+    return lines
+
+
+def override_lines(overrides: dict[tuple[str, str], str]) -> list[str]:
+    """Overrides of settings, by section and key, as `set` sections of an INI file."""
+    keys_by_section: dict[str, list[str]] = {}
+    for (section, key), value in overrides.items():
+        keys_by_section.setdefault(section, []).append(f"{key} = {value}")
+    lines = []
+    for section, keys in keys_by_section.items():
+        lines += [f"\n[set {section}]", *keys]
+    return lines
 
 
 def write(path: Path, seed: int, script: Scenario, outcome: Outcome) -> None:
-    """As a script that `hollyridge lab run` and `hollyridge day` read."""
+    """Write a day as a scenario that `hollyridge lab run` and `hollyridge day` read."""
     lines = [f"; Found by a hunt from {script.path.name}, seed {seed}: served {outcome.figures['served']}."]
-    lines += [f"; rule {v.rule} broken: {v.where}" for v in outcome.verdicts if not v.kept]
+    for verdict in outcome.verdicts:
+        if not verdict.kept:
+            lines.append(f"; rule {verdict.rule} broken: {verdict.where}")
+    settings = str((script.path.parent / script.day.settings).resolve())
     sections = {
-        "day": script.day.model_copy(
-            update={"seed": seed, "settings": str((script.path.parent / script.day.settings).resolve())}
-        ),
+        "day": script.day.model_copy(update={"seed": seed, "settings": settings}),
         "fleet": script.fleet,
         "load": script.load,
         "net": script.net,
-        **{f"trouble {k}": t for k, t in script.troubles.items()},
+        **{f"trouble {name}": fault for name, fault in script.troubles.items()},
     }
     for name, section in sections.items():
-        lines.append(f"\n[{name}]")
-        for key, value in section.model_dump().items():
-            text = ", ".join(map(str, value)) if isinstance(value, list) else value
-            if text != "":
-                lines.append(f"{key} = {text}")
-    sets: dict[str, list[str]] = {}
-    for (section, key), value in script.overrides.items():
-        sets.setdefault(section, []).append(f"{key} = {value}")
-    for section, rows in sets.items():
-        lines += [f"\n[set {section}]", *rows]
+        lines += section_lines(name, section)
+    lines += override_lines(script.overrides)
     path.write_text("\n".join(lines) + "\n")
--- a/hollyridge/lab/reports/comparison_plots.py
+++ b/hollyridge/lab/reports/comparison_plots.py
@@ -7,7 +7,8 @@
 
 from matplotlib.axes import Axes
 
-from hollyridge.lab.experiments.experiment import Variant, summary
+from hollyridge.lab.experiments.experiment import summary
+from hollyridge.lab.experiments.variants import Variant
 from hollyridge.lab.reports.errors import ReportError
 from hollyridge.lab.reports.plot_page import PlotPage, render
 
