--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -1,213 +1,233 @@
-"""A flood of load reports against a real assigner on loopback, beside one that reads them all: what is kept, what it
-costs, and how far the weights of the two end up apart."""
+"""A flood of load reports against a real assigner on loopback, beside one that reads all of them.
+
+Measures which reports are accepted, what that costs, and how far the weights of the two assigners end up apart.
+"""
 
 from __future__ import annotations
 
-import configparser
 import http.client
-import sys
 import tempfile
 import time
 from pathlib import Path
-from random import Random
 
 import gevent
-import msgspec
-from gevent import socket, subprocess
+from gevent import socket
 
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.experiments.flood_assigner import Assigner
+from hollyridge.lab.experiments.flood_reports import FLOODING_ADDRESS, ReportGenerator, Sender
 from hollyridge.otlp.sender import Figure, post, request_of
-from hollyridge.sasp.client import HeldWeights, LoadBalancerClient, MemberRegistrar
+from hollyridge.sasp.client import ConnectionLostError, Entry, HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-SETTINGS = Path(__file__).resolve().parents[3] / "examples" / "loopback.ini"
-SOURCES = 20  # quiet ones, each at an address of its own; one more floods
-EACH = 60  # points in a request
-
-
-class Assigner:
-    """`hollyridge serve` in a process of its own."""
-
-    def __init__(self, folder: Path, settings: Path, name: str, points_per_s: float) -> None:
-        self.sasp, self.otlp = free_port(), free_port()
-        parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
-        parser.read(settings)
-        parser["sasp"]["listen"], parser["otlp"]["listen"] = f"127.0.0.1:{self.sasp}", f"127.0.0.1:{self.otlp}"
-        parser["otlp"]["points_per_s"] = str(points_per_s)
-        self.zones = {zone: nets.split(".")[1] for zone, nets in parser["zones"].items()}
-        self.methods = [word.partition(" ")[2] for word in parser.sections() if word.startswith("method ")]
-        path = folder / f"{name}.ini"
-        with open(path, "w") as out:
-            parser.write(out)
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=open(folder / f"{name}.log", "wb")
-        )
-        for _ in range(200):
-            if self.process.poll() is not None:
-                raise OSError(f"the assigner ended with {self.process.returncode}")
-            try:
-                socket.create_connection(("127.0.0.1", self.otlp), timeout=1).close()
-                break
-            except OSError:
-                gevent.sleep(0.05)
-
-    def line(self, source: str) -> http.client.HTTPConnection:
-        line = http.client.HTTPConnection("127.0.0.1", self.otlp, timeout=10, source_address=(source, 0))
-        line._create_connection = socket.create_connection
-        return line
-
-    def status(self) -> dict:
-        line = self.line("127.0.0.1")
-        line.request("GET", "/status")
-        try:
-            return msgspec.json.decode(line.getresponse().read())
-        finally:
-            line.close()
+UNLIMITED_POINTS_PER_S = 1e9  # budget of the assigner that reads all reports
+QUIET_SENDERS = 20  # each from an address of its own
+FLOODING_SENDERS = 4  # connections of the one address that floods
+QUIET_SHARE = 0.5  # of the data points
+SERIES_PER_REQUEST = 20
+PERIOD_NS = 1_000_000_000  # that a report covers
+SETTLE_S = 1.0  # from registration of the members till readers connect
+LAST_UPDATE_S = 1.5  # from the last report till weights are compared
+TASK_PORT = 9000
+
+
+class Flood:
+    """Both assigners, their clients, and the counts of what was sent to the limited one."""
+
+    def __init__(self, limited: Assigner, unlimited: Assigner, tasks: int, seed: int) -> None:
+        self.limited = limited
+        self.unlimited = unlimited
+        self.assigners = (limited, unlimited)
+        self.members = loopback_members(list(limited.zones.values()), tasks)
+        names = [f"{member.host}:{TASK_PORT}" for member in self.members]
+        self.reports = ReportGenerator(names, list(limited.zones), limited.methods, seed)
+        self.clients: list[MemberRegistrar | LoadBalancerClient] = []
+        self.followers: list[gevent.Greenlet] = []
+        self.weights: dict[tuple[Assigner, str], HeldWeights] = {}
+        self.counts = {"sent": 0, "kept": 0, "shed": 0, "quiet_sent": 0, "quiet_kept": 0}
+
+    def register_members(self) -> None:
+        """Register the tasks with both assigners."""
+        for assigner in self.assigners:
+            registrar = MemberRegistrar(("127.0.0.1", assigner.sasp), "shelf", connect=socket.create_connection)
+            registrar.register(self.members)
+            self.clients.append(registrar)
+
+    def follow_weights(self) -> None:
+        """Connect a load balancer in each zone to both assigners and keep the weights that it receives."""
+        for assigner in self.assigners:
+            for zone, octet in assigner.zones.items():
+                client = LoadBalancerClient(
+                    ("127.0.0.1", assigner.sasp),
+                    f"gw-{zone}",
+                    source=f"127.{octet}.0.200",
+                    connect=socket.create_connection,
+                )
+                client.start(assigner.methods[:1])
+                self.clients.append(client)
+                self.weights[assigner, zone] = HeldWeights()
+                self.followers.append(gevent.spawn(follow, client, self.weights[assigner, zone]))
+
+    def close(self) -> None:
+        """Close all connections; readers end with them."""
+        for client in self.clients:
+            client.close()
+        gevent.killall(self.followers)
+
+    def senders(self, points_per_s: float) -> list[Sender]:
+        """Quiet senders that share the series, and some connections of one address that report on all of them."""
+        quiet_rate = QUIET_SHARE * points_per_s / QUIET_SENDERS
+        flooding_rate = (1 - QUIET_SHARE) * points_per_s / FLOODING_SENDERS
+        quiet = [
+            Sender(f"src-{number}", f"127.0.1.{number + 1}", quiet_rate, self.reports.series[number::QUIET_SENDERS])
+            for number in range(QUIET_SENDERS)
+        ]
+        flooding = [
+            Sender(f"flood-{number}", FLOODING_ADDRESS, flooding_rate, self.reports.series)
+            for number in range(FLOODING_SENDERS)
+        ]
+        return quiet + flooding
+
+    def count(self, sender: Sender, points: int, status: int) -> None:
+        """Count data points sent to the limited assigner, and whether it accepted them."""
+        accepted = status == http.HTTPStatus.OK
+        self.counts["sent"] += points
+        self.counts["kept" if accepted else "shed"] += points
+        if sender.quiet:
+            self.counts["quiet_sent"] += points
+            self.counts["quiet_kept"] += points * accepted
+
+    def next_figures(self, sender: Sender, position: int) -> list[Figure]:
+        """Figures of a sender's next request, whose series begin at a position of its turn."""
+        series = [sender.series[(position + step) % len(sender.series)] for step in range(SERIES_PER_REQUEST)]
+        end_ns = time.time_ns()
+        return self.reports.figures(sender.source, series, end_ns - PERIOD_NS, end_ns)
+
+    def send_reports(self, sender: Sender, until_s: float) -> None:
+        """Send the same reports to both assigners until a moment of the monotonic clock."""
+        connections = [assigner.connection(sender.address) for assigner in self.assigners]
+        position = 0
+        while time.monotonic() < until_s:
+            figures = self.next_figures(sender, position)
+            position += SERIES_PER_REQUEST
+            request = request_of(sender.source, figures)
+            started_s = time.monotonic()
+            for assigner, connection in zip(self.assigners, connections):
+                try:
+                    status, _ = post(connection, request, packed=False)
+                except (OSError, http.client.HTTPException):
+                    connection.close()
+                    status = 0
+                if assigner is self.limited:
+                    self.count(sender, len(figures), status)
+            took_s = time.monotonic() - started_s
+            gevent.sleep(max(0.0, len(figures) / sender.points_per_s - took_s))
+        for connection in connections:
+            connection.close()
+
+    def send_all(self, points_per_s: float, seconds: float) -> None:
+        """Let all senders send for some time."""
+        until_s = time.monotonic() + seconds
+        jobs = [gevent.spawn(self.send_reports, sender, until_s) for sender in self.senders(points_per_s)]
+        gevent.joinall(jobs, raise_error=True)
+
+    def weight_distance(self) -> float:
+        """Mean distance over zones between the weights that the two assigners have published for the first method."""
+        method = self.limited.methods[0]
+        distances = [
+            distance(
+                self.weights[self.limited, zone].lines(method),
+                self.weights[self.unlimited, zone].lines(method),
+            )
+            for zone in self.limited.zones
+        ]
+        return sum(distances) / len(distances)
 
-    def rss_mb(self) -> float:
-        for row in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
-            if row.startswith("VmRSS"):
-                return int(row.split()[1]) / 1024
-        return 0.0
 
-    def stop(self) -> None:
-        self.process.terminate()
-        try:
-            self.process.wait(timeout=10)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            self.process.wait()
-
-
-class Truth:
-    """What is met at each task: two in five are half as quick, and as busy again."""
-
-    def __init__(self, tasks: list[str], zones: list[str], methods: list[str], seed: int) -> None:
-        self.rng = Random(seed)
-        self.pairs = [(zone, task, method) for zone in zones for task in tasks for method in methods]
-        self.slow = {task: 2.0 if k % 5 < 2 else 1.0 for k, task in enumerate(tasks)}
-
-    def figures(self, source: str, pairs: list[tuple[str, str, str]], begun: int, end: int) -> list[Figure]:
-        found = []
-        for zone, task, method in pairs:
-            tries = 1 + self.rng.randrange(4)
-            spent = sum(self.rng.expovariate(1 / (0.08 * self.slow[task])) for _ in range(tries))
-            place = {"proxy": source, "zone": zone, "task": task, "method": method}
-            found += [
-                Figure("hollyridge.tries", tries, place, end, begun),
-                Figure("hollyridge.tries.time", spent, place, end, begun),
-            ]
-            found.append(Figure("hollyridge.task.util", min(0.95, 0.35 * self.slow[task]), {"task": task}, end))
-        return found
-
-
-def flood(
-    reports_per_s: float, seconds: float, budget: float, settings: Path = SETTINGS, tasks: int = 30, seed: int = 1
-) -> dict:
-    """`reports_per_s` points in all, half of them by one sender that does not listen; `budget`: points a second that
-    the assigner reads. OSError where it does not start."""
+def loopback_members(octets: list[str], count: int) -> list[Member]:
+    """Members at addresses of their own, spread over zones by the second octet."""
+    return [
+        Member.at(f"127.{octets[number % len(octets)]}.1.{number + 1}", TASK_PORT, f"t{number} run=a up=100")
+        for number in range(count)
+    ]
+
+
+def follow(client: LoadBalancerClient, weights: HeldWeights) -> None:
+    """Apply pushed weights until the connection ends."""
+    try:
+        while True:
+            pushed = client.receive(1.0)
+            if pushed:
+                weights.take(pushed[1].groups)
+    except ConnectionLostError:
+        return
+
+
+def flood(reports_per_s: float, seconds: float, budget: float, tasks: int = 30, seed: int = 1) -> dict:
+    """Run a flood against two assigners that are started for it.
+
+    Args:
+        reports_per_s: Data points sent a second, half of them by one address that ignores rejections.
+        seconds: Length of the flood.
+        budget: Data points a second that the limited assigner reads.
+        tasks: Number of tasks that are reported on.
+        seed: Seed of what the reports say.
+
+    Returns:
+        The result as `lab flood --json` prints it.
+
+    Raises:
+        AssignerStartError: An assigner did not start.
+    """
     with tempfile.TemporaryDirectory(prefix="hollyridge-flood-") as folder:
-        pair = [Assigner(Path(folder), settings, "tight", budget), Assigner(Path(folder), settings, "whole", 1e9)]
+        assigners = [
+            Assigner(Path(folder), "tight", budget),
+            Assigner(Path(folder), "whole", UNLIMITED_POINTS_PER_S),
+        ]
         try:
-            return against(*pair, reports_per_s, seconds, tasks, seed)
+            return measure(Flood(*assigners, tasks, seed), reports_per_s, seconds)
         finally:
-            for one in pair:
-                one.stop()
-
-
-def against(tight: Assigner, whole: Assigner, reports_per_s: float, seconds: float, tasks: int, seed: int) -> dict:
-    octets = list(tight.zones.values())
-    members = [Member.at(f"127.{octets[k % len(octets)]}.1.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(tasks)]
-    names = [f"{member.host}:9000" for member in members]
-    clients = []
-    for one in (tight, whole):
-        agent = MemberRegistrar(("127.0.0.1", one.sasp), "shelf", connect=socket.create_connection)
-        agent.register(members)
-        clients.append(agent)
-    gevent.sleep(1.0)
-    held = {}
-    for one in (tight, whole):
-        for zone, octet in one.zones.items():
-            reader = LoadBalancerClient(
-                ("127.0.0.1", one.sasp), f"gw-{zone}", source=f"127.{octet}.0.200", connect=socket.create_connection
-            )
-            reader.start(one.methods[:1])
-            clients.append(reader)
-            held[one, zone] = HeldWeights()
-            gevent.spawn(follow, reader, held[one, zone])
-    truth = Truth(names, list(tight.zones), tight.methods, seed)
-    before, until = tight.rss_mb(), time.monotonic() + seconds
-    counts = {"sent": 0, "kept": 0, "shed": 0, "quiet_sent": 0, "quiet_kept": 0}
-    quiet = reports_per_s / 2 / SOURCES
-
-    def say(source: str, address: str, rate: float, share: list) -> None:
-        """All pairs of a source in turn, so many points a request, to both assigners."""
-        at, lines = 0, [one.line(address) for one in (tight, whole)]
-        while time.monotonic() < until:
-            some = [share[(at + k) % len(share)] for k in range(EACH // 3)]
-            at += len(some)
-            end = time.time_ns()
-            figures = truth.figures(source, some, end - 1_000_000_000, end)
-            request = request_of(source, figures)
-            begun = time.monotonic()
-            for one, line in zip((tight, whole), lines):
-                try:
-                    status, _ = post(line, request, packed=False)
-                except (OSError, http.client.HTTPException):
-                    line.close()
-                    status = 0
-                if one is tight:
-                    counts["sent"] += len(figures)
-                    counts["kept" if status == 200 else "shed"] += len(figures)
-                    if address != "127.0.0.2":
-                        counts["quiet_sent"] += len(figures)
-                        counts["quiet_kept"] += len(figures) * (status == 200)
-            gevent.sleep(max(0.0, len(figures) / rate - (time.monotonic() - begun)))
-        for line in lines:
-            line.close()
-
-    jobs = [gevent.spawn(say, f"src-{k}", f"127.0.1.{k + 1}", quiet, truth.pairs[k::SOURCES]) for k in range(SOURCES)]
-    jobs += [gevent.spawn(say, f"flood-{k}", "127.0.0.2", reports_per_s / 8, truth.pairs) for k in range(4)]
-    gevent.joinall(jobs, raise_error=True)
-    gevent.sleep(1.5)
-    status = tight.status()
-    gaps = [
-        distance(held[tight, zone].lines(tight.methods[0]), held[whole, zone].lines(whole.methods[0]))
-        for zone in tight.zones
-    ]
-    for client in clients:
-        client.close()
+            for assigner in assigners:
+                assigner.stop()
+
+
+def measure(run: Flood, reports_per_s: float, seconds: float) -> dict:
+    """Run a flood against its assigners; arguments and result as of `flood`."""
+    run.register_members()
+    gevent.sleep(SETTLE_S)
+    run.follow_weights()
+    rss_before_mb = run.limited.rss_mb()
+    run.send_all(reports_per_s, seconds)
+    gevent.sleep(LAST_UPDATE_S)
+    status = run.limited.status()
+    weight_distance = run.weight_distance()
+    run.close()
+    counts = run.counts
     return {
         **counts,
         "offered_per_s": round(counts["sent"] / seconds),
         "kept_per_s": round(counts["kept"] / seconds),
         "quiet_kept_part": round(counts["quiet_kept"] / max(1, counts["quiet_sent"]), 4),
-        "rss_growth_mb": round(tight.rss_mb() - before, 1),
+        "rss_growth_mb": round(run.limited.rss_mb() - rss_before_mb, 1),
         "decision_p99_ms": round(status["core"]["turn_us"]["p99"] / 1e3, 2),
-        "weight_distance": round(sum(gaps) / len(gaps), 4),
+        "weight_distance": round(weight_distance, 4),
         "waiting_most": status["core"]["waiting_most"],
     }
 
 
-def follow(reader: LoadBalancerClient, held: HeldWeights) -> None:
-    try:
-        while True:
-            pushed = reader.receive(1.0)
-            if pushed:
-                held.take(pushed[1].groups)
-    except Exception:  # its stream is closed at the end
-        pass
+def shares_of(lines: dict[Member, Entry]) -> dict[Member, float]:
+    """Each task's share of a table's weight."""
+    total = sum(entry.weight for entry in lines.values()) or 1
+    return {task: entry.weight / total for task, entry in lines.items()}
 
 
-def distance(one: dict, two: dict) -> float:
-    """Half the sum of the gaps between shares: 0 the same, 1 nothing in common.
+def distance(first: dict[Member, Entry], second: dict[Member, Entry]) -> float:
+    """Half the sum of differences between shares of weight: 0 for equal shares, 1 for tables with no task in common.
 
     >>> from hollyridge.sasp.client import Entry
     >>> distance({"a": Entry(3, 0), "b": Entry(1, 0)}, {"a": Entry(1, 0), "b": Entry(1, 0)})
     0.25
     """
-    shares = []
-    for lines in (one, two):
-        whole = sum(entry.weight for entry in lines.values()) or 1
-        shares.append({task: entry.weight / whole for task, entry in lines.items()})
-    return sum(abs(shares[0].get(task, 0.0) - shares[1].get(task, 0.0)) for task in {**one, **two}) / 2
+    first_shares = shares_of(first)
+    second_shares = shares_of(second)
+    tasks = {**first, **second}
+    return sum(abs(first_shares.get(task, 0.0) - second_shares.get(task, 0.0)) for task in tasks) / 2
--- /dev/null
+++ b/hollyridge/lab/experiments/flood_reports.py
@@ -0,0 +1,82 @@
+"""The load reports of a flood and their senders: what simulated proxies have seen of tasks, of which some are slow."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import NamedTuple
+
+from hollyridge.otlp.sender import Figure
+
+FLOODING_ADDRESS = "127.0.0.2"  # the one address that floods
+MEAN_LATENCY_S = 0.08
+UTILIZATION = 0.35
+MAX_UTILIZATION = 0.95
+SLOW_FACTOR = 2.0  # on latency and utilization of a slow task
+SLOW_OF = (2, 5)  # so many of so many tasks are slow
+MAX_ATTEMPTS = 4  # of one series in one report
+
+
+class ReportedSeries(NamedTuple):
+    """What one part of a report is about."""
+
+    zone: str
+    task: str
+    method: str
+
+
+class Sender(NamedTuple):
+    """A sender of reports.
+
+    Attributes:
+        source: Name that its reports carry.
+        address: Address that it sends from.
+        points_per_s: Data points that it sends a second.
+        series: What it reports on, in turn.
+    """
+
+    source: str
+    address: str
+    points_per_s: float
+    series: list[ReportedSeries]
+
+    @property
+    def quiet(self) -> bool:
+        """Whether it is not the one that floods."""
+        return self.address != FLOODING_ADDRESS
+
+
+class ReportGenerator:
+    """Draws what proxies see of each task, by seed.
+
+    Attributes:
+        series: Every combination of zone, task and method.
+    """
+
+    def __init__(self, tasks: list[str], zones: list[str], methods: list[str], seed: int) -> None:
+        self.rng = Random(seed)
+        self.series = [ReportedSeries(zone, task, method) for zone in zones for task in tasks for method in methods]
+        slow, group = SLOW_OF
+        self.factors = {task: SLOW_FACTOR if number % group < slow else 1.0 for number, task in enumerate(tasks)}
+
+    def figures(self, source: str, series: list[ReportedSeries], start_ns: int, end_ns: int) -> list[Figure]:
+        """Draw the data points of one report.
+
+        Args:
+            source: Name of the proxy that sends it.
+            series: What it reports on.
+            start_ns: Start of the reported period, since the epoch.
+            end_ns: Its end.
+        """
+        figures = []
+        for zone, task, method in series:
+            factor = self.factors[task]
+            attempts = 1 + self.rng.randrange(MAX_ATTEMPTS)
+            spent_s = sum(self.rng.expovariate(1 / (MEAN_LATENCY_S * factor)) for _ in range(attempts))
+            attributes = {"proxy": source, "zone": zone, "task": task, "method": method}
+            utilization = min(MAX_UTILIZATION, UTILIZATION * factor)
+            figures += [
+                Figure("hollyridge.tries", attempts, attributes, end_ns, start_ns),
+                Figure("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
+                Figure("hollyridge.task.util", utilization, {"task": task}, end_ns),
+            ]
+        return figures
