--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -15,7 +15,7 @@
 import msgspec
 from gevent import socket, subprocess
 
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp.client import HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
--- a/hollyridge/lab/reports/page.py
+++ b/hollyridge/lab/reports/page.py
@@ -46,7 +46,7 @@
             width=width,
             verdicts=outcome.verdicts,
             f=outcome.figures,
-            troubles=outcome.troubles,
+            troubles=outcome.faults,
             x=lambda seconds: round(seconds / length * width, 1),
         )
     )
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -32,12 +32,15 @@
     "store/learned_estimates.py": "steering",
 }
 STAND_IN_MODULES = (
+    "clients.py",
     "proxy.py",
     "record.py",
     "sockets.py",
     "streams.py",
     "task.py",
+    "task_connection.py",
     "task_model.py",
+    "task_server.py",
     "gateways.py",
     "simulated_process.py",
     "simulation.py",
--- a/hollyridge/lab/stand_ins/agent.py
+++ b/hollyridge/lab/stand_ins/agent.py
@@ -1,8 +1,9 @@
-"""A stand-in roster agent: knows which processes run, seconds late, and says so over SASP."""
+"""The stand-in agent: knows, late, which tasks run, and registers them with an assigner over SASP."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 from functools import partial
 from typing import NamedTuple
 
@@ -13,102 +14,133 @@
 from hollyridge.sasp.client import ConnectionLostError, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 
+POLL_S = 0.5  # how often a stream without news is checked
+PROBE_S = 0.001
+RETRY_S = 0.2
+LONG_AGO_S = 1e6  # the uptime that a task has whose start is not known
+
+
+class KnownTask(NamedTuple):
+    """A task that runs, as far as the agent knows.
+
+    Attributes:
+        born_us: When the run started; 0 for long ago.
+    """
 
-class Known(NamedTuple):
     name: str
     run: str
-    born: int  # us; 0 for long past
+    born_us: int
     draining: bool
 
 
 class Agent:
-    """Its list is kept through breaks and said again on every new stream. Whoever calls it hears late itself."""
+    """Registers the tasks that run, again on every new stream. Who calls it lets it notice late.
+
+    Attributes:
+        known: Running tasks by address.
+        stopped: Addresses to deregister, in order.
+        registered: What the present stream has registered.
+        due: Set when there is something to send.
+        synced: Set once the first stream has sent all.
+    """
 
     def __init__(
         self, address: tuple[str, int], fleet: str, record: Recorder, spawn: Callable = gevent.spawn, number: int = 0
     ) -> None:
+        """Start the agent of assigner `number`, which listens at `address`."""
         self.who = f"agent-{number}"
-        self.address, self.fleet, self.record = address, fleet, record
-        self.known: dict[str, Known] = {}
-        self.left: dict[str, None] = {}
+        self.address = address
+        self.fleet = fleet
+        self.record = record
+        self.known: dict[str, KnownTask] = {}
+        self.stopped: dict[str, None] = {}
+        self.registered: dict[str, KnownTask] = {}
         self.due = Event()
-        self.stream = 0
-        self.told: dict[str, Known] = {}
         self.synced = Event()
+        self.stream = 0
         self.job = spawn(self.run)
 
-    def member(self, key: str, known: Known | None = None) -> Member:
-        host, _, port = key.rpartition(":")
-        label = ""
-        if known is not None:
-            up = (self.record.clock() - known.born) / 1e6 if known.born else 1e6
-            label = f"{known.name} run={known.run} up={up:.3f}"
-        return Member.at(host, int(port), label)
+    # What the day lets it notice.
 
-    def running(self, key: str, name: str, run: str, born: int) -> None:
-        self.known[key] = Known(name, run, born, False)
-        self.left.pop(key, None)
+    def task_running(self, key: str, name: str, run: str, born_us: int) -> None:
+        """A run of a task has started at this address."""
+        self.known[key] = KnownTask(name, run, born_us, False)
+        self.stopped.pop(key, None)
         self.due.set()
 
-    def drains(self, key: str) -> None:
+    def task_draining(self, key: str) -> None:
+        """The task at this address is to get nothing new."""
         if key in self.known:
             self.known[key] = self.known[key]._replace(draining=True)
             self.due.set()
 
-    def gone(self, key: str, run: str) -> None:
-        if key in self.known and self.known[key].run == run:  # a newer run under this address is not meant
+    def task_stopped(self, key: str, run: str) -> None:
+        """A run of a task has ended; a newer one under its address is not meant."""
+        if key in self.known and self.known[key].run == run:
             del self.known[key]
-            self.left[key] = None
+            self.stopped[key] = None
             self.due.set()
 
+    # Its streams.
+
     def run(self) -> None:
+        """Keep a stream to the assigner, for ever."""
         while True:
             self.stream += 1
             stream = self.stream
             try:
-                client = MemberRegistrar(
-                    self.address,
-                    self.fleet,
-                    heard=partial(self.record.frame, "heard", self.who, stream),
-                    said=partial(self.record.frame, "said", self.who, stream),
-                )
-                self.told = {}
-                self.due.set()
-                while True:
-                    if self.due.wait(0.5):
-                        self.due.clear()
-                        self.sync(client)
-                        self.synced.set()
-                    elif not self.alive(client):
-                        raise ConnectionLostError("closed by the service")
-            except (OSError, ConnectionLostError, RefusedError) as trouble:
-                self.record("stream", who=self.who, stream=stream, up=False, why=str(trouble))
-                gevent.sleep(0.2)
+                self._keep_stream(self._connect(stream))
+            except (OSError, ConnectionLostError, RefusedError) as error:
+                self.record("stream", who=self.who, stream=stream, up=False, why=str(error))
+                gevent.sleep(RETRY_S)
+
+    def _connect(self, stream: int) -> MemberRegistrar:
+        return MemberRegistrar(
+            self.address,
+            self.fleet,
+            heard=partial(self.record.frame, "heard", self.who, stream),
+            said=partial(self.record.frame, "said", self.who, stream),
+        )
+
+    def _keep_stream(self, client: MemberRegistrar) -> None:
+        self.registered = {}
+        self.due.set()
+        while True:
+            if self.due.wait(POLL_S):
+                self.due.clear()
+                self.sync(client)
+                self.synced.set()
+            elif not self._is_open(client):
+                raise ConnectionLostError("closed by the service")
 
     @staticmethod
-    def alive(client: MemberRegistrar) -> bool:
-        client.sock.settimeout(0.001)
+    def _is_open(client: MemberRegistrar) -> bool:
+        client.sock.settimeout(PROBE_S)
         try:
             return client.sock.recv(1) != b""
         except TimeoutError:
             return True
 
     def sync(self, client: MemberRegistrar) -> None:
-        """Say what differs from what this stream has said."""
-        known = dict(self.known)
-        gone = [key for key in {**self.told, **self.left} if key not in known]
-        new = [key for key, row in known.items() if key not in self.told or self.told[key].run != row.run]
-        if new:
-            client.register([self.member(key, known[key]) for key in new])
-        drains = [
-            key for key, row in known.items() if row.draining and not (key in self.told and self.told[key] == row)
-        ]
-        if drains:
-            client.quiesce([self.member(key) for key in drains])
-        for key in gone:
-            try:
-                client.deregister([self.member(key)])
-            except RefusedError:
-                pass
-            self.left.pop(key, None)
-        self.told = known
+        """Send what differs from what this stream has registered."""
+        known, registered = dict(self.known), self.registered
+        removed = [key for key in {**registered, **self.stopped} if key not in known]
+        started = [key for key, task in known.items() if key not in registered or registered[key].run != task.run]
+        if started:
+            client.register([self._member(key, known[key]) for key in started])
+        draining = [key for key, task in known.items() if task.draining and registered.get(key) != task]
+        if draining:
+            client.quiesce([self._member(key) for key in draining])
+        for key in removed:
+            with suppress(RefusedError):  # the assigner may not know it
+                client.deregister([self._member(key)])
+            self.stopped.pop(key, None)
+        self.registered = known
+
+    def _member(self, key: str, task: KnownTask | None = None) -> Member:
+        host, _, port = key.rpartition(":")
+        label = ""
+        if task is not None:
+            up_s = (self.record.clock() - task.born_us) / 1e6 if task.born_us else LONG_AGO_S
+            label = f"{task.name} run={task.run} up={up_s:.3f}"
+        return Member.at(host, int(port), label)
--- /dev/null
+++ b/hollyridge/lab/stand_ins/clients.py
@@ -0,0 +1,105 @@
+"""The clients beside a stand-in proxy: RPCs at random times, with the clients' own retries."""
+
+from __future__ import annotations
+
+from functools import lru_cache
+from itertools import accumulate
+from math import prod
+from typing import TYPE_CHECKING
+
+from hollyridge.lab.stand_ins import rpc
+
+if TYPE_CHECKING:
+    from hollyridge.lab.stand_ins.proxy import Proxy
+
+MIN_RATE = 1e-6  # RPCs a second where a fault took all traffic away
+WORK_SIGMA = 0.6  # of the lognormal distribution of an RPC's work
+WORK_MEAN = 1.197  # the mean of that distribution
+RETRY_PAUSE_S = 0.05  # before the first retry; doubles
+ORDERED_RETRIES = (0, 1, 1, 2)  # attempts more, by what the assigner orders (see `Gateway.level_for`)
+ON_PROOF_ONLY = 1  # the order by which an RPC is sent again only if it never ran
+MIN_ATTEMPT_S = 0.05  # no attempt is begun with less time left
+IDEMPOTENT = "idempotent"
+
+
+@lru_cache(maxsize=8)
+def key_popularity(keys: int, zipf: float) -> list[float]:
+    """Cumulative weights of the keys by rank."""
+    return list(accumulate(rank**-zipf for rank in range(1, keys + 1)))
+
+
+class Clients:
+    """Send RPCs through one proxy until it is down."""
+
+    def __init__(self, proxy: Proxy, rate: float, incarnation: int) -> None:
+        """`rate` is in RPCs a second; `incarnation` keeps tokens apart from those before a restart."""
+        self.proxy = proxy
+        self.world = proxy.world
+        self.rng = proxy.rng
+        self.plan = proxy.plan
+        self.rate = rate
+        self.incarnation = incarnation
+        self.last_token = 0
+
+    def run(self) -> None:
+        """Send RPCs until the proxy is down."""
+        shares = [method.share for method in self.plan.methods]
+        while not self.proxy.down:
+            rate = self.rate * prod(self.proxy.rate_factors.values())
+            self.world.sleep(self.rng.expovariate(max(MIN_RATE, rate)))
+            method = self.rng.choices(range(len(shares)), shares)[0]
+            mean_us = self.plan.methods[method].work_us
+            work_us = self.rng.lognormvariate(0, WORK_SIGMA) / WORK_MEAN * mean_us
+            self.world.spawn(self._send, method, work_us, self._draw_key())
+
+    def _draw_key(self) -> int:
+        keys = self.plan.keys
+        if not keys:
+            return rpc.NO_KEY
+        return self.rng.choices(range(keys), cum_weights=key_popularity(keys, self.plan.zipf))[0]
+
+    def _send(self, method: int, work_us: float, key: int) -> None:
+        """Send one RPC, with a client's retries: after any failure where that is safe, else only after proof."""
+        plan, begun_s = self.plan.methods[method], self.proxy.seconds()
+        self.last_token += 1
+        token = f"{self.proxy.uid}.{self.incarnation}.{self.last_token}"
+        call = rpc.Call(0, self.proxy.uid, method, token, work_us, key)
+        deadline_s = begun_s + plan.deadline_us / 1e6
+        attempts = 0
+        while True:
+            outcome = self._attempt(call, deadline_s)
+            attempts += 1
+            if not self._may_retry(plan.repeats, outcome, attempts):
+                break
+            pause_s = self.rng.uniform(0.5, 1.5) * RETRY_PAUSE_S * 2**attempts
+            if self.proxy.seconds() + pause_s >= deadline_s:
+                break
+            self.world.sleep(pause_s)
+        took_us = round((self.proxy.seconds() - begun_s) * 1e6)
+        self.proxy.record(
+            "done", proxy=self.proxy.uid, method=method, ok=outcome == rpc.OK, took=took_us, tries=attempts
+        )
+
+    def _may_retry(self, repeats: str, outcome: int, attempts: int) -> bool:
+        if outcome == rpc.OK or attempts > self.plan.client_retries:
+            return False
+        return repeats == IDEMPOTENT or outcome in (rpc.NOT_SENT, rpc.PUSHED_BACK) or self.plan.reckless
+
+    def _attempt(self, call: rpc.Call, deadline_s: float) -> int:
+        """One attempt of the client, which the proxy may repeat as the assigner orders."""
+        proxy, name = self.proxy, self.plan.methods[call.method].name
+        proxy.wait_while_stalled()
+        proxy.reporter.came(name)
+        admitted, retry = proxy.gateway.level_for(name)
+        outcome = rpc.PUSHED_BACK
+        if self.rng.random() < admitted:
+            outcome = proxy.send(call, deadline_s)
+            for _ in range(ORDERED_RETRIES[retry]):
+                never_ran = outcome in (rpc.PUSHED_BACK, rpc.NOT_SENT)
+                too_late = proxy.seconds() + MIN_ATTEMPT_S >= deadline_s
+                if outcome == rpc.OK or (not never_ran and retry == ON_PROOF_ONLY) or too_late:
+                    break
+                outcome = proxy.send(call, deadline_s)
+        if outcome not in (rpc.OK, rpc.PUSHED_BACK, rpc.NOT_SENT):
+            proxy.reporter.came(name, unanswered=True)
+        return outcome
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -44,7 +44,7 @@
         self.stream: SimulatedStream | None = None
         self.addresses = [tuple(address) for address in simulation.addresses["sasp"]]
         self.ways = len(simulation.processes)
-        self.groups = {method["name"]: method["group"] for method in proxy.methods}
+        self.groups = {method.name: method.group for method in proxy.methods}
 
     def session(self) -> None:
         """One connection, until it ends.
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -1,171 +1,188 @@
-"""A stand-in proxy and the client beside it: holds SASP tables, picks lines, sends RPCs, reports what it met."""
+"""A stand-in proxy: holds tables, sends its clients' RPCs, reports what it met, and has a real proxy's faults."""
 
 from __future__ import annotations
 
 import time
 from collections import defaultdict
-from functools import lru_cache
-from itertools import accumulate
-from math import prod
 from random import Random
+from typing import ClassVar, Protocol
 
 import gevent
+import msgspec
 import zmq.green as zmq
-from gevent.event import AsyncResult
 
 from hollyridge.client import ChpGateway, Gateway, Reporter, SaspGateway
+from hollyridge.lab.environment import World
 from hollyridge.lab.reports.record import Recorder
 from hollyridge.lab.stand_ins import rpc
+from hollyridge.lab.stand_ins.clients import Clients
+from hollyridge.lab.stand_ins.proxy_plan import ProxyPlan
+from hollyridge.lab.stand_ins.task_connection import TaskConnection
 from hollyridge.otlp.sender import Figure
 
+RECEIVE_S = 0.5  # how often a SASP stream without news is known to stand
+READ_POLL_S = 0.05  # how often one that has stopped reading looks whether it may go on
+MIN_TIMEOUT_S = 0.01
+MIN_LEFT_S = 0.001  # of an RPC's time, behind a slow link
+AVOID_S = (2.0, 4.0)  # how long an outlier is avoided
+REPORT_JITTER_S = 0.1
 
-@lru_cache(maxsize=8)
-def popularity(keys: int, zipf: float) -> list[float]:
-    """Cumulative shares of keys by rank."""
-    return list(accumulate(rank**-zipf for rank in range(1, keys + 1)))
-
-
-class Pipe:
-    """A connection to one task, dialled at the first call."""
-
-    def __init__(self, task: str) -> None:
-        self.task, self.sock, self.number = task, None, 0
-        self.waiting: dict[int, AsyncResult] = {}
-
-    def dial(self, timeout: float) -> bool:
-        if self.sock is not None:
-            return True
-        host, _, port = self.task.rpartition(":")
-        try:
-            sock = gevent.socket.create_connection((host, int(port)), timeout=timeout)
-            sock.settimeout(None)
-        except OSError:
-            return self.sock is not None
-        if self.sock is not None:  # another call was quicker
-            sock.close()
-            return True
-        self.sock = sock
-        gevent.spawn(self.listen, sock)
-        return True
-
-    def listen(self, sock) -> None:
-        try:
-            for answer in rpc.receive(sock, calls=False):
-                waiter = self.waiting.pop(answer.number, None)
-                if waiter is not None:
-                    waiter.set(answer)
-        except (OSError, ValueError):
-            pass
-        self.close(sock)
-
-    def close(self, sock=None) -> None:
-        sock = sock or self.sock
-        if sock is not None and sock is self.sock:
-            self.sock = None
-            for waiter in self.waiting.values():
-                waiter.set(None)
-            self.waiting = {}
-        if sock is not None:
-            sock.close()
-
-    def call(
-        self, proxy: str, method: int, token: str, work: float, timeout: float, key: int = -1
-    ) -> tuple[int, rpc.Answer | None]:
-        """Outcome and answer. NOT_SENT proves that it never ran."""
-        if not self.dial(min(timeout, 0.25)):
-            return rpc.NOT_SENT, None
-        self.number += 1
-        waiter = self.waiting[self.number] = AsyncResult()
-        number = self.number
-        try:
-            rpc.send(self.sock, rpc.Call(number, proxy, method, token, work, key))
-        except OSError:
-            self.waiting.pop(number, None)
-            self.close()
-            return rpc.NO_ANSWER, None
-        try:
-            answer = waiter.get(timeout=timeout)
-        except gevent.Timeout:
-            self.waiting.pop(number, None)
-            return rpc.NO_ANSWER, None
-        return (answer.outcome if answer else rpc.NO_ANSWER), answer
 
+class Connection(Protocol):
+    """A connection to one task, real or simulated."""
+
+    def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
+        """Send an RPC; returns its outcome and answer."""
+
+    def close(self) -> None:
+        """Close the connection, if it is open."""
 
-class Proxy:
-    """`plan` holds what the day says of proxies and clients (see `house`), `rate` its RPCs a second."""
 
-    def __init__(
+class Proxy:
+    """A proxy with its clients. Sockets and clock are real here; `VirtualProxy` simulates them.
+
+    Attributes:
+        stream: Counts the streams to assigners, for recordings.
+        in_flight: RPCs without an answer, by task.
+        rate_factors: What faults multiply the clients' RPCs by, by cause.
+        unreachable_zones: Second octets of addresses that no RPC reaches.
+        unreachable_assigners: Assigners that no stream or report reaches.
+        link_faults: By second octet of addresses: seconds more each way, fraction lost.
+        report_delay_s: How much later reports leave.
+        reading_stopped: Whether it reads nothing from its stream.
+        read_delay_s: How much longer it takes to read an update.
+    """
+
+    FAULT_ATTRIBUTES: ClassVar[frozenset[str]] = frozenset(
+        {
+            "unreachable_zones",
+            "unreachable_assigners",
+            "link_faults",
+            "report_delay_s",
+            "reading_stopped",
+            "read_delay_s",
+        }
+    )
+
+    def __init__(  # noqa: PLR0913 - what the command that starts a proxy says, by name
         self,
-        world,
+        world: World,
         uid: str,
+        *,
         host: str,
         zone: str,
         rate: float,
-        plan: dict,
+        plan: ProxyPlan | dict,
         standing: list[str],
         seed: int,
         record: Recorder,
         home: int = 0,
     ) -> None:
+        """Start a proxy.
+
+        Args:
+            world: Time and waiting.
+            uid: Its name.
+            host: The address it connects from.
+            zone: Where it is.
+            rate: RPCs a second of its clients.
+            plan: What it goes by.
+            standing: The tasks of its first table.
+            seed: Of its own randomness.
+            record: Takes what happens.
+            home: The assigner that it dials first.
+        """
         self.world = world
-        self.uid, self.host, self.zone, self.rate, self.plan, self.record = uid, host, zone, rate, plan, record
+        self.uid = uid
+        self.host = host
+        self.plan = msgspec.convert(plan, ProxyPlan)
+        self.record = record
         self.rng = Random(seed)
-        self.methods = plan["methods"]
-        self.groups = list(dict.fromkeys(m["group"] for m in self.methods))
-        self.names = [m["name"] for m in self.methods]
-        record(
-            "standing", proxy=uid, zone=zone, tasks=standing, groups=self.groups, names=self.names, front=plan["front"]
-        )
-        self.stream, self.deaf, self.pipes = 0, False, {}
-        self.gateway = self.open(plan["front"], standing)
-        self.gateway.way = home % self.gateway.ways
-        self.out: dict[str, int] = defaultdict(int)
-        self.failed: dict[str, int] = defaultdict(int)
+        self.methods = self.plan.methods
+        self.names = [method.name for method in self.methods]
+        self._record_start(zone, standing)
+        self.stream = 0
+        self.connections: dict[str, Connection] = {}
+        self.in_flight: dict[str, int] = defaultdict(int)
+        self.failed: dict[str, int] = defaultdict(int)  # in a row, by task
         self.avoid_until: dict[str, float] = {}
         self.reporter = Reporter(uid, zone)
-        self.token, self.life = 0, seed
         self.down = False
-        self.late = 0.0
-        self.cut: set[str] = set()
-        self.factors: dict[str, float] = {}
-        self.links: dict[str, list] = {}  # second figure of addresses: seconds more each way, part lost
         self.stalled_until = 0
-        self.away: set[int] = set()  # assigners that no stream of its reaches
-        self.slow_orders = 0.0  # seconds to read a message of orders
-        self.gateway.on_change(self.tidy)
-        self.gateway.on_change(
-            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.held)
+        self.rate_factors: dict[str, float] = {}
+        self._clear_faults()
+        self.gateway = self._open_gateway(standing, home)
+        self.clients = Clients(self, rate, seed)
+        self.jobs = [world.spawn(job) for job in (self.gateway.run, self.clients.run, self._report)]
+
+    def _clear_faults(self) -> None:
+        self.unreachable_zones: set[str] = set()
+        self.unreachable_assigners: set[int] = set()
+        self.link_faults: dict[str, list] = {}
+        self.report_delay_s = 0.0
+        self.reading_stopped = False
+        self.read_delay_s = 0.0
+
+    def _record_start(self, zone: str, standing: list[str]) -> None:
+        groups = list(dict.fromkeys(method.group for method in self.methods))
+        self.record(
+            "standing",
+            proxy=self.uid,
+            zone=zone,
+            tasks=standing,
+            groups=groups,
+            names=self.names,
+            front=self.plan.front,
         )
-        self.gateway.watch = self.watch
-        self.jobs = [world.spawn(job) for job in (self.gateway.run, self.live, self.report)]
 
-    # Orders.
+    # Streams to assigners.
+
+    def _open_gateway(self, standing: list[str], home: int) -> Gateway:
+        gateway = self.open(self.plan.front, standing)
+        gateway.way = home % gateway.ways
+        gateway.on_change(self._close_unused)
+        gateway.on_change(
+            lambda changed: self.record("applied", proxy=self.uid, assigner=changed.way, asked=changed.judge.held)
+        )
+        gateway.watch = self._on_session
+        return gateway
 
     def open(self, front: str, standing: list[str]) -> Gateway:
-        terms = dict(standing=dict.fromkeys(standing, 1.0), pick=self.plan["pick"], rng=self.rng, sleep=gevent.sleep)
+        """The gateway for one protocol, with a first table of `standing`."""
+        terms = {
+            "standing": dict.fromkeys(standing, 1.0),
+            "pick": self.plan.pick,
+            "rng": self.rng,
+            "sleep": gevent.sleep,
+        }
         if front == "sasp":
-            how = dict(
-                source=self.host,
-                heard=lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
-                said=lambda raw: self.record.frame("said", self.uid, self.stream, raw),
-            )
-            return SaspGateway(
-                self.plan["sasp"],
-                self.uid,
-                self.names,
-                {m["name"]: m["group"] for m in self.methods},
-                how,
-                receive_s=0.5,
-                before=lambda groups: self.apply(sum(len(g.weights) for g in groups)),
-                **terms,
-            )
-        how = dict(
-            source=self.host, zmq=zmq, heard=lambda parts: self.record.parts("told", self.uid, self.stream, parts)
+            return self._open_sasp(terms)
+        connection_options = {
+            "source": self.host,
+            "zmq": zmq,
+            "heard": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
+        }
+        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **terms)
+
+    def _open_sasp(self, terms: dict) -> Gateway:
+        connection_options = {
+            "source": self.host,
+            "heard": lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
+            "said": lambda raw: self.record.frame("said", self.uid, self.stream, raw),
+        }
+        return SaspGateway(
+            self.plan.sasp,
+            self.uid,
+            self.names,
+            {method.name: method.group for method in self.methods},
+            connection_options,
+            receive_s=RECEIVE_S,
+            before=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
+            **terms,
         )
-        return ChpGateway(self.plan["clone"], self.uid, self.names, how, before=self.apply, **terms)
 
-    def watch(self, begins: bool) -> None:
-        if begins and self.gateway.way in self.away:
+    def _on_session(self, begins: bool) -> None:
+        if begins and self.gateway.way in self.unreachable_assigners:
             raise ConnectionError("no way to the assigner")
         self.stream += begins
         self.record(
@@ -173,161 +190,132 @@
         )
 
     def apply(self, lines: int) -> None:
-        """Applying takes time; one that is deaf reads no further."""
-        self.world.sleep(self.plan["apply_us"] * lines / 1e6 + self.slow_orders)
-        while self.deaf:
-            self.world.sleep(0.05)
-        self.stall()
-
-    def stall(self) -> None:
-        """No turn, then all that came at once."""
+        """Take the time that an update of so many lines takes to read and apply."""
+        self.world.sleep(self.plan.apply_us * lines / 1e6 + self.read_delay_s)
+        while self.reading_stopped:
+            self.world.sleep(READ_POLL_S)
+        self.wait_while_stalled()
+
+    def pause(self, seconds: float) -> None:
+        """Get no turn for a while."""
+        self.stalled_until = self.world.now() + round(seconds * 1e6)
+
+    def wait_while_stalled(self) -> None:
+        """Wait for a turn."""
         while self.stalled_until > self.world.now():
             self.world.sleep((self.stalled_until - self.world.now()) / 1e6)
 
     def hang_up(self) -> None:
+        """End the stream to the assigner, if there is one."""
         self.gateway.hang_up()
 
-    def tidy(self, gateway: Gateway) -> None:
+    def _close_unused(self, gateway: Gateway) -> None:
+        """Close connections to tasks that no table has any more."""
         used = {task for lines in gateway.tables.values() for task in lines}
-        for task in [t for t in self.pipes if t not in used and not self.out[t]]:
-            self.pipes.pop(task).close()
+        for task in [task for task in self.connections if task not in used and not self.in_flight[task]]:
+            self.connections.pop(task).close()
 
     # What a simulated proxy has otherwise.
 
     def seconds(self) -> float:
+        """Monotonic time."""
         return self.world.now() / 1e6
 
     def wall(self) -> int:
+        """Time of day (ns)."""
         return time.time_ns()
 
-    def dial(self, task: str) -> Pipe:
-        return Pipe(task)
+    def dial(self, task: str) -> Connection:
+        """A connection to the task at this address."""
+        return TaskConnection(task)
 
-    def say(self, figures: list[Figure]) -> None:
-        self.reporter.send(tuple(self.plan["otlp"][self.gateway.way]), figures, gevent.sleep)
+    def send_report(self, figures: list[Figure]) -> None:
+        """Send a load report to the assigner that it goes to."""
+        self.reporter.send(self.plan.otlp[self.gateway.way], figures, gevent.sleep)
 
-    def pipe(self, task: str) -> Pipe:
-        pipe = self.pipes.get(task)
-        if pipe is None:
-            pipe = self.pipes[task] = self.dial(task)
-        return pipe
+    # RPCs.
 
-    # Work.
-
-    def live(self) -> None:
-        shares = [m["share"] for m in self.methods]
-        while not self.down:
-            self.world.sleep(self.rng.expovariate(max(1e-6, self.rate * prod(self.factors.values()))))
-            method = self.rng.choices(range(len(shares)), shares)[0]
-            mean = self.methods[method]["work_us"]
-            work = self.rng.lognormvariate(0, 0.6) / 1.197 * mean
-            key = -1
-            if self.plan["keys"]:
-                shares_of_keys = popularity(self.plan["keys"], self.plan["zipf"])
-                key = self.rng.choices(range(self.plan["keys"]), cum_weights=shares_of_keys)[0]
-            self.world.spawn(self.client_rpc, method, work, key)
-
-    def client_rpc(self, method: int, work: float, key: int) -> None:
-        """A client's RPC with its own retries: after any failure where that is safe, else only after proof."""
-        terms, begun = self.methods[method], self.seconds()
-        self.token += 1
-        token = f"{self.uid}.{self.life}.{self.token}"
-        deadline = begun + terms["deadline_us"] / 1e6
-        outcome, tries = rpc.NOT_SENT, 0
-        while True:
-            self.stall()
-            self.reporter.came(terms["name"])
-            level, retry = self.gateway.level_for(terms["name"])
-            outcome = rpc.PUSHED_BACK
-            if self.rng.random() < level:
-                outcome = self.send(method, token, work, key, deadline)
-                for _ in range((0, 1, 1, 2)[retry]):  # as the assigner orders
-                    never_ran = outcome in (rpc.PUSHED_BACK, rpc.NOT_SENT)
-                    if outcome == rpc.OK or not never_ran and retry == 1 or self.seconds() + 0.05 >= deadline:
-                        break
-                    outcome = self.send(method, token, work, key, deadline)
-            if outcome not in (rpc.OK, rpc.PUSHED_BACK, rpc.NOT_SENT):
-                self.reporter.came(terms["name"], unanswered=True)
-            tries += 1
-            safe = terms["repeats"] == "idempotent" or outcome in (rpc.NOT_SENT, rpc.PUSHED_BACK)
-            if outcome == rpc.OK or tries > self.plan["client_retries"] or not (safe or self.plan["reckless"]):
-                break
-            pause = self.rng.uniform(0.5, 1.5) * 0.05 * 2**tries
-            if self.seconds() + pause >= deadline:
-                break
-            self.world.sleep(pause)
-        took = round((self.seconds() - begun) * 1e6)
-        self.record("done", proxy=self.uid, method=method, ok=outcome == rpc.OK, took=took, tries=tries)
-
-    def send(self, method: int, token: str, work: float, key: int, deadline: float) -> int:
-        now = self.seconds()
+    def send(self, call: rpc.Call, deadline_s: float) -> int:
+        """One attempt at an RPC, by a line of the method's table; returns its outcome."""
+        now, name = self.seconds(), self.names[call.method]
         avoid = {task for task, until in self.avoid_until.items() if until > now}
-        task = self.gateway.pick(self.names[method], self.out.__getitem__, avoid)
+        task = self.gateway.pick(name, self.in_flight.__getitem__, avoid)
         if task is None:
-            self.record("no_line", proxy=self.uid, method=method)
+            self.record("no_line", proxy=self.uid, method=call.method)
             return rpc.NOT_SENT
-        pipe = self.pipe(task)
-        timeout = max(0.01, (deadline - now) * self.plan["try_share"])
-        self.record("try", proxy=self.uid, task=task, method=method, token=token)
-        self.out[task] += 1
-        outcome, answer = self.over(pipe, task.split(".")[1], timeout, method, token, work, key)
-        self.out[task] -= 1
-        took = self.seconds() - now
-        self.reporter.met(task, self.names[method], outcome == rpc.OK, took)
-        if outcome == rpc.OK:
-            self.failed[task] = 0
-        else:
-            self.failed[task] += 1
-            after = self.plan["outlier_after"]
-            if after and self.failed[task] >= after:
-                self.failed[task] = 0
-                self.avoid_until[task] = now + self.rng.uniform(2.0, 4.0)
+        if task not in self.connections:
+            self.connections[task] = self.dial(task)
+        timeout_s = max(MIN_TIMEOUT_S, (deadline_s - now) * self.plan.try_share)
+        self.record("try", proxy=self.uid, task=task, method=call.method, token=call.token)
+        self.in_flight[task] += 1
+        outcome, answer = self._call_over_link(self.connections[task], task.split(".")[1], call, timeout_s)
+        self.in_flight[task] -= 1
+        self.reporter.met(task, name, outcome == rpc.OK, self.seconds() - now)
+        self._count_failures(task, outcome, now)
         if answer is not None:
             self.reporter.load(task, util=answer.util, queue=answer.queue)
         return outcome
 
-    def over(self, pipe: Pipe, octet: str, timeout: float, *call) -> tuple[int, rpc.Answer | None]:
-        """Call over the network between two zones, with what is wrong there: what is lost is lost on the way there or
-        on the way back, and what comes too late has run."""
-        method, token, work, key = call
-        delay, lost = self.links.get(octet, (0.0, self.plan["lost"]))
-        if octet in self.cut or lost and self.rng.random() < lost:
-            self.world.sleep(timeout)
+    def _count_failures(self, task: str, outcome: int, begun_s: float) -> None:
+        """Avoid a task for a while that failed too often in a row."""
+        if outcome == rpc.OK:
+            self.failed[task] = 0
+            return
+        self.failed[task] += 1
+        limit = self.plan.outlier_after
+        if limit and self.failed[task] >= limit:
+            self.failed[task] = 0
+            self.avoid_until[task] = begun_s + self.rng.uniform(*AVOID_S)
+
+    def _call_over_link(
+        self, connection: Connection, octet: str, call: rpc.Call, timeout_s: float
+    ) -> tuple[int, rpc.Answer | None]:
+        """Call over the link to a zone, with its faults.
+
+        What is lost is lost on the way there or on the way back; what comes back too late has run.
+        """
+        delay_s, lost = self.link_faults.get(octet, (0.0, self.plan.lost))
+        if octet in self.unreachable_zones or (lost and self.rng.random() < lost):
+            self.world.sleep(timeout_s)
             return rpc.NO_ANSWER, None
-        if not (delay or lost):
-            return pipe.call(self.uid, method, token, work, timeout, key)
-        begun = self.seconds()
-        self.world.sleep(min(delay, timeout))
-        left = timeout - 2 * delay
-        outcome, answer = pipe.call(self.uid, method, token, work, max(left, 0.001), key)
-        back = begun + timeout - self.seconds()
-        if answer is not None and (left <= 0 or self.rng.random() < lost):
+        if not (delay_s or lost):
+            return connection.call(call, timeout_s)
+        begun_s = self.seconds()
+        self.world.sleep(min(delay_s, timeout_s))
+        left_s = timeout_s - 2 * delay_s
+        outcome, answer = connection.call(call, max(left_s, MIN_LEFT_S))
+        remaining_s = begun_s + timeout_s - self.seconds()
+        if answer is not None and (left_s <= 0 or self.rng.random() < lost):
             outcome, answer = rpc.NO_ANSWER, None
-        self.world.sleep(back if outcome == rpc.NO_ANSWER else min(delay, back))
+        self.world.sleep(remaining_s if outcome == rpc.NO_ANSWER else min(delay_s, remaining_s))
         return outcome, answer
 
-    # Reports.
+    # Load reports.
 
-    def report(self) -> None:
-        period = self.plan["period_us"] / 1e6
-        self.world.sleep(self.rng.uniform(0, period))
+    def _report(self) -> None:
+        period_s = self.plan.period_us / 1e6
+        self.world.sleep(self.rng.uniform(0, period_s))
         begun = self.wall()
         while not self.down:
-            self.world.sleep(period)
+            self.world.sleep(period_s)
             end = self.wall()
             figures = self.reporter.figures(begun, end)
             begun = end
             if figures:
-                self.world.later(self.late + self.rng.uniform(0, 0.1), self.post, figures)
+                delay_s = self.report_delay_s + self.rng.uniform(0, REPORT_JITTER_S)
+                self.world.later(delay_s, self._post, figures)
+
+    def _post(self, figures: list[Figure]) -> None:
+        if not self.down and self.gateway.way not in self.unreachable_assigners:
+            self.send_report(figures)
 
-    def post(self, figures: list[Figure]) -> None:
-        if not self.down and self.gateway.way not in self.away:
-            self.say(figures)
+    # Its end.
 
     def stop(self) -> None:
+        """End at once."""
         self.down = True
         self.gateway.stop()
         gevent.killall([job for job in self.jobs if job is not None], block=False)
-        for pipe in self.pipes.values():
-            pipe.close()
+        for connection in self.connections.values():
+            connection.close()
         self.record("proxy_down", proxy=self.uid)
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 
 from hollyridge.client.gateway import Gateway
 from hollyridge.lab.stand_ins import rpc
@@ -13,16 +14,16 @@
 from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
 from hollyridge.lab.stand_ins.sockets import Context, Library
 from hollyridge.lab.stand_ins.task import Task
-from hollyridge.lab.stand_ins.task_model import Build
+from hollyridge.lab.stand_ins.task_connection import CONNECT_TIMEOUT_S
+from hollyridge.lab.stand_ins.task_model import TaskSpec
 from hollyridge.otlp.sender import Figure
 from hollyridge.sasp.client import ConnectionLostError
 
-CONNECT_TIMEOUT_S = 0.25
 AGENT_POLL_S = 0.02
 AGENT_RETRY_S = 0.2
 
 
-class VirtualPipe:
+class VirtualConnection:
     """A proxy's connection to one task, opened at the first RPC."""
 
     def __init__(self, simulation: Simulation, proxy: Proxy, task_key: str) -> None:
@@ -30,7 +31,6 @@
         self.proxy = proxy
         self.task_key = task_key
         self.task: Task | None = None
-        self.number = 0
         same_zone = proxy.host.split(".")[1] == task_key.split(".")[1]
         self.one_way_ms = simulation.net.near_ms if same_zone else simulation.net.far_ms
 
@@ -49,23 +49,19 @@
             self.task = None
             world.sleep(self._delay_s() * 2)
             return False
-        world.sleep(self._delay_s() * 2 + task.dial_s)
+        world.sleep(self._delay_s() * 2 + task.connect_delay_s)
         if not task.connect():
             return False
         self.task = task
         return True
 
-    def call(
-        self, proxy: str, method: int, token: str, work: float, timeout: float, key: int = -1
-    ) -> tuple[int, rpc.Answer | None]:
+    def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
         """Send an RPC; returns its outcome and answer. `NOT_SENT` proves that it never ran."""
         world = self.simulation.world
         task = self.simulation.tasks_by_key.get(self.task_key)
-        if not self._connect(task, timeout):
+        if not self._connect(task, timeout_s):
             return rpc.NOT_SENT, None
-        self.number += 1
         result = world.result()
-        call = rpc.Call(self.number, proxy, method, token, work, key)
         world.later(
             self._delay_s(),
             task.take,
@@ -73,7 +69,7 @@
             lambda answer: world.later(self._delay_s(), result.set, answer),
         )
         try:
-            answer = result.get(timeout=timeout)
+            answer = result.get(timeout=timeout_s)
         except TimeoutError:
             return rpc.NO_ANSWER, None
         return (answer.outcome if answer else rpc.NO_ANSWER), answer
@@ -97,7 +93,7 @@
         simulation = self.simulation
         terms = {
             "standing": dict.fromkeys(standing, 1.0),
-            "pick": self.plan["pick"],
+            "pick": self.plan.pick,
             "rng": self.rng,
             "sleep": self.world.sleep,
             "clock": self.seconds,
@@ -105,7 +101,7 @@
         }
         if front == "sasp":
             return VirtualSaspGateway(simulation, self, **terms)
-        context = Context(simulation.network, cut=lambda _endpoint: self.gateway.way in self.away)
+        context = Context(simulation.network, cut=lambda _endpoint: self.gateway.way in self.unreachable_assigners)
         connection_options = {
             "source": self.host,
             "zmq": Library(self.world),
@@ -120,11 +116,11 @@
         """Time of day (ns): the simulated clock's."""
         return self.world.now() * 1000
 
-    def dial(self, task: str) -> VirtualPipe:
+    def dial(self, task: str) -> VirtualConnection:
         """A connection to the task at this address."""
-        return VirtualPipe(self.simulation, self, task)
+        return VirtualConnection(self.simulation, self, task)
 
-    def say(self, figures: list[Figure]) -> None:
+    def send_report(self, figures: list[Figure]) -> None:
         """Hand a load report to the assigner, without OTLP's bytes."""
         self.simulation.processes[self.gateway.way].report(self.uid, figures)
 
@@ -150,11 +146,11 @@
             simulation.world,
             name,
             key,
-            run,
-            Build(**build),
+            run=run,
+            build=TaskSpec(**build),
             effects=self.effects,
             record=simulation.record,
-            fell=lambda task: self.on_message({"fell": task.name}),
+            on_fall=lambda task: self.on_message({"fell": task.name}),
             **terms,
         )
         self.tasks[name] = simulation.tasks_by_key[key] = task
@@ -183,12 +179,10 @@
                 continue
             self.stream += 1
             client = VirtualRegistrar(self.process, self.fleet, self.who, self.stream)
-            self.told = {}
+            self.registered = {}
             self.due.set()
-            try:
+            with suppress(ConnectionLostError):  # recorded below like any other end
                 self._keep_in_sync(client)
-            except ConnectionLostError:
-                pass  # recorded below like any other end
             self.record("stream", who=self.who, stream=self.stream, up=False)
             world.sleep(AGENT_RETRY_S)
 
--- a/hollyridge/lab/stand_ins/worker_process.py
+++ b/hollyridge/lab/stand_ins/worker_process.py
@@ -1,5 +1,8 @@
-"""A process that houses stand-in tasks or proxies: commands as JSON lines on standard input, answers on standard
-output, recordings in a file of its own. `python -m hollyridge.lab.stand_ins.worker_process FILE.jsonl`."""
+"""A process that runs stand-in tasks or proxies: `python -m hollyridge.lab.stand_ins.worker_process FILE.jsonl`.
+
+Commands come as JSON lines on standard input, messages leave as JSON lines on standard output, and recordings go to the
+file.
+"""
 
 from __future__ import annotations
 
@@ -16,59 +19,66 @@
 from hollyridge.lab.reports.record import Recorder  # noqa: E402 - after the patch
 from hollyridge.lab.stand_ins.command_handler import CommandHandler  # noqa: E402 - after the patch
 from hollyridge.lab.stand_ins.proxy import Proxy  # noqa: E402 - after the patch
-from hollyridge.lab.stand_ins.task import Task, TaskServer  # noqa: E402 - after the patch
-from hollyridge.lab.stand_ins.task_model import Build  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.task import Task  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.task_model import TaskSpec  # noqa: E402 - after the patch
+from hollyridge.lab.stand_ins.task_server import TaskServer  # noqa: E402 - after the patch
 from hollyridge.lab.stand_ins.world import LiveWorld  # noqa: E402 - after the patch
 
+LAST_RECORDS_S = 0.01  # for greenlets that end to write what they have
+
 
 class WorkerProcess(CommandHandler):
+    """Runs stand-ins on real sockets."""
+
     def __init__(self, path: str) -> None:
-        self.record, self.world = Recorder(path), LiveWorld()
+        """Append recordings to the file at `path`."""
+        self.record = Recorder(path)
+        self.world = LiveWorld()
         self.tasks: dict[str, TaskServer] = {}
         self.proxies: dict[str, Proxy] = {}
-        self.effects: dict[str, int] = {}  # tokens of the tasks here: one house holds one zone
+        self.effects: dict[str, int] = {}  # tokens of the tasks here, which are those of one zone
 
-    def say(self, **facts) -> None:
+    def tell(self, **facts: object) -> None:
+        """Write a message to the day."""
         sys.stdout.buffer.write(msgspec.json.encode(facts) + b"\n")
         sys.stdout.buffer.flush()
 
-    def bodies(self) -> list[Task]:
+    def running_tasks(self) -> list[Task]:
+        """The tasks themselves."""
         return [server.task for server in self.tasks.values()]
 
-    def do_task(
-        self, name: str, host: str, port: int, run: str, build: dict, cold: bool, kinds: list, window: list, seed: int
-    ) -> None:
-        task = TaskServer(
+    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **terms: object) -> None:
+        """Start a task; port 0 stands for a free one."""
+        server = TaskServer(
             self.world,
             name,
             host,
             port,
             run=run,
-            build=Build(**build),
-            cold=cold,
-            kinds=kinds,
-            window=window,
+            build=TaskSpec(**build),
             effects=self.effects,
             record=self.record,
-            seed=seed,
-            fell=lambda task: self.say(fell=task.name),
+            on_fall=lambda task: self.tell(fell=task.name),
+            **terms,
         )
-        self.tasks[name] = task
-        self.say(started=name, key=task.task.key, run=run)
+        self.tasks[name] = server
+        self.tell(started=name, key=server.task.key, run=run)
 
-    def do_proxy(self, uid: str, **terms) -> None:
+    def do_proxy(self, uid: str, **terms: object) -> None:
+        """Start a proxy."""
         self.proxies[uid] = Proxy(self.world, uid, record=self.record, **terms)
 
 
 def main() -> None:
-    house = WorkerProcess(sys.argv[1])
+    """Carry out commands until standard input ends."""
+    worker = WorkerProcess(sys.argv[1])
     for line in FileObject(sys.stdin.buffer, "rb"):
-        order = msgspec.json.decode(line)
-        house.do(order.pop("do"), **order)
-    for one in house.proxies.values():
-        one.down = True
-    gevent.sleep(0.01)
-    house.record.flush()
+        command = msgspec.json.decode(line)
+        worker.execute(command.pop("command"), **command)
+    for proxy in worker.proxies.values():
+        proxy.down = True
+    gevent.sleep(LAST_RECORDS_S)
+    worker.record.flush()
 
 
 if __name__ == "__main__":
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -127,7 +127,7 @@
 
 
 def hunted() -> str:
-    found = played()[1].script
+    found = played()[1].scenario
     with (
         patch.object(hunt, "hunt", lambda *words: (7, found, OUTCOME)),
         patch.object(hunt, "cut_down", lambda *words: (found, OUTCOME)),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from hollyridge.lab.reports.record import Recorder
 from hollyridge.lab.stand_ins import rpc, sockets
 from hollyridge.lab.stand_ins.task import Task
-from hollyridge.lab.stand_ins.task_model import Budget, Build, Warmth
+from hollyridge.lab.stand_ins.task_model import OverloadBudget, TaskSpec, WarmUp
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 from hollyridge.lab.stand_ins.world import VirtualWorld
 
@@ -32,21 +32,21 @@
 def waits(servers, load, seed, tasks=1, pick="random", calls=30_000):
     """Mean time (in mean services) of RPCs with exponential work at tasks of so many cores, no crowding."""
     world, rng, times = VirtualWorld(), Random(seed), []
-    build = Build(cores=servers, slots=servers, queue=1 << 30, thrash=0.0, handshake_us=0)
+    build = TaskSpec(cores=servers, slots=servers, queue=1 << 30, thrash=0.0, handshake_us=0)
     many = {
         str(k): Task(
             world,
             str(k),
             str(k),
-            "r",
-            build,
-            False,
-            ["idempotent"],
-            [0],
-            {},
-            lambda *a, **k: None,
-            k,
-            lambda task: None,
+            run="r",
+            build=build,
+            cold=False,
+            kinds=["idempotent"],
+            window=[0],
+            effects={},
+            record=lambda *a, **k: None,
+            seed=k,
+            on_fall=lambda task: None,
         )
         for k in range(tasks)
     }
@@ -93,13 +93,13 @@
 
 
 def test_a_cold_ramp_does_the_work_it_should():
-    build = Build(cores=1, cold_from=0.2, cold_us=10 * SECOND)
-    warmth = Warmth(build, 0)
-    done = sum(warmth.capacity(at) * 1000 for at in range(0, 20 * SECOND, 1000)) / SECOND
+    build = TaskSpec(cores=1, cold_from=0.2, cold_us=10 * SECOND)
+    warm_up = WarmUp(build, 0)
+    done = sum(warm_up.capacity(at) * 1000 for at in range(0, 20 * SECOND, 1000)) / SECOND
     assert done == pytest.approx(10 * 0.6 + 10, rel=0.001)
-    budget, used = Budget(build, warmth), 0.0
+    budget, used = OverloadBudget(build, warm_up), 0.0
     for at in range(0, 2 * SECOND, 10_000):
-        used = max(used, budget.came(at, 8_000))
+        used = max(used, budget.add(at, 8_000))
     assert 0.5 < used < 1  # 0.8 a second against 4 times 0.2 to 0.36
 
 
@@ -324,17 +324,17 @@
         world,
         "t",
         "t",
-        "r",
-        Build(handshake_us=10_000, cores=1),
-        False,
-        ["idempotent"],
-        [0],
-        {},
-        lambda *a, **k: None,
-        1,
-        lambda task: None,
+        run="r",
+        build=TaskSpec(handshake_us=10_000, cores=1),
+        cold=False,
+        kinds=["idempotent"],
+        window=[0],
+        effects={},
+        record=lambda *a, **k: None,
+        seed=1,
+        on_fall=lambda task: None,
     )
-    task.handshake = 8.0
+    task.handshake_factor = 8.0
 
     def look():
         task.connect()
