--- /dev/null
+++ b/hollyridge/lab/checks/evidence.py
@@ -0,0 +1,311 @@
+"""What recordings prove: who was joined when, what each proxy held, what each assigner was told of the tasks.
+
+It is read from what passed on the sockets only; an assigner's own word is not heard.
+"""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from hollyridge.lab.checks.chp_listener import ChpListener
+from hollyridge.lab.reports.record import frame_of, parts_of
+from hollyridge.registration.members import figure, read_label
+from hollyridge.sasp import codec, ownership_extension
+from hollyridge.sasp.client import HeldWeights
+
+OPEN = -1  # the end of a span that goes on
+BEFORE_FIRST = -1  # when a run began that was never started
+MAX_UPTIME_S = 1e9
+SUCCESS = 0
+
+
+class TaskNews(NamedTuple):
+    """What an assigner was told of a task.
+
+    Attributes:
+        at: When its answer came (us): from then on it knows.
+        state: ready, draining or gone.
+        started: When the task's run began (us).
+    """
+
+    at: int
+    state: str
+    run: str
+    started: int
+
+
+class JoinSpan(NamedTuple):
+    """From when until when (us) a proxy was joined to which assigner."""
+
+    since: int
+    until: int
+    assigner: int
+
+
+class ReceivedUpdate(NamedTuple):
+    """A message with lines of tables.
+
+    Attributes:
+        at: When it came (us).
+        number: Of the decision that it belongs to.
+        lines: How many it has.
+    """
+
+    at: int
+    number: int
+    lines: int
+
+
+class HeldTable(NamedTuple):
+    """A table that a proxy began to hold.
+
+    Attributes:
+        table: Its subtree, where the protocol tells it.
+        version: The decision's number.
+        lines: Weight by address.
+    """
+
+    at: int
+    proxy: str
+    group: str
+    table: str
+    version: int
+    lines: dict[str, float]
+
+
+@dataclass
+class EmptySpan:
+    """From when until when (us) a proxy held no line of a table."""
+
+    begin: int
+    end: int = OPEN
+
+
+def name_of(member: codec.Member) -> str:
+    """The address by which tables and recordings know a member."""
+    return f"{member.host}:{member.port}"
+
+
+class Evidence:
+    """Recordings, sorted out.
+
+    Attributes:
+        rows: The records, by time.
+        end: When the last of them was written (us).
+        task_news: By assigner and task.
+        joined: By proxy.
+        empty: By proxy and group.
+        messages: By proxy.
+        tables: Every table that a proxy began to hold, if they are kept.
+        starts: When each assigner was started (us).
+        zone: Of each proxy.
+    """
+
+    def __init__(self, rows: Iterable[dict], tables: bool = False) -> None:
+        """Read records, which must be sorted by time; with `tables`, keep all tables that proxies held."""
+        self.rows = list(rows)
+        self.end = self.rows[-1]["t"] if self.rows else 0
+        self.task_news: dict[int, dict[str, list[TaskNews]]] = defaultdict(lambda: defaultdict(list))
+        self.joined: dict[str, list[JoinSpan]] = defaultdict(list)
+        self.empty: dict[tuple[str, str], list[EmptySpan]] = defaultdict(list)
+        self.messages: dict[str, list[ReceivedUpdate]] = defaultdict(list)
+        self.tables: list[HeldTable] = []
+        self.starts: dict[int, list[int]] = defaultdict(list)
+        self.zone: dict[str, str] = {}
+        for row in self.rows:
+            if row["k"] == "assigner" and row["up"]:
+                self.starts[row.get("number", 0)].append(row["t"])
+        _Reader(self, tables).read()
+
+    def joined_at(self, proxy: str, at: int) -> JoinSpan | None:
+        """The span in which a proxy is joined at that time."""
+        for span in reversed(self.joined.get(proxy, [])):
+            if span.since <= at:
+                return span if at <= span.until else None
+        return None
+
+    def run_of(self, proxy: str, at: int) -> tuple[int, int]:
+        """The assigner that a proxy had joined last by then, and when that run of the assigner began."""
+        past = [span for span in self.joined.get(proxy, []) if span.since <= at]
+        assigner = past[-1].assigner if past else 0
+        return assigner, self.began(assigner, at)
+
+    def began(self, assigner: int, at: int) -> int:
+        """When the run of an assigner began that is on at that time; `BEFORE_FIRST` before the first."""
+        starts = self.starts[assigner]
+        index = bisect.bisect_right(starts, at)
+        return starts[index - 1] if index else BEFORE_FIRST
+
+
+class _Reader:
+    """Reads records one by one.
+
+    Attributes:
+        requests: SASP requests without an answer: when they were sent, and what.
+        held: The tables of each SASP proxy; `held_stream` is the stream that they are of.
+        groups: The groups or methods that each proxy's tables are for.
+        listeners: The CHP proxies.
+        assigner_of: The assigner of each client's stream.
+    """
+
+    def __init__(self, evidence: Evidence, keep_tables: bool) -> None:
+        self.evidence = evidence
+        self.keep_tables = keep_tables
+        self.requests: dict[tuple[str, int, int], tuple[int, codec.Message]] = {}
+        self.held: dict[str, HeldWeights] = defaultdict(HeldWeights)
+        self.held_stream: dict[str, int] = {}
+        self.groups: dict[str, list[str]] = {}
+        self.listeners: dict[str, ChpListener] = {}
+        self.assigner_of: dict[str, int] = defaultdict(int)
+
+    def read(self) -> None:
+        handlers = {
+            "standing": self._on_proxy_start,
+            "stream": self._on_stream,
+            "said": self._on_sasp_sent,
+            "heard": self._on_sasp_received,
+            "told": self._on_chp_received,
+        }
+        for row in self.evidence.rows:
+            handler = handlers.get(row["k"])
+            if handler is not None:
+                handler(row)
+        self._close_spans()
+
+    def _close_spans(self) -> None:
+        """Let what goes on end with the recording."""
+        end = self.evidence.end
+        for spans in self.evidence.empty.values():
+            for span in spans:
+                span.end = span.end if span.end >= 0 else end
+        for proxy, joined in self.evidence.joined.items():
+            self.evidence.joined[proxy] = [span if span.until >= 0 else span._replace(until=end) for span in joined]
+
+    def _on_proxy_start(self, row: dict) -> None:
+        proxy = row["proxy"]
+        self.evidence.zone[proxy] = row["zone"]
+        self.groups[proxy] = row["groups"]
+        if row["front"] == "clone":
+            self.groups[proxy] = row["names"]
+            self.listeners[proxy] = ChpListener(proxy, row["names"])
+
+    def _on_stream(self, row: dict) -> None:
+        who = row["who"]
+        if row["up"]:
+            self.assigner_of[who] = row.get("assigner", 0)
+            return
+        spans = self.evidence.joined.get(who)
+        if spans and spans[-1].until < 0:
+            spans[-1] = spans[-1]._replace(until=row["t"])
+        for group in self.groups.get(who, ()):
+            empty = self.evidence.empty.get((who, group))
+            if empty and empty[-1].end < 0:
+                empty[-1].end = row["t"]
+
+    def _note_lines(self, proxy: str, group: str, is_empty: bool, at: int) -> None:
+        """A proxy holds lines of a table from now on, or none."""
+        spans = self.evidence.empty[proxy, group]
+        if is_empty and (not spans or spans[-1].end >= 0):
+            spans.append(EmptySpan(at))
+        elif not is_empty and spans and spans[-1].end < 0:
+            spans[-1].end = at
+
+    def _note_joined(self, proxy: str, at: int) -> None:
+        self.evidence.joined[proxy].append(JoinSpan(at, OPEN, self.assigner_of[proxy]))
+
+    # SASP.
+
+    def _on_sasp_sent(self, row: dict) -> None:
+        number, message = codec.decode(frame_of(row))
+        self.requests[row["who"], row["stream"], number] = row["t"], message
+
+    def _on_sasp_received(self, row: dict) -> None:
+        number, message = codec.decode(frame_of(row))
+        key = row["who"], row["stream"], number
+        if row["who"].startswith("agent"):
+            self._on_agent_answer(key, message)
+            return
+        request = self.requests.get(key, (0, None))[1]
+        if isinstance(request, codec.Register) and ownership_extension.question_in(request.groups[0].group.name):
+            return  # it has said the number of its question, and is not joined yet
+        if isinstance(message, codec.RegisterReply) and message.code == SUCCESS:
+            self._on_registered(row["who"], row["t"])
+        elif isinstance(message, (codec.SendWeights, codec.GetWeightsReply)):
+            self._on_weights(row, number, message)
+
+    def _on_registered(self, proxy: str, at: int) -> None:
+        self._note_joined(proxy, at)
+        for group in self.groups.get(proxy, ()):  # what it holds from an earlier stream may be nothing
+            if group in self.held[proxy].tables and not self.held[proxy].lines(group):
+                self._note_lines(proxy, group, True, at)
+
+    def _on_weights(self, row: dict, number: int, message: codec.SendWeights | codec.GetWeightsReply) -> None:
+        proxy, at = row["who"], row["t"]
+        held = self.held[proxy]
+        if self.held_stream.get(proxy) != row["stream"]:
+            self.held_stream[proxy] = row["stream"]
+            held.new_stream()
+        held.take(message.groups, isinstance(message, codec.GetWeightsReply))
+        lines = sum(len(group.weights) for group in message.groups)
+        self.evidence.messages[proxy].append(ReceivedUpdate(at, number, lines))
+        for group, _ in message.groups if self.keep_tables else ():
+            weights = {name_of(member): float(entry.weight) for member, entry in held.lines(group.name).items()}
+            self.evidence.tables.append(HeldTable(at, proxy, group.name, "", number, weights))
+        for group in held.fresh:
+            self._note_lines(proxy, group, not held.lines(group), at)
+
+    def _on_agent_answer(self, key: tuple[str, int, int], answer: codec.Message) -> None:
+        request = self.requests.pop(key, None)
+        if not request or answer.code not in (codec.Code.OK, codec.Code.ALREADY_REGISTERED):
+            return
+        at, message = request
+        news = self.evidence.task_news[int(key[0].partition("-")[2] or 0)]
+        if isinstance(message, codec.SetMembers):
+            _learn_states(news, at, message)
+        elif isinstance(message, (codec.Register, codec.Deregister)):
+            for _, members in message.groups:
+                for member in members:
+                    gone = TaskNews(at, "gone", "", at)
+                    registers = isinstance(message, codec.Register)
+                    news[name_of(member)].append(_started(at, member) if registers else gone)
+
+    # CHP.
+
+    def _on_chp_received(self, row: dict) -> None:
+        """Read a message with the client library's own rules of what is complete."""
+        proxy, at = row["who"], row["t"]
+        listener = self.listeners[proxy]
+        received = listener.take(row["stream"], parts_of(row))
+        tables = listener.client.tables
+        if received.joined:
+            self._note_joined(proxy, at)
+            for method, lines in tables.lines.items():
+                self._note_lines(proxy, method, not lines, at)
+        if received.lines:
+            self.evidence.messages[proxy].append(ReceivedUpdate(at, received.version, received.lines))
+        if received.changed:
+            for method, lines in tables.lines.items():
+                if self.keep_tables:
+                    subtree, version = listener.client.wanted().get(method, "?"), tables.versions[method]
+                    self.evidence.tables.append(HeldTable(at, proxy, method, subtree, version, lines))
+                self._note_lines(proxy, method, not lines, at)
+
+
+def _started(at: int, member: codec.Member) -> TaskNews:
+    """What an assigner learns from a member's registration and its label."""
+    words = read_label(member.label)
+    up_s = figure(words, "up", 0, MAX_UPTIME_S) or 0.0
+    return TaskNews(at, "ready", words.get("run", ""), at - round(up_s * 1e6))
+
+
+def _learn_states(news: dict[str, list[TaskNews]], at: int, message: codec.SetMembers) -> None:
+    """Add what an assigner learns when members are quiesced, or no more."""
+    for _, states in message.groups:
+        for state in states:
+            history = news[name_of(state.member)]
+            last = history[-1] if history else TaskNews(at, "ready", "", at)
+            history.append(last._replace(at=at, state="draining" if state.quiesce else "ready"))
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -1,7 +1,10 @@
-"""Leases, fencing and handover as a small world that can be explored: two assigners that may be cut from each other,
-stand still or restart, one proxy, and orders on their way that arrive late and in any order. Owners and judge are the
-real ones. What must never happen: an order of one who was followed by another is applied after the other's, unless the
-proxy asked again. What must always be possible: to ask either of them and be ordered."""
+"""An explicit-state model check of leases, fencing and handover, with the real lease manager and fencing checker.
+
+The model: two assigners that may be cut from each other, stand still or restart, one proxy, and updates on their way
+that arrive late and in any order. What must never happen: an update of an assigner that was followed by another is
+applied after the other's, unless the proxy asked again. What must always be possible: to ask either of them and be sent
+updates.
+"""
 
 from __future__ import annotations
 
@@ -22,128 +25,165 @@
 )
 
 NAMES = ("a", "b")
-LEASE = Lease(length=2, settle=1, period=1)  # in steps of this world
+LEASE = Lease(length=2, settle=1, period=1)  # in steps of the model's time
 UID = "gw-1"
+MAX_CHANGES = 3  # how often time may pass, or a cut begin or end
+WAIT_STEPS = 3  # how far time passes at once
 
 
 class FaultyFencingChecker(FencingChecker):
+    """Follows every number, to show that the check finds what this breaks."""
+
     def obeys(self, fence: int) -> bool:
+        """Follow the number."""
         return True
 
 
-class Order(NamedTuple):
+class Update(NamedTuple):
+    """An update on its way to the proxy: from which run of which assigner, under which fencing number."""
+
     name: str
     run: int
     fence: int
 
 
 class World:
-    """Moves: the proxy asks an assigner (after its old stream broke, as it sees it), pleading or not; it hears from the
-    one it has; an assigner orders, looks at its leases, restarts; a cut begins or ends; an order arrives; time passes,
-    for those who look."""
+    """One state of the model.
+
+    Moves: the proxy asks an assigner (its old stream broke, as it sees it), pleading or not; it answers the one it has;
+    an assigner sends an update, looks at its leases, restarts; a cut begins or ends; an update arrives; time passes,
+    for those who look.
+
+    Attributes:
+        asks: How often the proxy may still ask; `orders`, `restarts` and `steps` are limits alike.
+        cut: Whether the assigners are cut from each other.
+        run: Counts the runs of each assigner.
+        stream: The assigner that the proxy has a stream to.
+        in_flight: Updates on their way.
+        applied: Of which assigner, run and number updates were applied, in order.
+        wrong: What must never happen and did.
+    """
 
     def __init__(self, fencing: bool = True, asks: int = 3, orders: int = 3, restarts: int = 1) -> None:
         self.judge = FencingChecker() if fencing else FaultyFencingChecker()
-        self.asks, self.orders, self.restarts, self.steps = asks, orders, restarts, 3
-        self.now, self.cut = 0, False
+        self.asks = asks
+        self.orders = orders
+        self.restarts = restarts
+        self.steps = MAX_CHANGES
+        self.now = 0
+        self.cut = False
         self.run = dict.fromkeys(NAMES, 0)
         self.owners: dict[str, LeaseManager] = {}
-        for name in NAMES:
-            self.begin(name)
-        self.stream = ""  # whom the proxy hears
-        self.flying: list[Order] = []
-        self.applied: list[tuple[str, int, int]] = []  # whose orders were applied: who, which run, asked when
+        self.stream = ""
+        self.in_flight: list[Update] = []
+        self.applied: list[tuple[str, int, int]] = []
         self.wrong = ""
+        for name in NAMES:
+            self._start(name)
 
-    def begin(self, name: str) -> None:
+    def _start(self, name: str) -> None:
         self.owners[name] = LeaseManager(name, LEASE)
-        self.look(name)
+        self._update_members(name)
 
-    def look(self, name: str) -> None:
-        there = [name] if self.cut else NAMES
-        self.owners[name].take(self.now, Members({one: MemberState("", 1.0, 0) for one in there}))
+    def _update_members(self, name: str) -> None:
+        alive = [name] if self.cut else NAMES
+        self.owners[name].take(self.now, Members({member: MemberState("", 1.0, 0) for member in alive}))
 
     def moves(self) -> list[tuple]:
-        found: list[tuple] = []
+        """What may happen next: the kind of the move and what it is about."""
+        moves: list[tuple] = []
         if self.asks:
-            found += [("ask", name, plea) for name in NAMES for plea in (False, True)]
+            moves += [("ask", name, plea) for name in NAMES for plea in (False, True)]
         if self.orders:
-            found += [("order", name) for name in NAMES if UID in self.owners[name].mine]
+            moves += [("order", name) for name in NAMES if UID in self.owners[name].mine]
         if self.stream:
-            found.append(("hear",))
-        found += [("tick", name) for name in NAMES if self.owners[name].mine]
+            moves.append(("hear",))
+        moves += [("tick", name) for name in NAMES if self.owners[name].mine]
         if self.restarts:
-            found += [("restart", name) for name in NAMES]
+            moves += [("restart", name) for name in NAMES]
         if self.steps:
-            found += [("wait",), ("cut",)]
-        found += [("arrive", order) for order in dict.fromkeys(self.flying)]
-        return found
+            moves += [("wait",), ("cut",)]
+        moves += [("arrive", update) for update in dict.fromkeys(self.in_flight)]
+        return moves
 
     def play(self, move: tuple) -> None:
-        kind = move[0]
-        if kind == "ask":
-            _, name, plea = move
-            self.asks -= 1
-            # Its old stream is not known to be gone at the other end: no word of it goes there.
-            for do in self.owners[name].take(self.now, ProxyAsked(UID, "", self.judge.ask(), plea)):
-                if isinstance(do, LeaseGranted):
-                    self.stream = name
-                    self.flying.append(Order(name, self.run[name], do.fence))
-        elif kind == "order":
-            owners = self.owners[move[1]]
-            self.orders -= 1
-            if owners.may_order(self.now, UID):
-                self.flying.append(Order(move[1], self.run[move[1]], owners.fence(UID)))
-        elif kind == "hear":
-            owners = self.owners[self.stream]
-            if UID not in owners.mine or any(
-                isinstance(do, ReleaseProxy) for do in owners.take(self.now, TokenAcknowledged(UID, self.judge.asked))
-            ):
+        """Let a move happen."""
+        kind, *arguments = move
+        getattr(self, f"_on_{kind}")(*arguments)
+
+    def _on_ask(self, name: str, plea: bool) -> None:
+        """The proxy asks; the other end of its old stream does not know that it is gone."""
+        self.asks -= 1
+        for effect in self.owners[name].take(self.now, ProxyAsked(UID, "", self.judge.ask(), plea)):
+            if isinstance(effect, LeaseGranted):
+                self.stream = name
+                self.in_flight.append(Update(name, self.run[name], effect.fence))
+
+    def _on_order(self, name: str) -> None:
+        self.orders -= 1
+        owners = self.owners[name]
+        if owners.may_order(self.now, UID):
+            self.in_flight.append(Update(name, self.run[name], owners.fence(UID)))
+
+    def _on_hear(self) -> None:
+        """The assigner of the proxy's stream hears from it."""
+        owners = self.owners[self.stream]
+        acknowledged = TokenAcknowledged(UID, self.judge.asked)
+        if UID not in owners.mine or any(
+            isinstance(effect, ReleaseProxy) for effect in owners.take(self.now, acknowledged)
+        ):
+            self.stream = ""
+
+    def _on_tick(self, name: str) -> None:
+        for effect in self.owners[name].take(self.now, Tick()):
+            if isinstance(effect, ReleaseProxy) and self.stream == name:
                 self.stream = ""
-        elif kind == "tick":
-            for do in self.owners[move[1]].take(self.now, Tick()):
-                if isinstance(do, ReleaseProxy) and self.stream == move[1]:
-                    self.stream = ""
-        elif kind == "restart":
-            self.restarts -= 1
-            self.run[move[1]] += 1
-            self.begin(move[1])
-            self.stream = "" if self.stream == move[1] else self.stream
-        elif kind == "wait":
-            self.steps -= 1
-            self.now += 3
-        elif kind == "cut":
-            self.steps -= 1
-            self.cut = not self.cut
-            for name in NAMES:
-                self.look(name)
-        else:
-            order = move[1]
-            self.flying.remove(order)
-            if self.judge.obeys(order.fence):
-                who = order.name, order.run, order.fence
-                if not self.applied or self.applied[-1] != who:
-                    if who in self.applied and self.applied[-1][0] != order.name:
-                        self.wrong = f"{who} was obeyed again after {self.applied[-1]}"
-                    self.applied.append(who)
+
+    def _on_restart(self, name: str) -> None:
+        self.restarts -= 1
+        self.run[name] += 1
+        self._start(name)
+        self.stream = "" if self.stream == name else self.stream
+
+    def _on_wait(self) -> None:
+        self.steps -= 1
+        self.now += WAIT_STEPS
+
+    def _on_cut(self) -> None:
+        self.steps -= 1
+        self.cut = not self.cut
+        for name in NAMES:
+            self._update_members(name)
+
+    def _on_arrive(self, update: Update) -> None:
+        self.in_flight.remove(update)
+        if not self.judge.obeys(update.fence):
+            return
+        source = update.name, update.run, update.fence
+        if self.applied and self.applied[-1] == source:
+            return
+        if source in self.applied and self.applied[-1][0] != update.name:
+            self.wrong = f"{source} was obeyed again after {self.applied[-1]}"
+        self.applied.append(source)
 
     def key(self) -> tuple:
-        mine = tuple(
+        """Tells different states apart."""
+        leases = tuple(
             (
                 name,
                 self.run[name],
-                o.fence(UID),
-                o.mine[UID].heard if UID in o.mine else -1,
-                o.mine[UID].pleaded if UID in o.mine else -1,
+                owners.fence(UID),
+                owners.mine[UID].heard if UID in owners.mine else -1,
+                owners.mine[UID].pleaded if UID in owners.mine else -1,
             )
-            for name, o in self.owners.items()
+            for name, owners in self.owners.items()
         )
         return (
-            mine,
+            leases,
             self.now,
             self.cut,
             self.stream,
-            tuple(sorted(self.flying)),
+            tuple(sorted(self.in_flight)),
             tuple(self.applied),
             self.judge.asked,
             self.asks,
@@ -154,41 +194,50 @@
 
 
 def can_go_on(world: World) -> bool:
-    """Whether the proxy is ordered by either of them once it asks, pleading."""
+    """Whether the proxy is sent updates by either assigner once it asks, pleading."""
     for name in NAMES:
-        other = copy.deepcopy(world)
-        other.play(("ask", name, True))
-        while other.flying:
-            other.play(("arrive", other.flying[0]))
-        if not other.applied or other.applied[-1][0] != name:
+        later = copy.deepcopy(world)
+        later.play(("ask", name, True))
+        while later.in_flight:
+            later.play(("arrive", later.in_flight[0]))
+        if not later.applied or later.applied[-1][0] != name:
             return False
     return True
 
 
 class Explored(NamedTuple):
+    """What an exploration found.
+
+    Attributes:
+        worlds: States that were seen.
+        wrong: What is wrong with the first that is; empty if none is.
+        way: The moves that lead there.
+    """
+
     worlds: int
     wrong: str
     way: tuple = ()
 
 
-def explore(depth: int, fencing: bool = True, **limits) -> Explored:
-    """Every world within so many moves; the first one that is wrong, with the way to it."""
+def explore(depth: int, fencing: bool = True, **limits: int) -> Explored:
+    """Explore every state within so many moves; `limits` go to `World`."""
     start = World(fencing, **limits)
     seen = {start.key()}
-    front: list[tuple[World, tuple]] = [(start, ())]
+    frontier: list[tuple[World, tuple]] = [(start, ())]
     for _ in range(depth):
-        ahead: list[tuple[World, tuple]] = []
-        for world, way in front:
+        following: list[tuple[World, tuple]] = []
+        for world, way in frontier:
             for move in world.moves():
-                other = copy.deepcopy(world)
-                other.play(move)
-                if other.wrong:
-                    return Explored(len(seen), other.wrong, (*way, move))
-                key = other.key()
-                if fencing and key not in seen and not can_go_on(other):
+                after = copy.deepcopy(world)
+                after.play(move)
+                if after.wrong:
+                    return Explored(len(seen), after.wrong, (*way, move))
+                key = after.key()
+                if key in seen:
+                    continue
+                if fencing and not can_go_on(after):
                     return Explored(len(seen), "the proxy is stuck", (*way, move))
-                if key not in seen:
-                    seen.add(key)
-                    ahead.append((other, (*way, move)))
-        front = ahead
+                seen.add(key)
+                following.append((after, (*way, move)))
+        frontier = following
     return Explored(len(seen), "")
--- a/hollyridge/lab/checks/metrics.py
+++ b/hollyridge/lab/checks/metrics.py
@@ -1,93 +1,157 @@
-"""What a day came to, from its recordings: criticality served in time, orders, work."""
+"""What a day came to, from its recordings: criticality served in time, updates sent, work, recovery."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from itertools import takewhile
+from typing import NamedTuple
 
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 
-LATE_WORTH = 0.1  # of the criticality, for an answer after the soft deadline but in time for the client
+LATE_FRACTION = 0.1  # of the criticality, for an answer after the soft deadline but in time for the client
+US_PER_S = 1_000_000
+WORST_WINDOW_S = 10
+BEFORE_S = 10  # what a fault is compared with
+RECOVERY_WINDOW_S = 3
+RECOVERY_LIMIT_S = 30
+RECOVERED_FRACTION = 0.9
+NONE_ASKED = 1e-9  # avoids a division by zero
 
 
-def figures_of(seen: Evidence, methods: list[dict]) -> dict:
-    """`methods`: name, criticality, soft_us, deadline_us by method, in order."""
-    rows = seen.rows
-    earned: dict[int, float] = defaultdict(float)
-    asked: dict[int, float] = defaultdict(float)
-    by_time: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
-    tries = ok = 0
+class _Served:
+    """Criticality that was asked for and served."""
+
+    def __init__(self) -> None:
+        self.earned = 0.0
+        self.asked = 0.0
+
+    def add(self, earned: float, asked: float) -> None:
+        self.earned += earned
+        self.asked += asked
+
+    @property
+    def fraction(self) -> float:
+        return self.earned / max(self.asked, NONE_ASKED)
+
+
+class _Totals(NamedTuple):
+    """Sums over all RPCs; seconds are those in which they came in."""
+
+    by_method: dict[int, _Served]
+    by_second: dict[int, _Served]
+    attempts: int
+    ok: int
+
+
+def figures_of(evidence: Evidence, methods: list[dict]) -> dict:
+    """The figures of a day, as `--json` has them.
+
+    Args:
+        evidence: What was recorded.
+        methods: Name, criticality, soft_us, deadline_us of each method, in order.
+    """
+    rows = evidence.rows
+    totals = _add_up(rows, methods)
+    by_method, by_second = totals.by_method, totals.by_second
+    seconds = sorted(by_second)
+    earned = sum(served.earned for served in by_method.values())
+    asked = sum(served.asked for served in by_method.values())
+    received = evidence.messages.items()
+    decisions = {(evidence.run_of(uid, message.at), message.number) for uid, some in received for message in some}
+    return {
+        "rpcs": _count(rows, "done"),
+        "ok": totals.ok,
+        "tries": totals.attempts,
+        "served": round(earned / max(asked, NONE_ASKED), 4),
+        "worst_10s": round(_worst_window(by_second, seconds), 4),
+        "by_method": {
+            methods[number]["name"]: round(by_method[number].earned / by_method[number].asked, 4)
+            for number in sorted(by_method)
+        },
+        "no_line": _count(rows, "no_line"),
+        "decisions_sent": len(decisions),
+        "messages": sum(map(len, evidence.messages.values())),
+        "lines": sum(message.lines for messages in evidence.messages.values() for message in messages),
+        "drains": _drains(evidence),
+        "recovered_s": _recoveries(evidence, by_second),
+        "connections": _count(rows, "connected"),
+        "fell": _count(rows, "fell"),
+        "timeline": [[second - seconds[0], round(by_second[second].fraction, 4)] for second in seconds],
+    }
+
+
+def _count(rows: list[dict], kind: str) -> int:
+    return sum(row["k"] == kind for row in rows)
+
+
+def _add_up(rows: list[dict], methods: list[dict]) -> _Totals:
+    by_method: dict[int, _Served] = defaultdict(_Served)
+    by_second: dict[int, _Served] = defaultdict(_Served)
+    attempts = ok = 0
     for row in rows:
         if row["k"] != "done":
             continue
-        terms = methods[row["method"]]
-        worth = terms["criticality"]
-        got = worth * (1.0 if row["took"] <= terms["soft_us"] else LATE_WORTH) if row["ok"] else 0.0
-        earned[row["method"]] += got
-        asked[row["method"]] += worth
-        slot = by_time[(row["t"] - row["took"]) // 1_000_000]
-        slot[0] += got
-        slot[1] += worth
-        tries += row["tries"]
+        method = methods[row["method"]]
+        criticality = method["criticality"]
+        in_time = row["took"] <= method["soft_us"]
+        earned = criticality * (1.0 if in_time else LATE_FRACTION) if row["ok"] else 0.0
+        by_method[row["method"]].add(earned, criticality)
+        by_second[(row["t"] - row["took"]) // US_PER_S].add(earned, criticality)
+        attempts += row["tries"]
         ok += row["ok"]
-    seconds = sorted(by_time)
-    runs = [[by_time[s] for s in seconds[i : i + 10]] for i in range(max(1, len(seconds) - 9))]
-    windows = [sum(got for got, _ in run) / max(sum(worth for _, worth in run), 1e-9) for run in runs]
-    numbers = {(seen.run_of(who, at), number) for who, some in seen.messages.items() for at, number, _ in some}
-    return {
-        "rpcs": sum(1 for row in rows if row["k"] == "done"),
-        "ok": ok,
-        "tries": tries,
-        "served": round(sum(earned.values()) / max(sum(asked.values()), 1e-9), 4),
-        "worst_10s": round(min(windows), 4),
-        "by_method": {methods[k]["name"]: round(earned[k] / asked[k], 4) for k in sorted(asked)},
-        "no_line": sum(row["k"] == "no_line" for row in rows),
-        "decisions_sent": len(numbers),
-        "messages": sum(map(len, seen.messages.values())),
-        "lines": sum(lines for some in seen.messages.values() for _, _, lines in some),
-        **times(seen, by_time),
-        "connections": sum(row["k"] == "connected" for row in rows),
-        "fell": sum(row["k"] == "fell" for row in rows),
-        "timeline": [[s - seconds[0], round(by_time[s][0] / max(by_time[s][1], 1e-9), 4)] for s in seconds],
-    }
+    return _Totals(by_method, by_second, attempts, ok)
+
+
+def _fraction(served: list[_Served]) -> float:
+    return sum(one.earned for one in served) / max(sum(one.asked for one in served), NONE_ASKED)
+
+
+def _worst_window(by_second: dict[int, _Served], seconds: list[int]) -> float:
+    """The fraction that was served in the worst ten seconds."""
+    starts = range(max(1, len(seconds) - WORST_WINDOW_S + 1))
+    return min(_fraction([by_second[second] for second in seconds[start : start + WORST_WINDOW_S]]) for start in starts)
 
 
-def times(seen: Evidence, by_time: dict[int, list[float]]) -> dict:
-    """Seconds from the word that a task closes to the last try that was sent to it: median and worst over tasks that
-    stayed closed (`drains`); and, for each trouble, how many seconds after its
-    start three seconds together were last under nine tenths of the ten before it, within half a minute (`recovered_s`;
-    0: never)."""
-    last: dict[str, int] = defaultdict(int)
-    for row in seen.rows:
+def _drains(evidence: Evidence) -> dict:
+    """Seconds from the news that a task closes to the last RPC sent to it, over tasks that stayed closed.
+
+    The news is that to the last assigner, of the first closing state: draining comes before gone.
+    """
+    last_attempt: dict[str, int] = defaultdict(int)
+    for row in evidence.rows:
         if row["k"] == "try":
-            last[row["task"]] = row["t"]
-    spans = []
+            last_attempt[row["task"]] = row["t"]
     closings: dict[str, list[int]] = defaultdict(list)
-    for tasks in seen.told.values():
-        for task, past in tasks.items():
-            closed = list(takewhile(lambda told: told.state != "ready", reversed(past)))
+    for tasks in evidence.task_news.values():
+        for task, history in tasks.items():
+            closed = list(takewhile(lambda news: news.state != "ready", reversed(history)))
             closings[task].append(closed[-1].at if closed else -1)
-    for task, moments in closings.items():
-        if min(moments) >= 0:  # since the first word of it to the last assigner: draining comes before gone
-            spans.append(max(0, last[task] - max(moments)) / 1e6)
-    spans.sort()
-    recovered = {}
-    for row in seen.rows:
-        if row["k"] == "trouble" and row["begins"]:
-            second = row["t"] // 1_000_000
-
-            def part(first: int, count: int) -> float:
-                some = [by_time[s] for s in range(first, first + count) if s in by_time]
-                return sum(got for got, _ in some) / max(sum(worth for _, worth in some), 1e-9)
-
-            before = part(second - 10, 10) or 1.0
-            low = [s for s in range(second, min(second + 30, max(by_time, default=0) - 2)) if part(s, 3) < 0.9 * before]
-            recovered[row["name"]] = low[-1] - second + 1 if low else 0
+    spans_s = sorted(
+        max(0, last_attempt[task] - max(moments)) / US_PER_S for task, moments in closings.items() if min(moments) >= 0
+    )
     return {
-        "drains": {
-            "closings": len(spans),
-            "median_s": round(spans[len(spans) // 2], 3) if spans else None,
-            "worst_s": round(spans[-1], 3) if spans else None,
-        },
-        "recovered_s": recovered,
+        "closings": len(spans_s),
+        "median_s": round(spans_s[len(spans_s) // 2], 3) if spans_s else None,
+        "worst_s": round(spans_s[-1], 3) if spans_s else None,
     }
+
+
+def _recoveries(evidence: Evidence, by_second: dict[int, _Served]) -> dict[str, int]:
+    """For each fault, the seconds after its start until service was back, within half a minute; 0 if it never left.
+
+    Service is down while three seconds together serve less than nine tenths of what the ten seconds before served.
+    """
+
+    def fraction(first: int, count: int) -> float:
+        return _fraction([by_second[second] for second in range(first, first + count) if second in by_second])
+
+    recovered = {}
+    for row in evidence.rows:
+        if row["k"] != "trouble" or not row["begins"]:
+            continue
+        start = row["t"] // US_PER_S
+        limit = RECOVERED_FRACTION * (fraction(start - BEFORE_S, BEFORE_S) or 1.0)
+        end = min(start + RECOVERY_LIMIT_S, max(by_second, default=0) - RECOVERY_WINDOW_S + 1)
+        low = [second for second in range(start, end) if fraction(second, RECOVERY_WINDOW_S) < limit]
+        recovered[row["name"]] = low[-1] - start + 1 if low else 0
+    return recovered
--- a/hollyridge/lab/checks/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -1,92 +1,117 @@
-"""Who owned which proxy when, and who was ordered by two: from recordings of what passed on the sockets."""
+"""Which assigner owned which proxy when, and whether two sent updates to one, from what passed on the sockets."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from collections import defaultdict
 from collections.abc import Iterable
+from itertools import pairwise
 from statistics import median
 from typing import NamedTuple
 
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence, JoinSpan
+
+US_PER_S = 1e6
 
 
 class Gap(NamedTuple):
-    """A proxy without an owner, in seconds."""
+    """A time that a proxy was without an owner. The fields' names are keys of `--json`."""
 
     proxy: str
     seconds: float
 
 
-def gaps(seen: Evidence) -> list[Gap]:
-    """From when a proxy's owner was gone (killed, or standing still, whichever the proxy left it for) or its stream
-    ended, till it was joined to one again."""
-    down: dict[int, list[int]] = defaultdict(list)
-    dead: dict[str, int] = {}
-    for row in seen.rows:
-        if row["k"] == "assigner" and not row["up"] or row["k"] == "stalled":
-            down[row.get("number", row.get("assigner", 0))].append(row["t"])
-        elif row["k"] == "proxy_down":
-            dead[row["proxy"]] = row["t"]
+def gaps(evidence: Evidence) -> list[Gap]:
+    """Times from when a proxy lost its owner until it was joined to one again.
+
+    It has lost its owner when that was killed or stood still, whichever the proxy left it for, or its stream ended.
+    """
+    down, killed = _outages(evidence)
     found = []
-    for proxy, spans in seen.joined.items():
-        for span, after in zip(spans, [*spans[1:], None]):
-            at = bisect_right(down[span.assigner], span.since)
-            lost = min([span.till, *(t for t in down[span.assigner][at:] if t < span.till)][:2])
-            until = after.since if after is not None else seen.end
-            if after is None and (span.till >= seen.end or proxy in dead):
+    for proxy, spans in evidence.joined.items():
+        for span, following in zip(spans, [*spans[1:], None]):
+            if following is None and (span.until >= evidence.end or proxy in killed):
                 continue  # it had its owner till the end
-            if until > lost:
-                found.append(Gap(proxy, round((until - lost) / 1e6, 4)))
+            lost_at = _lost_at(span, down[span.assigner])
+            until = following.since if following is not None else evidence.end
+            if until > lost_at:
+                found.append(Gap(proxy, round((until - lost_at) / US_PER_S, 4)))
     return found
 
 
+def _outages(evidence: Evidence) -> tuple[dict[int, list[int]], set[str]]:
+    """When each assigner was killed or stalled (us), and the proxies that were killed."""
+    down: dict[int, list[int]] = defaultdict(list)
+    killed: set[str] = set()
+    for row in evidence.rows:
+        if (row["k"] == "assigner" and not row["up"]) or row["k"] == "stalled":
+            down[row.get("number", row.get("assigner", 0))].append(row["t"])
+        elif row["k"] == "proxy_down":
+            killed.add(row["proxy"])
+    return down, killed
+
+
+def _lost_at(span: JoinSpan, down: list[int]) -> int:
+    """The first outage of its assigner within the span; the span's end if there is none."""
+    first = bisect_right(down, span.since)
+    return min([span.until, *(at for at in down[first:] if at < span.until)])
+
+
 def doubles(rows: Iterable[dict]) -> int:
-    """Orders applied of an older question than one whose orders were applied, or of another assigner than the one that
-    this question went to."""
+    """How many updates were applied that should not have been.
+
+    Such are those that answer an older question than one whose updates were applied, and those of another assigner than
+    the one that answered this question.
+    """
     newest: dict[str, tuple[int, int]] = {}
     count = 0
     for row in rows:
         if row["k"] == "applied" and row["asked"]:
             asked, assigner = newest.get(row["proxy"], (0, -1))
-            count += row["asked"] < asked or row["asked"] == asked and row["assigner"] != assigner
+            count += row["asked"] < asked or (row["asked"] == asked and row["assigner"] != assigner)
             if row["asked"] >= asked:
                 newest[row["proxy"]] = row["asked"], row["assigner"]
     return count
 
 
 def believed(rows: Iterable[dict]) -> float:
-    """The longest that two assigners claimed one proxy at a time, from what they told twice a second."""
+    """The longest (s) that two assigners claimed one proxy at a time, from what they told twice a second."""
     claims: dict[int, frozenset[str]] = {}
     since: dict[str, int] = {}
-    longest = 0
+    longest_us = 0
     for row in rows:
         if row["k"] == "assigner":
             claims.pop(row["number"], None)
         elif row["k"] == "claims":
             claims[row["assigner"]] = frozenset(row["uids"])
-            counts: dict[str, int] = defaultdict(int)
-            for uids in claims.values():
-                for uid in uids:
-                    counts[uid] += 1
-            since = {uid: since.get(uid, row["t"]) for uid, many in counts.items() if many > 1}
-            longest = max([longest, *(row["t"] - at for at in since.values())])
-    return longest / 1e6
+            since = {uid: since.get(uid, row["t"]) for uid in _claimed_twice(claims)}
+            longest_us = max([longest_us, *(row["t"] - begun for begun in since.values())])
+    return longest_us / US_PER_S
+
+
+def _claimed_twice(claims: dict[int, frozenset[str]]) -> list[str]:
+    counts: dict[str, int] = defaultdict(int)
+    for uids in claims.values():
+        for uid in uids:
+            counts[uid] += 1
+    return [uid for uid, count in counts.items() if count > 1]
 
 
-def moves(seen: Evidence) -> int:
+def moves(evidence: Evidence) -> int:
     """Changes of owner."""
-    return sum(a.assigner != b.assigner for spans in seen.joined.values() for a, b in zip(spans, spans[1:]))
+    return sum(
+        before.assigner != after.assigner for spans in evidence.joined.values() for before, after in pairwise(spans)
+    )
 
 
-def of_day(seen: Evidence) -> dict:
-    """For the figures of a day."""
-    seconds = sorted(gap.seconds for gap in gaps(seen))
+def of_day(evidence: Evidence) -> dict:
+    """The figures of a day in a shared fleet, as `--json` has them."""
+    seconds = sorted(gap.seconds for gap in gaps(evidence))
     return {
         "orphaned": len(seconds),
         "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
         "orphaned_max_s": seconds[-1] if seconds else 0.0,
-        "doubly_ordered": doubles(seen.rows),
-        "believed_by_two_s": believed(seen.rows),
-        "moves": moves(seen),
+        "doubly_ordered": doubles(evidence.rows),
+        "believed_by_two_s": believed(evidence.rows),
+        "moves": moves(evidence),
     }
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -1,5 +1,8 @@
-"""The update protocol as a small world that can be explored: one table, one reader, a wire that loses, doubles and
-reorders, and an assigner that restarts with smaller numbers. The replica and the ledger are the real ones."""
+"""An explicit-state model check of the CHP update protocol, with the real key space and replica.
+
+The model: one table, one subscriber, a network that loses, doubles and reorders what is published, and an assigner that
+restarts with smaller numbers.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +18,14 @@
 SUBTREE = "/table/0/"
 VERSIONS = (("a", "b"), ("b", "c"), ("a", "c", "d"), ("d",))
 RUNS = 2
+VERSIONS_COMPARED = 64  # of each run, with what the replica holds
+HEARTBEAT_MS = 500
+MAX_MISCHIEF = 4  # messages that the network may lose, double or swap
+MAX_PUBLISHED = 8  # messages on their way, after which no heartbeat is published
+MAX_PUBLISHED_CHANGES = 5  # the same for changes
+SETTLE_MOVES = 200
+SETTLE_SAMPLE = 7  # of the deepest states about one in so many is also checked for settling
+SNAPSHOT_ASKED = "ICANHAZ"  # stands for a request that has not arrived
 
 
 def target(run: int, version: int) -> dict[str, bytes]:
@@ -29,11 +40,12 @@
     fault = ""
 
     def change(self, head: codec.Head) -> ReplicaChanges:
+        """Take a head, without the check that is left out."""
         same = self.synced and head.epoch == self.head.epoch
         if self.fault == "no count" and same and head.prev == self.head.seq:
             uuid = codec.uuid_of(head.epoch)
-            mine = [seq for run, seq in self.gathered if run == uuid and self.head.seq < seq < head.seq]
-            head = head_of(head, len(mine))
+            gathered = [seq for run, seq in self.gathered if run == uuid and self.head.seq < seq < head.seq]
+            head = with_count(head, len(gathered))
         if self.fault == "no run" and self.synced and head.epoch != self.head.epoch:
             self.head = codec.Head(head.epoch, head.version, head.prev, head.prev)
         if self.fault == "no order" and same and head.seq < self.head.seq:
@@ -41,119 +53,154 @@
         return super().change(head)
 
     def prune(self) -> None:
+        """Drop what is behind, unless that is left out."""
         if self.fault != "no order":
             super().prune()
 
 
-def head_of(head: codec.Head, count: int) -> codec.Head:
+def with_count(head: codec.Head, count: int) -> codec.Head:
+    """The head with another count of lines."""
     return codec.Head(head.epoch, head.version, head.seq, head.prev, count, head.total, head.beat)
 
 
 class World:
-    """Moves: the assigner changes the table, beats or restarts; the wire delivers, loses, doubles or swaps what is
-    published; the snapshot's stream delivers or breaks. Loss and doubling are bounded: the world is finite."""
+    """One state of the model.
+
+    Moves: the assigner changes the table, sends a heartbeat or restarts; the network delivers, loses, doubles or swaps
+    what is published; the snapshot's stream delivers. Loss and doubling are bounded, so that the model is finite.
+
+    Attributes:
+        published: Messages on their way to the subscriber.
+        snapshots: What is on the snapshot's stream: requests and messages.
+        mischief: Messages that the network may still lose, double or swap.
+        seen: Run and version of the newest table that was held.
+        wrong: What must never happen and did.
+    """
 
     def __init__(self, fault: str = "") -> None:
-        self.run, self.version = 0, 0
-        self.ledger = KeySpace("run0", 500)
-        self.ledger.set(SUBTREE, 0, target(0, 0))
+        self.run = 0
+        self.version = 0
+        self.key_space = self._start_run()
         self.replica = FaultyReplica(SUBTREE)
         self.replica.fault = fault
         self.published: list[Kvpub] = []
         self.snapshots: list = []
-        self.mischief = 4
+        self.mischief = MAX_MISCHIEF
         self.seen: tuple[int, int] = (-1, -1)
         self.wrong = ""
-        self.ask()
+        self._ask()
 
-    def ask(self) -> None:
+    def _start_run(self) -> KeySpace:
+        key_space = KeySpace(f"run{self.run}", HEARTBEAT_MS)
+        key_space.set(SUBTREE, 0, target(self.run, 0))
+        return key_space
+
+    def _ask(self) -> None:
         self.replica.begin()
-        self.snapshots.append("ICANHAZ")
+        self.snapshots.append(SNAPSHOT_ASKED)
 
     def moves(self) -> list[str]:
-        found = ["beat"] if len(self.published) < 8 else []
-        if len(self.published) < 5:
-            found.append("change")
+        """What may happen next."""
+        moves = ["beat"] if len(self.published) < MAX_PUBLISHED else []
+        if len(self.published) < MAX_PUBLISHED_CHANGES:
+            moves.append("change")
         if self.run + 1 < RUNS:
-            found.append("restart")
+            moves.append("restart")
         if self.published:
-            found.append("deliver")
+            moves.append("deliver")
             if self.mischief:
-                found += ["lose", "double"]
+                moves += ["lose", "double"]
         if self.mischief and len(self.published) > 1:
-            found.append("swap")
+            moves.append("swap")
         if self.snapshots:
-            found.append("snapshot")
-        return found
+            moves.append("snapshot")
+        return moves
 
     def after(self, move: str) -> World:
+        """The state after a move; this one stays as it is."""
         world = copy.copy(self)
-        world.ledger, world.replica = copy.copy(self.ledger), copy.copy(self.replica)
-        world.ledger.held, world.ledger.heads = dict(self.ledger.held), dict(self.ledger.heads)
+        world.key_space, world.replica = copy.copy(self.key_space), copy.copy(self.replica)
+        world.key_space.held, world.key_space.heads = dict(self.key_space.held), dict(self.key_space.heads)
         world.replica.gathered = dict(self.replica.gathered)
-        world.replica.incoming = {k: dict(v) for k, v in self.replica.incoming.items()}
+        world.replica.incoming = {number: dict(rows) for number, rows in self.replica.incoming.items()}
         world.replica.heads = dict(self.replica.heads)
         world.published, world.snapshots = list(self.published), list(self.snapshots)
         world.do(move)
         return world
 
     def do(self, move: str) -> None:
-        if move == "change":
-            self.version += 1
-            self.published += self.ledger.set(SUBTREE, self.version, target(self.run, self.version))
-        elif move == "beat":
-            self.published.append(self.ledger.beat(SUBTREE))
-        elif move == "restart":  # what was published may still arrive; the snapshot's stream does not survive
-            self.run, self.version = self.run + 1, 0
-            self.ledger = KeySpace(f"run{self.run}", 500)
-            self.ledger.set(SUBTREE, 0, target(self.run, 0))
-            self.snapshots = ["ICANHAZ"] if self.replica.asking else []
-            self.replica.incoming, self.replica.heads = {}, {}
-        elif move == "deliver":
-            self.take(self.published.pop(0))
-        elif move == "lose":
-            self.mischief -= 1
-            self.published.pop(0)
-        elif move == "double":
-            self.mischief -= 1
-            self.published.insert(0, self.published[0])
-        elif move == "swap":
-            self.mischief -= 1
-            self.published[0], self.published[-1] = self.published[-1], self.published[0]
-        elif self.snapshots[0] == "ICANHAZ":
-            self.snapshots[:1] = self.ledger.snapshot(SUBTREE)
-        else:
+        """Let a move happen."""
+        getattr(self, f"_on_{move}")()
+
+    def _on_change(self) -> None:
+        self.version += 1
+        self.published += self.key_space.set(SUBTREE, self.version, target(self.run, self.version))
+
+    def _on_beat(self) -> None:
+        self.published.append(self.key_space.beat(SUBTREE))
+
+    def _on_restart(self) -> None:
+        """What was published may still arrive; the snapshot's stream does not survive."""
+        self.run += 1
+        self.version = 0
+        self.key_space = self._start_run()
+        self.snapshots = [SNAPSHOT_ASKED] if self.replica.asking else []
+        self.replica.incoming, self.replica.heads = {}, {}
+
+    def _on_deliver(self) -> None:
+        self._take(self.published.pop(0))
+
+    def _on_lose(self) -> None:
+        self.mischief -= 1
+        self.published.pop(0)
+
+    def _on_double(self) -> None:
+        self.mischief -= 1
+        self.published.insert(0, self.published[0])
+
+    def _on_swap(self) -> None:
+        self.mischief -= 1
+        self.published[0], self.published[-1] = self.published[-1], self.published[0]
+
+    def _on_snapshot(self) -> None:
+        """A request arrives at the assigner, or else a whole snapshot at the subscriber."""
+        if self.snapshots[0] == SNAPSHOT_ASKED:
+            self.snapshots[:1] = self.key_space.snapshot(SUBTREE)
+            return
+        message = self.snapshots.pop(0)
+        while not isinstance(message, Kthxbai):
+            self._take(message)
             message = self.snapshots.pop(0)
-            while not isinstance(message, Kthxbai):
-                self.take(message)
-                message = self.snapshots.pop(0)
-            self.take(message)
-
-    def take(self, message) -> None:
-        did = self.replica.take(message)
-        if did.ask:
-            self.ask()
-        if self.replica.synced:
-            at = self.at()
-            if at is None:
-                self.wrong = f"a table that never was: {sorted(self.replica.held.items())}"
-            elif at < self.seen:
-                self.wrong = f"went back from {self.seen} to {at}"
-            else:
-                self.seen = at
+        self._take(message)
+
+    def _take(self, message: codec.Message) -> None:
+        changes = self.replica.take(message)
+        if changes.ask:
+            self._ask()
+        if not self.replica.synced:
+            return
+        held = self.at()
+        if held is None:
+            self.wrong = f"a table that never was: {sorted(self.replica.held.items())}"
+        elif held < self.seen:
+            self.wrong = f"went back from {self.seen} to {held}"
+        else:
+            self.seen = held
 
     def at(self) -> tuple[int, int] | None:
         """Run and version of what is held, None if no version was ever like it."""
         for run in range(RUNS):
-            for version in range(64):
+            for version in range(VERSIONS_COMPARED):
                 if self.replica.held == target(run, version):
                     return run, version
         return None
 
     def broken(self) -> str:
+        """What is wrong; empty if nothing is."""
         return self.wrong
 
     def key(self) -> tuple:
+        """Tells different states apart."""
         replica = self.replica
         return (
             self.run,
@@ -167,16 +214,16 @@
             tuple(sorted(replica.held.items())),
             tuple(sorted(replica.gathered)),
             tuple(replica.incoming),
-            tuple((m.uuid, m.sequence, m.key) for m in self.published),
-            tuple(str(m) for m in self.snapshots),
+            tuple((message.uuid, message.sequence, message.key) for message in self.published),
+            tuple(str(message) for message in self.snapshots),
         )
 
     def settled(self) -> World:
-        """What comes of it when all that is on its way arrives and heartbeats get through."""
+        """The state when all that is on its way has arrived and heartbeats get through."""
         world = self
-        for _ in range(200):
+        for _ in range(SETTLE_MOVES):
             moves = world.moves()
-            move = next((m for m in ("snapshot", "deliver") if m in moves), None)
+            move = next((kind for kind in ("snapshot", "deliver") if kind in moves), None)
             if move is None:
                 if world.is_newest():
                     return world
@@ -185,18 +232,35 @@
         return world
 
     def is_newest(self) -> bool:
+        """Whether the subscriber holds the newest table."""
         return self.replica.synced and self.at() == (self.run, self.version) and not self.replica.asking
 
 
 class Found(NamedTuple):
+    """What an exploration found.
+
+    Attributes:
+        states: How many were seen.
+        broken: What is wrong with the first that is; empty if none is.
+        moves: The moves that lead there.
+    """
+
     states: int
     broken: str
     moves: tuple[str, ...]
 
 
-def explore(depth: int, fault: str = "", begin: tuple[str, ...] = (), states_most: int = 400_000) -> Found:
-    """Every world within so many moves of the start (after the moves of `begin`), breadth first. The first that is
-    broken ends it, with the moves that lead there; so does a world that does not settle on the newest table."""
+def explore(depth: int, fault: str = "", begin: tuple[str, ...] = (), max_states: int = 400_000) -> Found:
+    """Explore every state within so many moves, breadth first.
+
+    The first that is broken ends it; so does one that does not settle on the newest table.
+
+    Args:
+        depth: Moves after those of `begin`.
+        fault: The check that the replica leaves out (see `FaultyReplica`).
+        begin: Moves that lead to the first state.
+        max_states: After so many no new ones are explored.
+    """
     start = World(fault)
     for move in begin:
         start = start.after(move)
@@ -206,13 +270,13 @@
         if world.broken():
             return Found(len(seen), world.broken(), moves)
         if len(moves) == depth:
-            if len(seen) % 7 == 0 and not fault and not world.settled().is_newest():
+            if len(seen) % SETTLE_SAMPLE == 0 and not fault and not world.settled().is_newest():
                 return Found(len(seen), "does not settle on the newest table", moves)
             continue
         for move in world.moves():
             after = world.after(move)
             key = after.key()
-            if key not in seen and len(seen) < states_most:
+            if key not in seen and len(seen) < max_states:
                 seen.add(key)
                 queue.append((after, (*moves, move)))
     return Found(len(seen), "", ())
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -5,10 +5,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from hollyridge.lab.checks.checker import Evidence, Figures, Verdict, check
+from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.metrics import figures_of
 from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.checks.parity import compare
+from hollyridge.lab.checks.rules import RuleLimits, Verdict, check
 from hollyridge.lab.environment import DayError, Environment
 from hollyridge.lab.faults.assigner_faults import AssignerFaults
 from hollyridge.lab.faults.proxy_faults import ProxyFaults
@@ -119,19 +120,18 @@
             for name, method in self.config.methods.items()
         ]
 
-    def limits(self) -> Figures:
+    def limits(self) -> RuleLimits:
         """The rules' limits, from the settings."""
         promises, channel = self.config.promises, self.config.channel
-        return Figures(
-            bare=round(promises.bare_s * 1e6),
-            grace=round(promises.drain_grace_s * 1e6),
-            warm_up=round(promises.warm_up_s * 1e6),
-            fall=round(promises.fall_s * 1e6),
+        return RuleLimits(
+            max_empty_us=round(promises.bare_s * 1e6),
+            drain_grace_us=round(promises.drain_grace_s * 1e6),
+            warm_up_us=round(promises.warm_up_s * 1e6),
+            fall_us=round(promises.fall_s * 1e6),
             fall_multiple=promises.fall_multiple,
-            most_waiting=channel.most_waiting,
-            messages_most=channel.messages_most,
-            messages_over=round(channel.messages_over_s * 1e6),
+            max_waiting_lines=channel.most_waiting,
+            max_messages=channel.messages_most,
+            messages_window_us=round(channel.messages_over_s * 1e6),
             lines_per_s=channel.lines_per_s,
-            head=channel.head_lines,
-            repeats=tuple(method.repeats for method in self.config.methods.values()),
+            lines_per_message=channel.head_lines,
         )
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from hollyridge.lab import scenario as scripts
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.ownership import Gap, believed, doubles, gaps, moves
 from hollyridge.lab.day import Day
 from hollyridge.lab.experiments.hunt import drawn, with_troubles
--- a/hollyridge/lab/reports/plots.py
+++ b/hollyridge/lab/reports/plots.py
@@ -14,7 +14,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - the backend is chosen before
 
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:15px/1.45 sans-serif;max-width:70em;margin:2em auto;padding:0 1em}img{max-width:100%}
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -10,7 +10,7 @@
 from hollyridge.client import chp as client_chp
 from hollyridge.client import gateway
 from hollyridge.lab import scenario
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.metrics import figures_of
 from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.day import Day, Outcome
