--- a/hollyridge/cli/__init__.py
+++ b/hollyridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands."""
+"""The commands of `hollyridge`."""
--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -1,4 +1,4 @@
-"""`hollyridge day`: play, print, write the page."""
+"""`hollyridge day`: plays a day on real sockets, prints what it came to, writes the page."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import NamedTuple
 
 import click
 import gevent
 import msgspec
 
-from hollyridge.lab import scenario as scripts
+from hollyridge.cli.common import PROTOCOLS, ExitCode, comma_separated, print_problems
+from hollyridge.lab import scenario
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.experiments.policies import POLICIES
 from hollyridge.lab.stand_ins.live import LiveEnvironment
@@ -24,82 +26,124 @@
     4: "no cold task pushed over",
     5: "short queue, few messages",
 }
+BAR_LENGTH = 1000
+LOG_LINES = 3  # of each process, shown when a day could not be played
+LOG_LINE_LENGTH = 300
 
 
-def play(path: str, report: str | None, seed: int | None, policy: str, as_json: bool, fronts: str) -> int:
-    names = tuple(word for word in fronts.split(",") if word)
-    if not set(names) <= {"sasp", "clone"}:
+class LiveOptions(NamedTuple):
+    """Options of a day on real sockets.
+
+    Attributes:
+        report: The folder to keep recordings in, with a page; None to keep nothing.
+        seed: In place of the scenario's.
+        policy: Another decision module of the laboratory.
+        fronts: Protocols in place of the scenario's, with commas.
+    """
+
+    script: str
+    report: str | None
+    seed: int | None
+    policy: str
+    fronts: str
+    as_json: bool
+
+
+def play(options: LiveOptions) -> ExitCode:
+    """Play a day and print what it came to; returns the exit code."""
+    fronts = comma_separated(options.fronts)
+    if not set(fronts) <= PROTOCOLS:
         click.echo("--fronts: sasp, clone, or both with a comma", err=True)
-        return 2
+        return ExitCode.BAD_INPUT
     try:
-        script = scripts.load(path, fronts=names)
-    except FaultsError as trouble:
-        for fault in trouble.faults:
-            click.echo(f"{path}: {fault}", err=True)
-        return 2
-    if policy and policy not in POLICIES:
+        loaded = scenario.load(options.script, fronts=fronts)
+    except FaultsError as error:
+        print_problems(options.script, error)
+        return ExitCode.BAD_INPUT
+    if options.policy and options.policy not in POLICIES:
         click.echo(f"--policy: one of {', '.join(POLICIES)}", err=True)
-        return 2
-    if report is not None:
-        Path(report).mkdir(parents=True, exist_ok=True)
-        if any(Path(report).glob("*.jsonl")):
-            click.echo(f"--report: {report} holds recordings already; name another folder", err=True)
-            return 2
-        return run(script, Path(report), seed, policy, as_json, keep=True)
-    with tempfile.TemporaryDirectory(prefix="hollyridge-day-") as folder:
-        return run(script, Path(folder), seed, policy, as_json, keep=False)
-
-
-def run(script: scripts.Scenario, folder: Path, seed: int | None, policy: str, as_json: bool, keep: bool) -> int:
-    with click.progressbar(length=1000, label=f"{script.day.length_s:.0f} s", file=sys.stderr) as bar:
-        told = 0
-
-        def tick(part: float) -> None:
-            nonlocal told
-            bar.update(round(part * 1000) - told)
-            told = round(part * 1000)
+        return ExitCode.BAD_INPUT
+    if options.report is None:
+        with tempfile.TemporaryDirectory(prefix="hollyridge-day-") as folder:
+            return _run(loaded, Path(folder), options)
+    folder = Path(options.report)
+    folder.mkdir(parents=True, exist_ok=True)
+    if any(folder.glob("*.jsonl")):
+        click.echo(f"--report: {folder} holds recordings already; name another folder", err=True)
+        return ExitCode.BAD_INPUT
+    return _run(loaded, folder, options)
+
+
+def _run(loaded: scenario.Scenario, folder: Path, options: LiveOptions) -> ExitCode:
+    try:
+        outcome = _play_with_bar(loaded, folder, options)
+    except DayError as error:
+        click.echo(f"the day could not be played: {error}", err=True)
+        _print_logs(folder)
+        return ExitCode.BAD_INPUT
+    show(outcome, options.as_json, len(loaded.fleet.fronts) > 1)
+    if options.report is not None:
+        _write_report(folder, loaded, outcome)
+    kept = all(verdict.kept for verdict in outcome.verdicts) and not outcome.parity[1]
+    return ExitCode.FINE if kept else ExitCode.FAILED
+
+
+def _play_with_bar(loaded: scenario.Scenario, folder: Path, options: LiveOptions) -> Outcome:
+    with click.progressbar(length=BAR_LENGTH, label=f"{loaded.day.length_s:.0f} s", file=sys.stderr) as bar:
+        shown = 0
+
+        def on_progress(fraction: float) -> None:
+            nonlocal shown
+            bar.update(round(fraction * BAR_LENGTH) - shown)
+            shown = round(fraction * BAR_LENGTH)
 
         main = gevent.getcurrent()
         gevent.signal_handler(signal.SIGTERM, lambda: main.throw(DayError("ended by a signal")))
-        try:
-            outcome = Day(script, LiveEnvironment(script, folder, policy), seed, tick).play()
-        except DayError as trouble:
-            click.echo(f"the day could not be played: {trouble}", err=True)
-            for log in sorted(folder.glob("*.log")):
-                for line in log.read_text(errors="replace").splitlines()[-3:]:
-                    click.echo(f"{log.name}: {line[:300]}", err=True)
-            return 2
-    show(outcome, as_json, len(script.fleet.fronts) > 1)
-    if keep:
-        from hollyridge.lab.reports.page import write
-
-        (folder / "outcome.json").write_bytes(msgspec.json.encode(outcome))
-        click.echo(f"report: {write(folder, script, outcome)}", err=True)
-    return 0 if all(v.kept for v in outcome.verdicts) and not outcome.parity[1] else 1
+        environment = LiveEnvironment(loaded, folder, options.policy)
+        return Day(loaded, environment, options.seed, on_progress).play()
+
+
+def _print_logs(folder: Path) -> None:
+    """Print the last lines that each process logged."""
+    for log in sorted(folder.glob("*.log")):
+        for line in log.read_text(errors="replace").splitlines()[-LOG_LINES:]:
+            click.echo(f"{log.name}: {line[:LOG_LINE_LENGTH]}", err=True)
+
+
+def _write_report(folder: Path, loaded: scenario.Scenario, outcome: Outcome) -> None:
+    from hollyridge.lab.reports.page import write
+
+    (folder / "outcome.json").write_bytes(msgspec.json.encode(outcome))
+    click.echo(f"report: {write(folder, loaded, outcome)}", err=True)
 
 
 def show(outcome: Outcome, as_json: bool, both: bool) -> None:
-    kept = sum(v.kept for v in outcome.verdicts)
+    """Print what a day came to; `both` tells that proxies spoke both protocols."""
+    kept = sum(verdict.kept for verdict in outcome.verdicts)
+    broken = len(outcome.verdicts) - kept
     if as_json:
-        rows = [v._asdict() for v in outcome.verdicts]
-        click.echo(
-            msgspec.json.encode(
-                {"rules": rows, **outcome.figures, "broken": len(rows) - kept, "parity": outcome.parity}
-            )
-        )
+        rules = [verdict._asdict() for verdict in outcome.verdicts]
+        result = {"rules": rules, **outcome.figures, "broken": broken, "parity": outcome.parity}
+        click.echo(msgspec.json.encode(result))
         return
-    f = outcome.figures
-    click.echo(
-        f"RPCs {f['rpcs']}, ok {f['ok']}, tries {f['tries']}; criticality in time {f['served']:.3f}, "
-        f"worst 10 s {f['worst_10s']:.3f}; " + ", ".join(f"{name} {part:.3f}" for name, part in f["by_method"].items())
-    )
-    click.echo(f"orders: {f['decisions_sent']} decisions, {f['messages']} messages, {f['lines']} lines")
-    for v in outcome.verdicts:
+    _show_figures(outcome.figures)
+    for verdict in outcome.verdicts:
         click.echo(
-            f"rule {v.rule} {'kept  ' if v.kept else 'BROKEN'} {v.nearest:6.1%} of the limit  "
-            f"{RULES[v.rule]}: {v.where}"
+            f"rule {verdict.rule} {'kept  ' if verdict.kept else 'BROKEN'} {verdict.nearest:6.1%} of the limit  "
+            f"{RULES[verdict.rule]}: {verdict.where}"
         )
     if both:
         compared, differ, where = outcome.parity
         click.echo(f"parity: {compared} tables compared, {differ} differ{': ' + where if where else ''}")
-    click.echo(f"rules: {kept} kept, {len(outcome.verdicts) - kept} broken")
+    click.echo(f"rules: {kept} kept, {broken} broken")
+
+
+def _show_figures(figures: dict) -> None:
+    by_method = ", ".join(f"{name} {fraction:.3f}" for name, fraction in figures["by_method"].items())
+    click.echo(
+        f"RPCs {figures['rpcs']}, ok {figures['ok']}, tries {figures['tries']}; criticality in time "
+        f"{figures['served']:.3f}, worst 10 s {figures['worst_10s']:.3f}; {by_method}"
+    )
+    click.echo(
+        f"orders: {figures['decisions_sent']} decisions, {figures['messages']} messages, {figures['lines']} lines"
+    )
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -1,30 +1,36 @@
-"""`hollyridge lab`: simulated days, comparisons, hunts."""
+"""`hollyridge lab`: simulated days, comparisons, hunts, sweeps, takeovers, floods, pages."""
 
 from __future__ import annotations
 
 import os
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 import msgspec
 
+from hollyridge.cli.common import ExitCode, comma_separated, fail, print_problems, print_result
+
+if TYPE_CHECKING:
+    from hollyridge.lab.scenario import Scenario
+
 
 @click.group()
 def lab() -> None:
     """The laboratory: days under a simulated clock, paired comparisons, hunts for bad days."""
 
 
-def load(path: str, settings: str = "", fronts: str = "", times: float = 1.0, assigners: int = 0):
+def _load(path: str, settings: str = "", fronts: str = "", times: float = 1.0, assigners: int = 0) -> Scenario:
+    """A scenario; prints what is wrong with it and exits otherwise."""
     from hollyridge.lab import scenario
     from hollyridge.settings.ini import FaultsError
 
     try:
-        return scenario.load(path, settings, tuple(word for word in fronts.split(",") if word), times, assigners)
-    except FaultsError as trouble:
-        for fault in trouble.faults:
-            click.echo(f"{path}: {fault}", err=True)
-        sys.exit(2)
+        return scenario.load(path, settings, comma_separated(fronts), times, assigners)
+    except FaultsError as error:
+        print_problems(path, error)
+        sys.exit(ExitCode.BAD_INPUT)
 
 
 @lab.command()
@@ -41,7 +47,7 @@
 @click.option("--ties", type=int, help="Shuffle what is due at the same moment, by this seed.")
 @click.option("--report", type=click.Path(file_okay=False), help="Write a page with the result here.")
 @click.option("--json", "as_json", is_flag=True)
-def run(
+def run(  # noqa: PLR0913, PLR0917 - click passes each option
     scenario: str,
     seed: int | None,
     record: str | None,
@@ -61,41 +67,16 @@
         from gevent import monkey
 
         monkey.patch_all()
-    from hollyridge.cli.day import show
-    from hollyridge.lab.day import Day, DayError
+    from hollyridge.cli.day import LiveOptions, play
+    from hollyridge.cli.simulated_day import SimulatedOptions, play_simulated
     from hollyridge.lab.experiments.policies import POLICIES
-    from hollyridge.lab.reports.page import write
-    from hollyridge.lab.reports.profiler import Meter
-    from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
-    script = load(scenario, settings, fronts, times, assigners)
+    loaded = _load(scenario, settings, fronts, times, assigners)
     if policy and policy not in POLICIES:
-        click.echo(f"--policy: one of {', '.join(POLICIES)}", err=True)
-        sys.exit(2)
+        fail(f"--policy: one of {', '.join(POLICIES)}")
     if live:
-        from hollyridge.cli.day import play
-
-        sys.exit(play(scenario, report, seed, policy, as_json, fronts))
-    seed = script.day.seed if seed is None else seed
-    meter = Meter() if cost else None
-    if meter is not None:
-        meter.start()
-    try:
-        outcome = Day(script, SimulatedEnvironment(script, policy, seed, ties, record), seed).play()
-    except DayError as trouble:
-        click.echo(f"the day could not be played: {trouble}", err=True)
-        sys.exit(2)
-    if meter is not None:
-        outcome.figures.update(
-            cost=meter.stop(script.day.length_s), tasks=script.fleet.tasks, proxies=script.fleet.proxies
-        )
-    show(outcome, as_json, len(script.fleet.fronts) > 1)
-    if meter is not None and not as_json:
-        click.echo(f"cost: {outcome.figures['cost']}")
-    if report:
-        Path(report).mkdir(parents=True, exist_ok=True)
-        click.echo(f"report: {write(Path(report), script, outcome)}", err=True)
-    sys.exit(0 if all(v.kept for v in outcome.verdicts) else 1)
+        sys.exit(play(LiveOptions(scenario, report, seed, policy, fronts, as_json)))
+    sys.exit(play_simulated(loaded, SimulatedOptions(seed, record, policy, ties, cost, report, as_json)))
 
 
 @lab.command()
@@ -107,43 +88,47 @@
 @click.option("--keep", type=click.Path(dir_okay=False), help="Results by day; an interrupted experiment goes on.")
 @click.option("--at-once", default=max(1, (os.cpu_count() or 2) - 1), show_default=True)
 @click.option("--json", "as_json", is_flag=True)
-def compare(
+def compare(  # noqa: PLR0913, PLR0917 - click passes each option
     a: str, b: str, days: tuple[str, ...], seeds: int, figure: str, keep: str | None, at_once: int, as_json: bool
 ) -> None:
-    """Play variants A and B on the same simulated days and seeds. A variant is `module`, another decision module of
-    the laboratory, a settings file (.ini), or commit:REV."""
+    """Play variants A and B on the same simulated days and seeds.
+
+    A variant is `module`, another decision module of the laboratory, a settings file (.ini), or commit:REV.
+    """
     from hollyridge.lab.experiments import experiment
     from hollyridge.lab.experiments.policies import POLICIES
 
     for name in (a, b):
         if not (name.startswith("commit:") or name.endswith(".ini") or name in ("module", *POLICIES)):
-            click.echo(f"{name}: no such variant", err=True)
-            sys.exit(2)
+            fail(f"{name}: no such variant")
     with click.progressbar(length=2 * seeds * len(days), label="days", file=sys.stderr) as bar:
         try:
-            told = experiment.compare(
+            result = experiment.compare(
                 experiment.Variant(a),
                 experiment.Variant(b),
                 list(days),
                 seeds,
                 Path(keep) if keep else None,
                 at_once,
-                lambda done, whole: bar.update(1),
+                lambda done, total: bar.update(1),
                 figure,
             )
-        except (ValueError, KeyError) as trouble:
-            click.echo(f"cannot compare: {trouble}", err=True)
-            sys.exit(2)
+        except (ValueError, KeyError) as error:
+            fail(f"cannot compare: {error}")
     if as_json:
-        click.echo(msgspec.json.encode(told))
-        return
-    for row in told["variants"]:
-        click.echo("  ".join(f"{key} {value}" for key, value in row.items() if value not in (None, [])))
-    gap = told["gap"]
+        click.echo(msgspec.json.encode(result))
+    else:
+        _show_comparison(result)
+
+
+def _show_comparison(result: dict) -> None:
+    for variant in result["variants"]:
+        click.echo("  ".join(f"{key} {value}" for key, value in variant.items() if value not in (None, [])))
+    gap = result["gap"]
     click.echo(
-        f"{b} less {a}, {figure}: {gap['mean']:+.4f} ({gap['low']:+.4f} to {gap['high']:+.4f}, 95% by bootstrap "
-        f"over {gap['pairs']} pairs); better on {gap['better']}, worse on {gap['worse']}; chance by signs "
-        f"{gap['chance']:.3f}" + ("; stopped early" if told["stopped_early"] else "")
+        f"{result['b']} less {result['a']}, {result['figure']}: {gap['mean']:+.4f} ({gap['low']:+.4f} to "
+        f"{gap['high']:+.4f}, 95% by bootstrap over {gap['pairs']} pairs); better on {gap['better']}, worse on "
+        f"{gap['worse']}; chance by signs {gap['chance']:.3f}" + ("; stopped early" if result["stopped_early"] else "")
     )
 
 
@@ -151,35 +136,36 @@
 @click.argument("script", type=click.Path())
 @click.option("--seeds", default=50, show_default=True, help="Days to draw.")
 @click.option("--first", default=1, show_default=True)
-@click.option("--most", default=5, show_default=True, help="Troubles in one day at most.")
+@click.option("--most", "max_faults", default=5, show_default=True, help="Troubles in one day at most.")
 @click.option("--policy", default="", help="Another decision module of the laboratory.")
 @click.option("--out", type=click.Path(dir_okay=False), help="Write what is found here, as a script.")
 @click.option("--json", "as_json", is_flag=True)
-def hunt(script: str, seeds: int, first: int, most: int, policy: str, out: str | None, as_json: bool) -> None:
+def hunt(  # noqa: PLR0913, PLR0917 - click passes each option
+    script: str, seeds: int, first: int, max_faults: int, policy: str, out: str | None, as_json: bool
+) -> None:
     """Draw troubles by seed for the fleet and load of SCRIPT; keep the worst day, cut down to the fewest troubles."""
     from hollyridge.lab.experiments import hunt as hunting
 
-    loaded = load(script)
+    loaded = _load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        found = hunting.hunt(loaded, range(first, first + seeds), policy, most, lambda seed, worst: bar.update(1))
+        found = hunting.hunt(loaded, range(first, first + seeds), policy, max_faults, lambda seed, worst: bar.update(1))
     if found is None:
-        click.echo("no day could be played", err=True)
-        sys.exit(2)
+        fail("no day could be played")
     seed, worst, outcome = found
-    less, cut = hunting.cut_down(seed, worst, outcome, policy)
+    reduced, reduced_outcome = hunting.cut_down(seed, worst, outcome, policy)
     if out:
-        hunting.write(Path(out), seed, less, cut)
-    broken = [v.rule for v in cut.verdicts if not v.kept]
-    told = {
+        hunting.write(Path(out), seed, reduced, reduced_outcome)
+    broken = [verdict.rule for verdict in reduced_outcome.verdicts if not verdict.kept]
+    result = {
         "seed": seed,
-        "served": cut.figures["served"],
+        "served": reduced_outcome.figures["served"],
         "broken": broken,
         "drawn": list(worst.faults),
-        "needed": list(less.faults),
-        "nearest": {v.rule: v.nearest for v in cut.verdicts},
+        "needed": list(reduced.faults),
+        "nearest": {verdict.rule: verdict.nearest for verdict in reduced_outcome.verdicts},
     }
-    click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
-    sys.exit(1 if broken else 0)
+    print_result(result, as_json)
+    sys.exit(ExitCode.FAILED if broken else ExitCode.FINE)
 
 
 @lab.command()
@@ -190,23 +176,24 @@
 @click.option("--timeout-s", default=900.0, show_default=True, help="For one size.")
 @click.option("--out", type=click.Path(file_okay=False), help="Write a page with plots here.")
 @click.option("--json", "as_json", is_flag=True)
-def sweep(script: str, sizes: str, assigners: str, seed: int, timeout_s: float, out: str | None, as_json: bool) -> None:
+def sweep(  # noqa: PLR0913, PLR0917 - click passes each option
+    script: str, sizes: str, assigners: str, seed: int, timeout_s: float, out: str | None, as_json: bool
+) -> None:
     """Play SCRIPT at growing sizes: how cost, lines and nearness to the rules grow, and where the time goes."""
     from hollyridge.lab.experiments import sweep as sweeping
 
     try:
-        many, counts = [float(word) for word in sizes.split(",")], [int(word) for word in assigners.split(",")]
+        factors = [float(word) for word in sizes.split(",")]
+        counts = [int(word) for word in assigners.split(",")]
     except ValueError:
-        click.echo("--sizes and --assigners: numbers with commas between them", err=True)
-        sys.exit(2)
+        fail("--sizes and --assigners: numbers with commas between them")
     rows = sweeping.sweep(
-        script, many, counts, seed, timeout_s, lambda row: click.echo(msgspec.json.encode(row), err=True)
+        script, factors, counts, seed, timeout_s, lambda row: click.echo(msgspec.json.encode(row), err=True)
     )
     try:
         page = str(sweeping.page(rows, Path(out), Path(script).stem)) if out else ""
-    except ValueError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
+    except ValueError as error:
+        fail(str(error))
     if as_json:
         click.echo(msgspec.json.encode({"rows": rows, "page": page}))
     elif page:
@@ -221,12 +208,17 @@
 @click.option("--assigners", default=0, help="In place of the script's.")
 @click.option("--alone", is_flag=True, help="Assigners that share nothing, to compare with.")
 @click.option("--json", "as_json", is_flag=True)
-def takeover(script: str, seeds: int, first: int, fronts: str, assigners: int, alone: bool, as_json: bool) -> None:
-    """Strike the assigners of a shared fleet, simulated, by seed; count proxies without an owner and such as were
-    ordered by two. Exit code 0 only if none was, and all rules were kept."""
+def takeover(  # noqa: PLR0913, PLR0917 - click passes each option
+    script: str, seeds: int, first: int, fronts: str, assigners: int, alone: bool, as_json: bool
+) -> None:
+    """Strike the assigners of a shared fleet, simulated, by seed.
+
+    Counts proxies without an owner and such as were ordered by two. Exit code 0 only if none was, and all rules were
+    kept.
+    """
     from hollyridge.lab.experiments import takeover as taking
 
-    load(script)
+    _load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
         found = taking.many(
             script,
@@ -235,11 +227,11 @@
             0,
             not alone,
             assigners,
-            lambda told: bar.update(1),
+            lambda played: bar.update(1),
         )
-    told = taking.summary(found)
-    click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
-    sys.exit(1 if told["doubly_ordered"] or told["rules_broken"] else 0)
+    result = taking.summary(found)
+    print_result(result, as_json)
+    sys.exit(ExitCode.FAILED if result["doubly_ordered"] or result["rules_broken"] else ExitCode.FINE)
 
 
 @lab.command()
@@ -249,16 +241,18 @@
 @click.option("--tasks", default=30, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def flood(reports_per_s: float, seconds: float, budget: float, tasks: int, as_json: bool) -> None:
-    """Flood a real assigner with load reports, half of them by one sender that does not listen, beside another that
-    reads them all: what is kept, what it costs, how far their weights are apart."""
+    """Flood a real assigner with load reports, beside another that reads them all.
+
+    Half of them come from one sender that does not listen. Shows what is kept, what it costs, how far their weights are
+    apart.
+    """
     from hollyridge.lab.experiments import flood as flooding
 
     try:
-        told = flooding.flood(reports_per_s, seconds, budget, tasks=tasks)
-    except OSError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    click.echo(msgspec.json.encode(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
+        result = flooding.flood(reports_per_s, seconds, budget, tasks=tasks)
+    except OSError as error:
+        fail(str(error))
+    print_result(result, as_json)
 
 
 @lab.command()
@@ -271,7 +265,6 @@
 
     try:
         page = page_of(Path(source), Path(out))
-    except (ValueError, KeyError) as trouble:
-        click.echo(f"{source}: {trouble}", err=True)
-        sys.exit(2)
+    except (ValueError, KeyError) as error:
+        fail(f"{source}: {error}")
     click.echo(msgspec.json.encode({"page": str(page)}) if as_json else str(page))
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -5,45 +5,74 @@
 import sys
 import time
 from http.client import HTTPConnection, HTTPException
+from typing import TYPE_CHECKING
 from urllib.parse import urlsplit
 
 import click
 import msgspec
 
+from hollyridge.cli.common import ExitCode, fail, print_problems
 
-def asked(url: str, path: str, verb: str = "GET") -> bytes:
-    """What an assigner answers at its OTLP address. OSError or ValueError where it tells nothing."""
+if TYPE_CHECKING:
+    from hollyridge.solver.fleet import Fleet
+    from hollyridge.solver.planner import Plan
+
+TIMEOUT_S = 5
+MAX_ANSWER_BYTES = 1 << 24
+HTTP_OK = 200
+
+
+def fetch(url: str, path: str, verb: str = "GET") -> bytes:
+    """What an assigner answers at its OTLP address.
+
+    Raises:
+        OSError: It can't be reached.
+        ValueError: It has nothing there, or `url` is no such address.
+    """
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname or parts.port is None:
         raise ValueError("http://ADDRESS:PORT is wanted")
-    line = HTTPConnection(parts.hostname, parts.port, timeout=5)
+    connection = HTTPConnection(parts.hostname, parts.port, timeout=TIMEOUT_S)
     try:
-        line.request(verb, path, headers={"Content-Length": "0"} if verb == "POST" else {})
-        answer = line.getresponse()
-        if answer.status != 200:
-            raise ValueError(f"nothing at {path} (status {answer.status})")
-        return answer.read(1 << 24)
-    except HTTPException as trouble:
-        raise ValueError(f"{type(trouble).__name__}: {trouble}") from None
+        connection.request(verb, path, headers={"Content-Length": "0"} if verb == "POST" else {})
+        answer = connection.getresponse()
+        status, body = answer.status, answer.read(MAX_ANSWER_BYTES) if answer.status == HTTP_OK else b""
+    except HTTPException as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from None
     finally:
-        line.close()
+        connection.close()
+    if status != HTTP_OK:
+        raise ValueError(f"nothing at {path} (status {status})")
+    return body
 
 
-def fetch(url: str) -> bytes:
+def _fetch_fleet(url: str) -> bytes:
     """What the assigner there knows of its fleet."""
     try:
-        return asked(url, "/fleet")
-    except ValueError as trouble:
-        raise ValueError(f"no description yet, reports of busy tasks must have come ({trouble})") from None
+        return fetch(url, "/fleet")
+    except ValueError as error:
+        raise ValueError(f"no description yet, reports of busy tasks must have come ({error})") from None
 
 
 @click.command()
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True)
 def solve(file: str, as_json: bool) -> None:
-    """Weights within capacity for the fleet that FILE describes: tables by zone, what binds, what one more task would
-    do, and what moves against the tables held now. FILE may be http://ADDRESS:PORT, an assigner's OTLP address: then
-    what that assigner knows now is taken."""
+    """Weights within capacity for the fleet that FILE describes.
+
+    Shows tables by zone, what binds, what one more task would do, and what moves against the tables held now. FILE may
+    be http://ADDRESS:PORT, an assigner's OTLP address: then what that assigner knows now is taken.
+    """
+    fleet, plan, groups, took_s = _plan(file)
+    rows = _table_rows(fleet, plan, groups)
+    if as_json:
+        click.echo(msgspec.json.encode(_result(fleet, plan, rows, took_s)))
+    else:
+        _show(plan, rows, took_s)
+
+
+def _plan(file: str) -> tuple[Fleet, Plan, dict[str, list[int]], float]:
+    """The fleet, its plan, its tasks by name, and the seconds it took; exits where there is no plan."""
     from hollyridge.core.solver_service import load_solver_library
     from hollyridge.settings.ini import FaultsError
     from hollyridge.settings.solve import load, read_text
@@ -52,61 +81,71 @@
     from hollyridge.solver.planner import solve as plan_of
 
     try:
-        fleet, deadline, groups = read_text(fetch(file), file) if file.startswith("http://") else load(file)
+        if file.startswith("http://"):
+            fleet, deadline, groups = read_text(_fetch_fleet(file), file)
+        else:
+            fleet, deadline, groups = load(file)
         begun = time.monotonic()
         load_solver_library()
         plan = plan_of(fleet, deadline)
-        took = time.monotonic() - begun
-    except FaultsError as trouble:
-        for fault in trouble.faults:
-            click.echo(f"{file}: {fault}", err=True)
-        sys.exit(2)
-    except (OSError, ValueError) as trouble:
-        click.echo(f"{file}: {trouble}", err=True)
-        sys.exit(1)
-    except (InvalidFleetError, SolverTimeoutError) as trouble:
-        click.echo(f"{file}: no plan, tables stay as they are: {trouble}", err=True)
-        sys.exit(1)
+        return fleet, plan, groups, time.monotonic() - begun
+    except FaultsError as error:
+        print_problems(file, error)
+        sys.exit(ExitCode.BAD_INPUT)
+    except (OSError, ValueError) as error:
+        fail(f"{file}: {error}", ExitCode.FAILED)
+    except (InvalidFleetError, SolverTimeoutError) as error:
+        fail(f"{file}: no plan, tables stay as they are: {error}", ExitCode.FAILED)
+
+
+def _table_rows(fleet: Fleet, plan: Plan, groups: dict[str, list[int]]) -> list[dict]:
+    """A row for each zone and group of tasks that its table lists."""
     rows = []
-    for z, zone in enumerate(fleet.zones):
+    for number, zone in enumerate(fleet.zones):
+        table, shares = plan.tables[number], plan.shares[number]
         for name, tasks in groups.items():
-            listed = [i for i in tasks if i in plan.tables[z]]
+            listed = [task for task in tasks if task in table]
             if listed:
                 rows.append(
                     {
                         "zone": zone.name,
                         "tasks": name,
                         "lines": len(listed),
-                        "weight": round(plan.tables[z][listed[0]], 4),
-                        "arrives": round(sum(plan.shares[z][i] for i in listed), 4),
-                        "fill": round(max(plan.fill[i] for i in listed), 4),
+                        "weight": round(table[listed[0]], 4),
+                        "arrives": round(sum(shares[task] for task in listed), 4),
+                        "fill": round(max(plan.fill[task] for task in listed), 4),
                     }
                 )
+    return rows
+
+
+def _result(fleet: Fleet, plan: Plan, rows: list[dict], took_s: float) -> dict:
+    """The result as `--json` has it."""
     served = {
-        zone.name: {m.name: round(part, 4) for m, part in zip(fleet.methods, row)}
-        for zone, row in zip(fleet.zones, plan.served)
+        zone.name: {method.name: round(fraction, 4) for method, fraction in zip(fleet.methods, fractions)}
+        for zone, fractions in zip(fleet.zones, plan.served)
     }
-    told = {
+    return {
         "tables": rows,
         "served": served,
         "moves": plan.moves._asdict(),
         "gain": round(plan.gain, 4),
         "why": list(plan.why),
-        "took_s": round(took, 4),
+        "took_s": round(took_s, 4),
     }
-    if as_json:
-        click.echo(msgspec.json.encode(told))
-        return
+
+
+def _show(plan: Plan, rows: list[dict], took_s: float) -> None:
     click.echo(f"{'proxies in':<14}{'tasks':<20}{'lines':>6}{'weight':>9}{'arrives':>9}{'fill':>8}")
     for row in rows:
         click.echo(
             f"{row['zone']:<14}{row['tasks']:<20}{row['lines']:>6}{row['weight']:>9.3f}{row['arrives']:>9.1%}"
             f"{row['fill']:>8.0%}"
         )
-    for line in plan.why:
-        click.echo(line)
-    m = plan.moves
+    for reason in plan.why:
+        click.echo(reason)
+    moves = plan.moves
     click.echo(
-        f"moves: {m.opened} connections opened, {m.closed} closed, {m.lines} lines; handshakes take up to "
-        f"{m.handshakes:.0%} of a task's room; gain {plan.gain:.0%}; {took * 1e3:.0f} ms"
+        f"moves: {moves.opened} connections opened, {moves.closed} closed, {moves.lines} lines; handshakes take up to "
+        f"{moves.handshakes:.0%} of a task's room; gain {plan.gain:.0%}; {took_s * 1e3:.0f} ms"
     )
