--- a/hollyridge/lab/experiments/flood_assigner.py
+++ b/hollyridge/lab/experiments/flood_assigner.py
@@ -12,7 +12,7 @@
 from gevent import socket, subprocess
 
 from hollyridge.lab.experiments.errors import AssignerStartError
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.stand_ins.ports import free_port
 
 SETTINGS = Path(__file__).resolve().parents[3] / "examples" / "loopback.ini"
 START_PROBES = 200
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from hollyridge.lab import scenario as scenarios
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.ownership import Gap, believed, doubles, gaps, moves
 from hollyridge.lab.day import Day
 from hollyridge.lab.experiments.fault_draw import FaultRanges, draw_faults, with_faults
--- a/hollyridge/lab/reports/day_plots.py
+++ b/hollyridge/lab/reports/day_plots.py
@@ -8,7 +8,7 @@
 
 from matplotlib.axes import Axes
 
-from hollyridge.lab.checks.checker import Evidence
+from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.reports.errors import ReportError
 from hollyridge.lab.reports.plot_page import Plot, PlotPage, render
 
--- a/hollyridge/lab/reports/page.py
+++ b/hollyridge/lab/reports/page.py
@@ -60,7 +60,7 @@
             width=TIMELINE_WIDTH,
             verdicts=outcome.verdicts,
             figures=outcome.figures,
-            troubles=outcome.troubles,
+            troubles=outcome.faults,
             x=x_of,
         )
     )
