--- a/tests/otlp/test_otlp_reading.py
+++ b/tests/otlp/test_otlp_reading.py
@@ -85,12 +85,12 @@
 
 def test_a_cumulative_sum_is_read_as_its_increase():
     points = read_cumulative(CumulativeState(10), (5.0, 10, 20), (8.0, 10, 30))
-    assert [(point.value, point.start, point.end) for point in points] == [(5.0, 10, 20), (3.0, 20, 30)]
+    assert [(point.value, point.start_ns, point.end_ns) for point in points] == [(5.0, 10, 20), (3.0, 20, 30)]
 
 
 def test_a_start_that_moved_is_a_restart_of_the_source():
     points = read_cumulative(CumulativeState(10), (5.0, 10, 20), (2.0, 25, 30))
-    assert [(point.value, point.start, point.end) for point in points] == [(5.0, 10, 20), (2.0, 25, 30)]
+    assert [(point.value, point.start_ns, point.end_ns) for point in points] == [(5.0, 10, 20), (2.0, 25, 30)]
 
 
 def test_a_total_that_was_counted_or_fell_does_not_count():
