--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -35,7 +35,7 @@
     Attributes:
         path: The state file.
         every_s: Seconds between two writes.
-        fleet: The key of the fleet, as `learned_estimates.fleet_of` builds it.
+        fleet: Which fleet it is, as `learned_estimates.fleet_identity` builds it.
     """
 
     path: Path
--- a/hollyridge/peers/estimate_exchange.py
+++ b/hollyridge/peers/estimate_exchange.py
@@ -52,7 +52,7 @@
         learned = getattr(self._engine.assigner, "learned_estimates", None)
         if learned is None:
             return 0
-        restored = learned_estimates.lent(
+        restored = learned_estimates.restore_from_peer(
             message.estimates, message.push_price, message.age_ms * US_PER_MS, self._tasks.index_of, learned()[0]
         )
         if restored.event is None:
--- a/hollyridge/settings/service_config.py
+++ b/hollyridge/settings/service_config.py
@@ -43,7 +43,7 @@
     SaspSection,
     SolverSection,
 )
-from hollyridge.store.learned_estimates import fleet_of
+from hollyridge.store.learned_estimates import fleet_identity
 
 Network = Union[ipaddress.IPv4Network, ipaddress.IPv6Network]
 
@@ -202,7 +202,9 @@
         kept = self.kept
         if not kept.file:
             return None
-        return PersistenceConfig(self.folder / kept.file, kept.every_s, fleet_of(self.zone_names, self.method_names))
+        return PersistenceConfig(
+            self.folder / kept.file, kept.every_s, fleet_identity(self.zone_names, self.method_names)
+        )
 
     def peer_config(self) -> PeerConfig | None:
         """For the exchange with other assigners; None where this one shares nothing."""
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -41,10 +41,10 @@
     left_out: dict[str, int]
 
 
-def fleet_of(zones: Iterable[str], methods: Iterable[str]) -> str:
+def fleet_identity(zones: Iterable[str], methods: Iterable[str]) -> str:
     """Names a fleet by what its estimates depend on.
 
-    >>> fleet_of(["a", "b"], ["read"])
+    >>> fleet_identity(["a", "b"], ["read"])
     'a,b/read'
     """
     return f"{','.join(zones)}/{','.join(methods)}"
@@ -78,7 +78,7 @@
     return _accepted(state.estimates, state.push_price, age_ms * US_PER_MS, index_of, MAX_BUSY_PERIODS)
 
 
-def lent(
+def restore_from_peer(
     rows: Iterable[tuple],
     price: float,
     age_us: int,
--- a/hollyridge/store/state_file.py
+++ b/hollyridge/store/state_file.py
@@ -46,7 +46,7 @@
     """The estimates of one fleet.
 
     Attributes:
-        fleet: Tells fleets apart (`learned_estimates.fleet_of`).
+        fleet: Tells fleets apart (`learned_estimates.fleet_identity`).
         saved_ms: The time of day when they were saved.
         estimates: One for each task that something is known of.
         push_price: Of the push gate.
--- a/tests/store/test_store_learned_estimates.py
+++ b/tests/store/test_store_learned_estimates.py
@@ -37,10 +37,10 @@
 def test_estimates_of_a_peer_are_limited_to_the_range_of_ones_own():
     own = [api.LearnedEstimate(k, capacity, 3.0, 1.0, 1.0) for k, capacity in enumerate((10.0, 12.0, 14.0))]
     lies = [("127.1.0.1:9000", 1e8, 1e8, 1.0, 1.0), ("127.1.0.2:9000", 1e-8, 9.0, 4.0, 100.0), ("x", 1.0, 1.0, 1, 1)]
-    restored = learned_estimates.lent(lies, 1e9, 0, INDEX, own)
+    restored = learned_estimates.restore_from_peer(lies, 1e9, 0, INDEX, own)
     assert [(r.capacity, r.busy_periods, r.efficiency, r.weight_ratio) for r in restored.event.estimates] == [
         (24.0, 1.0, 1.0, 1.0),
         (6.0, 1.0, 1.0, 1.0),
     ]
     assert restored.event.push_price == 0.0 and restored.left_out == {"not listed": 1}
-    assert learned_estimates.lent(lies, 0.0, 0, INDEX, []).event is None
+    assert learned_estimates.restore_from_peer(lies, 0.0, 0, INDEX, []).event is None
