--- a/hollyridge/core/decision_log.py
+++ b/hollyridge/core/decision_log.py
@@ -44,7 +44,7 @@
         if not changes and not summary.refused:
             return
         log.info(
-            "decision_made",
+            "decision_published",
             version=summary.decision,
             messages=summary.updates,
             waiting=round(summary.waiting_lines),
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -349,7 +349,7 @@
             elif kind is RefreshEndpoints or kind is WatchEndpoints:
                 self.update_endpoints(now_us, members.RefreshRequested())
             elif kind is LogNote:
-                self.log.info("decision_note_written", text=command.text)
+                self.log.info("decision_noted", text=command.text)
             else:
                 table_commands.append(command)
         if table_commands:
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -99,9 +99,9 @@
         try:
             return state_file.unpack(self.apply(self.read, (path,)))
         except FileNotFoundError:
-            self.log.info("state_file_missing", file=str(path))
+            self.log.info("estimates_missing", file=str(path))
         except (OSError, StateFileError) as error:
-            self.log.warning("state_file_rejected", file=str(path), error=str(error))
+            self.log.warning("estimates_unreadable", file=str(path), error=str(error))
         return None
 
     def restore(self, state: state_file.SavedState) -> None:
@@ -136,7 +136,7 @@
             self.counts["failed"] += 1
             if should_log(self.counts["failed"]):
                 self.log.warning(
-                    "state_file_write_failed",
+                    "estimates_write_failed",
                     file=str(self.terms.path),
                     error=str(error),
                     failures=self.counts["failed"],
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -89,7 +89,7 @@
         plan = self.apply(self.planner.take, (fleet,))
         if plan is None or plan.stale_reason:
             reason = plan.stale_reason if plan is not None else "none ever was"
-            self.log.warning("weight_plan_failed", reason=reason)
+            self.log.warning("solver_plan_failed", reason=reason)
             return
         answered_us = self.loop.clock()
         weight_proposals = proposals(plan, self.sheds_load)
