--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -20,7 +20,7 @@
 from hollyridge.core.protocol_server import ProtocolServer
 from hollyridge.core.status import engine_status, spread
 from hollyridge.core.task_states import TaskStates
-from hollyridge.core.update_sender import UpdateSender
+from hollyridge.core.update_dispatcher import UpdateDispatcher
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.paced_queue import PacedQueue
 from hollyridge.delivery.update_builder import UpdateBuilder
@@ -133,7 +133,7 @@
             SERIES_EXPIRY_PERIODS * config.report_period_us,
         )
         self.counts = dict.fromkeys(COUNTERS, 0)
-        self.update_sender = UpdateSender(len(config.methods), limits, self.counts)
+        self.update_dispatcher = UpdateDispatcher(len(config.methods), limits, self.counts)
         self.task_states = TaskStates(config, self.update_builder.ejected)
         self.servers: dict[int, ProtocolServer] = {}
         self.proxy_details: dict[int, ProxyDetails] = {}
@@ -151,12 +151,12 @@
     @property
     def update_builder(self) -> UpdateBuilder:
         """The tables as commanded, and which proxies use them."""
-        return self.update_sender.update_builder
+        return self.update_dispatcher.update_builder
 
     @property
     def queue(self) -> PacedQueue:
         """The updates that wait."""
-        return self.update_sender.queue
+        return self.update_dispatcher.queue
 
     @property
     def pending_events(self) -> deque[tuple[int, Event]]:
@@ -207,7 +207,7 @@
             return None
         former_server = self.servers.get(proxy)
         if former_server is not None:  # two streams must not both get this proxy's updates
-            former_server.detach(proxy, "its name came again")
+            former_server.detach(proxy, "a newer stream has the same name")
             self.leave(now_us, proxy)
             proxy = self.proxy_indices.allocate(now_us, name)
         self.servers[proxy] = server
@@ -291,7 +291,7 @@
         self._collect_reports(now_us)
         if self.endpoint_source.settled and (not self.has_decided or self.event_queue.has_due(now_us)):
             self._decide(now_us)
-        self.update_sender.send_due(now_us, self.servers, self._may_send)
+        self.update_dispatcher.send_due(now_us, self.servers, self._may_send)
         return self._next_run_at(now_us)
 
     def _tick_endpoint_source(self, now_us: int) -> None:
@@ -356,7 +356,7 @@
             self._queue_updates(now_us, oldest_us, table_commands)
 
     def _queue_updates(self, now_us: int, oldest_us: int, commands: list[Command]) -> None:
-        batch = self.update_sender.enqueue(now_us, oldest_us, self.decision_number, commands, self.servers)
+        batch = self.update_dispatcher.enqueue(now_us, oldest_us, self.decision_number, commands, self.servers)
         self.counts["puts"] += sum(type(command) is SetWeight for command in commands)
         if self.log_decisions:
             summary = DecisionSummary(self.decision_number, len(batch.updates), self.queue.waiting_lines, batch.refused)
@@ -367,7 +367,7 @@
         self.counts["module_failures"] += 1
         self.failure_recovery.record(self.log, now_us, self.decision_number, error, self.recent_events)
         self.assigner = self.make_assigner(self.config, self.seed)
-        self.update_sender.reset()
+        self.update_dispatcher.reset()
         self.task_states.ejected = self.update_builder.ejected
         self.event_queue.reset()
         self.pending_events.append((now_us, self.endpoint_source.full_list(UpdateKind.CACHED)))
--- a/hollyridge/core/status.py
+++ b/hollyridge/core/status.py
@@ -26,7 +26,7 @@
         "at": engine.ran_at,
         "module": module_counters,
         **engine.counts,
-        "refused": engine.update_sender.refused_commands,
+        "refused": engine.update_dispatcher.refused_commands,
         "waiting": round(engine.queue.waiting_lines),
         "waiting_most": engine.queue.peak_lines,
         "merged": engine.queue.merged_updates,
@@ -36,5 +36,5 @@
         "tasks": len(engine.endpoint_source.entries),
         **engine.endpoint_source.counters(),
         "turned_down": engine.reports.rejected,
-        "news_to_frame_us": spread(engine.update_sender.latency),
+        "news_to_frame_us": spread(engine.update_dispatcher.latency),
     }
--- a/hollyridge/core/update_sender.py
+++ b/hollyridge/core/update_dispatcher.py
@@ -18,7 +18,7 @@
 LATENCY_DIGITS = 3  # significant digits of the histogram
 
 
-class UpdateSender:
+class UpdateDispatcher:
     """Builds, queues and writes updates.
 
     Args:
