--- a/hollyridge/benchlink/instance.py
+++ b/hollyridge/benchlink/instance.py
@@ -19,11 +19,17 @@
 INVALID_DURATION_US = -1  # the assigner passes over a report that has it
 MAX_NOTE_BYTES = 1000
 US_PER_S = 1e6
+_SET_WEIGHT_PREFIX = COMMAND_LAYOUTS[CommandCode.PUT_LINE].prefix
+_SET_WEIGHT_FIELDS = COMMAND_LAYOUTS[CommandCode.PUT_LINE].fixed
 
 
 class AssignerInstance:
     """An assigner with its own table of task ids.
 
+    Attributes:
+        event_decoders: By the code of a record, what turns its fields into a typed event. It raises WireError where a
+            zone, method, state or kind is out of range.
+
     Raises:
         WireError: The settings can't be used.
     """
@@ -38,6 +44,7 @@
         self.assigner = Assigner(config, seed)
         self.index_by_id: dict[int, int] = {}
         self.ids: list[int] = []
+        self.event_decoders = self._bind_event_decoders()
 
     def task_index(self, wire_id: int) -> int:
         """The task's index, a new one at its first mention."""
@@ -47,14 +54,6 @@
             self.ids.append(wire_id)
         return index
 
-    def decode_event(self, code: int, fields: tuple) -> api.Event:
-        """One record of the wire as a typed event.
-
-        Raises:
-            WireError: A zone, method, state or kind is out of range.
-        """
-        return _EVENT_DECODERS[code](self, fields)
-
     def encode_command(self, command: api.Command) -> bytes:
         """One typed command as a record of the wire."""
         encoder = _COMMAND_ENCODERS.get(type(command))
@@ -62,6 +61,23 @@
             raise TypeError(f"no such order: {type(command).__name__}")
         return encoder(self, command)
 
+    def _bind_event_decoders(self) -> dict[int, Callable[[tuple], api.Event]]:
+        # Bound once, and by plain integers (looking up a member of an enumeration is slower): used for each record.
+        return {
+            int(EventCode.ROSTER_CHANGE): self._decode_endpoint_list,
+            int(EventCode.WAKE): self._decode_timer,
+            int(EventCode.PING_RESULT): self._decode_probe_result,
+            int(EventCode.PEER_DATA): self._decode_peer_message,
+            int(EventCode.JOINED): self._decode_proxy_joined,
+            int(EventCode.DISCONNECTED): self._decode_proxy_left,
+            int(EventCode.RECEIPT): self._decode_ack,
+            int(EventCode.TRAFFIC_REPORT): self._decode_traffic_report,
+            int(EventCode.OFFERED_LOAD): self._decode_offered_load,
+            int(EventCode.HEAT): self._decode_slice_load,
+            int(EventCode.TENURE): self._decode_slice_charge,
+            int(EventCode.LEDGER_LINE): self._decode_slice_line,
+        }
+
     # Events.
 
     def _decode_endpoint_list(self, fields: tuple) -> api.EndpointListUpdate:
@@ -135,7 +151,8 @@
     # Commands.
 
     def _encode_set_weight(self, command: api.SetWeight) -> bytes:
-        return encode_record(CommandCode.PUT_LINE, command.weight, self.ids[command.task], command.table)
+        # Most commands are of this kind: packed without a step between.
+        return _SET_WEIGHT_PREFIX + _SET_WEIGHT_FIELDS.pack(command.weight, self.ids[command.task], command.table)
 
     def _encode_bind_table(self, command: api.BindTable) -> bytes:
         return encode_record(CommandCode.ATTACH_TABLE, *command)
@@ -186,21 +203,6 @@
     return value
 
 
-# Plain integers as keys: looking up a member of an enumeration is slower, and this is done for each record.
-_EVENT_DECODERS: dict[int, Callable[[AssignerInstance, tuple], api.Event]] = {
-    int(EventCode.ROSTER_CHANGE): AssignerInstance._decode_endpoint_list,
-    int(EventCode.WAKE): AssignerInstance._decode_timer,
-    int(EventCode.PING_RESULT): AssignerInstance._decode_probe_result,
-    int(EventCode.PEER_DATA): AssignerInstance._decode_peer_message,
-    int(EventCode.JOINED): AssignerInstance._decode_proxy_joined,
-    int(EventCode.DISCONNECTED): AssignerInstance._decode_proxy_left,
-    int(EventCode.RECEIPT): AssignerInstance._decode_ack,
-    int(EventCode.TRAFFIC_REPORT): AssignerInstance._decode_traffic_report,
-    int(EventCode.OFFERED_LOAD): AssignerInstance._decode_offered_load,
-    int(EventCode.HEAT): AssignerInstance._decode_slice_load,
-    int(EventCode.TENURE): AssignerInstance._decode_slice_charge,
-    int(EventCode.LEDGER_LINE): AssignerInstance._decode_slice_line,
-}
 _COMMAND_ENCODERS: dict[type, Callable[[AssignerInstance, api.Command], bytes]] = {
     api.SetWeight: AssignerInstance._encode_set_weight,
     api.BindTable: AssignerInstance._encode_bind_table,
--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -58,7 +58,7 @@
                 instance = self.instances.get(current)
                 if instance is None:
                     raise wire.WireError(f"an event for instance {current}, which has not started")
-                events_by_instance.setdefault(current, []).append(instance.decode_event(code, fields))
+                events_by_instance.setdefault(current, []).append(instance.event_decoders[code](fields))
         return events_by_instance
 
     @staticmethod
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -16,7 +16,8 @@
 from hollyridge.discovery.watch_client import WatchClient
 from hollyridge.discovery.watch_state import WatchState
 from hollyridge.node.config import ConfigError, NodeConfig
-from hollyridge.resp.server import RespConfig, RespServer
+from hollyridge.resp.config import RespConfig
+from hollyridge.resp.server import RespServer
 
 KEPT = 24  # descriptors for what is not a connection of the front: logs, the hub, discovery, the listener
 EVENTS_MOST = 20_000  # waiting for the module, past which reports give way
@@ -39,7 +40,7 @@
             config.message_overhead_lines,
             config.max_waiting_lines,
             TASKS_MOST,
-            terms.names.proxies,
+            terms.names.proxy_count,
             0,
             0,
             0.0,
@@ -61,7 +62,7 @@
         self.front = RespServer(
             self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), config, log
         )
-        self.engine.task_in_use = self.front.holds
+        self.engine.task_in_use = self.front.is_task_sent
 
     def start(self) -> int:
         port = self.front.start()
--- /dev/null
+++ b/hollyridge/resp/rejection_log.py
@@ -0,0 +1,33 @@
+"""The log of what was refused: each reason at its 1st, 2nd, 4th, 8th ... time, so that no flood fills the log."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hollyridge.limits.log_sampling import should_log
+from hollyridge.resp.connection import Connection
+
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+MAX_REASONS = 256  # reasons hold text of the peers: past these they are counted together
+OTHER_REASONS = "other"
+
+
+class RejectionLog:
+    """Counts refused messages and connections by reason and logs a sample of them."""
+
+    def __init__(self, log: FilteringBoundLogger) -> None:
+        self.log = log
+        self.times_by_reason: dict[str, int] = {}
+
+    def add(self, reason: str, connection: Connection) -> None:
+        """Count one, and log it if its turn has come."""
+        times_by_reason = self.times_by_reason
+        if len(times_by_reason) >= MAX_REASONS and reason not in times_by_reason:
+            reason = OTHER_REASONS
+        times = times_by_reason[reason] = times_by_reason.get(reason, 0) + 1
+        if should_log(times):
+            self.log.warning(
+                "malformed_message", why=reason, peer=connection.address[0], node=connection.node, times=times
+            )
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -1,13 +1,14 @@
-"""The service side of the platform's protocol, on gevent: connections, joining, and orders that never block.
+"""The service side of the platform's protocol, on gevent: connections, joining and reports.
 
-A reader that leaves its orders unread is owed one message at most: what comes meanwhile merges into the newest state.
+A connection is a stranger's until it joins as a proxy or a collector: it has little time, small messages and the
+descriptors that nobody else uses.
 """
 
 from __future__ import annotations
 
-import os
-import socket as plain
-from typing import NamedTuple
+import contextlib
+import socket
+from typing import TYPE_CHECKING
 
 import gevent
 from gevent.event import Event
@@ -15,354 +16,278 @@
 from hollyridge import interface as api
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.core.stream_server import ProtocolStreamServer, connection_lost_reason
-from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities, merge_updates
-from hollyridge.limits.log_sampling import should_log
+from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
 from hollyridge.limits.pending_connections import PendingConnections
-from hollyridge.resp import messages
-from hollyridge.resp.codec import MESSAGE_MOST, FrameReader, RespError, encode
-from hollyridge.resp.update_encoder import ProxyView, UpdateEncoder
-
-BEAT = encode([b"hb_ok"])
-STRANGERS_MOST = 4096  # bytes of a message from who has not joined
-UNSENT_MOST = 65536  # bytes of answers to signs of life that a peer may leave unread
-CHUNK = 32768
-SEND_BUFFER = 32768
-PENDING_LEAST = 8  # connections that may wait to join however many have: `kept` descriptors leave room for them
-MARKS_MOST = 4096  # marks that one stream may owe an answer to
-
-
-class RespConfig(NamedTuple):
-    """`descriptors`: that the process may hold; `kept`: of these for everything but connections here. `patience`:
-    microseconds that a connection may take to join."""
-
-    host: str
-    port: int
-    descriptors: int
-    kept: int
-    patience: int
-    names: messages.ProtocolNames
-
-
-class Connection:
-    """One connection, whoever is at its other end."""
-
-    __slots__ = (
-        "number",
-        "sock",
-        "address",
-        "zone",
-        "node",
-        "proxy",
-        "sheet",
-        "planned",
-        "unsent",
-        "owed",
-        "closed",
-        "heard",
-        "marks",
-    )
-
-    def __init__(self, number: int, sock, address: tuple, now: int) -> None:
-        self.number, self.sock, self.address, self.heard = number, sock, address, now
-        self.zone = self.node = self.proxy = -1  # a collector has a zone only
-        self.sheet, self.planned = ProxyView(), ProxyView()  # as written, and as written once all that waits has left
-        self.unsent = b""
-        self.owed: ProxyUpdate | None = None
-        self.marks: dict[int, None] = {}  # written on this stream and not told of yet, oldest first
-        self.closed = ""
-
-    @property
-    def joined(self) -> bool:
-        return self.zone >= 0
+from hollyridge.resp.codec import MAX_MESSAGE_BYTES, FrameReader, RespError, encode
+from hollyridge.resp.config import RespConfig
+from hollyridge.resp.connection import Connection
+from hollyridge.resp.message_reader import MessageReader
+from hollyridge.resp.messages import CollectorHello, Heartbeat, InboundMessage, JoinRequest, MalformedMessageError
+from hollyridge.resp.rejection_log import RejectionLog
+from hollyridge.resp.report_handler import ReportHandler
+from hollyridge.resp.update_encoder import UpdateEncoder
+from hollyridge.resp.update_sender import UpdateSender
+
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+HEARTBEAT_REPLY = encode([b"hb_ok"])
+MAX_STRANGER_MESSAGE_BYTES = 4096  # of a connection that has not joined
+MAX_UNSENT_BYTES = 65536  # of answers to heartbeats that a peer may leave unread; past them it gets none
+RECEIVE_BYTES = 32768  # read at once, so that one that sends much does not keep others waiting
+SEND_BUFFER_BYTES = 32768  # of the system, for each connection: more would only hide that a reader is slow
+MIN_PENDING_CONNECTIONS = 8  # that may wait to join, however many have: the reserved descriptors leave room for them
+MIN_CONNECTIONS = 16  # however few descriptors there are
+MAX_COLLECTORS_PER_ZONE = 2  # a new connection of a collector may come before the old one is seen to end
+MAX_REASON_BYTES = 200  # of the reason in a `reject`
+MIN_SWEEP_PAUSE_S = 0.01
+US_PER_S = 1e6
+
+# Keys of the status page.
+COUNTS = (
+    "connections",
+    "messages_in",
+    "bytes_out",
+    "spoilt",
+    "unreadable",
+    "refused",
+    "overdue",
+    "merged",
+    "slow",
+    "stray_receipts",
+)
 
 
 class RespServer(ProtocolStreamServer):
-    """Serves `terms` for the machine of `loop`."""
-
-    COLLECTORS = 2  # connections of one zone's: a new one may come before the old one is seen to end
-
-    def __init__(self, loop: EventLoop, terms: RespConfig, config: api.AssignerConfig, log) -> None:
-        super().__init__(loop, terms.host, terms.port)
-        self.log = log
+    """Serves proxies and collectors for the engine of an event loop.
+
+    Args:
+        loop: The event loop; it is woken after each event that was submitted.
+        config: What the server runs by.
+        assigner_config: What the assigner runs by; bounds of reports follow from it.
+        log: A structlog logger.
+    """
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        config: RespConfig,
+        assigner_config: api.AssignerConfig,
+        log: FilteringBoundLogger,
+    ) -> None:
+        super().__init__(loop, config.host, config.port)
         self.capabilities = ServerCapabilities(admission=True, retries=True, ejection=True, acks=True, line_copies=1)
-        self.reading = messages.MessageReader(terms.names, config)
-        self.scribe = UpdateEncoder(terms.names.methods, self.name_of)
-        self.room = max(16, terms.descriptors - terms.kept)  # connections in all
-        self.pending = PendingConnections(terms.patience)
+        self.counts = dict.fromkeys(COUNTS, 0)
+        self.max_connections = max(MIN_CONNECTIONS, config.max_descriptors - config.reserved_descriptors)
+        self.pending = PendingConnections(config.join_timeout_us)
+        self.connection_added = Event()
         self.collectors: dict[int, list[Connection]] = {}
-        self.came = Event()
-        self.named: set[int] | None = None  # tasks that some stream was told of last; None once that may have changed
-        self.counts = dict.fromkeys(
-            (
-                "connections",
-                "messages_in",
-                "bytes_out",
-                "spoilt",
-                "unreadable",
-                "refused",
-                "overdue",
-                "merged",
-                "slow",
-                "stray_receipts",
-            ),
-            0,
-        )
-        self.why: dict[str, int] = {}
+        self.message_reader = MessageReader(config.names, assigner_config)
+        self.report_handler = ReportHandler(self.engine, self.by_proxy, self.counts)
+        self.encoder = UpdateEncoder(config.names.methods, self._name_of)
+        self.sender = UpdateSender(self.encoder, self.by_proxy, self.counts, self.close)
+        self.rejection_log = RejectionLog(log)
 
-    # Life.
+    # What the engine and the application call.
 
     def start(self) -> int:
-        """Listen; returns the port. OSError if the address is taken."""
+        """Listen; returns the port.
+
+        Raises:
+            OSError: The address is taken.
+        """
         self.server.start()
-        gevent.spawn(self.sweep)
+        gevent.spawn(self._close_overdue)
         return self.server.server_port
 
-    def sweep(self) -> None:
-        """Close who has not joined in time."""
-        while True:
-            at = self.pending.next_deadline
-            if at is None:
-                self.came.clear()
-                self.came.wait()
-                continue
-            gevent.sleep(max(0.01, (at - self.clock()) / 1e6))
-            for number in self.pending.overdue(self.clock()):
-                self.turn_out(number, "did not join in time")
+    def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
+        """Lines that this message comes to at the proxy, its head left out; and of all its tables in full."""
+        view = self.by_proxy[proxy].planned_view
+        lines = self.encoder.count_lines(view, update)
+        return lines, view.line_count()
 
-    def turn_out(self, number: int, why: str) -> None:
-        stream = self.streams.get(number)
-        if stream is not None:
-            self.counts["overdue"] += 1
-            self.refuse(stream, why)
+    def write(self, proxy: int, update: ProxyUpdate) -> None:
+        """Send an update to a proxy without waiting."""
+        connection = self.by_proxy.get(proxy)
+        if connection is not None and not connection.closed:
+            self.sender.send_update(connection, update)
 
-    def refuse(self, stream: Connection, why: str) -> None:
-        if stream.closed:
-            return
-        self.send(stream, encode([b"reject", b"why", why.encode()[:200]]))
-        self.close(stream, why)
-
-    def tell(self, why: str, stream: Connection) -> None:
-        """A line at the 1st, 2nd, 4th, 8th ... of each reason."""
-        if len(self.why) >= 256 and why not in self.why:
-            why = "other"
-        times = self.why[why] = self.why.get(why, 0) + 1
-        if should_log(times):
-            self.log.warning("not taken", why=why, peer=stream.address[0], node=stream.node, times=times)
-
-    def serve(self, sock, address: tuple) -> None:
-        now = self.clock()
-        self.number += 1
-        self.counts["connections"] += 1
-        stream = self.streams[self.number] = Connection(self.number, sock, address, now)
-        taken = len(self.streams) - 1 - len(self.pending.waiting)
-        for number in self.pending.add(now, stream.number, max(PENDING_LEAST, self.room - taken)):
-            self.turn_out(number, "no room for more who have not joined")
-        self.came.set()
+    def is_task_sent(self, task: int) -> bool:
+        """Whether some proxy may still hold the task: its index must not be given to another one."""
+        return self.sender.is_task_sent(task)
+
+    def detach(self, proxy: int, why: str) -> None:
+        """Close a proxy's connection."""
+        connection = self.by_proxy.pop(proxy, None)
+        if connection is not None:
+            self.close(connection, why)
+
+    def redirect(self, proxy: int, to: str, why: str) -> None:
+        """Close a proxy's connection; the protocol has no way to name another assigner."""
+        self.detach(proxy, why)
+
+    def status(self) -> dict[str, int]:
+        """Counts since the start, and what is there now."""
+        return {
+            **self.counts,
+            "streams": len(self.streams),
+            "proxies": len(self.by_proxy),
+            "waiting": len(self.pending.waiting),
+        }
+
+    def _name_of(self, task: int) -> str:
+        return self.engine.task_indices.names[task]
+
+    # The life of a connection.
+
+    def serve(self, sock: socket.socket, address: tuple) -> None:
+        """Serve one connection until it ends."""
+        connection = self._add(sock, address)
         try:
-            sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-            sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, SEND_BUFFER)
-            self.read_on(stream)
-        except OSError as trouble:
-            stream.closed = stream.closed or connection_lost_reason(trouble)
-        except RespError as trouble:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+            self._read_messages(connection)
+        except OSError as error:
+            connection.closed = connection.closed or connection_lost_reason(error)
+        except RespError as error:
             self.counts["unreadable"] += 1
-            self.tell(f"unreadable: {trouble}", stream)
-            if not stream.joined:
-                self.refuse(stream, str(trouble))
-            stream.closed = stream.closed or str(trouble)
+            self.rejection_log.add(f"unreadable: {error}", connection)
+            if not connection.joined:
+                self._reject(connection, str(error))
+            connection.closed = connection.closed or str(error)
         finally:
-            stream.closed = stream.closed or "closed by the other side"
-            self.end(stream)
-            try:
-                sock.shutdown(plain.SHUT_WR)
-            except OSError:
-                pass
+            connection.closed = connection.closed or "closed by the other side"
+            self._remove(connection)
+            with contextlib.suppress(OSError):  # the other side was faster
+                sock.shutdown(socket.SHUT_WR)
             sock.close()
 
-    def end(self, stream: Connection) -> None:
-        """Tell of the stream's end; an older stream of a proxy that has a newer one ends nothing."""
-        self.pending.remove(stream.number)
-        self.named = None
-        stream.owed, stream.unsent = None, b""
-        if stream in self.collectors.get(stream.zone, ()):
-            self.collectors[stream.zone].remove(stream)
-        if self.forget(self.clock(), stream):
+    def _add(self, sock: socket.socket, address: tuple) -> Connection:
+        """Enter a new connection; where there is no room for it, others that have not joined are closed."""
+        now_us = self.clock()
+        self.number += 1
+        self.counts["connections"] += 1
+        connection = self.streams[self.number] = Connection(self.number, sock, address, now_us)
+        joined_count = len(self.streams) - 1 - len(self.pending.waiting)
+        max_pending = max(MIN_PENDING_CONNECTIONS, self.max_connections - joined_count)
+        for number in self.pending.add(now_us, connection.number, max_pending):
+            self._evict(number, "no room for more who have not joined")
+        self.connection_added.set()
+        return connection
+
+    def _remove(self, connection: Connection) -> None:
+        """Take out a connection that has ended; where its proxy has a newer one, the proxy stays."""
+        self.pending.remove(connection.number)
+        self.sender.discard(connection)
+        collectors = self.collectors.get(connection.zone, [])
+        if connection in collectors:
+            collectors.remove(connection)
+        if self.forget(self.clock(), connection):
             self.loop.wake()
 
-    # In.
+    def _close_overdue(self) -> None:
+        """Close connections that do not join in time, for as long as the server runs."""
+        while True:
+            deadline_us = self.pending.next_deadline
+            if deadline_us is None:
+                self.connection_added.clear()
+                self.connection_added.wait()
+                continue
+            gevent.sleep(max(MIN_SWEEP_PAUSE_S, (deadline_us - self.clock()) / US_PER_S))
+            for number in self.pending.overdue(self.clock()):
+                self._evict(number, "did not join in time")
 
-    def read_on(self, stream: Connection) -> None:
-        reader = FrameReader(STRANGERS_MOST)
-        while not stream.closed:
-            chunk = stream.sock.recv(CHUNK)
-            if not chunk or stream.closed:
+    def _evict(self, number: int, why: str) -> None:
+        connection = self.streams.get(number)
+        if connection is not None:
+            self.counts["overdue"] += 1
+            self._reject(connection, why)
+
+    def _reject(self, connection: Connection, why: str) -> None:
+        """Tell a connection why it is not served, and close it."""
+        if connection.closed:
+            return
+        self.sender.send(connection, encode([b"reject", b"why", why.encode()[:MAX_REASON_BYTES]]))
+        self.close(connection, why)
+
+    # Messages.
+
+    def _read_messages(self, connection: Connection) -> None:
+        """Read and handle messages until either side closes the connection.
+
+        Raises:
+            OSError: The connection was lost.
+            RespError: The peer speaks something else.
+        """
+        reader = FrameReader(MAX_STRANGER_MESSAGE_BYTES)
+        while not connection.closed:
+            chunk = connection.sock.recv(RECEIVE_BYTES)
+            if not chunk or connection.closed:
                 return
-            stream.heard = self.clock()
-            self.pending.heard_from(stream.number)
-            for message in reader.feed(chunk):
+            connection.last_received_us = self.clock()
+            self.pending.heard_from(connection.number)
+            for parts in reader.feed(chunk):
                 self.counts["messages_in"] += 1
-                self.take(stream, message)
-                if stream.closed:
+                self._handle(connection, parts)
+                if connection.closed:
                     return
             if reader.fault is not None:
                 raise reader.fault
-            if stream.joined:
-                reader.most = MESSAGE_MOST
+            if connection.joined:
+                reader.max_bytes = MAX_MESSAGE_BYTES
             gevent.sleep(0)  # however much one sends, others have their turn
 
-    def take(self, stream: Connection, message: list[bytes]) -> None:
+    def _handle(self, connection: Connection, parts: list[bytes]) -> None:
+        """Handle one message; a malformed one is passed over, or refused where nobody has joined."""
         try:
-            word = self.reading.read(message)
-            kind = type(word)
-            if kind is messages.Heartbeat:
-                if len(stream.unsent) < UNSENT_MOST:
-                    self.send(stream, BEAT)
-            elif kind is messages.JoinRequest:
-                self.hello(stream, word)
-            elif kind is messages.CollectorHello:
-                self.collector(stream, word)
-            elif not stream.joined:
-                raise messages.MalformedMessageError("a report before any joining")
-            else:
-                self.news(stream, word)
-        except messages.MalformedMessageError as trouble:
+            self._dispatch(connection, self.message_reader.read(parts))
+        except MalformedMessageError as error:
             self.counts["spoilt"] += 1
-            self.tell(f"{message[0][:20].decode('utf-8', 'replace')}: {trouble}", stream)
-            if not stream.joined:
+            self.rejection_log.add(f"{parts[0][:20].decode('utf-8', 'replace')}: {error}", connection)
+            if not connection.joined:
                 self.counts["refused"] += 1
-                self.refuse(stream, str(trouble))
-
-    def hello(self, stream: Connection, word: messages.JoinRequest) -> None:
-        if stream.joined:
-            raise messages.MalformedMessageError("joined already")
-        now = self.clock()
-        if len(self.streams) - len(self.pending.waiting) >= self.room:  # it would take the last descriptors
-            raise messages.MalformedMessageError("no room for another stream")
-        self.pending.remove(stream.number)
-        proxy = self.engine.join(now, self, word.node, word.zone, word.rate, word.cold)
-        if proxy is None:
-            raise messages.MalformedMessageError("no room for another proxy")
-        stream.zone, stream.node, stream.proxy = word.zone, word.node, proxy
-        self.by_proxy[proxy] = stream
-        self.loop.wake()
+                self._reject(connection, str(error))
+
+    def _dispatch(self, connection: Connection, message: InboundMessage) -> None:
+        kind = type(message)
+        if kind is Heartbeat:
+            if len(connection.unsent) < MAX_UNSENT_BYTES:
+                self.sender.send(connection, HEARTBEAT_REPLY)
+        elif kind is JoinRequest:
+            self._join(connection, message)
+        elif kind is CollectorHello:
+            self._add_collector(connection, message)
+        elif not connection.joined:
+            raise MalformedMessageError("a report before any joining")
+        elif self.report_handler.handle(self.clock(), connection, message):
+            self.loop.wake()
 
-    def collector(self, stream: Connection, word: messages.CollectorHello) -> None:
-        if stream.joined:
-            raise messages.MalformedMessageError("joined already")
-        self.pending.remove(stream.number)
-        stream.zone = word.zone
-        row = self.collectors.setdefault(word.zone, [])
-        row.append(stream)
-        if len(row) > self.COLLECTORS:
-            self.close(min(row, key=lambda one: one.heard), "a newer collector of its zone came")
-
-    def news(self, stream: Connection, word: messages.InboundMessage) -> None:
-        now, engine = self.clock(), self.engine
-        if type(word) is messages.TrafficSample:
-            if stream.proxy >= 0:
-                raise messages.MalformedMessageError("not for a proxy to say")
-            task = engine.task_indices.lookup(
-                word.endpoint
-            )  # also one that has just gone: its last tries are news of then
-            if task is None:
-                raise messages.MalformedMessageError("names no task that was listed")
-            engine.submit(
-                now, api.TrafficReport(word.zone, task, word.tries, word.bad, word.latency, word.over, word.load)
-            )
-        else:
-            proxy = engine.proxy_indices.index.get(word.node)
-            if stream.proxy >= 0 and stream.node != word.node:
-                raise messages.MalformedMessageError("speaks for another proxy")
-            if proxy is None or proxy not in self.by_proxy:
-                return  # it has left meanwhile
-            if type(word) is messages.OfferedLoadSample:
-                engine.submit(now, api.OfferedLoad(word.rpcs, word.over, proxy, word.method, word.unanswered))
-            elif stream.proxy < 0:
-                raise messages.MalformedMessageError("not for a collector to say")
-            elif word.mark in stream.marks:
-                del stream.marks[word.mark]
-                engine.acknowledge(now, proxy, word.mark, word.took)
-            else:  # of an earlier stream, perhaps to an earlier process whose marks had the same numbers
-                self.counts["stray_receipts"] += 1
+    def _join(self, connection: Connection, message: JoinRequest) -> None:
+        if connection.joined:
+            raise MalformedMessageError("joined already")
+        now_us = self.clock()
+        if len(self.streams) - len(self.pending.waiting) >= self.max_connections:
+            # It would take the last descriptors from those that have not joined yet.
+            raise MalformedMessageError("no room for another stream")
+        self.pending.remove(connection.number)
+        proxy = self.engine.join(
+            now_us, self, message.node, message.zone, message.usual_rate_per_s, message.has_no_table
+        )
+        if proxy is None:
+            raise MalformedMessageError("no room for another proxy")
+        connection.zone = message.zone
+        connection.node = message.node
+        connection.proxy = proxy
+        self.by_proxy[proxy] = connection
         self.loop.wake()
 
-    # Out.
-
-    def name_of(self, task: int) -> str:
-        return self.engine.task_indices.names[task]
-
-    def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        stream = self.by_proxy[proxy]
-        lines = self.scribe.lines(stream.planned, update)
-        return lines, sum(1 + len(value) for value in stream.planned.told.values())
-
-    def write(self, proxy: int, update: ProxyUpdate) -> None:
-        stream = self.by_proxy.get(proxy)
-        if stream is None or stream.closed:
-            return
-        if stream.unsent:
-            stream.owed = update if stream.owed is None else merge_updates(stream.owed, update)
-            self.counts["merged"] += 1
-            return
-        self.send(stream, self.written(stream, update))
-
-    def written(self, stream: Connection, update: ProxyUpdate) -> bytes:
-        self.named = None
-        if update.mark >= 0:
-            stream.marks[update.mark] = None
-            if len(stream.marks) > MARKS_MOST:
-                del stream.marks[next(iter(stream.marks))]
-        return self.scribe.write(stream.sheet, update)
-
-    def holds(self, task: int) -> bool:
-        """Whether a stream was told of this task last, however long it has taken nothing: its index is not free."""
-        if self.named is None:  # once for all tasks of a list, however many indices are asked about
-            tables = {id(table): table for stream in self.by_proxy.values() for table in stream.sheet.told.values()}
-            self.named = {task for table in tables.values() for task in table.lines}
-        return task in self.named
-
-    def send(self, stream: Connection, data: bytes) -> None:
-        """Without waiting; what the other side does not take yet is sent by a greenlet of its own."""
-        if stream.unsent:
-            stream.unsent += data
-            return
-        try:
-            sent = os.write(stream.sock.fileno(), data)
-        except BlockingIOError:
-            sent = 0
-        except OSError:  # its reader will see that too
-            self.close(stream, "connection lost")
-            return
-        self.counts["bytes_out"] += sent
-        if sent < len(data):
-            self.counts["slow"] += 1
-            stream.unsent = data[sent:]
-            gevent.spawn(self.flush, stream)
-
-    def flush(self, stream: Connection) -> None:
-        try:
-            while stream.unsent and not stream.closed:
-                sent = stream.sock.send(stream.unsent)  # waits, and ends with an error when the socket is closed
-                self.counts["bytes_out"] += sent
-                stream.unsent = stream.unsent[sent:]
-                if not stream.unsent and stream.owed is not None:
-                    update, stream.owed = stream.owed, None
-                    stream.unsent = self.written(stream, update)
-        except OSError:
-            self.close(stream, "connection lost")
-
-    def detach(self, proxy: int, why: str) -> None:
-        stream = self.by_proxy.pop(proxy, None)
-        if stream is not None:
-            self.close(stream, why)
-
-    def redirect(self, proxy: int, to: str, why: str) -> None:
-        self.detach(proxy, why)  # the protocol names nobody to go to
-
-    def status(self) -> dict:
-        return {
-            **self.counts,
-            "streams": len(self.streams),
-            "proxies": len(self.by_proxy),
-            "waiting": len(self.pending.waiting),
-        }
+    def _add_collector(self, connection: Connection, message: CollectorHello) -> None:
+        if connection.joined:
+            raise MalformedMessageError("joined already")
+        self.pending.remove(connection.number)
+        connection.zone = message.zone
+        collectors = self.collectors.setdefault(message.zone, [])
+        collectors.append(connection)
+        if len(collectors) > MAX_COLLECTORS_PER_ZONE:
+            longest_silent = min(collectors, key=lambda collector: collector.last_received_us)
+            self.close(longest_silent, "a newer collector of its zone came")
--- a/tests/benchlink/test_benchlink_instance.py
+++ b/tests/benchlink/test_benchlink_instance.py
@@ -14,5 +14,5 @@
 
 @pytest.mark.parametrize("seconds", [-1.0, float("nan"), 1e12])
 def test_a_time_that_is_no_sensible_figure_is_marked(seconds):
-    event = AssignerInstance(9, SETTINGS_TEXT).decode_event(EventCode.RECEIPT, (41, 3, seconds))
+    event = AssignerInstance(9, SETTINGS_TEXT).event_decoders[EventCode.RECEIPT]((41, 3, seconds))
     assert event.apply_time_us == INVALID_DURATION_US
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -22,7 +22,8 @@
 from hollyridge.registration.index_allocator import IndexAllocator
 from hollyridge.resp import messages
 from hollyridge.resp.codec import encode
-from hollyridge.resp.server import RespConfig, RespServer
+from hollyridge.resp.config import RespConfig
+from hollyridge.resp.server import RespServer
 
 NAMES = messages.ProtocolNames(("khalda", "sahab"), ("read-chapter", "redeem-code"), 150)
 ZONES = {"khalda": 0, "sahab": 1}
@@ -57,7 +58,7 @@
         self.front = RespServer(
             self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), config, structlog.get_logger()
         )
-        self.engine.task_in_use = self.front.holds
+        self.engine.task_in_use = self.front.is_task_sent
         self.port = self.front.start()
 
     def tell(self, version, names):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -100,7 +100,7 @@
     (mark,) = {int(one[b"ticket"]) for one in orders(older) if b"ticket" in one}
     said = message("done", node=3, nonce=mark, latency=5)
     older.sendall(said[:-4])
-    hall.until(lambda: hall.front.by_proxy[0].heard == hall.now)
+    hall.until(lambda: hall.front.by_proxy[0].last_received_us == hall.now)
     newer = hall.proxy(3)
     try:
         older.sendall(said[-4:])
@@ -280,11 +280,11 @@
     turn(hall, 2)
     table = hall.engine.update_builder.store.latest(0)
     stream = hall.front.by_proxy[0]
-    assert 5 in stream.sheet.told[0].lines
+    assert 5 in stream.view.sent_tables[0].lines
     stream.unsent = b"x"  # the reader stands still from here: what comes is owed
     hall.tell(2, TASKS[:5])
     turn(hall, 100)
-    assert 5 in stream.sheet.told[0].lines and 5 not in hall.engine.update_builder.store.latest(0).lines
+    assert 5 in stream.view.sent_tables[0].lines and 5 not in hall.engine.update_builder.store.latest(0).lines
     hall.tell(3, [*TASKS[:5], "s-new"])
     assert hall.engine.task_indices.index["s-new"] == 6
     assert table is not hall.engine.update_builder.store.latest(0)
@@ -629,10 +629,10 @@
     value = hall.engine.update_builder.store.put(1, 0, {task: 1.0 + task for task in range(6)})
     stream.unsent = b"*2\r\n$6\r\nassign"
     hall.front.write(0, ProxyUpdate(0, 1, hall.now, ((0, 3),), ((0, value),), (), 77))
-    assert stream.owed is not None and 77 not in stream.marks
+    assert stream.pending_update is not None and 77 not in stream.unacknowledged_marks
     newer = hall.proxy(3)
     hall.until(lambda: len(hall.front.streams) == 1)
-    assert stream.owed is None and not stream.unsent
+    assert stream.pending_update is None and not stream.unsent
     newer.sendall(message("done", node=3, nonce=77, latency=5) + encode([b"hb"]))
     hall.until(lambda: hall.front.counts["messages_in"] == 4)
     assert not events(hall, api.Ack)
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -319,7 +319,7 @@
     for name, (code, _, event) in EVENTS.items():
         ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
         assert (
-            found == code and wire.EVENT_LAYOUTS[code].name == name and instance().decode_event(code, fields) == event
+            found == code and wire.EVENT_LAYOUTS[code].name == name and instance().event_decoders[code](fields) == event
         ), name
     for name in ORDERS:
         ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.COMMAND_LAYOUTS)
--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -13,7 +13,9 @@
 from hollyridge.node.application import Application
 from hollyridge.node.config import ConfigDocument, read_terms
 from hollyridge.resp import messages
+from hollyridge.resp.assign_message import TableUpdate, assign_messages
 from hollyridge.resp.codec import FrameReader, encode
+from hollyridge.resp.message_reader import MessageReader
 
 # Each message that an assigner reads, with all of its fields.
 HEARD = {
@@ -41,17 +43,17 @@
 # Each order that it writes, with all of its fields.
 ORDERS = {
     "whole": (
-        [messages.TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
+        [TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
         7,
     ),
     "two parts": (
         [
-            messages.TableUpdate((), False, (("s-1", 0.25),)),
-            messages.TableUpdate(("read-chapter",), False, (), (0.5, 0)),
+            TableUpdate((), False, (("s-1", 0.25),)),
+            TableUpdate(("read-chapter",), False, (), (0.5, 0)),
         ],
         8,
     ),
-    "withdrawals": ([messages.TableUpdate((), False, (), None, ("s-1", "s-2"), ("s-3",))], -1),
+    "withdrawals": ([TableUpdate((), False, (), None, ("s-1", "s-2"), ("s-3",))], -1),
     "a mark alone": ([], 9),
 }
 
@@ -65,7 +67,8 @@
 
 def orders() -> dict[str, str]:
     return {
-        name: b"".join(encode(message) for message in messages.order(*order)).decode() for name, order in ORDERS.items()
+        name: b"".join(encode(message) for message in assign_messages(*order)).decode()
+        for name, order in ORDERS.items()
     }
 
 
@@ -73,7 +76,7 @@
 def test_messages_are_read_as_before(kind):
     raw = stored("resp-heard.json")[kind].encode()
     (parts,) = FrameReader().feed(raw)
-    assert messages.MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
+    assert MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
     assert encode(parts) == raw
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -192,7 +192,7 @@
 def test_settings_read_as_the_wire_has_them():
     terms = read_terms(json.dumps(GOOD).encode())
     assert terms.config.drain_grace_us == 3_000_000 and terms.config.load_metric_names == ("util", "queue")
-    assert terms.names.methods == tuple(CLASSES) and terms.names.proxies == 400 and terms.round_s == 0.005
+    assert terms.names.methods == tuple(CLASSES) and terms.names.proxy_count == 400 and terms.round_s == 0.005
 
 
 @pytest.mark.parametrize("path", ["", "/nowhere/config.json"])
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -13,10 +13,12 @@
 from hollyridge.limits.pending_connections import PendingConnections
 from hollyridge.resp import codec, messages
 from hollyridge.resp.codec import FrameReader, RespError, encode
-from hollyridge.resp.update_encoder import ProxyView, UpdateEncoder
+from hollyridge.resp.message_reader import MessageReader
+from hollyridge.resp.proxy_view import ProxyView
+from hollyridge.resp.update_encoder import UpdateEncoder
 from hollyridge.store.table_versions import Table, TableStore
 
-READING = messages.MessageReader(NAMES, bootstrap())
+READING = MessageReader(NAMES, bootstrap())
 
 
 @given(
@@ -35,11 +37,11 @@
 
 @given(some.binary(max_size=300), some.integers(1, 64))
 def test_whatever_comes_is_read_or_refused_and_never_held_past_the_limit(raw, step):
-    reader = FrameReader(most=128)
+    reader = FrameReader(max_bytes=128)
     try:
         for at in range(0, len(raw), step):
             reader.feed(raw[at : at + step])
-            assert len(reader.held) + sum(map(len, reader.parts)) <= 128 + step + 32
+            assert len(reader.buffer) + sum(map(len, reader.parts)) <= 128 + step + 32
     except RespError:
         pass
 
@@ -189,7 +191,7 @@
 
     def told(self, *tables, binds=(), mark=-1, out=()):
         update = ProxyUpdate(3, 1, 0, binds, tuple(tables), (), mark, tuple(out))
-        lines, data = self.scribe.lines(self.planned, update), self.scribe.write(self.sheet, update)
+        lines, data = self.scribe.count_lines(self.planned, update), self.scribe.encode(self.sheet, update)
         return [[part.decode() for part in one] for one in FrameReader().feed(data)], lines
 
 
@@ -270,9 +272,9 @@
 
 
 def test_the_largest_message_is_within_the_platforms_limit():
-    assert codec.MESSAGE_MOST == 1 << 20
+    assert codec.MAX_MESSAGE_BYTES == 1 << 20
     reader = FrameReader()
-    assert reader.feed(encode([b"assign", b"x" * (codec.MESSAGE_MOST - 40)]))
+    assert reader.feed(encode([b"assign", b"x" * (codec.MAX_MESSAGE_BYTES - 40)]))
 
 
 def test_a_reader_that_stands_still_is_owed_the_newest_state_only():
