--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -23,7 +23,7 @@
 )
 
 from hollyridge.core.event_loop import EventLoop
-from hollyridge.keys.tls import bearer_of
+from hollyridge.keys.tls import peer_common_name
 from hollyridge.limits.fair_share import FairShareLimiter
 from hollyridge.otlp.reading import AttributeNames, CumulativeState, read
 from hollyridge.sessions.access import AccessControl
@@ -98,7 +98,7 @@
 
     class Handler(WSGIHandler):
         def get_environ(self) -> dict:
-            return {**super().get_environ(), BEARER: bearer_of(self.socket)}
+            return {**super().get_environ(), BEARER: peer_common_name(self.socket)}
 
     class Server(WSGIServer):
         handler_class = Handler
@@ -260,4 +260,4 @@
         return json_format.MessageToJson(answer).encode() if as_json else answer.SerializeToString()
 
     def status(self) -> dict:
-        return {**self.counts, "why": self.why, "senders": len(self.fair.senders), **self.fair.counts}
+        return {**self.counts, "why": self.why, "senders": len(self.fair.sources), **self.fair.counts}
--- a/hollyridge/resp/rejection_log.py
+++ b/hollyridge/resp/rejection_log.py
@@ -29,5 +29,5 @@
         times = times_by_reason[reason] = times_by_reason.get(reason, 0) + 1
         if should_log(times):
             self.log.warning(
-                "malformed_message", why=reason, peer=connection.address[0], node=connection.node, times=times
+                "malformed_message", reason=reason, peer=connection.address[0], node=connection.node, times=times
             )
