--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -1,11 +1,13 @@
-"""A whole assigner of the platform from its terms: machine, loop, front, roster. Wiring only."""
+"""A whole assigner of the platform: engine, event loop, protocol server and discovery. Wiring only."""
 
 from __future__ import annotations
 
 import resource
 import time
 from collections.abc import Callable
+from pathlib import Path
 from random import Random
+from typing import TYPE_CHECKING
 
 import gevent
 
@@ -15,114 +17,148 @@
 from hollyridge.discovery.schema import MAX_ENDPOINTS
 from hollyridge.discovery.watch_client import WatchClient, WatchConfig
 from hollyridge.discovery.watch_state import WatchState
-from hollyridge.node.config import ConfigError, NodeConfig
+from hollyridge.node.config import NodeConfig
+from hollyridge.node.config_reload import ConfigReloader
 from hollyridge.resp.config import RespConfig
 from hollyridge.resp.server import RespServer
 
-KEPT = 24  # descriptors for what is not a connection of the front: logs, the hub, discovery, the listener
-EVENTS_MOST = 20_000  # waiting for the module, past which reports give way
-BEAT = 2_000_000  # us: discovery writes an empty line as often as that
-PATIENCE = 2_000_000  # us to join: a second is the peer's by right, a close is due within three
-STATUS_S = 5.0
-REREADS = (0.1, 0.2, 0.4, 0.8)  # s between readings of a configuration that may be half replaced
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+RESERVED_DESCRIPTORS = 24  # for what is not a proxy's or collector's connection: logs, gevent, discovery, the listener
+MAX_PENDING_EVENTS = 20_000  # waiting for the decisions; past them reports are dropped
+DISCOVERY_HEARTBEAT_US = 2_000_000  # the platform's discovery writes an empty line as often as that
+JOIN_TIMEOUT_US = 2_000_000  # the platform grants a second to join, and wants others closed within three
+STATUS_PERIOD_S = 5.0
+WATCH_SEED_MASK = 1  # the watch gets random numbers of its own, so that its pauses do not depend on the decisions
+PAGE_BYTES = 4096
+BYTES_PER_MB = 1e6
+NS_PER_US = 1000
 
 
 class Application:
-    """`read` reads the configuration again. `start` listens (OSError if the address is taken), `run` blocks until
-    `stop` and raises what the machine raises when it gives up."""
-
-    def __init__(self, terms: NodeConfig, log, read: Callable[[], NodeConfig], clock: Callable = monotonic_us) -> None:
-        self.terms, self.log, self.read = terms, log, read
-        self.reloads = 0
-        config = terms.config
-        limits = EngineLimits(
-            config.lines_per_s,
-            config.message_overhead_lines,
-            config.max_waiting_lines,
-            MAX_ENDPOINTS,
-            terms.names.proxy_count,
-            0,
-            0,
-            0.0,
-            0,
-            EVENTS_MOST,
-        )
-        now = clock()
-        listing = EndpointListTracker(
-            lambda name: self.engine.task_indices.allocate(self.engine.ran_at, name), now - time.time_ns() // 1000
-        )
-        self.engine = Engine(config, terms.seed, limits, listing, now, log, log_decisions=False)
-        self.loop = EventLoop(self.engine, clock, terms.round_s)
-        self.engine.update_endpoints(now, EndpointListReceived(terms.known, stale=True))
-        zones = {name: z for z, name in enumerate(terms.names.zones)}
-        self.watch = WatchClient(
-            self.loop, listing, WatchState(BEAT, Random(terms.seed ^ 1)), WatchConfig(terms.discovery, zones), log
+    """One assigner.
+
+    Args:
+        config: What it runs by.
+        log: A structlog logger.
+        read_config: Reads the configuration again, ConfigError if it can't be used.
+        clock: Monotonic microseconds.
+    """
+
+    def __init__(
+        self,
+        config: NodeConfig,
+        log: FilteringBoundLogger,
+        read_config: Callable[[], NodeConfig],
+        clock: Callable[[], int] = monotonic_us,
+    ) -> None:
+        self.log = log
+        now_us = clock()
+        endpoint_list = EndpointListTracker(self._allocate_index, now_us - time.time_ns() // NS_PER_US)
+        self.engine = Engine(
+            config.assigner_config,
+            config.seed,
+            _engine_limits(config),
+            endpoint_list,
+            now_us,
+            log,
+            log_decisions=False,
         )
-        descriptors = min(terms.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.front = RespServer(
-            self.loop, RespConfig(*terms.listen, descriptors, KEPT, PATIENCE, terms.names), config, log
-        )
-        self.engine.task_in_use = self.front.is_task_sent
+        self.loop = EventLoop(self.engine, clock, config.min_decision_interval_s)
+        self.engine.update_endpoints(now_us, EndpointListReceived(config.cached_list, stale=True))
+        self.watch = self._make_watch(config, endpoint_list)
+        self.server = RespServer(self.loop, _server_config(config), config.assigner_config, log)
+        self.engine.task_in_use = self.server.is_task_sent
+        self.reloader = ConfigReloader(config, read_config, self.watch.change_address, log)
 
     def start(self) -> int:
-        port = self.front.start()
+        """Listen and watch the endpoint list; returns the port.
+
+        Raises:
+            OSError: The address is taken.
+        """
+        port = self.server.start()
         gevent.spawn(self.watch.run)
-        gevent.spawn(self.tell)
+        gevent.spawn(self._log_status)
         return port
 
     def run(self) -> None:
+        """Block until `stop`.
+
+        Raises:
+            DecisionModuleError: The decision module has failed too often.
+        """
         self.loop.run()
 
     def stop(self) -> None:
+        """Have `run` return."""
         self.loop.stop()
 
     def reload(self) -> None:
-        """Take a replaced configuration: the address of discovery at once; what needs a restart is named in the log.
-        A faulty one changes nothing; it is read again a few times, for it may have been half replaced."""
-        self.reloads += 1
-        number, faults = self.reloads, ""
-        for pause in (*REREADS, 0):
-            try:
-                terms = self.read()
-                break
-            except ConfigError as trouble:
-                if str(trouble) != faults:
-                    faults = str(trouble)
-                    self.log.error("configuration not taken", faults=faults.splitlines())
-            gevent.sleep(pause)
-            if number != self.reloads:  # a newer call reads it, and may have by now
-                return
-        else:
-            return
-        held = self.terms
-        waits = [name for name in ("name", "listen", "limits", "values") if getattr(terms, name) != getattr(held, name)]
-        if terms.discovery != held.discovery:
-            self.watch.change_address(terms.discovery)
-        self.terms = held._replace(discovery=terms.discovery)
-        self.log.info(
-            "configuration read again", discovery=f"{terms.discovery[0]}:{terms.discovery[1]}", need_a_restart=waits
-        )
-
-    def tell(self) -> None:
-        while True:
-            gevent.sleep(STATUS_S)
-            self.log.info("status", **self.status())
+        """Take a replaced configuration as far as that is possible without a restart."""
+        self.reloader.reload()
 
     def status(self) -> dict:
+        """Counts and states of all parts, as the log has them."""
         return {
             "core": self.engine.status(),
-            "front": self.front.status(),
+            "front": self.server.status(),
             "discovery": self.watch.status(),
             "turn_us": list(spread(self.loop.run_durations).values()),
             "cpu_s": round(time.process_time(), 2),
             "rss_mb": resident_mb(),
         }
 
+    def _allocate_index(self, name: str) -> int | None:
+        return self.engine.task_indices.allocate(self.engine.ran_at, name)
+
+    def _make_watch(self, config: NodeConfig, endpoint_list: EndpointListTracker) -> WatchClient:
+        zones = {name: zone for zone, name in enumerate(config.protocol_names.zones)}
+        state = WatchState(DISCOVERY_HEARTBEAT_US, Random(config.seed ^ WATCH_SEED_MASK))
+        return WatchClient(self.loop, endpoint_list, state, WatchConfig(config.discovery, zones), self.log)
+
+    def _log_status(self) -> None:
+        """Log the status for as long as the process runs."""
+        while True:
+            gevent.sleep(STATUS_PERIOD_S)
+            self.log.info("status", **self.status())
+
+
+def _engine_limits(config: NodeConfig) -> EngineLimits:
+    assigner_config = config.assigner_config
+    return EngineLimits(
+        lines_per_s=assigner_config.lines_per_s,
+        message_overhead_lines=assigner_config.message_overhead_lines,
+        max_waiting_lines=assigner_config.max_waiting_lines,
+        max_tasks=MAX_ENDPOINTS,
+        max_proxies=config.protocol_names.proxy_count,
+        # Load reports as series of metrics do not exist on the platform.
+        max_series=0,
+        max_series_per_source=0,
+        max_rate_per_s=0.0,
+        max_reports_per_period=0,
+        max_pending_events=MAX_PENDING_EVENTS,
+    )
+
+
+def _server_config(config: NodeConfig) -> RespConfig:
+    host, port = config.listen
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return RespConfig(
+        host=host,
+        port=port,
+        max_descriptors=min(config.limits.sockets, soft_limit),
+        reserved_descriptors=RESERVED_DESCRIPTORS,
+        join_timeout_us=JOIN_TIMEOUT_US,
+        names=config.protocol_names,
+    )
+
 
 def resident_mb() -> float:
-    """Megabytes resident, from the system; 0 where it does not tell."""
+    """Resident megabytes of this process, from the system; 0 where it does not tell."""
     try:
-        with open("/proc/self/statm") as file:
-            return round(int(file.read().split()[1]) * 4096 / 1e6, 1)
+        resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, ValueError, IndexError):
         return 0.0
+    return round(resident_pages * PAGE_BYTES / BYTES_PER_MB, 1)
--- a/hollyridge/node/config.py
+++ b/hollyridge/node/config.py
@@ -1,15 +1,17 @@
-"""The platform's JSON configuration, checked into terms; every fault is named."""
+"""The platform's JSON configuration, read and checked; every fault is named."""
 
 from __future__ import annotations
 
 import ipaddress
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Annotated, NamedTuple
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 from msgspec import Meta
 
 from hollyridge.discovery.schema import EndpointListError, EndpointPage, WatchEvent, read
+from hollyridge.errors import HollyridgeError
 from hollyridge.interface import AssignerConfig
 from hollyridge.platform_settings.assigner_config import build_assigner_config
 from hollyridge.platform_settings.settings_reader import SettingsError
@@ -17,14 +19,29 @@
 from hollyridge.resp.messages import ProtocolNames
 from hollyridge.settings.address import split
 
-CONFIG_MOST = 16 << 20  # bytes
+MAX_CONFIG_BYTES = 16 << 20  # of the file: a wrong path must not fill the memory
+MAX_DECODE_FAULT_CHARACTERS = 300
+MAX_PROXIES = 65535  # the protocol's bound of a proxy's number
+HEXADECIMAL = 16
+NO_LIST_VERSION = -1  # of a cached list that was never told
 
+# Least time between two decisions: the setting, its default where it is no number, and its bounds.
+DEFAULT_DECISION_INTERVAL_S = 0.005
+MIN_DECISION_INTERVAL_S = 0.0005
+MAX_DECISION_INTERVAL_S = 0.1
 
-class ConfigError(Exception):
-    """A configuration that can't be used; a line for each fault."""
+
+class ConfigError(HollyridgeError):
+    """A configuration that can't be used; its text has a line for each fault."""
+
+    def __init__(self, faults: list[str]) -> None:
+        super().__init__("\n".join(faults))
+        self.faults = faults
 
 
 class ResourceLimits(msgspec.Struct):
+    """What the platform lets the process have."""
+
     cores: Annotated[float, Meta(gt=0, le=1024)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
     sockets: Annotated[int, Meta(ge=32)] = 1024
@@ -43,96 +60,170 @@
 
 
 class NodeConfig(NamedTuple):
-    """What the assigner runs by. `round_s`: the least time between two decisions."""
+    """What the assigner runs by.
+
+    Attributes:
+        name: Of this assigner, for its log.
+        listen: The address to listen on.
+        discovery: The address of discovery.
+        seed: Of the assigner's random numbers.
+        limits: What the platform lets the process have.
+        assigner_config: What the decisions read.
+        protocol_names: The names that messages use.
+        cached_list: The endpoint list to serve until discovery has answered.
+        min_decision_interval_s: The least time between two decisions.
+        settings: The settings as texts by path.
+    """
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
     limits: ResourceLimits
-    config: AssignerConfig
-    names: ProtocolNames
-    known: WatchEvent
-    round_s: float
-    values: dict[str, str]
+    assigner_config: AssignerConfig
+    protocol_names: ProtocolNames
+    cached_list: WatchEvent
+    min_decision_interval_s: float
+    settings: dict[str, str]
+
+
+def load_config(path: str) -> NodeConfig:
+    """Read a configuration file.
+
+    Raises:
+        ConfigError: It can't be read or used; every fault found is named.
+    """
+    try:
+        with Path(path).open("rb") as file:
+            raw = file.read(MAX_CONFIG_BYTES + 1)
+    except OSError as error:
+        raise ConfigError([f"cannot read {path}: {error.strerror}"]) from None
+    return parse_config(raw)
 
 
-def address(text: str, what: str, faults: list[str]) -> tuple[str, int]:
-    """An IP address and a port.
+def parse_config(raw: bytes) -> NodeConfig:
+    """Check a configuration.
 
-    >>> faults = []; address("127.0.0.1:80", "listen", faults), address("x:1", "listen", faults), faults
-    (('127.0.0.1', 80), ('', 0), ['listen is not an IP address with a port: x:1'])
+    Raises:
+        ConfigError: It can't be used; every fault found is named.
+    """
+    document = _decode(raw)
+    faults: list[str] = []
+    listen = parse_address(document.listen, "listen", faults)
+    discovery = parse_address(document.discovery, "discovery", faults)
+    seed = _parse_seed(document.seed, faults)
+    settings = flatten_settings(document.settings)
+    assigner_config = _read_assigner_config(settings, faults)
+    protocol_names = _read_protocol_names(document.settings, settings, faults)
+    cached_list = _read_cached_list(document.known, protocol_names.zones, faults)
+    if faults or assigner_config is None:
+        raise ConfigError(faults)
+    return NodeConfig(
+        document.name,
+        listen,
+        discovery,
+        seed,
+        document.limits,
+        assigner_config,
+        protocol_names,
+        cached_list,
+        _read_decision_interval(settings),
+        settings,
+    )
+
+
+def parse_address(text: str, field: str, faults: list[str]) -> tuple[str, int]:
+    """An IP address and a port; what is wrong is added to the faults.
+
+    >>> faults = []
+    >>> parse_address("127.0.0.1:80", "listen", faults), parse_address("x:1", "listen", faults)
+    (('127.0.0.1', 80), ('', 0))
+    >>> faults
+    ['listen is not an IP address with a port: x:1']
     """
     try:
         host, port = split(text)
         return str(ipaddress.ip_address(host)), port  # spelt one way: a reload compares addresses
     except ValueError:
-        faults.append(f"{what} is not an IP address with a port: {text[:60]}")
+        faults.append(f"{field} is not an IP address with a port: {text[:60]}")
         return "", 0
 
 
-def read_file(path: str) -> NodeConfig:
-    """NodeError names every fault found."""
+def _decode(raw: bytes) -> ConfigDocument:
+    if len(raw) > MAX_CONFIG_BYTES:
+        raise ConfigError([f"the configuration is longer than {MAX_CONFIG_BYTES} bytes"])
     try:
-        with Path(path).open("rb") as file:
-            raw = file.read(CONFIG_MOST + 1)
-    except OSError as trouble:
-        raise ConfigError(f"cannot read {path}: {trouble.strerror}") from None
-    return read_terms(raw)
+        return msgspec.json.decode(raw, type=ConfigDocument)
+    except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
+        fault = str(error)[:MAX_DECODE_FAULT_CHARACTERS]
+        raise ConfigError([f"the configuration cannot be read: {fault}"]) from None
 
 
-def read_terms(raw: bytes) -> NodeConfig:
-    if len(raw) > CONFIG_MOST:
-        raise ConfigError(f"the configuration is longer than {CONFIG_MOST} bytes")
+def _parse_seed(text: str, faults: list[str]) -> int:
     try:
-        document = msgspec.json.decode(raw, type=ConfigDocument)
-    except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as trouble:
-        raise ConfigError(f"the configuration cannot be read: {str(trouble)[:300]}") from None
-    faults: list[str] = []
-    listen = address(document.listen, "listen", faults)
-    discovery = address(document.discovery, "discovery", faults)
-    try:
-        seed = int(document.seed, 16)
+        return int(text, HEXADECIMAL)
     except ValueError:
-        seed = 0
-        faults.append(f"seed is not hexadecimal: {document.seed[:40]}")
-    values = flatten_settings(document.settings)
-    config = None
-    try:
-        config = build_assigner_config(values)
-    except SettingsError as trouble:
-        faults += trouble.faults
-    names = names_of(document.settings, values, faults)
-    known = WatchEvent(-1, True, ())
-    if document.known is not None:
-        try:
-            known = read(document.known, {name: z for z, name in enumerate(names.zones)})
-        except EndpointListError as trouble:
-            faults.append(f"known: {trouble}")
-    if faults or config is None:
-        raise ConfigError("\n".join(faults))
+        faults.append(f"seed is not hexadecimal: {text[:40]}")
+        return 0
+
+
+def _read_assigner_config(settings: Mapping[str, str], faults: list[str]) -> AssignerConfig | None:
     try:
-        round_s = min(0.1, max(0.0005, float(values.get("round", "0.005"))))
-    except ValueError:
-        round_s = 0.005
-    return NodeConfig(document.name, listen, discovery, seed, document.limits, config, names, known, round_s, values)
-
-
-def names_of(settings: dict, values: dict[str, str], faults: list[str]) -> ProtocolNames:
-    """The words that messages use, as they are written there: not as the settings text would write them."""
-    rows = settings.get("profiles")
-    methods = [row.get("name") for row in rows if isinstance(row, dict)] if isinstance(rows, list) else []
-    zones = settings.get("zones")
-    for what, found in (("zones", zones), ("profiles[].name", methods)):
-        good = isinstance(found, list) and found and all(isinstance(x, str) and x for x in found)
-        if not good or len(set(found)) < len(found):
-            faults.append(f"the settings have no sensible {what}")
+        return build_assigner_config(settings)
+    except SettingsError as error:
+        faults += error.faults
+        return None
+
+
+def _read_protocol_names(tree: Mapping[str, Any], settings: Mapping[str, str], faults: list[str]) -> ProtocolNames:
+    """The names as messages write them, which the settings as texts do not keep.
+
+    Args:
+        tree: The settings as the file nests them.
+        settings: The same as texts by path.
+        faults: What is wrong is added to them.
+    """
+    profiles = tree.get("profiles")
+    methods = (
+        [profile.get("name") for profile in profiles if isinstance(profile, dict)] if isinstance(profiles, list) else []
+    )
+    zones = tree.get("zones")
+    for path, names in (("zones", zones), ("profiles[].name", methods)):
+        if not _are_distinct_names(names):
+            faults.append(f"the settings have no sensible {path}")
             return ProtocolNames(("",), ("",), 1)
+    return ProtocolNames(tuple(zones), tuple(methods), _read_proxy_count(settings, faults))
+
+
+def _are_distinct_names(names: object) -> bool:
+    if not isinstance(names, list) or not names:
+        return False
+    return all(isinstance(name, str) and name for name in names) and len(set(names)) == len(names)
+
+
+def _read_proxy_count(settings: Mapping[str, str], faults: list[str]) -> int:
     try:
-        proxies = int(float(values.get("family_info.agents", "")))
-        if not 1 <= proxies <= 65535:
-            raise ValueError
+        proxy_count = int(float(settings.get("family_info.agents", "")))
     except ValueError:
+        proxy_count = 0
+    if not 1 <= proxy_count <= MAX_PROXIES:
         faults.append("the settings have no sensible family_info.agents")
-        proxies = 1
-    return ProtocolNames(tuple(zones), tuple(methods), proxies)
+        return 1
+    return proxy_count
+
+
+def _read_cached_list(page: EndpointPage | None, zones: tuple[str, ...], faults: list[str]) -> WatchEvent:
+    if page is not None:
+        try:
+            return read(page, {name: zone for zone, name in enumerate(zones)})
+        except EndpointListError as error:
+            faults.append(f"known: {error}")
+    return WatchEvent(NO_LIST_VERSION, True, ())
+
+
+def _read_decision_interval(settings: Mapping[str, str]) -> float:
+    try:
+        interval_s = float(settings.get("round", DEFAULT_DECISION_INTERVAL_S))
+    except ValueError:
+        return DEFAULT_DECISION_INTERVAL_S
+    return min(MAX_DECISION_INTERVAL_S, max(MIN_DECISION_INTERVAL_S, interval_s))
--- /dev/null
+++ b/hollyridge/node/process.py
@@ -0,0 +1,88 @@
+"""The process of the assigner from its start to its exit code."""
+
+from __future__ import annotations
+
+import gc
+import os
+import signal
+import sys
+from collections.abc import Collection
+from typing import TYPE_CHECKING
+
+import gevent
+
+from hollyridge.core import logs
+from hollyridge.core.engine import DecisionModuleError
+from hollyridge.node.application import Application
+from hollyridge.node.config import ConfigError, NodeConfig, load_config
+
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+
+EXIT_STOPPED = 0
+EXIT_BAD_CONFIG = 2
+EXIT_ADDRESS_TAKEN = 3
+EXIT_DECISION_MODULE_FAILED = 4
+
+
+def run(early_reloads: Collection[int]) -> int:
+    """Run the assigner that the environment names a configuration for.
+
+    Args:
+        early_reloads: Signals to reload that come before the assigner handles them itself; read once it listens.
+
+    Returns:
+        The exit code: 0 after SIGTERM or SIGINT, 2 for a configuration that can't be used, 3 for an address that can't
+        be listened on, 4 once the decision module has failed too often.
+    """
+    path = os.environ.get(CONFIG_VARIABLE, "")
+    log = logs.start("json", "info")
+    try:
+        config = _load(path)
+    except ConfigError as error:
+        for fault in str(error).splitlines():
+            print(f"hollyridge: {fault}", file=sys.stderr)
+        return EXIT_BAD_CONFIG
+    application = Application(config, log.bind(name=config.name), lambda: load_config(path))
+    gevent.signal_handler(signal.SIGTERM, application.stop)
+    gevent.signal_handler(signal.SIGINT, application.stop)
+    gevent.signal_handler(signal.SIGHUP, application.reload)
+    try:
+        application.start()
+    except OSError as error:
+        print(f"hollyridge: cannot listen on {_format_address(config.listen)}: {error}", file=sys.stderr)
+        return EXIT_ADDRESS_TAKEN
+    if early_reloads:
+        application.reload()
+    gc.collect()
+    gc.freeze()  # what lives as long as the process is never looked at again
+    _log_start(application.log, config)
+    try:
+        application.run()
+    except DecisionModuleError as error:
+        application.log.error("assigner_stopped", reason=str(error))  # noqa: TRY400 -- its failures are logged already
+        return EXIT_DECISION_MODULE_FAILED
+    return EXIT_STOPPED
+
+
+def _load(path: str) -> NodeConfig:
+    if not path:
+        raise ConfigError([f"{CONFIG_VARIABLE} names no configuration file"])
+    return load_config(path)
+
+
+def _log_start(log: FilteringBoundLogger, config: NodeConfig) -> None:
+    log.info(
+        "assigner_started",
+        listen=_format_address(config.listen),
+        cores=config.limits.cores,
+        memory_mb=config.limits.memory_mb,
+        sockets=config.limits.sockets,
+    )
+
+
+def _format_address(address: tuple[str, int]) -> str:
+    host, port = address
+    return f"{host}:{port}"
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -74,6 +74,13 @@
     },
     "tariffs": {"cross_zone": 0.12},
 }
+CONFIG_DOCUMENT = {
+    "name": "n3",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "8c1f",
+    "settings": SETTINGS,
+}
 
 
 def server(name, zone=0, state="in_service", started_ms=0, **more):
