--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -122,7 +122,7 @@
         """Log the status for as long as the process runs."""
         while True:
             gevent.sleep(STATUS_PERIOD_S)
-            self.log.info("status", **self.status())
+            self.log.info("status_reported", **self.status())
 
 
 def _engine_limits(config: NodeConfig) -> EngineLimits:
--- a/hollyridge/node/process.py
+++ b/hollyridge/node/process.py
@@ -62,7 +62,7 @@
     try:
         application.run()
     except DecisionModuleError as error:
-        application.log.error("assigner_stopped", reason=str(error))  # noqa: TRY400 -- its failures are logged already
+        application.log.error("service_failed", reason=str(error))  # noqa: TRY400 -- its failures are logged already
         return EXIT_DECISION_MODULE_FAILED
     return EXIT_STOPPED
 
@@ -75,7 +75,7 @@
 
 def _log_start(log: FilteringBoundLogger, config: NodeConfig) -> None:
     log.info(
-        "assigner_started",
+        "service_started",
         listen=_format_address(config.listen),
         cores=config.limits.cores,
         memory_mb=config.limits.memory_mb,
--- /dev/null
+++ b/tests/crossings/test_crossings_joining.py
@@ -0,0 +1,129 @@
+"""Connections that have not joined, bad input and room for connections, in the order that hurts."""
+
+import gc
+import os
+
+import gevent
+from crossing_helpers import ATTACH_FIELDS, attach_message, received_orders
+from gevent import socket as green
+from in_process import ServerRig
+from stand_ins import message
+
+from hollyridge import interface as api
+
+BAD_INPUT = [
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"*1\r\n$99999999\r\n",
+    b"*2\r\n$2\r\nhb\r\n",
+    b"",
+    message("assign", lines="s-1:1"),
+    message("attach", node=400, **ATTACH_FIELDS),
+    message("telemetry", locality="mars"),
+    b"*3\r\n$6\r\nattach\r\n$4\r\nno",
+]
+
+
+def test_a_proxy_whose_first_message_arrives_in_pieces_survives_a_flood_of_connections():
+    rig = ServerRig(descriptors=24 + 20)
+    slow = green.create_connection(("127.0.0.1", rig.port))
+    slow.sendall(attach_message(9)[:11])
+    rig.until(lambda: rig.server.pending.waiting and not rig.server.pending.silent)
+    crowd = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(60)]
+    rig.until(lambda: rig.server.counts["connections"] == 61)
+    slow.sendall(attach_message(9)[11:])
+    rig.until(lambda: 9 in rig.engine.proxy_indices.index)
+    rig.until(lambda: len(rig.server.streams) <= 20)
+    assert rig.server.counts["overdue"] >= 40 and len(rig.server.by_proxy) == 1
+    for sock in crowd:
+        sock.close()
+    rig.until(lambda: len(rig.server.streams) == 1)
+    rig.server.stop()
+
+
+def test_unused_descriptors_are_available_to_connections_that_are_joining():
+    """Once, room was what all 150 proxies of the fleet would leave: 8 places, in which 20 evict each other."""
+    rig = ServerRig(descriptors=24 + 60)
+    slow = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
+    for node, sock in enumerate(slow):
+        sock.sendall(attach_message(node)[:11])
+    rig.until(lambda: len(rig.server.pending.waiting) == 20 and not rig.server.pending.silent)
+    for node, sock in enumerate(slow):
+        sock.sendall(attach_message(node)[11:])
+    rig.until(lambda: len(rig.server.by_proxy) == 20)
+    assert rig.server.counts["overdue"] == 0
+    rig.server.stop()
+
+
+def test_proxies_beyond_the_descriptors_are_rejected_and_take_nothing_from_the_rest():
+    rig = ServerRig(descriptors=24 + 16)
+    socks = []
+    for node in range(16):
+        socks.append(rig.proxy(node))
+    late = green.create_connection(("127.0.0.1", rig.port))
+    late.sendall(attach_message(20))
+    assert late.recv(100).startswith(b"*3\r\n$6\r\nreject") and late.recv(100) == b""
+    rig.until(lambda: len(rig.server.streams) == 16)
+    socks[0].close()
+    rig.until(lambda: len(rig.server.streams) == 15)
+    rig.proxy(20)
+    assert len(rig.server.by_proxy) == 16
+    rig.server.stop()
+
+
+def test_bad_input_in_any_pieces_leaves_no_descriptor_greenlet_or_index_behind():
+    rig = ServerRig()
+    good = rig.proxy(1)
+
+    def held():
+        """Descriptors by number and what they are, and greenlets that are not over. What earlier tests left to be
+        collected may go meanwhile: only what is new was left behind here."""
+        gc.collect()
+        found = set()
+        for number in os.listdir("/proc/self/fd"):
+            try:
+                found.add((number, os.readlink(f"/proc/self/fd/{number}")))
+            except OSError:  # the one that lists them
+                pass
+        return found, {one for one in gc.get_objects() if isinstance(one, gevent.Greenlet) and not one.dead}
+
+    before = None
+    for _ in range(3):
+        for raw in BAD_INPUT:
+            for cut in (1, 5, len(raw)):
+                sock = green.create_connection(("127.0.0.1", rig.port))
+                for piece in filter(None, (raw[:cut], raw[cut:])):
+                    try:
+                        sock.sendall(piece)
+                    except OSError:
+                        break
+                    gevent.sleep(0)
+                sock.close()
+        rig.until(lambda: len(rig.server.streams) == 1)
+        before = before or held()
+    rig.until(lambda: not any(now - then for now, then in zip(held(), before)))  # the last ones are just ending
+    assert not rig.server.pending.waiting and not rig.server.pending.silent and len(rig.engine.proxy_indices) == 1
+    rig.advance(1)
+    assert received_orders(good)
+    rig.server.stop()
+
+
+def test_the_end_of_a_collectors_older_connection_ends_nothing(rig):
+    def collector():
+        sock = green.create_connection(("127.0.0.1", rig.port))
+        before = rig.server.counts["messages_in"]
+        sock.sendall(message("telemetry", locality="khalda"))
+        rig.until(lambda: rig.server.counts["messages_in"] == before + 1)
+        rig.now += 1
+        return sock
+
+    socks = [collector() for _ in range(3)]
+    assert socks[0].recv(10) == b""  # the one that was silent longest made room
+    rig.until(lambda: len(rig.server.streams) == 2)
+    report = message("upstream_stats", locality="khalda", endpoint="s-1", total=4, errors=0, rtt=9, interval=1000)
+    for sock in socks[1:]:
+        sock.sendall(report)
+    rig.until(lambda: len(rig.events(api.TrafficReport)) == 2)
+    socks[1].close()
+    rig.until(lambda: len(rig.server.collectors[0]) == 1)
+    socks[2].sendall(report)
+    rig.until(lambda: len(rig.events(api.TrafficReport)) == 3)
--- a/tests/discovery/test_discovery_endpoint_list.py
+++ b/tests/discovery/test_discovery_endpoint_list.py
@@ -1,7 +1,7 @@
 """The endpoint list from events of discovery: versions, starts, changes and complete lists."""
 
 from helpers import SECOND
-from in_process import ListingDesk
+from in_process import EndpointListRig
 
 from hollyridge.discovery import schema
 from hollyridge.discovery.endpoint_list import EndpointListReceived, WatchFailed
@@ -20,7 +20,7 @@
 
 
 def test_a_start_is_converted_to_the_monotonic_clock_once():
-    desk = ListingDesk()
+    desk = EndpointListRig()
     change = desk.take(news(1, ("a", READY, 0), ("b", READY, 49_998_000), ("c", READY, 60_000_000), full=True))
     assert [entry.started_at_us for entry in change.endpoints] == [0, NOW - 2 * SECOND, NOW]
     later = desk.take(news(2, ("c", DRAINING, 60_000_000)), NOW + SECOND)
@@ -30,7 +30,7 @@
 
 
 def test_changes_and_complete_lists_are_handed_on_as_updates():
-    desk = ListingDesk()
+    desk = EndpointListRig()
     assert (
         desk.take(EndpointListReceived(news(5, ("a", READY, 0), ("b", READY, 0), full=True).event, stale=True)).kind
         == UpdateKind.CACHED
@@ -43,7 +43,7 @@
 
 
 def test_an_older_event_changes_nothing():
-    desk = ListingDesk()
+    desk = EndpointListRig()
     desk.take(news(9, ("a", READY, 0), full=True))
     for old in (news(8, ("a", GONE, 0)), news(3, full=True)):
         assert desk.take(old) is None
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -29,7 +29,7 @@
 ZONES = {"khalda": 0, "sahab": 1}
 
 
-class ListingDesk:
+class EndpointListRig:
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
         self.listing = EndpointListTracker(
@@ -43,8 +43,8 @@
         return outcome.change
 
 
-class Hall:
-    """A front on loopback with a machine of its own, in this process."""
+class ServerRig:
+    """A protocol server on loopback with an engine and a clock of its own, in this process."""
 
     def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
         config, self.now = bootstrap(**terms), START
@@ -53,15 +53,15 @@
             config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
         )
         self.engine = Engine(config, 7, limits, listing, START, structlog.get_logger(), make)
-        self.tell(1, [f"s-{k}" for k in range(tasks)])
+        self.update_list(1, [f"s-{k}" for k in range(tasks)])
         self.loop = EventLoop(self.engine, clock=lambda: self.now)
-        self.front = RespServer(
+        self.server = RespServer(
             self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), config, structlog.get_logger()
         )
-        self.engine.task_in_use = self.front.is_task_sent
-        self.port = self.front.start()
+        self.engine.task_in_use = self.server.is_task_sent
+        self.port = self.server.start()
 
-    def tell(self, version, names):
+    def update_list(self, version, names):
         entries = tuple(ListedEndpoint(name, k % 2, 0, 1, 1.0, 0.0) for k, name in enumerate(names))
         self.engine.update_endpoints(self.now, EndpointListReceived(WatchEvent(version, True, entries), version == 1))
 
@@ -75,10 +75,24 @@
         self.until(lambda: self.engine.counts["joins"] > joins)
         return sock
 
+    def events(self, kind):
+        """Events of a kind that wait for a decision."""
+        return [event for _, event in self.engine.pending_events if type(event) is kind]
+
+    def advance(self, seconds=0.0):
+        """Let time pass on the rig's clock, and the engine do what is due."""
+        until = self.now + round(seconds * SECOND)
+        due = self.engine.run(self.now)
+        while due < until:
+            self.now = max(self.now + 1, due)
+            due = self.engine.run(self.now)
+        self.now = until
+
     @staticmethod
-    def until(what):
+    def until(condition):
+        """Wait until something holds, for five seconds at most."""
         with gevent.Timeout(5):
-            while not what():
+            while not condition():
                 gevent.sleep(0.002)
 
 
@@ -115,7 +129,7 @@
 
 
 def watch_of(script, beat=200_000):
-    engine, desk = RecordingEngine(), ListingDesk()
+    engine, desk = RecordingEngine(), EndpointListRig()
 
     class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
--- /dev/null
+++ b/tests/resp/test_resp_server.py
@@ -0,0 +1,60 @@
+"""Connections of the platform's protocol on loopback."""
+
+import gevent
+from gevent import socket as green
+from helpers import START
+from in_process import ServerRig
+from stand_ins import message
+
+from hollyridge.delivery.update_builder import ProxyUpdate
+from hollyridge.interface import TrafficReport
+from hollyridge.resp.codec import FrameReader
+
+
+def test_a_slow_reader_gets_the_newest_state_only():
+    rig = ServerRig(tasks=900)
+    sock = rig.proxy(3, buffer=4096)
+    proxy = rig.engine.proxy_indices.index[3]
+    store, connection = rig.engine.update_builder.store, rig.server.by_proxy[proxy]
+    for version in range(1, 400):
+        value = store.put(version, 0, {task: 1.0 + version / 1000 for task in range(900)})
+        bindings = ((0, 0b11),) if version == 1 else ()
+        rig.server.write(proxy, ProxyUpdate(proxy, version, START, bindings, ((0, value),), (), version))
+        assert len(connection.unsent) < 64 << 10
+    assert rig.server.counts["merged"] > 300
+    reader, held, mark = FrameReader(), {}, 0
+    with gevent.Timeout(5):
+        while mark != 399:
+            for parts in reader.feed(sock.recv(65536)):
+                fields = dict(zip(parts[1::2], parts[2::2]))
+                held.update(pair.split(b":") for pair in fields[b"lines"].split(b","))
+                mark = int(fields[b"ticket"])
+    assert len(held) == 900 and set(held.values()) == {b"1.399"}
+    rig.server.stop()
+
+
+def test_the_late_end_of_an_older_connection_ends_nothing():
+    rig = ServerRig()
+    first = rig.proxy(3)
+    second = rig.proxy(3)
+    assert first.recv(100) == b""  # the newer connection replaced it
+    rig.until(lambda: len(rig.server.streams) == 1)
+    assert len(rig.engine.servers) == 1
+    second.close()
+    rig.until(lambda: not rig.engine.servers)
+    rig.server.stop()
+
+
+def test_reports_of_a_task_that_was_just_removed_still_count():
+    rig = ServerRig()
+    rig.update_list(2, ["s-0"])
+    collector = green.create_connection(("127.0.0.1", rig.port))
+    collector.sendall(message("telemetry", locality="sahab"))
+    for name in ("s-5", "s-99"):
+        collector.sendall(
+            message("upstream_stats", locality="sahab", endpoint=name, total=4, errors=0, rtt=90, interval=1000)
+        )
+    rig.until(lambda: rig.server.counts["messages_in"] == 3)
+    assert rig.server.counts["spoilt"] == 1  # s-99 was never listed
+    assert [event.task for event in rig.events(TrafficReport)] == [5]
+    rig.server.stop()
