--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -242,5 +242,5 @@
             place = names.zone(attributes.get("zone", "")) or 0, names.task(attributes["task"])
         if None in place:
             return None
-        start = figure.start or figure.end
-        return DataPoint(source, kind, place, 0 if kind in LOADS else method, figure.value, start, figure.end)
+        start = figure.start_ns or figure.end_ns
+        return DataPoint(source, kind, place, 0 if kind in LOADS else method, figure.value, start, figure.end_ns)
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -29,7 +29,7 @@
 ZONES = {"khalda": 0, "sahab": 1}
 
 
-class EndpointListRig:
+class ListingDesk:
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
         self.listing = EndpointListTracker(
@@ -129,7 +129,7 @@
 
 
 def watch_of(script, beat=200_000):
-    engine, desk = RecordingEngine(), EndpointListRig()
+    engine, desk = RecordingEngine(), ListingDesk()
 
     class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
