--- a/tests/crossings/conftest.py
+++ b/tests/crossings/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from crossing_helpers import LIST
 from in_process import ServerRig
-from stand_ins import Assigner, Discovery
+from stand_ins import Discovery, NodeProcess
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
 
     def start(**more):
         discovery = Discovery(LIST)
-        assigner = Assigner(tmp_path, discovery.address, **more)
+        assigner = NodeProcess(tmp_path, discovery.address, **more)
         started.append((assigner, discovery))
         return assigner, discovery
 
--- a/tests/crossings/test_crossings_discovery.py
+++ b/tests/crossings/test_crossings_discovery.py
@@ -19,7 +19,7 @@
     watch, engine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is EndpointListReceived for one in engine.told):
+        while not any(type(event) is EndpointListReceived for event in engine.told):
             assert not watch.state.watching
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["beats"] > 2
@@ -31,7 +31,7 @@
     watch, engine = watch_of(script, beat=100_000)
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while [one.event.version for one in engine.told if type(one) is EndpointListReceived] != [4, 5]:
+        while [event.event.version for event in engine.told if type(event) is EndpointListReceived] != [4, 5]:
             gevent.sleep(0.005)
     assert len(script.asked) == 2 and watch.counts["ended"] == 1
     job.kill()
@@ -44,7 +44,7 @@
     assert 0.3 < (len(script.acts[0]) - 1) * Script.PAUSE < 0.6  # longer than an answer may take that does not move
     job = gevent.spawn(watch.run)
     with gevent.Timeout(5):
-        while not any(type(one) is EndpointListReceived for one in engine.told):
+        while not any(type(event) is EndpointListReceived for event in engine.told):
             gevent.sleep(0.005)
     assert len(script.asked) == 1
     job.kill()
@@ -71,7 +71,7 @@
         ]
         while not there.asked:
             gevent.sleep(0.005)
-        while not any(type(one) is EndpointListReceived for one in engine.told):
+        while not any(type(event) is EndpointListReceived for event in engine.told):
             gevent.sleep(0.005)
         watch.on_connection_closed = end
         stood.set()
@@ -79,7 +79,7 @@
         gevent.sleep(0.05)
     assert watch.state.connected and watch.state.watching and watch.connection is not None
     assert len(there.asked) == 1 and len(here.asked) == 1
-    assert sum(type(one) is WatchFailed for one in engine.told) == 1
+    assert sum(type(event) is WatchFailed for event in engine.told) == 1
     job.kill()
 
 
@@ -100,7 +100,7 @@
             gevent.sleep(0.001)
         gevent.sleep(0.01)
         watch.change_address(address)
-        while not any(type(one) is EndpointListReceived for one in engine.told):
+        while not any(type(event) is EndpointListReceived for event in engine.told):
             gevent.sleep(0.005)
     assert time.monotonic() - begun < 1.5 and len(there.asked) == 1 and watch.counts["calls"] == 2
     job.kill()
--- a/tests/crossings/test_crossings_joining.py
+++ b/tests/crossings/test_crossings_joining.py
@@ -84,7 +84,7 @@
                 found.add((number, os.readlink(f"/proc/self/fd/{number}")))
             except OSError:  # the one that lists them
                 pass
-        return found, {one for one in gc.get_objects() if isinstance(one, gevent.Greenlet) and not one.dead}
+        return found, {item for item in gc.get_objects() if isinstance(item, gevent.Greenlet) and not item.dead}
 
     before = None
     for _ in range(3):
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from stand_ins import CLASSES, ROOT, ZONES, Assigner, Discovery, Peer, message, page, server, wait_for
+from stand_ins import CLASSES, ROOT, ZONES, Discovery, NodeProcess, Peer, message, page, server, wait_for
 
 TASKS = [f"s-{k}" for k in range(6)]
 LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
@@ -17,7 +17,9 @@
 @pytest.fixture
 def node(tmp_path):
     discovery = Discovery(LIST)
-    assigner = Assigner(tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old")])).ready()
+    assigner = NodeProcess(
+        tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old")])
+    ).wait_until_ready()
     yield assigner, discovery
     if assigner.process.poll() is None:
         assigner.process.kill()
@@ -25,7 +27,7 @@
 
 
 def report(collector, name, zone=0, util=0.4, rtt=90.0, total=40, errors=0):
-    collector.say(
+    collector.send(
         "upstream_stats",
         locality=ZONES[zone],
         endpoint=name,
@@ -41,38 +43,38 @@
     assigner, discovery = node
     proxies = [Peer(assigner.port, node, node % 2) for node in range(4)]
     for proxy in proxies:
-        proxy.holds(TASKS)
+        proxy.wait_for_table(TASKS)
         assert proxy.marks
     collector = Peer(assigner.port)
-    collector.say("telemetry", locality=ZONES[0])
+    collector.send("telemetry", locality=ZONES[0])
     before = dict(proxies[0].table)
     for _ in range(12):  # one task answers three times as slowly as the rest
         for name in TASKS:
             report(collector, name, rtt=900.0 if name == "s-0" else 90.0, util=0.9 if name == "s-0" else 0.4)
         for proxy in proxies:
-            proxy.say("client_stats", node=proxy.node, route=CLASSES[0], total=20, errors=0, interval=400.0)
-            proxy.hear()
+            proxy.send("client_stats", node=proxy.node, route=CLASSES[0], total=20, errors=0, interval=400.0)
+            proxy.receive()
         time.sleep(0.3)
-    wait_for(lambda: proxies[0].hear() and proxies[0].table["s-0"] < before["s-0"] * 0.9)
-    assert collector.hear() == []  # nothing is ever written to a collector
-    discovery.say(page(8, [server("s-3", 1, "terminating")], full=False))
+    wait_for(lambda: proxies[0].receive() and proxies[0].table["s-0"] < before["s-0"] * 0.9)
+    assert collector.receive() == []  # nothing is ever written to a collector
+    discovery.publish(page(8, [server("s-3", 1, "terminating")], full=False))
     for proxy in proxies:
-        proxy.holds(set(TASKS) - {"s-3"}, 2.5)
+        proxy.wait_for_table(set(TASKS) - {"s-3"}, 2.5)
     late = Peer(assigner.port, 9)
-    late.holds(set(TASKS) - {"s-3"})
-    # A newer stream of a proxy replaces the older; the late end of the old one ends nothing.
+    late.wait_for_table(set(TASKS) - {"s-3"})
+    # A newer connection of a proxy replaces the older, whose late end changes nothing.
     newer = Peer(assigner.port, 9)
-    newer.holds(set(TASKS) - {"s-3"})
+    newer.wait_for_table(set(TASKS) - {"s-3"})
     late.sock.close()
     other = Discovery(page(9, [server("s-4", 0, "terminating")], full=False))
     assigner.write("{")
     assigner.signal(signal.SIGHUP)
-    assigner.says("configuration_rejected")
+    assigner.wait_for_log("configuration_rejected")
     assigner.write(json.dumps({**assigner.document, "discovery": other.address}))
     assigner.signal(signal.SIGHUP)
     for proxy in (*proxies, newer):
-        proxy.holds(set(TASKS) - {"s-3", "s-4"}, 2.5)
-    assert other.asked[0][1].endswith("index=8")
+        proxy.wait_for_table(set(TASKS) - {"s-3", "s-4"}, 2.5)
+    assert other.requests[0][1].endswith("index=8")
     code, took = assigner.stop()
     assert code == 0 and took < 0.7
     other.stop()
@@ -80,21 +82,23 @@
 
 def test_while_discovery_is_down_the_cached_list_is_served(tmp_path):
     discovery = Discovery(LIST)
-    discovery.mood = "refuse"
-    assigner = Assigner(tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old", 1)])).ready()
+    discovery.mode = "refuse"
+    assigner = NodeProcess(
+        tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old", 1)])
+    ).wait_until_ready()
     proxy = Peer(assigner.port, 1)
-    proxy.holds({"s-0", "s-old"})
+    proxy.wait_for_table({"s-0", "s-old"})
     time.sleep(2)
-    calls = [at for at, _ in discovery.asked]
+    calls = [at for at, _ in discovery.requests]
     assert 2 <= len(calls) <= 8  # asked again, never in a storm
-    discovery.mood = "ok"
-    proxy.holds(TASKS)
-    discovery.nonsense = b'{"version":99,"full":true,"servers":7}'
+    discovery.mode = "ok"
+    proxy.wait_for_table(TASKS)
+    discovery.invalid_page = b'{"version":99,"full":true,"servers":7}'
     with discovery.lock:
         for sock in discovery.open:
             sock.shutdown(socket.SHUT_RDWR)
-    assigner.says("Expected `array`")
-    proxy.hear()
+    assigner.wait_for_log("Expected `array`")
+    proxy.receive()
     assert set(proxy.table) == set(TASKS)
     assert assigner.stop()[0] == 0
     discovery.stop()
@@ -122,7 +126,7 @@
 def test_strangers_are_disconnected_and_take_nothing_from_others(node):
     assigner, _ = node
     proxy = Peer(assigner.port, 1)
-    proxy.holds(TASKS)
+    proxy.wait_for_table(TASKS)
     strangers = {}
     for why, raw in REFUSED.items():
         strangers[why] = Peer(assigner.port)
@@ -131,7 +135,7 @@
     endless = Peer(assigner.port)
     begun = time.monotonic()
     late = Peer(assigner.port, 2)  # has room and is served
-    late.holds(TASKS)
+    late.wait_for_table(TASKS)
     for why, stranger in strangers.items():
         assert stranger.closed(3 - (time.monotonic() - begun)), why
     try:
@@ -140,24 +144,24 @@
     except OSError:
         pass
     assert endless.closed(1)
-    assert proxy.hear() is not None and late.hear() is not None
-    assert wait_for(lambda: all(not one.recv(1000).startswith(b"-") for one in crowd))
+    assert proxy.receive() is not None and late.receive() is not None
+    assert wait_for(lambda: all(not client.recv(1000).startswith(b"-") for client in crowd))
 
 
 def test_a_malformed_message_is_skipped_and_an_unreadable_one_ends_its_connection_only(node):
     assigner, discovery = node
     good, bad = Peer(assigner.port, 1), Peer(assigner.port, 2)
     for proxy in (good, bad):
-        proxy.holds(TASKS)
-    bad.say("client_stats", node=2, route="nothing", total=1, errors=0, interval=400)
-    bad.say("client_stats", node=1, route=CLASSES[0], total=1, errors=0, interval=400)
-    bad.say("done", node=2, nonce=70000, latency=1)
-    bad.say("hb")
-    assert wait_for(lambda: [b"hb_ok"] in (bad.hear() or []))
+        proxy.wait_for_table(TASKS)
+    bad.send("client_stats", node=2, route="nothing", total=1, errors=0, interval=400)
+    bad.send("client_stats", node=1, route=CLASSES[0], total=1, errors=0, interval=400)
+    bad.send("done", node=2, nonce=70000, latency=1)
+    bad.send("hb")
+    assert wait_for(lambda: [b"hb_ok"] in (bad.receive() or []))
     bad.sock.sendall(b"not RESP at all")
     assert bad.closed(2)
-    discovery.say(page(8, [server("s-1", 1, "terminating")], full=False))
-    good.holds(set(TASKS) - {"s-1"})
+    discovery.publish(page(8, [server("s-1", 1, "terminating")], full=False))
+    good.wait_for_table(set(TASKS) - {"s-1"})
 
 
 @pytest.mark.parametrize("path", ["", "/nowhere/config.json"])
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -101,34 +101,36 @@
     return {"version": version, "full": full, "servers": servers}
 
 
-def words(**fields):
+def field_parts(**fields):
     return [part.encode() for name, value in fields.items() for part in (name, str(value))]
 
 
 def message(kind, **fields):
-    return encode([kind.encode(), *words(**fields)])
+    return encode([kind.encode(), *field_parts(**fields)])
 
 
-def wait_for(what, seconds=8.0):
+def wait_for(condition, seconds=8.0):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        found = what()
+        found = condition()
         if found:
             return found
         time.sleep(0.01)
-    raise AssertionError("did not come about in time")
+    raise AssertionError("the condition did not hold in time")
 
 
 class Discovery:
-    """Answers watches with what `told` holds and whatever is `say`n later. `mood`: ok, refuse (503), or nonsense bytes
-    that every watch gets in place of a list."""
+    """Answers watches with a first page and with the updates that are published later.
+
+    `mode`: ok, refuse (503) or hang; `invalid_page`: bytes that every watch gets in place of a list.
+    """
 
     def __init__(self, first, beat=0.3):
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.sock.getsockname())
-        self.first, self.beat, self.mood = first, beat, "ok"
-        self.asked, self.open, self.lock = [], [], threading.Lock()
-        self.nonsense = b""
+        self.first, self.beat, self.mode = first, beat, "ok"
+        self.requests, self.open, self.lock = [], [], threading.Lock()
+        self.invalid_page = b""
         self.stopped = False
         threading.Thread(target=self.accept, daemon=True).start()
 
@@ -148,16 +150,16 @@
                 if not piece:
                     return
                 head += piece
-            self.asked.append((time.monotonic(), head.split(b" ")[1].decode()))
-            if self.mood == "hang":
+            self.requests.append((time.monotonic(), head.split(b" ")[1].decode()))
+            if self.mode == "hang":
                 time.sleep(30)
-            if self.mood == "refuse":
+            if self.mode == "refuse":
                 sock.sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 sock.close()
                 return
             with self.lock:
                 sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                self.put(sock, self.nonsense or json.dumps(self.first).encode())
+                self.put(sock, self.invalid_page or json.dumps(self.first).encode())
                 self.open.append(sock)
             while not self.stopped:
                 time.sleep(self.beat)
@@ -171,11 +173,11 @@
         line += b"\n"
         sock.sendall(b"%x\r\n%b\r\n" % (len(line), line))
 
-    def say(self, told):
+    def publish(self, update):
         with self.lock:
             for sock in self.open:
                 try:
-                    self.put(sock, json.dumps(told).encode())
+                    self.put(sock, json.dumps(update).encode())
                 except OSError:
                     pass
 
@@ -198,37 +200,37 @@
 
 
 class Peer:
-    """A proxy, a collector or a stranger; `table` and `levels` are what a proxy holds after its orders."""
+    """A proxy, a collector or a stranger; `table` and `levels` are what a proxy holds after its messages."""
 
     def __init__(self, port, node=None, zone=0):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=8)
-        self.reader, self.inbox = FrameReader(), []
+        self.reader, self.received = FrameReader(), []
         self.node, self.table, self.levels, self.marks = node, {}, {}, []
         if node is not None:
-            self.say("attach", node=node, locality=ZONES[zone], w=5.0, cold=1)
+            self.send("attach", node=node, locality=ZONES[zone], w=5.0, cold=1)
 
-    def say(self, kind, **fields):
+    def send(self, kind, **fields):
         self.sock.sendall(message(kind, **fields))
 
-    def hear(self, seconds=0.05):
-        """What came until nothing does for so long; None once closed."""
+    def receive(self, seconds=0.05):
+        """All messages received so far, once none came for so long; None once closed."""
         self.sock.settimeout(seconds)
         try:
             while True:
                 chunk = self.sock.recv(65536)
                 if not chunk:
                     return None
-                for one in self.reader.feed(chunk):
-                    self.inbox.append(one)
-                    self.obey(one)
+                for parts in self.reader.feed(chunk):
+                    self.received.append(parts)
+                    self.apply_order(parts)
         except TimeoutError:
-            return self.inbox
+            return self.received
         except ConnectionError:
             return None
 
-    def obey(self, one):
-        fields = dict(zip(one[1::2], one[2::2]))
-        if one[0] != b"assign":
+    def apply_order(self, parts):
+        fields = dict(zip(parts[1::2], parts[2::2]))
+        if parts[0] != b"assign":
             return
         if fields.get(b"whole") == b"1":
             self.levels = {}
@@ -237,21 +239,21 @@
             self.levels[fields.get(b"classes", b"all").decode()] = float(fields[b"level"]), int(fields[b"retry"])
         if b"ticket" in fields:
             self.marks.append(int(fields[b"ticket"]))
-            self.say("done", node=self.node, nonce=fields[b"ticket"].decode(), latency=120.0)
+            self.send("done", node=self.node, nonce=fields[b"ticket"].decode(), latency=120.0)
 
-    def holds(self, names, seconds=8.0):
-        wait_for(lambda: self.hear() is not None and set(self.table) == set(names), seconds)
+    def wait_for_table(self, names, seconds=8.0):
+        wait_for(lambda: self.receive() is not None and set(self.table) == set(names), seconds)
 
     def closed(self, seconds):
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            if self.hear() is None:
+            if self.receive() is None:
                 return True
         return False
 
 
-class Assigner:
-    """A started `run` process on a configuration in `folder`."""
+class NodeProcess:
+    """A started process of the assigner on a configuration in `folder`."""
 
     def __init__(self, folder, discovery, known=None, sockets=512, settings=SETTINGS, log=None, **more):
         with socket.socket() as probe:
@@ -287,24 +289,24 @@
     def write(self, text):
         self.path.write_text(text)
 
-    def ready(self):
+    def wait_until_ready(self):
         def answers():
-            assert self.process.poll() is None, self.logged()
+            assert self.process.poll() is None, self.read_log()
             try:
                 peer = Peer(self.port)
             except OSError:
                 return False
-            peer.say("hb")
-            return wait_for(peer.hear) == [[b"hb_ok"]]
+            peer.send("hb")
+            return wait_for(peer.receive) == [[b"hb_ok"]]
 
         wait_for(answers)
         return self
 
-    def logged(self):
+    def read_log(self):
         return (self.path.parent / "log").read_text()
 
-    def says(self, text, seconds=8.0):
-        wait_for(lambda: text in self.logged(), seconds)
+    def wait_for_log(self, text, seconds=8.0):
+        wait_for(lambda: text in self.read_log(), seconds)
 
     def signal(self, number):
         self.process.send_signal(number)
