--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -5,15 +5,17 @@
 import structlog
 from helpers import START, bootstrap
 from in_process import NAMES, ZONES
+from stand_ins import CONFIG_DOCUMENT
 from stored import as_text, shape, stored
-from test_node import GOOD
 
 from hollyridge import interface as api
 from hollyridge.discovery import schema as discovery
 from hollyridge.node.application import Application
-from hollyridge.node.config import ConfigDocument, read_terms
+from hollyridge.node.config import ConfigDocument, parse_config
 from hollyridge.resp import messages
+from hollyridge.resp.assign_message import TableUpdate, assign_messages
 from hollyridge.resp.codec import FrameReader, encode
+from hollyridge.resp.message_reader import MessageReader
 
 # Each message that an assigner reads, with all of its fields.
 HEARD = {
@@ -41,17 +43,17 @@
 # Each order that it writes, with all of its fields.
 ORDERS = {
     "whole": (
-        [messages.TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
+        [TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
         7,
     ),
     "two parts": (
         [
-            messages.TableUpdate((), False, (("s-1", 0.25),)),
-            messages.TableUpdate(("read-chapter",), False, (), (0.5, 0)),
+            TableUpdate((), False, (("s-1", 0.25),)),
+            TableUpdate(("read-chapter",), False, (), (0.5, 0)),
         ],
         8,
     ),
-    "withdrawals": ([messages.TableUpdate((), False, (), None, ("s-1", "s-2"), ("s-3",))], -1),
+    "withdrawals": ([TableUpdate((), False, (), None, ("s-1", "s-2"), ("s-3",))], -1),
     "a mark alone": ([], 9),
 }
 
@@ -65,7 +67,8 @@
 
 def orders() -> dict[str, str]:
     return {
-        name: b"".join(encode(message) for message in messages.order(*order)).decode() for name, order in ORDERS.items()
+        name: b"".join(encode(message) for message in assign_messages(*order)).decode()
+        for name, order in ORDERS.items()
     }
 
 
@@ -73,7 +76,7 @@
 def test_messages_are_read_as_before(kind):
     raw = stored("resp-heard.json")[kind].encode()
     (parts,) = FrameReader().feed(raw)
-    assert messages.MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
+    assert MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
     assert encode(parts) == raw
 
 
@@ -121,11 +124,11 @@
 
 def configuration() -> str:
     document = {
-        **GOOD,
+        **CONFIG_DOCUMENT,
         "limits": {"cores": 2.0, "memory_mb": 256.0, "sockets": 2048},
         "known": msgspec.to_builtins(msgspec.json.decode(page(), type=discovery.EndpointPage)),
     }
-    zones = {"khalda": GOOD["settings"]["zones"][0], "sahab": GOOD["settings"]["zones"][1]}
+    zones = {"khalda": CONFIG_DOCUMENT["settings"]["zones"][0], "sahab": CONFIG_DOCUMENT["settings"]["zones"][1]}
     for row in document["known"]["servers"]:
         row["zone"] = zones[row["zone"]]
     return msgspec.json.encode(document).decode()
@@ -134,14 +137,14 @@
 def test_the_configuration_is_read_and_written_as_before():
     raw = stored("configuration.json")["configuration"].encode()
     assert msgspec.json.encode(msgspec.json.decode(raw, type=ConfigDocument)) == raw
-    terms = read_terms(raw)
+    terms = parse_config(raw)
     assert terms[:4] == ("n3", ("127.0.0.1", 0), ("127.0.0.1", 9), 0x8C1F)
     assert msgspec.structs.astuple(terms.limits) == (2.0, 256.0, 2048)
-    assert terms.known == NEWS
+    assert terms.cached_list == NEWS
 
 
 def node_status() -> dict:
-    terms = read_terms(msgspec.json.encode(GOOD))
+    terms = parse_config(msgspec.json.encode(CONFIG_DOCUMENT))
     return shape(Application(terms, structlog.get_logger(), lambda: terms, lambda: START).status())
 
 
