--- a/hollyridge/peers/datagram_transport.py
+++ b/hollyridge/peers/datagram_transport.py
@@ -9,6 +9,7 @@
 
 from hollyridge.peers.codec import MAX_PACKET_BYTES
 
+READ_BYTES = MAX_PACKET_BYTES + 1  # one more shows that a datagram is too long
 ERROR_PAUSE_S = 0.01  # after a failed read: an unreachable peer's ICMP error surfaces there, and may do so in a row
 
 
@@ -55,9 +56,7 @@
     def _read(self) -> None:
         while True:
             try:
-                raw, (host, port, *_) = self._socket.recvfrom(
-                    MAX_PACKET_BYTES + 1
-                )  # one more shows that it is too long
+                raw, (host, port, *_) = self._socket.recvfrom(READ_BYTES)
             except OSError:
                 gevent.sleep(ERROR_PAUSE_S)
                 continue
--- a/tests/loaded_assigner.py
+++ b/tests/loaded_assigner.py
@@ -16,12 +16,12 @@
     return module
 
 
-def report_second(module, now, proposal=None, load=0.5, proxies=2, slow=1):
-    """A second of reports for four tasks of one zone, and what the module orders."""
+def report_second(module, now, proposal=None, load=0.5, slow=1):
+    """A second of reports for four tasks of one zone, and the commands of the module."""
     events = [
         api.TrafficReport(0, i, 20, 0, 100_000 * (slow if i in (1, 2) else 1), SECOND, (load, 0.0)) for i in range(4)
     ]
-    events += [api.OfferedLoad(40, SECOND, proxy, 0, 0) for proxy in range(proxies)]
+    events += [api.OfferedLoad(40, SECOND, proxy, 0, 0) for proxy in range(2)]
     if proposal is not None:
         events.append(api.WeightProposal(0, tuple(proposal.items())))
     return module.decide(now, events)
--- a/tests/peers/test_peers_clients.py
+++ b/tests/peers/test_peers_clients.py
@@ -20,26 +20,28 @@
 from hollyridge.settings import assigner
 
 
-def test_clients_that_know_no_owners_are_taken_by_whoever_they_ask(three):
+def test_clients_without_tokens_are_served_by_any_assigner(three):
     three.wait_until_joined()
     old = LoadBalancerClient(
         ("127.0.0.1", three.ports[1][0]), "old-sasp", source="127.1.0.200", connect=socket.create_connection
     )
     old.start(METHODS)
     got = old.receive(3)
-    assert got and all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
+    assert got
+    assert all(group.name != ownership_extension.NAME for group, _ in got[1].groups)
     dealer = zmq.Context.instance().socket(zmq.DEALER)
     dealer.identity, dealer.linger = b"\x01" + os.urandom(12), 0
     dealer.connect(f"tcp://127.1.0.201:0;127.0.0.1:{three.ports[2][2]}")
     dealer.send_multipart(chp.encode(chp.Icanhaz("/proxy/old-clone/")))
     assert wait_for(lambda: three.owners("old-clone") == [2])
-    assert three.owners("old-sasp") == [1] and three.services[2].fleet.lease_manager.fencing_token("old-clone") == 0
+    assert three.owners("old-sasp") == [1]
+    assert three.services[2].fleet.lease_manager.fencing_token("old-clone") == 0
     dealer.close()
     old.close()
 
 
 def test_a_new_client_and_an_assigner_that_shares_nothing(tmp_path):
-    """The question's group is refused, and what comes then has no number: it is obeyed by who never had one."""
+    """The group of the request is refused, and what follows has no token: clients that never had one accept it."""
     ports = free_port(), free_port(), free_ports(3)
     service = Service(
         assigner.load(
@@ -57,18 +59,20 @@
     job = gevent.spawn(service.run)
     agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
     agent.register([Member.at("127.1.0.1", 9000, "t run=a up=100")])
-    one = SaspGateway(
+    sasp_client = SaspGateway(
         ("127.0.0.1", ports[0]),
         "gw",
         METHODS,
         sleep=gevent.sleep,
         how=dict(source="127.1.0.9", connect=socket.create_connection),
     )
-    two = ChpGateway(("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq))
-    jobs = [gevent.spawn(g.run) for g in (one, two)]
-    assert wait_for(lambda: one.table_for("read-chapter") and two.table_for("read-chapter"))
-    assert one.judge.accepted_token == two.judge.accepted_token == 0
-    for g in (one, two):
+    chp_client = ChpGateway(
+        ("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq)
+    )
+    jobs = [gevent.spawn(g.run) for g in (sasp_client, chp_client)]
+    assert wait_for(lambda: sasp_client.table_for("read-chapter") and chp_client.table_for("read-chapter"))
+    assert sasp_client.judge.accepted_token == chp_client.judge.accepted_token == 0
+    for g in (sasp_client, chp_client):
         g.stop()
     gevent.sleep(0.1)
     gevent.killall(jobs)
@@ -77,31 +81,32 @@
     job.join(2)
 
 
-def test_sasp_says_who_should_be_asked(three):
+def test_sasp_forwards_to_the_owner_and_serves_a_fallback_request(three):
     three.wait_until_joined()
-    uid = next(f"q-{k}" for k in range(99) if owner_of(three, f"q-{k}") == 2)
-    asking = LoadBalancerClient(
+    uid = next(f"q-{k}" for k in range(99) if preferred_number(three, f"q-{k}") == 2)
+    forwarded = LoadBalancerClient(
         ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
     )
     with pytest.raises(RefusedError):
-        asking.start(METHODS, asked=5)
-    told = ownership_extension.word_in(asking.pushed[0][1].groups)
-    assert told == ownership_extension.Redirected(f"127.0.0.1:{three.ports[2][0]}")
-    asking.close()
-    pleading = LoadBalancerClient(
+        forwarded.start(METHODS, asked=5)
+    redirected = ownership_extension.word_in(forwarded.pushed[0][1].groups)
+    assert redirected == ownership_extension.Redirected(f"127.0.0.1:{three.ports[2][0]}")
+    forwarded.close()
+    fallback = LoadBalancerClient(
         ("127.0.0.1", three.ports[0][0]), uid, source="127.1.0.200", connect=socket.create_connection
     )
-    pleading.start(METHODS, asked=6, plea=True)
-    first = pleading.receive(3)[1].groups
-    assert ownership_extension.word_in(first).fence == 6 and any(row.group.name in METHODS for row in first)
+    fallback.start(METHODS, asked=6, plea=True)
+    first = fallback.receive(3)[1].groups
+    assert ownership_extension.word_in(first).fence == 6
+    assert any(row.group.name in METHODS for row in first)
     assert not any(w.weight for row in first if row.group.name == ownership_extension.NAME for w in row.weights)
-    pleading.close()
+    fallback.close()
 
 
-def owner_of(three, uid):
+def preferred_number(three, uid):
     return int(preferred_owner(uid, "abdali", three.services[0].fleet.lease_manager.members)[1:])
 
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
-def test_questions_that_are_none(name):
+def test_invalid_requests_for_a_lease_are_not_read(name):
     assert ownership_extension.question_in(name) is None
--- a/tests/peers/test_peers_peer_service.py
+++ b/tests/peers/test_peers_peer_service.py
@@ -40,7 +40,7 @@
     assert three.services[busy].fleet.status()["drains"]
 
 
-def test_orders_stop_when_an_assigner_slept_through_its_leases(three):
+def test_commands_stop_when_a_paused_assigner_has_lost_its_leases(three):
     three.wait_until_joined()
     one = three.gateway(ChpGateway, "gw-1")
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.table_for("read-chapter"))
@@ -63,16 +63,19 @@
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.state.value == "fresh", 8)
 
 
-def test_operators_see_who_owns_what(three):
+def test_operators_see_owners_and_drain_an_assigner(three):
     three.wait_until_joined()
     three.gateway(SaspGateway, "gw-7")
     assert wait_for(lambda: three.owned_once(["gw-7"]))
     addresses = [f"http://127.0.0.1:{ports[1]}" for ports in three.ports]
-    told = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", *addresses]))
-    assert told.exit_code == 0, told.output
-    assert "gw-7" in told.output and "a0" in told.output and "disagree" not in told.output
+    result = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", *addresses]))
+    assert result.exit_code == 0, result.output
+    assert "gw-7" in result.output
+    assert "a0" in result.output
+    assert "disagree" not in result.output
     busy = three.owners("gw-7")[0]
-    told = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", addresses[busy], "--drain"]))
-    assert told.exit_code == 0 and wait_for(lambda: three.owners("gw-7") not in ([], [busy]), 8)
-    told = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", "http://127.0.0.1:9", "--json"]))
-    assert told.exit_code == 1
+    result = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", addresses[busy], "--drain"]))
+    assert result.exit_code == 0
+    assert wait_for(lambda: three.owners("gw-7") not in ([], [busy]), 8)
+    result = gevent.get_hub().threadpool.apply(CliRunner().invoke, (main, ["fleet", "http://127.0.0.1:9", "--json"]))
+    assert result.exit_code == 1
--- a/tests/peers/test_peers_takeover.py
+++ b/tests/peers/test_peers_takeover.py
@@ -10,9 +10,10 @@
         takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), seed, front)
         for seed, front in ((1, "clone"), (2, "sasp"), (5, "sasp"))
     ]
-    told = takeover.summary(found)
-    assert told["orphaned"] > 0 and told["doubly_ordered"] == told["rules_broken"] == 0
-    assert told["orphaned_max_s"] < 5
+    summary = takeover.summary(found)
+    assert summary["orphaned"] > 0
+    assert summary["doubly_ordered"] == summary["rules_broken"] == 0
+    assert summary["orphaned_max_s"] < 5
     again = takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), 1, "clone")
     assert again == found[0]
 
--- a/tests/solver/test_solver_engine_adapter.py
+++ b/tests/solver/test_solver_engine_adapter.py
@@ -11,7 +11,7 @@
 from hollyridge.solver.planner import Planner, solve
 
 
-def test_a_table_that_loses_half_its_weight_brings_the_rest_along():
+def test_a_plan_lapses_when_its_table_loses_half_its_weight():
     """What a plan left to the tasks that stay says nothing of where all is to go now; found on the lost-zone day, where
     two of eight tasks got nine tenths of a zone's RPCs until the gate let a push through."""
     module, now = started_assigner(), START
@@ -29,7 +29,7 @@
     assert 0.5 < after[2] / after[1] < 2  # the plan has lapsed
 
 
-def test_the_module_takes_what_is_proposed_where_it_gains_and_forgets_it_without_more():
+def test_proposals_are_pushed_where_they_gain_and_expire_without_new_ones():
     """The gate pushes what saves latency, at once and not by tenths; a proposal that saves nothing is not pushed."""
     ratio = {}
     for name, proposed, slow in (
@@ -51,32 +51,37 @@
             now += SECOND
             report_second(module, now, slow=slow)
         assert not module.solver.proposed[0][1]
-    assert ratio["proposed"] < 0.5 < 0.7 < ratio["alone"] and ratio["gains nothing"] == 1.0
+    assert ratio["proposed"] < 0.5
+    assert ratio["alone"] > 0.7
+    assert ratio["gains nothing"] == 1.0
 
 
-def test_what_is_known_becomes_a_fleet_and_a_plan():
+def test_the_modules_estimates_become_a_fleet_and_a_plan():
     module, now = started_assigner(), START
     assert fleet_of(module, now, 0.05, 100.0) is None  # nothing heard yet
     for _ in range(6):
         now += SECOND
         report_second(module, now)
-    one = fleet_of(module, now, 0.05, 100.0)
-    assert len(one.tasks) == 4 and one.zones[0].proxy_count == 2
-    assert one.zones[0].demand_rps[0] == pytest.approx(80, rel=0.01)
-    assert one.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
-    plan = solve(one)
-    told = proposals(plan, True)
-    assert [p.zone for p in told] == [0] and len(told[0].weights) == 4
-    short = solve(one._replace(zones=(one.zones[0]._replace(demand_rps=(1000.0,)),)))
-    assert proposals(short, False) == [] and proposals(short, True)
+    fleet = fleet_of(module, now, 0.05, 100.0)
+    assert len(fleet.tasks) == 4
+    assert fleet.zones[0].proxy_count == 2
+    assert fleet.zones[0].demand_rps[0] == pytest.approx(80, rel=0.01)
+    assert fleet.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
+    plan = solve(fleet)
+    proposed = proposals(plan, True)
+    assert [p.zone for p in proposed] == [0]
+    assert len(proposed[0].weights) == 4
+    short = solve(fleet._replace(zones=(fleet.zones[0]._replace(demand_rps=(1000.0,)),)))
+    assert proposals(short, False) == []
+    assert proposals(short, True)
 
 
 @pytest.mark.parametrize("change", [dict(load=0.0), dict(load=50.0), dict(load=-1.0)])
-def test_loads_that_can_not_be_do_no_harm(change):
+def test_impossible_loads_do_no_harm(change):
     module, now = started_assigner(), START
     for _ in range(6):
         now += SECOND
         report_second(module, now, **change)
-    one = fleet_of(module, now, 0.05, math.inf)
-    if one is not None:
-        assert Planner(1.0).take(one) is not None
+    fleet = fleet_of(module, now, 0.05, math.inf)
+    if fleet is not None:
+        assert Planner(1.0).take(fleet) is not None
--- a/tests/solver/test_solver_planner.py
+++ b/tests/solver/test_solver_planner.py
@@ -39,35 +39,36 @@
             assert a == pytest.approx(b, abs=1e-4)
 
 
-def test_against_an_exhaustive_search():
+def test_plans_are_within_a_twentieth_of_an_exhaustive_search():
     """Every split of two zones' work over three tasks in steps of a twentieth: none costs less by more than a twentieth
     (lines that are not worth their place are left out)."""
     for seed in range(8):
         rng = Random(seed)
         tasks = [(k % 2, rng.uniform(8, 30), 1.0) for k in range(3)]
         asked = [rng.uniform(4, 9), rng.uniform(4, 9)]
-        one = fleet_of_tasks(tasks, asked, min_table_size=1, balancing_policy="random")
-        plan = solve(one)
+        fleet = fleet_of_tasks(tasks, asked, min_table_size=1, balancing_policy="random")
+        plan = solve(fleet)
         splits = [(a / 20, b / 20, (20 - a - b) / 20) for a, b in product(range(21), repeat=2) if a + b <= 20]
         best = min(
-            cost_of(one, tuple({i: s for i, s in enumerate(split) if s} for split in pair), asked)
+            cost_of(fleet, tuple({i: s for i, s in enumerate(split) if s} for split in pair), asked)
             for pair in product(splits, repeat=2)
         )
-        found = cost_of(one, plan.shares, asked)
+        found = cost_of(fleet, plan.shares, asked)
         assert found <= best * 1.05, (seed, found, best)
 
 
 @pytest.mark.parametrize("name", ["cold-fleet", "lost-zone"])
 def test_no_task_is_filled_past_what_it_can_do(name):
-    one, deadline, _ = load(SOLVE / f"{name}.ini")
-    plan = solve(one, deadline)
-    assert max(plan.utilization.values()) <= one.target_utilization and plan.moves.opened > 0
+    fleet, deadline, _ = load(SOLVE / f"{name}.ini")
+    plan = solve(fleet, deadline)
+    assert max(plan.utilization.values()) <= fleet.target_utilization
+    assert plan.moves.opened > 0
     naive = sum(
-        zone.proxy_count * sum(i not in held for i, task in enumerate(one.tasks) if task.accepts_requests)
-        for zone, held in zip(one.zones, one.current_tables)
+        zone.proxy_count * sum(i not in held for i, task in enumerate(fleet.tasks) if task.accepts_requests)
+        for zone, held in zip(fleet.zones, fleet.current_tables)
     )
     assert plan.moves.opened < naive
-    low = [k for k, m in enumerate(one.methods) if m.criticality == 2][0]
+    low = next(k for k, m in enumerate(fleet.methods) if m.criticality == 2)
     for row in plan.served:
         assert row[low] <= min(row[:low]) + 1e-6  # the less critical gives way first
     assert any("one more task in khalda" in line for line in plan.reasons)
@@ -86,17 +87,18 @@
     assert plan.served[1][0] == pytest.approx(0.2, abs=1e-3)
 
 
-def test_answers_do_not_swing_with_small_errors():
+def test_small_errors_of_capacity_move_plans_by_little():
     """Rates that are wrong by a twentieth move what arrives by little, and the gain over the tables held is small: the
     gate, not the solver, keeps such a plan from being pushed."""
     rng = Random(5)
-    one = fleet_of_tasks([(k % 3, rng.uniform(8, 12), 1.0) for k in range(30)], [60, 50, 40])
-    plan = solve(one)
-    noisy = one._replace(
+    fleet = fleet_of_tasks([(k % 3, rng.uniform(8, 12), 1.0) for k in range(30)], [60, 50, 40])
+    plan = solve(fleet)
+    noisy = fleet._replace(
         current_tables=plan.tables,
-        tasks=tuple(t._replace(capacity_rps=t.capacity_rps * rng.uniform(0.95, 1.05)) for t in one.tasks),
+        tasks=tuple(t._replace(capacity_rps=t.capacity_rps * rng.uniform(0.95, 1.05)) for t in fleet.tasks),
     )
     again = solve(noisy)
     gap = sum(abs(a.get(i, 0) - b.get(i, 0)) for a, b in zip(plan.shares, again.shares) for i in {*a, *b})
-    assert gap / 6 < 0.1 and again.gain < NOISE_FLOOR
+    assert gap / 6 < 0.1
+    assert again.gain < NOISE_FLOOR
     assert again.moves.opened <= 0.1 * 10 * sum(map(len, plan.tables))
--- a/tests/solver/test_solver_service.py
+++ b/tests/solver/test_solver_service.py
@@ -16,35 +16,36 @@
 from hollyridge.lab.virtual import VirtualStage
 
 
-def test_the_same_in_any_process():
+def test_plans_are_the_same_in_any_process():
     raws = set()
     for seed in ("0", "1", "99"):
         words = [sys.executable, "-m", "hollyridge.cli.main", "solve", str(SOLVE / "cold-fleet.ini"), "--json"]
         ran = subprocess.run(words, env={**os.environ, "PYTHONHASHSEED": seed}, capture_output=True, check=True)
-        told = msgspec.json.decode(ran.stdout)
-        told.pop("took_s")
-        raws.add(msgspec.json.encode(told))
+        answer = msgspec.json.decode(ran.stdout)
+        answer.pop("took_s")
+        raws.add(msgspec.json.encode(answer))
     assert len(raws) == 1
 
 
-def test_what_an_assigner_knows_becomes_a_file_that_solve_reads(rig):  # noqa: F811 - the fixture
+def test_solve_reads_the_fleet_page_of_an_assigner(rig):  # noqa: F811 - the fixture
     r = rig()
     agent, _ = r.agent(), r.balancer()
     address = f"http://127.0.0.1:{r.service.intake.server.server_port}"
     runner = CliRunner()
     thread = gevent.get_hub().threadpool
     empty = thread.apply(runner.invoke, (main, ["solve", address]))
-    assert empty.exit_code == 1 and "no description yet" in empty.output
+    assert empty.exit_code == 1
+    assert "no description yet" in empty.output
     assert wait_for(lambda: len(r.engine.assigner.roster.state) == 4)
     module = r.engine.assigner
     for i in range(4):
         module.est.does[i], module.est.served[i], module.est.busy[i] = 20.0, 20.0, 1.0
     module.est.came = {0: {0: (10.0, 0)}}
     agent.quiesce([r.members()[0]])
-    told = thread.apply(runner.invoke, (main, ["solve", address, "--json"]))
-    assert told.exit_code == 0, told.output
-    rows = msgspec.json.decode(told.stdout.strip().splitlines()[-1])["tables"]
-    first, *others = (f"{m.host}-{m.port}" for m in r.members())
+    result = thread.apply(runner.invoke, (main, ["solve", address, "--json"]))
+    assert result.exit_code == 0, result.output
+    rows = msgspec.json.decode(result.stdout.strip().splitlines()[-1])["tables"]
+    _first, *others = (f"{m.host}-{m.port}" for m in r.members())
     assert {row["tasks"] for row in rows} == set(others)  # the first is draining
 
 
@@ -76,15 +77,16 @@
     raws = []
     for _ in range(2):
         stage = VirtualStage(loaded, "", 3)
-        told = Day(loaded, stage, 3).play()
-        assert all(v.kept for v in told.verdicts)
+        outcome = Day(loaded, stage, 3).play()
+        assert all(v.kept for v in outcome.verdicts)
         solver = stage.status[-1]["solver"]
-        assert solver["proposed"] > 5 and solver["late"] == solver["nonsense"] == 0
+        assert solver["proposed"] > 5
+        assert solver["late"] == solver["nonsense"] == 0
         raws.append(msgspec.json.encode(stage.record.rows))
     assert raws[0] == raws[1]
 
 
-def test_the_solver_runs_off_the_hub_in_the_program(rig):  # noqa: F811 - the fixture
+def test_the_solver_runs_off_the_hub_in_the_service(rig):  # noqa: F811 - the fixture
     r = rig(solver__on=True)
     r.agent()
     r.balancer()
--- a/tests/solver/test_solver_table_size.py
+++ b/tests/solver/test_solver_table_size.py
@@ -44,5 +44,6 @@
     plan = solve(fleet_of_tasks(tasks, [14, 14, 14], current_tables=current_tables, balancing_policy="random"))
     for i, (_, rate, _) in enumerate(tasks):
         shares = [table[i] for table in plan.shares]
-        assert max(shares) - min(shares) < 1e-6 and shares[0] == pytest.approx(rate / 89, rel=0.01)
+        assert max(shares) - min(shares) < 1e-6
+        assert shares[0] == pytest.approx(rate / 89, rel=0.01)
     assert max(plan.utilization.values()) - min(plan.utilization.values()) < 0.01
--- a/tests/solver/test_solver_two_choices.py
+++ b/tests/solver/test_solver_two_choices.py
@@ -8,12 +8,12 @@
 from hollyridge.solver.two_choices import arrivals, weights_for
 
 
-def simulated(weights, out, times, calls=40_000):
+def simulated(weights, in_flight, times, calls=40_000):
     """Shares that arrive when one proxy picks, with Poisson arrivals and exponential stays."""
     rng, picker = Random(3), Picker("p2c", Random(4))
     picker.set({str(i): w for i, w in enumerate(weights)})
     mean = sum(times) / len(times)
-    rate, now, under, count = out / mean, 0.0, [[] for _ in weights], [0] * len(weights)
+    rate, now, under, count = in_flight / mean, 0.0, [[] for _ in weights], [0] * len(weights)
     for _ in range(calls):
         now += rng.expovariate(rate)
         for row in under:
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    "weights, out, times",
+    ("weights", "in_flight", "times"),
     [
         ([1, 1, 1, 1], 1.0, [1, 1, 1, 1]),
         ([4, 2, 1, 1], 0.5, [1, 1, 1, 1]),
@@ -35,12 +35,13 @@
         ([1, 1], 8.0, [1, 3]),
     ],
 )
-def test_the_two_choice_model_against_simulation(weights, out, times):
-    found, told = arrivals(weights, out, times), simulated(weights, out, times)
-    assert max(abs(a - b) for a, b in zip(found, told)) < 0.035
+def test_the_two_choice_model_against_simulation(weights, in_flight, times):
+    modelled = arrivals(weights, in_flight, times)
+    measured = simulated(weights, in_flight, times)
+    assert max(abs(a - b) for a, b in zip(modelled, measured)) < 0.035
 
 
-def test_weights_bring_the_shares_that_were_wanted():
+def test_weights_yield_the_wanted_shares():
     rng = Random(1)
     for _ in range(20):
         shares = [rng.uniform(0.5, 2) for _ in range(rng.randint(2, 30))]
