--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -59,7 +59,7 @@
         self.client = client or ProxyReplicas(uid, methods)
         for replica in self.client.replicas.values():
             replica.begin()
-        request = codec.OwnershipRequest(self.client.fencing.ask(), insist)
+        request = codec.OwnershipRequest(self.client.fencing.next_token(), insist)
         self.routing_id = codec.routing_id_of(request, os.urandom(ROUTING_ID_RANDOM_BYTES))
         self._connect(context or zmq.Context.instance(), address, source, keys)
         self.last_message = self.clock()
@@ -104,7 +104,7 @@
         """Tell the assigner what is applied; also the heartbeat."""
         self.acked_at = self.clock()
         home = self.client.replicas[self.client.home]
-        value = codec.Ack(home.head.epoch, self.client.applied_heads(), self.client.fencing.asked)
+        value = codec.Ack(home.head.epoch, self.client.applied_heads(), self.client.fencing.newest_token)
         uuid = codec.uuid_of(self.routing_id.hex())
         message = codec.Kvset(self.client.home + "ack", uuid, codec.PROPERTIES, codec.json(value))
         with suppress(self.zmq.ZMQError):  # nobody reads it now; the next one makes up for it
--- a/hollyridge/chp/ownership.py
+++ b/hollyridge/chp/ownership.py
@@ -26,21 +26,21 @@
     def claim(self, uid: str, zone: int, routing_id: bytes) -> LeaseGranted | StaleToken | ForwardProxy:
         """Claim the proxy; whether it is ours, and under which fencing token."""
         request = codec.request_of(routing_id)
-        return self.peers.came(uid, self.zone_name(zone), request.number, request.insist)
+        return self.peers.request_lease(uid, self.zone_name(zone), request.number, request.insist)
 
     def acknowledge(self, uid: str, request_number: int) -> None:
         """The proxy has sent a heartbeat."""
-        self.peers.acked(uid, request_number)
+        self.peers.acknowledge_token(uid, request_number)
 
     def release(self, uid: str) -> None:
         """The proxy has left."""
         if self.peers is not None:
-            self.peers.ended(uid)
+            self.peers.end_proxy(uid)
 
     def own_value(self, fence: int) -> bytes:
         """The value of a proxy's key `own`."""
-        lease_ms = self.peers.terms.lease.length // US_PER_MS
-        return codec.json(codec.Own(fence, self.peers.terms.name, lease_ms))
+        lease_ms = self.peers.config.lease.duration_us // US_PER_MS
+        return codec.json(codec.Own(fence, self.peers.config.name, lease_ms))
 
     def go_value(self, assigner: str) -> bytes:
         """The value of a proxy's key `go`."""
--- a/hollyridge/chp/proxy_replicas.py
+++ b/hollyridge/chp/proxy_replicas.py
@@ -146,7 +146,7 @@
         wanted = self.bound_tables()
         if not wanted or not all(self.replicas[table].synced for table in wanted.values()):
             return False
-        if not self.fencing.obeys(self.ownership().fence):
+        if not self.fencing.accepts(self.ownership().fence):
             return False
         ejected = {key[len(codec.OUT) :] for key in self.replicas[codec.OUT].held}
         lines = {
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -61,7 +61,7 @@
             if not isinstance(answer, LeaseGranted):
                 self._redirect_newcomer(now, request, answer)
                 return
-            fence = answer.fence
+            fence = answer.fencing_token
         self._start(now, request, zone, fence)
 
     def _start(self, now: int, request: JoinRequest, zone: int, fence: int) -> None:
@@ -99,7 +99,7 @@
             self.leave(now, older, "its newer session was redirected")
         home = f"/proxy/{request.uid}/"
         key_space = self.server.key_space
-        key_space.set(home, 0, {home + "go": self.server.ownership.go_value(answer.name)})
+        key_space.set(home, 0, {home + "go": self.server.ownership.go_value(answer.owner)})
         for message in key_space.snapshot(home):
             self.server.sockets.send_to(request.routing_id, codec.encode(message))
         key_space.drop(home)
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -94,7 +94,7 @@
 
     def _check_silence(self, subscriber: Subscriber) -> None:
         patience_s = self.silent_beats * subscriber.heartbeat_s + SILENCE_MARGIN_S
-        if self.judge.held and not subscriber.joined:
+        if self.judge.accepted_token and not subscriber.joined:
             patience_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
         if subscriber.silent_for > patience_s:
             raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -280,6 +280,6 @@
         that fell silent, for the others know more. Where a redirect had named the silent one, the next has to take it
         in.
         """
-        if not self.lived or (silent and self.judge.held):
+        if not self.lived or (silent and self.judge.accepted_token):
             self.pleads = self.pleads or self.way == self.redirected_to
             self.way = (self.way + 1) % self.ways
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -41,7 +41,7 @@
         """Begin a session; the number of its request for an owner."""
         self.held.new_stream()
         self.own = NOT_OWNED
-        return self.judge.ask()
+        return self.judge.next_token()
 
     def take(self, message: codec.SendWeights) -> None:
         """Apply a message, unless its sender is not to be obeyed.
@@ -54,7 +54,7 @@
             raise RedirectedError(ownership.address)
         self.own = ownership or self.own
         self.lease = self.own.lease_s or self.lease
-        if not self.judge.obeys(self.own.fence):
+        if not self.judge.accepts(self.own.fence):
             return
         self.held.take(message.groups)
         tables = {method: self._weights_of(group) for method, group in self.groups.items() if group in self.held.fresh}
--- a/hollyridge/lab/checker.py
+++ b/hollyridge/lab/checks/checker.py
@@ -14,7 +14,7 @@
 
 from hollyridge.chp import codec as clone
 from hollyridge.chp.proxy_replicas import ProxyReplicas
-from hollyridge.lab.record import frame_of, parts_of
+from hollyridge.lab.reports.record import frame_of, parts_of
 from hollyridge.membership.fencing import FencingChecker
 from hollyridge.registration.members import figure, read_label
 from hollyridge.sasp import codec, ownership_extension
@@ -81,10 +81,10 @@
 class Follower(FencingChecker):
     """Does not know the numbers of a proxy's questions, only that they grow."""
 
-    def obeys(self, fence: int) -> bool:
-        if fence < self.held:
+    def accepts(self, fencing_token: int) -> bool:
+        if fencing_token < self.accepted_token:
             return False
-        self.held = fence
+        self.accepted_token = fencing_token
         return True
 
 
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import NamedTuple
 
-from hollyridge.lab.checker import Evidence, Figures, Verdict, check
-from hollyridge.lab.metrics import figures_of
-from hollyridge.lab.ownership import of_day
-from hollyridge.lab.parity import compare
-from hollyridge.lab.scenario import Scenario, TroubleSection
+from hollyridge.lab.checks.checker import Evidence, Figures, Verdict, check
+from hollyridge.lab.checks.metrics import figures_of
+from hollyridge.lab.checks.ownership import of_day
+from hollyridge.lab.checks.parity import compare
+from hollyridge.lab.scenario import FaultSection, Scenario
 
 
 class DayError(Exception):
@@ -39,17 +39,21 @@
 
 
 class Day:
-    """The story of a day, on whichever stage: `stage` brings the world, the houses of stand-ins, the assigner and
-    the agent's line to it. `tick(part)` is told how far the day is."""
+    """Plays a day in an environment, which brings the clock, the workers that run stand-ins, the assigners and their
+    agents. `on_progress` takes the part of the day that has passed."""
 
     def __init__(
-        self, script: Scenario, stage, seed: int | None = None, tick: Callable[[float], None] = lambda part: None
+        self,
+        script: Scenario,
+        environment,
+        seed: int | None = None,
+        on_progress: Callable[[float], None] = lambda part: None,
     ) -> None:
-        self.script, self.stage, self.tick = script, stage, tick
-        self.world = stage.world
-        self.terms = script.terms
+        self.script, self.environment, self.on_progress = script, environment, on_progress
+        self.world = environment.world
+        self.terms = script.config
         self.rng = Random(script.day.seed if seed is None else seed)
-        self.record = stage.record
+        self.record = environment.record
         self.zones = self.terms.zone_names
         self.units: dict[str, Unit] = {}
         self.proxies: dict[str, int] = {}  # uid: zone
@@ -71,11 +75,11 @@
         return str(network.network_address + number)
 
     def start_assigner(self, number: int) -> None:
-        self.stage.start_assigner(number)
+        self.environment.start_assigner(number)
         self.record("assigner", number=number, up=True)
 
     def kill_assigner(self, number: int) -> None:
-        self.stage.kill_assigner(number)
+        self.environment.kill_assigner(number)
         self.record("assigner", number=number, up=False)
 
     def tell(self, what: str, *words, silent: bool = False) -> None:
@@ -120,7 +124,7 @@
             cache_keys=fleet.cache_keys,
             cache_gain=fleet.cache_gain,
         )
-        self.task_houses[unit.zone].do(
+        self.task_workers[unit.zone].do(
             "task",
             name=unit.name,
             host=unit.host,
@@ -141,15 +145,15 @@
     def stop_task(self, unit: Unit) -> None:
         if unit.up:
             unit.up = False
-            self.task_houses[unit.zone].do("kill", name=unit.name)
+            self.task_workers[unit.zone].do("kill", name=unit.name)
 
-    def lay_out(self) -> None:
+    def set_up(self) -> None:
         names = len(self.zones)
-        self.task_houses = [self.stage.house(f"tasks-{z}", self.heard) for z in range(names)]
-        self.proxy_houses = [self.stage.house(f"proxies-{z}", self.heard) for z in range(names)]
+        self.task_workers = [self.environment.start_worker(f"tasks-{z}", self.heard) for z in range(names)]
+        self.proxy_workers = [self.environment.start_worker(f"proxies-{z}", self.heard) for z in range(names)]
         for number in range(self.assigners):
             self.start_assigner(number)
-        self.agents = [self.stage.agent(number) for number in range(self.assigners)]
+        self.agents = [self.environment.agent(number) for number in range(self.assigners)]
         self.spare = 10
         for k in range(self.script.fleet.tasks):
             self.new_unit(k % names, cold=False)
@@ -157,7 +161,7 @@
             for agent in self.agents:
                 agent.running(unit.key, unit.name, unit.run, unit.born)
         for agent in self.agents:
-            self.stage.settle(agent)
+            self.environment.wait_for_sync(agent)
         weights = [self.rng.lognormvariate(0, 0.5) for _ in range(self.script.fleet.proxies)]
         for k, weight in enumerate(weights):
             uid, zone = f"gw-{k}", k % names
@@ -174,7 +178,7 @@
                 plan=self.plan(self.fronts[k // names % len(self.fronts)]),
                 seed=self.rng.randrange(1 << 30),
             )
-            self.proxy_houses[zone].do("proxy", **self.proxy_terms[uid])
+            self.proxy_workers[zone].do("proxy", **self.proxy_terms[uid])
 
     def new_unit(self, zone: int, cold: bool) -> Unit:
         self.spare += 1
@@ -199,7 +203,7 @@
         return dict(
             methods=methods,
             front=front,
-            **self.stage.addresses,
+            **self.environment.addresses,
             pick=terms.proxies.pick,
             outlier_after=terms.proxies.outlier_after,
             apply_us=self.script.net.apply_us,
@@ -220,10 +224,10 @@
     def standing_units(self, zone: str = "") -> list[Unit]:
         return [u for u in self.units.values() if u.up and zone in ("", self.zones[u.zone])]
 
-    def zone_of(self, trouble: TroubleSection) -> str:
+    def zone_of(self, trouble: FaultSection) -> str:
         return trouble.zone or self.rng.choice(self.zones)
 
-    def release(self, trouble: TroubleSection) -> None:
+    def release(self, trouble: FaultSection) -> None:
         """Each old task drains, is replaced by a new one under another address, and goes."""
         old = self.some(self.standing_units(), trouble.part)
         gap = trouble.for_s / max(len(old), 1)
@@ -238,7 +242,7 @@
             self.stop_task(unit)
             self.tell("gone", unit.key, unit.run)
 
-    def zone_lost(self, trouble: TroubleSection) -> None:
+    def zone_lost(self, trouble: FaultSection) -> None:
         """Its tasks die and come back cold; `all`: they fall silent, and its proxies die with them."""
         zone, every = self.zone_of(trouble), trouble.form == "all"
         lost = self.standing_units(zone)
@@ -252,7 +256,7 @@
     def go_dark(self, units: list[Unit], silent: bool) -> None:
         for unit in units:
             if silent and unit.up:
-                self.task_houses[unit.zone].do("set", name=unit.name, silent=True)
+                self.task_workers[unit.zone].do("set", name=unit.name, silent=True)
             else:
                 self.stop_task(unit)
             self.tell("gone", unit.key, unit.run, silent=silent)
@@ -264,14 +268,14 @@
             self.run_task(unit, cold=True)
             self.tell_running(unit)
 
-    def vanish(self, trouble: TroubleSection) -> None:
+    def vanish(self, trouble: FaultSection) -> None:
         """Machines go silent: no answer, no reset connection."""
         lost = self.some(self.standing_units(trouble.zone), trouble.part)
         self.go_dark(lost, True)
         self.world.sleep(trouble.for_s)
         self.come_back(lost)
 
-    def ageing(self, trouble: TroubleSection) -> None:
+    def ageing(self, trouble: FaultSection) -> None:
         """Slower and slower, `size` times at the end; then they die and come back cold after `extra` seconds."""
         units = self.some(self.standing_units(trouble.zone), trouble.part)
         steps = max(1, round(trouble.for_s * 2))
@@ -279,13 +283,13 @@
             self.world.sleep(trouble.for_s / steps)
             for unit in units:
                 if unit.up:
-                    self.task_houses[unit.zone].do("set", name=unit.name, slow=1 + (trouble.size - 1) * step / steps)
+                    self.task_workers[unit.zone].do("set", name=unit.name, slow=1 + (trouble.size - 1) * step / steps)
         units = [unit for unit in units if unit.up]
         self.go_dark(units, False)
         self.world.sleep(trouble.extra)
         self.come_back(units)
 
-    def grow(self, trouble: TroubleSection) -> None:
+    def grow(self, trouble: FaultSection) -> None:
         """The fleet grows to `size` times as many within the time, new ones cold; `extra` of it in traffic follows."""
         count = max(1, round((trouble.size - 1) * len(self.standing_units())))
         for made in range(1, count + 1):
@@ -294,13 +298,13 @@
             self.scale(trouble, 1 + (trouble.size - 1) * trouble.extra * made / count)
             self.world.sleep(trouble.for_s / count)
 
-    def scale(self, trouble: TroubleSection, value: float, zone: int = -1) -> None:
+    def scale(self, trouble: FaultSection, value: float, zone: int = -1) -> None:
         """RPCs of the proxies of one zone, or of all, times so many by this trouble."""
-        for at, house in enumerate(self.proxy_houses):
+        for at, worker in enumerate(self.proxy_workers):
             if zone in (-1, at):
-                house.do("factor", name="", cause=f"{trouble.kind}-{trouble.at_s}", value=value)
+                worker.do("factor", name="", cause=f"{trouble.kind}-{trouble.at_s}", value=value)
 
-    def shift(self, trouble: TroubleSection) -> None:
+    def shift(self, trouble: FaultSection) -> None:
         """`size` of the traffic of the other zones moves to one zone, for good."""
         zone = self.zones.index(self.zone_of(trouble))
         rates = [0.0] * len(self.zones)
@@ -313,7 +317,7 @@
                 self.scale(trouble, 1 + moved * (sum(rates) - rate) / rate if at == zone else 1 - moved, at)
             self.world.sleep(trouble.for_s / steps)
 
-    def restart_in_place(self, trouble: TroubleSection) -> None:
+    def restart_in_place(self, trouble: FaultSection) -> None:
         """Killed and back under the same address before the agent has noticed."""
         for unit in self.some(self.standing_units(), trouble.part):
             self.stop_task(unit)
@@ -326,50 +330,50 @@
     def links(self, zone: int, others: list[int]) -> list[tuple[object, list[str]]]:
         """Houses of proxies with what is at the far end of their links, between a zone and others."""
         return [
-            (self.proxy_houses[zone], [self.octet(z) for z in others]),
-            *((self.proxy_houses[z], [self.octet(zone)]) for z in others),
+            (self.proxy_workers[zone], [self.octet(z) for z in others]),
+            *((self.proxy_workers[z], [self.octet(zone)]) for z in others),
         ]
 
-    def zone_cut(self, trouble: TroubleSection) -> None:
+    def zone_cut(self, trouble: FaultSection) -> None:
         """Tasks of one zone can't be reached from the others; `all`: nor the other way round, and streams and reports
         reach assigners of their own side only. A lone assigner is on the other side; of several each zone has some."""
         zone = self.zones.index(self.zone_of(trouble))
         others = [z for z in range(len(self.zones)) if z != zone]
         ways = self.links(zone, others)
-        for house, ends in ways if trouble.form == "all" else ways[1:]:
-            house.do("set", name="", cut=ends)
+        for worker, ends in ways if trouble.form == "all" else ways[1:]:
+            worker.do("set", name="", cut=ends)
         if trouble.form == "all":
             inside = [k for k in range(self.assigners) if self.assigners > 1 and k % len(self.zones) == zone]
-            for at, house in enumerate(self.proxy_houses):
+            for at, worker in enumerate(self.proxy_workers):
                 far = [k for k in range(self.assigners) if (k in inside) != (at == zone)]
-                house.do("set", name="", away=far)
+                worker.do("set", name="", away=far)
                 for uid in [uid for uid, z in self.proxies.items() if z == at]:
-                    house.do("leave", name=uid, far=far)
+                    worker.do("leave", name=uid, far=far)
         self.world.sleep(trouble.for_s)
-        for house, _ in ways:
-            house.do("set", name="", cut=[])
-        for house in self.proxy_houses:
-            house.do("set", name="", away=[])
+        for worker, _ in ways:
+            worker.do("set", name="", cut=[])
+        for worker in self.proxy_workers:
+            worker.do("set", name="", away=[])
 
-    def slow_link(self, trouble: TroubleSection) -> None:
+    def slow_link(self, trouble: FaultSection) -> None:
         """`size` seconds more each way and `extra` of what is sent lost, between one zone and all others or one."""
         zone = self.zones.index(self.zone_of(trouble))
         others = [z for z in range(len(self.zones)) if z != zone]
         if trouble.form == "pair":
             others = self.rng.sample(others, min(1, len(others)))
         ways = self.links(zone, others)
-        for house, ends in ways:
-            house.do("set", name="", links={end: [trouble.size, trouble.extra] for end in ends})
+        for worker, ends in ways:
+            worker.do("set", name="", links={end: [trouble.size, trouble.extra] for end in ends})
         self.world.sleep(trouble.for_s)
-        for house, _ in ways:
-            house.do("set", name="", links={})
+        for worker, _ in ways:
+            worker.do("set", name="", links={})
 
-    def for_a_while(self, trouble: TroubleSection, houses: list, name: str, after: dict, **what) -> None:
-        for house in houses:
-            house.do("set", name=name, **what)
+    def for_a_while(self, trouble: FaultSection, workers: list, name: str, after: dict, **what) -> None:
+        for worker in workers:
+            worker.do("set", name=name, **what)
         self.world.sleep(trouble.for_s)
-        for house in houses:
-            house.do("set", name=name, **after)
+        for worker in workers:
+            worker.do("set", name=name, **after)
 
     def together(self, jobs: list[tuple], gap: float = 0.0) -> None:
         """Do all of these beside each other, begun one after the other, until all are done."""
@@ -392,64 +396,64 @@
             if failure is not None:
                 raise failure
 
-    def at_tasks(self, trouble: TroubleSection, after: dict, **what) -> None:
+    def at_tasks(self, trouble: FaultSection, after: dict, **what) -> None:
         self.together(
             [
-                (partial(self.for_a_while, **what), trouble, [self.task_houses[u.zone]], u.name, after)
+                (partial(self.for_a_while, **what), trouble, [self.task_workers[u.zone]], u.name, after)
                 for u in self.some(self.standing_units(trouble.zone), trouble.part)
             ]
         )
 
-    def hang(self, trouble: TroubleSection) -> None:
+    def hang(self, trouble: FaultSection) -> None:
         self.at_tasks(trouble, {"hung": False}, hung=True)
 
-    def errors(self, trouble: TroubleSection) -> None:
+    def errors(self, trouble: FaultSection) -> None:
         self.at_tasks(trouble, {"errors": 0.0}, errors=trouble.size)
 
-    def method_fails(self, trouble: TroubleSection) -> None:
+    def method_fails(self, trouble: FaultSection) -> None:
         """One method's RPCs fail or are left unanswered there; the others are served as usual."""
         names = list(self.terms.methods)
         method = names.index(trouble.method) if trouble.method else self.rng.randrange(len(names))
         self.at_tasks(trouble, {"fails": []}, fails=[method, trouble.size, trouble.form == "silence"])
 
-    def handshake_slow(self, trouble: TroubleSection) -> None:
+    def handshake_slow(self, trouble: FaultSection) -> None:
         """New connections take `size` seconds more and `extra` times the work."""
         self.at_tasks(trouble, {"handshake": 1.0, "dial_s": 0.0}, handshake=trouble.extra, dial_s=trouble.size)
 
-    def false_loads(self, trouble: TroubleSection) -> None:
+    def false_loads(self, trouble: FaultSection) -> None:
         """They tell `size` of their load and are `extra` times slower; `busy`: they tell that they are full."""
         slow = 1.0 if trouble.form == "busy" else max(1.0, trouble.extra)
         self.at_tasks(trouble, {"lie": [], "slow": 1.0}, lie=[trouble.form, trouble.size], slow=slow)
 
-    def pauses(self, trouble: TroubleSection) -> None:
+    def pauses(self, trouble: FaultSection) -> None:
         until = self.world.now() + trouble.for_s * 1e6
         units = self.some(self.standing_units(trouble.zone), trouble.part)
         while self.world.now() < until:
             for unit in units:
                 if unit.up:
-                    self.task_houses[unit.zone].do("pause", name=unit.name, seconds=trouble.size)
+                    self.task_workers[unit.zone].do("pause", name=unit.name, seconds=trouble.size)
             self.world.sleep(trouble.size * 3)
 
-    def streams_broken(self, trouble: TroubleSection) -> None:
+    def streams_broken(self, trouble: FaultSection) -> None:
         for uid in self.some(list(self.proxies), trouble.part):
-            self.proxy_houses[self.proxies[uid]].do("break", name=uid)
+            self.proxy_workers[self.proxies[uid]].do("break", name=uid)
 
-    def late_sums(self, trouble: TroubleSection) -> None:
-        self.for_a_while(trouble, self.proxy_houses, "", {"late": 0.0}, late=trouble.size)
+    def late_sums(self, trouble: FaultSection) -> None:
+        self.for_a_while(trouble, self.proxy_workers, "", {"late": 0.0}, late=trouble.size)
 
-    def surge(self, trouble: TroubleSection) -> None:
+    def surge(self, trouble: FaultSection) -> None:
         self.scale(trouble, trouble.size)
         self.world.sleep(trouble.for_s)
         self.scale(trouble, 1.0)
 
-    def unread(self, trouble: TroubleSection) -> None:
+    def unread(self, trouble: FaultSection) -> None:
         """Some proxies read nothing from their streams, which stay open."""
         self.together(
             [
                 (
                     partial(self.for_a_while, deaf=True),
                     trouble,
-                    [self.proxy_houses[self.proxies[uid]]],
+                    [self.proxy_workers[self.proxies[uid]]],
                     uid,
                     {"deaf": False},
                 )
@@ -457,11 +461,11 @@
             ]
         )
 
-    def slow_orders(self, trouble: TroubleSection) -> None:
+    def slow_orders(self, trouble: FaultSection) -> None:
         """Each message of orders takes `size` seconds to be read."""
-        self.for_a_while(trouble, self.proxy_houses, "", {"slow_orders": 0.0}, slow_orders=trouble.size)
+        self.for_a_while(trouble, self.proxy_workers, "", {"slow_orders": 0.0}, slow_orders=trouble.size)
 
-    def proxies_stalled(self, trouble: TroubleSection) -> None:
+    def proxies_stalled(self, trouble: FaultSection) -> None:
         """No turn for `size` seconds, again every `extra`, then all that came at once."""
         until = self.world.now() + trouble.for_s * 1e6
         if trouble.form == "zone":
@@ -471,20 +475,20 @@
             uids = self.some(list(self.proxies), trouble.part)
         while self.world.now() < until:
             for uid in uids:
-                self.proxy_houses[self.proxies[uid]].do("pause", name=uid, seconds=trouble.size)
+                self.proxy_workers[self.proxies[uid]].do("pause", name=uid, seconds=trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
-    def assigner_stalled(self, trouble: TroubleSection) -> None:
+    def assigner_stalled(self, trouble: FaultSection) -> None:
         """It stands still for `size` seconds, again every `extra`; its sockets stay open."""
         until = self.world.now() + trouble.for_s * 1e6
         some = self.some_assigners(trouble)
         while self.world.now() < until:
             for number in some:
                 self.record("stalled", assigner=number, seconds=trouble.size)
-                self.world.spawn(self.stage.stall_assigner, number, trouble.size)
+                self.world.spawn(self.environment.stall_assigner, number, trouble.size)
             self.world.sleep(trouble.size + max(0.1, trouble.extra))
 
-    def peers_cut(self, trouble: TroubleSection) -> None:
+    def peers_cut(self, trouble: FaultSection) -> None:
         """Assigners hear each other no more: halves of them, or one is not heard by the others, or `size` of all is
         lost. Proxies reach all as before."""
         every = list(range(self.assigners))
@@ -494,14 +498,14 @@
         if trouble.form == "halves":
             pairs |= {(b, a) for a, b in pairs}
         lossy = trouble.form == "lossy"
-        self.stage.cut_peers(set() if lossy else pairs, min(0.9, trouble.size) if lossy else 0.0)
+        self.environment.cut_peers(set() if lossy else pairs, min(0.9, trouble.size) if lossy else 0.0)
         self.world.sleep(trouble.for_s)
-        self.stage.cut_peers(set(), 0.0)
+        self.environment.cut_peers(set(), 0.0)
 
-    def some_assigners(self, trouble: TroubleSection) -> list[int]:
+    def some_assigners(self, trouble: FaultSection) -> list[int]:
         return sorted(self.some(list(range(self.assigners)), trouble.part)) if self.assigners > 1 else [0]
 
-    def assigner_killed(self, trouble: TroubleSection) -> None:
+    def assigner_killed(self, trouble: FaultSection) -> None:
         killed = self.some_assigners(trouble)
         for number in killed:
             self.kill_assigner(number)
@@ -509,7 +513,7 @@
         for number in killed:
             self.start_assigner(number)
 
-    def proxies_killed(self, trouble: TroubleSection) -> None:
+    def proxies_killed(self, trouble: FaultSection) -> None:
         killed = self.some(list(self.proxies), trouble.part)
         self.drop_proxies(killed)
         self.world.sleep(trouble.for_s)
@@ -517,7 +521,7 @@
 
     def drop_proxies(self, uids: list[str]) -> None:
         for uid in uids:
-            self.proxy_houses[self.proxies[uid]].do("kill", name=uid)
+            self.proxy_workers[self.proxies[uid]].do("kill", name=uid)
 
     def raise_proxies(self, uids: list[str]) -> None:
         for uid in uids:  # it comes back with a standing table of what is listed now
@@ -526,12 +530,12 @@
             near = [key for key in home if self.zones[zone] == self.zones[self.zone_at(key)]] or home
             self.proxy_terms[uid]["standing"] = self.rng.sample(near, min(5, len(near)))
             self.proxy_terms[uid]["seed"] += 1
-            self.proxy_houses[zone].do("proxy", **self.proxy_terms[uid])
+            self.proxy_workers[zone].do("proxy", **self.proxy_terms[uid])
 
     def zone_at(self, key: str) -> int:
         return next(u.zone for u in self.units.values() if u.key == key)
 
-    def cause(self, name: str, trouble: TroubleSection) -> None:
+    def cause(self, name: str, trouble: FaultSection) -> None:
         self.world.sleep(trouble.at_s)
         begun = self.world.now()
         try:
@@ -549,14 +553,14 @@
         """Raises DayError where the day could not be played as scripted."""
         begun = self.world.now()
         try:
-            begun = self.stage.act(self)
+            begun = self.environment.play(self)
         finally:
-            self.stage.end()
-        missing = set(self.script.troubles) - self.begun
-        self.failures += self.stage.failures
+            self.environment.end()
+        missing = set(self.script.faults) - self.begun
+        self.failures += self.environment.failures
         if missing or self.failures:
             raise DayError("; ".join(self.failures) or f"troubles that never began: {sorted(missing)}")
-        rows = self.stage.recorded()
+        rows = self.environment.recorded()
         for row in self.troubles:
             row["begun"], row["ended"] = ((row[key] - begun) / 1e6 for key in ("begun", "ended"))
         compared = compare(rows) if len(self.fronts) > 1 else (0, 0, "")
--- a/hollyridge/lab/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -14,8 +14,8 @@
 from gevent.event import AsyncResult
 
 from hollyridge.client import ChpGateway, Gateway, Reporter, SaspGateway
-from hollyridge.lab import rpc
-from hollyridge.lab.record import Recorder
+from hollyridge.lab.reports.record import Recorder
+from hollyridge.lab.stand_ins import rpc
 from hollyridge.otlp.sender import Figure
 
 
@@ -134,7 +134,7 @@
         self.slow_orders = 0.0  # seconds to read a message of orders
         self.gateway.on_change(self.tidy)
         self.gateway.on_change(
-            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.held)
+            lambda gateway: record("applied", proxy=uid, assigner=gateway.way, asked=gateway.judge.accepted_token)
         )
         self.gateway.watch = self.watch
         self.jobs = [world.spawn(job) for job in (self.gateway.run, self.live, self.report)]
--- a/hollyridge/sasp/ownership.py
+++ b/hollyridge/sasp/ownership.py
@@ -39,27 +39,27 @@
     def claim(self, connection: Connection, zone: int) -> StaleToken | ForwardProxy | None:
         """Claim the load balancer; None if it is ours, else why not."""
         request = connection.ownership_request
-        answer = self.peers.came(connection.uid, self.zone_name(zone), request.number, request.insist)
+        answer = self.peers.request_lease(connection.uid, self.zone_name(zone), request.number, request.insist)
         if type(answer) is not LeaseGranted:
             return answer
-        connection.fence = answer.fence
-        connection.fence_unsent = answer.fence > 0
+        connection.fence = answer.fencing_token
+        connection.fence_unsent = answer.fencing_token > 0
         return None
 
     def acknowledge(self, connection: Connection) -> None:
         """A request of the load balancer has come: it still takes us for its owner."""
         if self.peers is not None and connection.proxy >= 0:
-            self.peers.acked(connection.uid, connection.fence)
+            self.peers.acknowledge_token(connection.uid, connection.fence)
 
     def release(self, uid: str) -> None:
         """The load balancer has left."""
         if self.peers is not None:
-            self.peers.ended(uid)
+            self.peers.end_proxy(uid)
 
     def owned_entry(self, connection: Connection) -> codec.WeightsOf:
         """The group that tells the load balancer that it is ours, and for how long."""
-        lease_s = self.peers.terms.lease.length / 1e6
-        return write_reply(connection.uid, Owned(connection.fence, lease_s, self.peers.terms.name))
+        lease_s = self.peers.config.lease.duration_us / 1e6
+        return write_reply(connection.uid, Owned(connection.fence, lease_s, self.peers.config.name))
 
     def send_redirect(self, connection: Connection, assigner: str) -> None:
         """Tell the load balancer which assigner it should ask; nothing if that one's address is not known."""
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -15,7 +15,7 @@
 from hollyridge.core.event_loop import EventLoop
 from hollyridge.core.stream_server import ProtocolStreamServer, connection_lost_reason
 from hollyridge.delivery.update_builder import ProxyUpdate, ServerCapabilities
-from hollyridge.keys.tls import bearer_of
+from hollyridge.keys.tls import peer_common_name
 from hollyridge.limits.connection_limiter import ConnectionLimiter
 from hollyridge.limits.log_sampling import should_log
 from hollyridge.peers.peer_service import PeerService
@@ -117,7 +117,7 @@
             self.transport.set_options(sock)
             if self.secure is not None:
                 sock = connection.sock = self.secure(sock)
-                connection.bearer = bearer_of(sock)
+                connection.bearer = peer_common_name(sock)
             writer = gevent.spawn(self.transport.write_until_closed, connection)
             self.transport.read_until_closed(connection)
         except OSError as error:
--- a/tests/chp/test_chp_replica.py
+++ b/tests/chp/test_chp_replica.py
@@ -10,7 +10,7 @@
 from hollyridge.chp.key_space import KeySpace
 from hollyridge.chp.proxy_replicas import ProxyReplicas
 from hollyridge.chp.replica import Replica
-from hollyridge.lab.record import parts_of
+from hollyridge.lab.reports.record import parts_of
 
 STREAMS = Path(__file__).parent.parent / "streams"
 
--- a/tests/chp/test_chp_update_model.py
+++ b/tests/chp/test_chp_update_model.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hollyridge.lab.update_model_check import World, explore
+from hollyridge.lab.checks.update_model_check import World, explore
 
 
 def test_no_interleaving_to_a_stated_depth_breaks_a_table():
--- /dev/null
+++ b/tests/telemetry/test_telemetry_report_aggregator.py
@@ -0,0 +1,102 @@
+"""Each period of each series counts once, and floods stay bounded."""
+
+import pytest
+from helpers import SECOND
+
+from hollyridge.telemetry.report_aggregator import NS_PER_S as NS
+from hollyridge.telemetry.report_aggregator import DataPoint, Kind, ReportAggregator
+
+
+def point(value=10.0, start=0.0, end=1.0, kind=Kind.TRIES, source="gw-1", place=(0, 3), method=0):
+    return DataPoint(source, kind, place, method, value, round(start * NS), round(end * NS))
+
+
+def aggregator():
+    return ReportAggregator(
+        max_series=50, max_series_per_source=20, max_rate_per_s=1000, max_reports=5, expiry_us=60 * SECOND
+    )
+
+
+TAKEN = [
+    # points in the order they are added, attempts that count in all
+    ([point(), point()], 10),
+    ([point(), point(start=1, end=2), point(start=0, end=1)], 20),
+    ([point(start=5, end=6), point(start=2, end=3)], 20),  # out of order
+    ([point(), point(start=0.5, end=1.5)], 10),  # a period that overlaps
+    ([point(), point(source="gw-2"), point(method=1)], 30),
+    ([point(value=float("nan")), point(value=float("inf")), point(value=-1.0), point(value=1e9)], 0),
+    ([point(start=1, end=1), point(start=2, end=1), point(start=0, end=1e5)], 0),
+]
+
+
+@pytest.mark.parametrize("points, counted", TAKEN)
+def test_each_period_counts_once(points, counted):
+    reports = aggregator()
+    for data_point in points:
+        reports.add(0, data_point)
+    assert sum(event.attempts for event in reports.collect(1)) == counted
+    assert reports.collect(2) == []
+
+
+def test_a_steady_source_costs_one_period_and_gaps_are_bounded():
+    reports, steady, gappy = aggregator(), point(), point(source="gw-2")
+    for k in range(500):
+        reports.add(k, point(start=k, end=k + 1))
+        reports.add(k, point(start=1.6 * k, end=1.6 * k + 1, source="gw-2"))
+        reports.add(k, point(0.5, k, k, kind=Kind.UTIL, source="gw-3"))
+    sizes = {key.source: len(periods) for key, periods in reports.counted.periods.items()}
+    assert sizes == {"gw-1": 1, "gw-2": 32, "gw-3": 1}
+    assert reports.add(0, steady) and reports.add(0, gappy)
+    assert reports.add(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge is not new
+
+
+def test_gaps_cost_no_more_than_the_time_that_counts():
+    reports = aggregator()
+    for k in range(0, 500, 20):
+        assert not reports.add(k, point(start=k, end=k + 1))
+    assert [len(periods) for periods in reports.counted.periods.values()] == [3]
+    assert reports.add(500, point(start=420, end=421, method=1))  # too late, whatever its series
+    assert not reports.add(500, point(start=425, end=426, method=1))
+
+
+def test_a_clock_that_was_set_back_is_trusted_again():
+    reports = aggregator()
+    reports.add(0, point(start=3600, end=3601))
+    assert reports.add(SECOND, point(start=1, end=2))
+    assert not reports.add(62 * SECOND, point(start=61, end=62))
+    assert not reports.add(63 * SECOND, point(start=62, end=63))
+
+
+def test_rates_add_up_however_unequal_the_periods():
+    reports = aggregator()
+    reports.add(0, point(20, 0, 2, source="a"))
+    reports.add(0, point(30, 0, 1, source="b"))
+    reports.add(0, point(30, 1, 2, source="b"))
+    reports.add(0, point(7, 0, 1, kind=Kind.FAILED, source="b"))
+    reports.add(0, point(14.6, 0, 1, kind=Kind.TIME, source="b"))
+    (event,) = reports.collect(1)
+    assert event.attempts == 80 and event.attempts / event.interval_us * SECOND == pytest.approx(40)
+    assert event.failed == 7 and event.latency_us == 200_000
+
+
+def test_floods_of_names_stay_bounded():
+    reports = aggregator()
+    for k in range(1000):
+        reports.add(k, point(place=(0, k), source=f"s{k % 4}"))
+    assert len(reports.counted.periods) <= 50 and reports.rejected["too many series"] >= 950
+    assert len(reports.collect(2000)) == 5  # the rest waits
+    late = 10**9
+    reports.collect(late)
+    assert reports.add(late + 1, point(place=(1, 1), source="new")) == ""
+
+
+def test_a_load_counts_in_the_report_of_each_zone_that_sent_to_the_task():
+    """The decisions keep the last report: one without the figure would undo it."""
+    reports = aggregator()
+    for zone in (0, 1, 2):
+        assert not reports.add(SECOND, point(source=f"gw-{zone}", place=(zone, 3)))
+    assert not reports.add(SECOND, point(kind=Kind.UTIL, value=0.5, place=(0, 3)))
+    events = reports.collect(SECOND)
+    assert [event.load[0] for event in events] == [0.5, 0.5, 0.5]
+    assert not reports.add(2 * SECOND, point(start=1, end=2))
+    assert reports.collect(2 * SECOND)[0].load[0] == -1.0  # handed out once
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -8,18 +8,18 @@
 
 import msgspec
 import pytest
+from bench_wire import SETTINGS_TEXT
 from cryptography.hazmat.primitives.ciphers.aead import ChaCha20Poly1305
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 from stored import as_text, stored
-from test_wire import CONF
 
 from hollyridge import interface as api
 from hollyridge.benchlink import wire
-from hollyridge.benchlink.link import Instance
+from hollyridge.benchlink.instance import AssignerInstance
 from hollyridge.chp import codec as chp
 from hollyridge.chp.key_space import KeySpace
-from hollyridge.lab import rpc
+from hollyridge.lab.stand_ins import rpc
 from hollyridge.membership import messages
 from hollyridge.peers import codec as peers
 from hollyridge.store import learned_estimates, state_file
@@ -68,9 +68,12 @@
 def test_what_a_module_learnt_is_the_state_file_and_back():
     raw = bytes.fromhex(stored("state.json")["whole"])
     assert (
-        state_file.pack(learned_estimates.noted("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)) == raw
+        state_file.pack(
+            learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)
+        )
+        == raw
     )
-    told = learned_estimates.recalled(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
+    told = learned_estimates.restore_own(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
     assert told == api.EstimatesRestored(tuple(LEARNT), 0.625, 2_000_000)
 
 
@@ -161,24 +164,26 @@
 SECRET = b"k" * 32
 FACTS = messages.MemberFacts(
     address="127.0.0.1:6006",
-    run="61" * 16,
+    run_id="61" * 16,
     zone="abdali",
     weight=2.0,
-    drains=True,
-    serves=(("clone", "127.0.0.1:6000"),),
+    draining=True,
+    services=(("clone", "127.0.0.1:6000"),),
 )
 NEWS = tuple(
     messages.GossipMessage(name=f"a{k}", status=status, incarnation=k, facts=FACTS)
     for k, status in enumerate(messages.Status)
 )
 PACKETS = {
-    "ping": messages.Ping(number=7, target="a1", words=NEWS),
+    "ping": messages.Ping(sequence=7, target="a1", updates=NEWS),
     "ack": messages.Ack(7, NEWS[:1]),
-    "relay": messages.Relay(number=8, target="a2", words=NEWS[1:2]),
+    "relay": messages.PingRequest(sequence=8, target="a2", updates=NEWS[1:2]),
     "join": messages.Join(NEWS[:1]),
     "whole": messages.FullState(NEWS[2:]),
-    "claimed": messages.ClaimedProxies(rows=(("gw-1", 15_289_307), ("gw-2", 9)), first=True),
-    "learnt": messages.SharedEstimates(rows=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), price=0.625, age=250),
+    "claimed": messages.ClaimedProxies(claims=(("gw-1", 15_289_307), ("gw-2", 9)), starts_list=True),
+    "learnt": messages.SharedEstimates(
+        estimates=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), push_price=0.625, age_ms=250
+    ),
 }
 
 
@@ -305,30 +310,32 @@
 }
 
 
-def instance() -> Instance:
-    one = Instance(9, CONF)
-    one.task(7)
+def instance() -> AssignerInstance:
+    one = AssignerInstance(9, SETTINGS_TEXT)
+    one.task_index(7)
     return one
 
 
 def wire_records() -> dict[str, str]:
-    found = {name: wire.pack(code, fields, wire.EVENTS).hex() for name, (code, fields, _) in EVENTS.items()}
-    return found | {name: instance().order(order).hex() for name, order in ORDERS.items()}
+    found = {name: wire.pack(code, fields, wire.EVENT_LAYOUTS).hex() for name, (code, fields, _) in EVENTS.items()}
+    return found | {name: instance().encode_command(order).hex() for name, order in ORDERS.items()}
 
 
 def test_records_of_the_wire_stand_for_the_same_events_and_orders():
     records = stored("wire.json")
     assert wire_records() == records
     for name, (code, _, event) in EVENTS.items():
-        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENTS)
-        assert found == code and wire.EVENTS[code].name == name and instance().event(code, fields) == event, name
+        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
+        assert (
+            found == code and wire.EVENT_LAYOUTS[code].name == name and instance().decode_event(code, fields) == event
+        ), name
     for name in ORDERS:
-        ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.ORDERS)
-        assert wire.ORDERS[code].name == name
+        ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.COMMAND_LAYOUTS)
+        assert wire.COMMAND_LAYOUTS[code].name == name
 
 
 def test_every_event_and_order_that_the_wire_has_is_among_them():
-    names = {shape.name for shape in (*wire.EVENTS.values(), *wire.ORDERS.values())}
+    names = {shape.name for shape in (*wire.EVENT_LAYOUTS.values(), *wire.COMMAND_LAYOUTS.values())}
     assert names - {"ENLIST", "KILLED", "CONTEXT", "BAIL_OUT", "ON_BEHALF"} == {*EVENTS, *ORDERS}
 
 
