--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -19,7 +19,7 @@
     import zmq as pyzmq
 
 ROUTING_ID_RANDOM_BYTES = 12
-FIRST_HEARTBEAT_S = 1.0  # until the assigner has told its own
+FIRST_HEARTBEAT_S = 1.0  # until the assigner's own is known
 MIN_HEARTBEAT_S, MAX_HEARTBEAT_S = 0.05, 10.0  # whatever it tells
 RETRY_HEARTBEATS = 2  # a snapshot that is not here after so many heartbeats is asked for again
 
--- a/hollyridge/chp/sockets.py
+++ b/hollyridge/chp/sockets.py
@@ -19,7 +19,7 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message's parts, the address it came from and the user that the sender's key stands for."""
+    """A message's parts, the address of its sender and the user that the sender's key stands for."""
 
     parts: list[bytes]
     address: str
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -70,7 +70,7 @@
         sums.seconds += seconds if ok else 0.0
 
     def load(self, task: str, **figures: float) -> None:
-        """What a task's answer told of its load: util, queue."""
+        """The load that a task's answer carried: util, queue."""
         self.loads[task] = figures
 
     def figures(self, begun: int, end: int) -> list[Figure]:
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -23,8 +23,8 @@
     Attributes:
         groups: The group that each method goes by.
         held: The weights held, by group.
-        own: Who owns the proxy in this session, with a token of 0 if nobody said so.
-        lease: Seconds, of the last owner that told one; 0 if none did.
+        own: Who owns the proxy in this session, with a token of 0 if that is not known.
+        lease: Seconds, of the last owner that had one; 0 if none had.
     """
 
     groups: dict[str, str]
@@ -111,7 +111,7 @@
         try:
             client.start(dict.fromkeys(self.groups.values()), number=number, insist=self.pleads)
         except RefusedError:
-            while client.pushed:  # it may have said who should be asked
+            while client.pushed:  # there may be a redirect among them
                 _, message = client.pushed.popleft()
                 self.take(message)
             raise
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -44,7 +44,7 @@
 
 
 class ConnectionLostError(HollyridgeError):
-    """The connection is closed, or what came on it is no SASP; open a new one."""
+    """The connection is closed, or what was received is no SASP; open a new one."""
 
 
 class HeartbeatTimeoutError(ConnectionLostError):
@@ -170,7 +170,7 @@
         return self.ask(codec.GetWeights(tuple(Group(self.uid, name) for name in groups)))
 
     def receive(self, timeout: float | None = None) -> tuple[int, codec.SendWeights] | None:
-        """The next push with its number, None if none came in `timeout` seconds."""
+        """The next push with its number, None if none was received in `timeout` seconds."""
         if self.pushed:
             return self.pushed.popleft()
         try:
--- a/hollyridge/sasp/codec.py
+++ b/hollyridge/sasp/codec.py
@@ -89,7 +89,7 @@
     "reply_to",
 ]
 
-BY_BALANCER = 0x01  # in requests about members: a load balancer speaks, not the member or its agent
+BY_BALANCER = 0x01  # in requests about members: sent by a load balancer, not by the member or its agent
 FLAG_AND_COUNT = struct.Struct(">BH")
 FLAG_REASON_COUNT = struct.Struct(">BBH")
 CODE_INTERVAL_COUNT = struct.Struct(">BHH")
--- a/hollyridge/sasp/connection.py
+++ b/hollyridge/sasp/connection.py
@@ -1,4 +1,4 @@
-"""The state of one SASP connection, whoever is at its other end. No I/O."""
+"""The state of one SASP connection: of a load balancer, a member or an agent. No I/O."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         replies: Frames that answer requests, not yet written.
         due: Set when the writer has something to do.
         answers: Limits the answers with weights that it may ask for.
-        uid: Name of the load balancer, empty until it has told it and for members and agents.
+        uid: Name of the load balancer, empty until it is known, and for members and agents.
         bearer: Name in its certificate, empty without one.
         proxy: Index of the proxy that it serves, -1 for none.
         flags: `BalancerFlags` of the load balancer.
@@ -77,7 +77,7 @@
         sent_marks: Marks that wait until the other side has taken what covers them.
         ownership_request: What it asked of the assigners that share the fleet.
         fence: Fencing token under which it is owned, 0 for none.
-        fence_unsent: Whether it was not told that token yet.
+        fence_unsent: Whether that token was not sent yet.
         closed: Why the connection ends, empty while it stands.
     """
 
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -27,7 +27,7 @@
     """The assigner owns the load balancer.
 
     Attributes:
-        fence: Fencing token; whoever shows a lower one is not to be obeyed.
+        fence: Fencing token; messages under another one are not to be applied.
         lease_s: How long the claim holds without a renewal.
         owner: Name of the assigner.
     """
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -26,7 +26,8 @@
     r.clients.append(one)
     assert wait_for(lambda: hosts(one) == hosts(other) == {1, 2, 3, 4})
     for gateway in (one, other):
-        assert gateway.state == GatewayState.FRESH and gateway.pick("read-chapter") in gateway.table_for("read-chapter")
+        assert gateway.state == GatewayState.FRESH
+        assert gateway.pick("read-chapter") in gateway.table_for("read-chapter")
     shares = [
         {t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
         for g in (one, other)
@@ -56,7 +57,8 @@
     assert wait_for(lambda: gateway.level_for("redeem-code") == (0.5, 1), 2)
     assert wait_for(lambda: 77 in receipts, 2)
     gateway.stop()
-    assert wait_for(lambda: not r.engine.servers, 4) and r.clone.counts["cut"] == 1
+    assert wait_for(lambda: not r.engine.servers, 4)
+    assert r.clone.counts["cut"] == 1
 
 
 def test_an_ejected_task_is_in_no_table_until_it_returns(rig):  # noqa: F811 - the fixture
@@ -84,13 +86,16 @@
     listen = r.clone.config.port
     r.service.stop()
     r.job.join(2)
-    assert wait_for(lambda: gateway.state == GatewayState.STALE, 2) and hosts(gateway) == {1, 2, 3, 4}
+    assert wait_for(lambda: gateway.state == GatewayState.STALE, 2)
+    assert hosts(gateway) == {1, 2, 3, 4}
     gevent.sleep(1)
-    assert hosts(gateway) == {1, 2, 3, 4} and 1 < gateway.age < 5
+    assert hosts(gateway) == {1, 2, 3, 4}
+    assert 1 < gateway.age < 5
     again = rig(clone__listen=f"127.0.0.1:{listen}", clone__beat_ms=100)
     again.agent(tasks=2)
     assert wait_for(lambda: hosts(gateway) == {1, 2}, 8)
-    assert gateway.state == GatewayState.FRESH and gateway.client.replicas[gateway.client.home].head.seq < 50
+    assert gateway.state == GatewayState.FRESH
+    assert gateway.client.replicas[gateway.client.home].head.seq < 50
 
 
 def test_a_subscriber_that_never_reads_is_cut_and_harms_nobody(rig):  # noqa: F811 - the fixture
@@ -111,7 +116,8 @@
         return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
 
     assert wait_for(settled, 8)
-    assert wait_for(lambda: "stuck" not in r.clone.sessions.by_uid, 4) and "quick" in r.clone.sessions.by_uid
+    assert wait_for(lambda: "stuck" not in r.clone.sessions.by_uid, 4)
+    assert "quick" in r.clone.sessions.by_uid
 
 
 def test_a_snapshot_larger_than_what_may_wait_arrives_while_changes_go_on(rig):  # noqa: F811 - the fixture
--- a/tests/chp/test_chp_update_model.py
+++ b/tests/chp/test_chp_update_model.py
@@ -12,11 +12,12 @@
     """Loss, doubling, reordering and a restart with smaller numbers: nothing half, nothing back."""
     for begin in ((), ("snapshot", "snapshot")):
         found = explore(depth=7, begin=begin)
-        assert found.states > 5000 and not found.broken
+        assert found.states > 5000
+        assert not found.broken
 
 
 @pytest.mark.parametrize(
-    "fault, begin",
+    ("fault", "begin"),
     [
         ("no count", ("snapshot", "snapshot")),
         ("no run", ("change", "restart", "snapshot", "snapshot")),
--- a/tests/sasp/test_sasp_client.py
+++ b/tests/sasp/test_sasp_client.py
@@ -26,7 +26,7 @@
 ]
 
 
-@pytest.mark.parametrize("story, left", HELD)
+@pytest.mark.parametrize(("story", "left"), HELD)
 def test_held_weights_follow_the_messages(story, left):
     held = HeldWeights()
     for anew, rows in story:
@@ -51,8 +51,9 @@
         Member.at(f"127.1.{k // 200}.{k % 200 + 1}", 9000, f"shelf-{k} run=r{k} up=1000000.000") for k in range(2000)
     ]
     parts = list(MemberRegistrar.batches(crowd))
-    assert [member for part in parts for member in part] == crowd and list(MemberRegistrar.batches([])) == [()]
+    assert [member for part in parts for member in part] == crowd
+    assert list(MemberRegistrar.batches([])) == [()]
     for part in parts:
         codec.encode(1, codec.Register(False, (MembersOf(Group("f", "g"), part),)))
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="65535 at most"):
         codec.encode(1, codec.Register(False, (MembersOf(Group("f", "g"), tuple(crowd)),)))
--- a/tests/sasp/test_sasp_codec.py
+++ b/tests/sasp/test_sasp_codec.py
@@ -85,7 +85,7 @@
 ]
 
 
-@pytest.mark.parametrize("what, raw, owed", BAD, ids=[row[0] for row in BAD])
+@pytest.mark.parametrize(("what", "raw", "owed"), BAD, ids=[row[0] for row in BAD])
 def test_a_malformed_frame_is_refused_and_answered_where_it_can_be(what, raw, owed):
     with pytest.raises(codec.SaspError) as trouble:
         for frame in codec.Framer(1 << 16).feed(raw):
@@ -98,5 +98,5 @@
 
 def test_a_component_that_is_too_long_is_not_written():
     crowd = tuple(Member.at("::1", port, "x" * 200) for port in range(400))
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="65535 at most"):
         codec.encode(1, codec.Register(False, (MembersOf(Group("f", "t"), crowd),)))
--- a/tests/sasp/test_sasp_server.py
+++ b/tests/sasp/test_sasp_server.py
@@ -49,7 +49,9 @@
     gevent.sleep(0.4)
     r.agent()
     held, _ = r.holds(gw, book, 1.2)
-    assert held == ALL and r.engine.endpoint_source.returns == 4 and not r.engine.endpoint_source.restarts
+    assert held == ALL
+    assert r.engine.endpoint_source.returns == 4
+    assert not r.engine.endpoint_source.restarts
 
 
 def test_a_balancer_that_asks_once_gets_a_table_and_is_closed(rig):  # noqa: F811 - the fixture
@@ -57,11 +59,13 @@
     r.agent()
     gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
     reply = gw.weights(GROUPS)
-    assert reply.interval == 1 and {len(row.weights) for row in reply.groups} == {4}
+    assert reply.interval == 1
+    assert {len(row.weights) for row in reply.groups} == {4}
     assert len(r.front.by_proxy) == 1
     with pytest.raises(ConnectionLostError):
         gw._read(4)
-    assert not r.front.by_proxy and not r.engine.servers
+    assert not r.front.by_proxy
+    assert not r.engine.servers
 
 
 def test_a_balancer_that_goes_on_asking_stays_and_sees_a_drain(rig):  # noqa: F811 - the fixture
@@ -76,7 +80,8 @@
         "127.1.0.1"
     ) is not True
     gevent.sleep(1.5)
-    assert gw.weights(GROUPS).code == Code.OK and len(r.engine.servers) == 1
+    assert gw.weights(GROUPS).code == Code.OK
+    assert len(r.engine.servers) == 1
     with pytest.raises(RefusedError):
         for _ in range(30):
             gw.weights(GROUPS)
@@ -99,7 +104,8 @@
     for _ in range(20):  # the quick one sees it all
         held, book = (held, book) if held == ALL else r.holds(quick, book, 0.25)
     assert held == ALL
-    assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index) and "quick" in r.engine.proxy_indices.index
+    assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index)
+    assert "quick" in r.engine.proxy_indices.index
 
 
 def test_quiesce_between_a_computed_and_a_sent_table(rig):  # noqa: F811 - the fixture
@@ -110,7 +116,8 @@
     first = gw.receive(5)[1]
     told = [w for row in first.groups for w in row.weights]
     closed = [w for w in told if w.member.host == "127.1.0.1"]  # mostly it is not told of at all
-    assert len(told) > len(closed) and all(w.weight == 0 and w.flags & WeightFlags.QUIESCE for w in closed)
+    assert len(told) > len(closed)
+    assert all(w.weight == 0 and w.flags & WeightFlags.QUIESCE for w in closed)
 
 
 NONSENSE = [
@@ -128,7 +135,8 @@
     gw, bad = r.balancer(), r.raw()
     bad.sendall(raw)
     assert bad.recv(100) == b""
-    assert r.holds(gw)[0] == ALL and r.front.counts["bad_frames"] == 1
+    assert r.holds(gw)[0] == ALL
+    assert r.front.counts["bad_frames"] == 1
 
 
 def test_connections_end_after_half_a_frame_silence_or_dripping_bytes(rig):  # noqa: F811 - the fixture
@@ -142,8 +150,10 @@
             dripping.sendall(bytes((byte,)))
             gevent.sleep(0.05)
         raise OSError("it was read on and on") if not r.front.counts["closed"] else OSError
-    assert half.recv(10) == b"" and silent.recv(10) == b""
-    assert time.monotonic() - begun < 6 and not r.front.streams
+    assert half.recv(10) == b""
+    assert silent.recv(10) == b""
+    assert time.monotonic() - begun < 6
+    assert not r.front.streams
 
 
 BAD_REQUESTS = [
@@ -185,7 +195,7 @@
 ]
 
 
-@pytest.mark.parametrize("kind, message, code", BAD_REQUESTS)
+@pytest.mark.parametrize(("kind", "message", "code"), BAD_REQUESTS)
 def test_bad_requests_get_their_code(rig, kind, message, code):  # noqa: F811 - the fixture
     r = rig()
     r.agent()
@@ -221,7 +231,9 @@
     for _ in range(1000):
         storm.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
     held, _ = r.holds(gw, seconds=1.5)
-    assert held == ALL and r.front.counts["refused"] > 300 and len(r.front.streams) <= 300
+    assert held == ALL
+    assert r.front.counts["refused"] > 300
+    assert len(r.front.streams) <= 300
     for one in storm:
         if one.successful():
             one.value.close()
@@ -240,4 +252,5 @@
         monkeypatch.setattr(time, "time", lambda hours=hours: real() + 3600 * hours)
         monkeypatch.setattr(time, "time_ns", lambda hours=hours: real_ns() + 3600 * 10**9 * hours)
         assert gw.receive(0.7) is None
-    assert r.engine.counts["messages"] == before["messages"] and len(r.engine.servers) == 1
+    assert r.engine.counts["messages"] == before["messages"]
+    assert len(r.engine.servers) == 1
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,14 +18,15 @@
 ]
 
 
-@pytest.mark.parametrize("figures, rejected, counted", REPORTS)
+@pytest.mark.parametrize(("figures", "rejected", "counted"), REPORTS)
 @pytest.mark.parametrize("packed", [True, False])
 def test_reports(rig, figures, rejected, counted, packed):  # noqa: F811 - the fixture
     r = rig(assigner__report_period_s=30)
     r.agent()
     for _turn in range(2):  # said again after a lost answer: a success, counted once
         status, answer = r.report(figures(r), packed=packed)
-        assert status == 200 and answer.partial_success.rejected_data_points == rejected
+        assert status == 200
+        assert answer.partial_success.rejected_data_points == rejected
         assert bool(answer.partial_success.error_message) == bool(rejected)
     assert sum(e.attempts for e in r.engine.reports.collect(0) if hasattr(e, "attempts")) == counted
 
@@ -54,4 +55,5 @@
     r = rig(otlp__points_per_s=10, assigner__report_period_s=30)
     r.agent()
     seen = [r.report([tries(r, begun=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)]
-    assert seen[:2] == [200, 200] and 429 in seen
+    assert seen[:2] == [200, 200]
+    assert 429 in seen
