--- a/hollyridge/lab/reports/page.py
+++ b/hollyridge/lab/reports/page.py
@@ -1,11 +1,18 @@
-"""A page for a day that was played: verdicts, figures, a timeline with the troubles marked."""
+"""A page for a day that was played: verdicts, figures, a timeline with the faults marked."""
 
 from __future__ import annotations
 
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from jinja2 import Environment
 
+if TYPE_CHECKING:
+    from hollyridge.lab.day import Outcome
+    from hollyridge.lab.scenario import Scenario
+
+TIMELINE_WIDTH = 1000
+
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}
 td,th{padding:.25em .8em;border-bottom:1px solid #ddd;text-align:left}.broken{color:#b00;font-weight:bold}
@@ -32,22 +39,22 @@
 """
 
 
-def write(folder: Path, script, outcome) -> Path:
+def write(folder: Path, scenario: Scenario, outcome: Outcome) -> Path:
     """Write `index.html` into the folder; returns its path."""
-    length, width = script.day.length_s, 1000
+    length_s = scenario.day.length_s
     page = (
         Environment(autoescape=True)
         .from_string(PAGE)
         .render(
-            name=script.path.stem,
-            length=length,
-            tasks=script.fleet.tasks,
-            proxies=script.fleet.proxies,
-            width=width,
+            name=scenario.path.stem,
+            length=length_s,
+            tasks=scenario.fleet.tasks,
+            proxies=scenario.fleet.proxies,
+            width=TIMELINE_WIDTH,
             verdicts=outcome.verdicts,
             f=outcome.figures,
             troubles=outcome.faults,
-            x=lambda seconds: round(seconds / length * width, 1),
+            x=lambda seconds: round(seconds / length_s * TIMELINE_WIDTH, 1),
         )
     )
     path = folder / "index.html"
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -1,4 +1,4 @@
-"""What a simulated day costs and where: time by part of the program, by looking at the running frame every so often."""
+"""What a simulated day costs and where: a sampling profiler that adds up time by part of the program."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 from pathlib import Path
 from types import FrameType
 
+SAMPLE_INTERVAL_S = 0.005
+KIB_PER_MIB = 1024
 ROOT = Path(__file__).resolve().parents[2]
 
 # Keys of `parts` in `lab run --cost --json` and `lab sweep --json`. They are a format: what packages are called today
@@ -31,6 +33,7 @@
     "sasp/weight_advice.py": "steering",
     "store/learned_estimates.py": "steering",
 }
+# Modules of the laboratory that are reported as `lab/stand-ins`; all others are `lab/checker`.
 STAND_IN_MODULES = (
     "clients.py",
     "proxy.py",
@@ -51,7 +54,7 @@
 
 
 def part_of(frame: FrameType | None) -> str:
-    """The part of the program whose code runs, or runs a library: its package, or its module at the top."""
+    """The part of the program that runs in a frame, or that called the library which does."""
     while frame is not None:
         try:
             steps = Path(frame.f_code.co_filename).relative_to(ROOT).parts
@@ -66,31 +69,37 @@
 
 
 class Meter(threading.Thread):
-    """Measures from `start` to `stop`."""
+    """Samples the thread that made it, from `start` to `stop`.
 
-    EVERY = 0.005  # s
+    Attributes:
+        samples: How often each part of the program was seen running.
+    """
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
-        self.seen: Counter[str] = Counter()
+        self.samples: Counter[str] = Counter()
         self.over = threading.Event()
-        self.whose = threading.get_ident()
-        self.begun, self.cpu = time.monotonic(), time.process_time()
+        self.measured_thread = threading.get_ident()
+        self.begun_s = time.monotonic()
+        self.begun_cpu_s = time.process_time()
 
     def run(self) -> None:
-        while not self.over.wait(self.EVERY):
-            self.seen[part_of(sys._current_frames().get(self.whose))] += 1
+        """Take samples until `stop`."""
+        while not self.over.wait(SAMPLE_INTERVAL_S):
+            self.samples[part_of(sys._current_frames().get(self.measured_thread))] += 1
 
     def stop(self, simulated_s: float) -> dict:
-        """Seconds, megabytes, and the part of the samples by part of the program."""
+        """Stop; returns seconds, megabytes, and the fraction of the samples in each part, as `--json` has them."""
         self.over.set()
         self.join()
-        cpu, whole = time.process_time() - self.cpu, max(1, sum(self.seen.values()))
+        cpu_s = time.process_time() - self.begun_cpu_s
+        total = max(1, sum(self.samples.values()))
+        max_rss_kib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         return {
             "simulated_s": simulated_s,
-            "wall_s": round(time.monotonic() - self.begun, 2),
-            "cpu_s": round(cpu, 2),
-            "cpu_per_s": round(cpu / simulated_s, 4),
-            "rss_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
-            "parts": {part: round(count / whole, 3) for part, count in self.seen.most_common()},
+            "wall_s": round(time.monotonic() - self.begun_s, 2),
+            "cpu_s": round(cpu_s, 2),
+            "cpu_per_s": round(cpu_s / simulated_s, 4),
+            "rss_mb": round(max_rss_kib / KIB_PER_MIB, 1),
+            "parts": {part: round(count / total, 3) for part, count in self.samples.most_common()},
         }
