--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -1,9 +1,12 @@
-"""A hunt for the worst day: troubles drawn by seed from ranges, played in the simulated world; what is found is cut
-down to the fewest troubles that still show it, and written as a script."""
+"""A hunt for the worst day: faults drawn by seed from ranges, played in the simulated environment.
+
+What is found is cut down to the fewest faults that still show it, and written as a scenario.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import replace
 from pathlib import Path
 from random import Random
 
@@ -11,6 +14,11 @@
 from hollyridge.lab.scenario import FAULT_FORMS, FaultSection, Scenario
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
+FIRST_S = 1  # no fault begins earlier
+LAST_FRACTION = 0.75  # of the day, in which faults begin
+STILL_AS_BAD = 0.9  # how much of the badness must stay when a fault is left out
+BROKEN_RULE = 10.0  # its badness: worse than any service
+
 RANGES = {
     # kind: for_s, part, size, extra; each from and to
     "release": ((6, 20), (0.3, 0.99), (1, 1), (1, 1)),
@@ -40,101 +48,110 @@
 
 
 def drawn(
-    rng: Random, kinds: list[str], ranges: dict[str, tuple], first: float, last: float
+    rng: Random, kinds: list[str], ranges: dict[str, tuple], first_s: float, last_s: float
 ) -> dict[str, FaultSection]:
-    """Troubles of these kinds that begin between two moments (s), their figures drawn from the ranges."""
-    troubles = {}
-    for at, kind in enumerate(kinds):
-        spans, parts, sizes, extras = ranges[kind]
-        troubles[f"{kind}-{at}"] = FaultSection(
+    """Faults of these kinds that begin between two moments, their figures drawn from the ranges."""
+    faults = {}
+    for number, kind in enumerate(kinds):
+        durations, parts, sizes, extras = ranges[kind]
+        faults[f"{kind}-{number}"] = FaultSection(
             kind=kind,
-            at_s=round(rng.uniform(first, last), 2),
-            for_s=round(rng.uniform(*spans), 2),
+            at_s=round(rng.uniform(first_s, last_s), 2),
+            for_s=round(rng.uniform(*durations), 2),
             part=round(rng.uniform(*parts), 3),
             size=round(rng.uniform(*sizes), 3),
             extra=round(rng.uniform(*extras), 3),
             how=rng.choice(FAULT_FORMS[kind] or ("",)),
         )
-    return troubles
-
-
-def draw(rng: Random, length: float, most: int) -> dict[str, FaultSection]:
-    """Some troubles that begin in the first three quarters of the day."""
-    return drawn(rng, rng.sample(sorted(RANGES), rng.randint(1, most)), RANGES, 1, 0.75 * length)
+    return faults
 
 
-def with_troubles(script: Scenario, troubles: dict[str, FaultSection]) -> Scenario:
-    return Scenario(
-        script.path, script.day, script.fleet, script.load, script.net, troubles, script.overrides, script.config
-    )
+def draw(rng: Random, length_s: float, max_faults: int) -> dict[str, FaultSection]:
+    """Some faults that begin in the first three quarters of the day."""
+    kinds = rng.sample(sorted(RANGES), rng.randint(1, max_faults))
+    return drawn(rng, kinds, RANGES, FIRST_S, LAST_FRACTION * length_s)
 
 
-def play(script: Scenario, seed: int, policy: str) -> Outcome | None:
+def play(scenario: Scenario, seed: int, policy: str) -> Outcome | None:
+    """The outcome of a day; None if it could not be played."""
     try:
-        return Day(script, SimulatedEnvironment(script, policy, seed), seed).play()
+        return Day(scenario, SimulatedEnvironment(scenario, policy, seed), seed).play()
     except DayError:
         return None
 
 
 def badness(outcome: Outcome) -> float:
     """A broken rule is worse than any service; then how near a rule came and what was lost."""
-    nearest = max(v.nearest for v in outcome.verdicts)
-    return 10.0 * sum(not v.kept for v in outcome.verdicts) + min(nearest, 1.0) + 1 - outcome.figures["served"]
+    nearest = max(verdict.nearest for verdict in outcome.verdicts)
+    broken = sum(not verdict.kept for verdict in outcome.verdicts)
+    return BROKEN_RULE * broken + min(nearest, 1.0) + 1 - outcome.figures["served"]
 
 
 def hunt(
-    script: Scenario,
+    scenario: Scenario,
     seeds: range,
     policy: str = "",
-    most: int = 5,
-    told: Callable[[int, float], None] = lambda seed, worst: None,
+    max_faults: int = 5,
+    on_day: Callable[[int, float], None] = lambda seed, worst: None,
 ) -> tuple[int, Scenario, Outcome] | None:
-    """The seed, the script and the outcome of the worst day; None if none could be played."""
+    """The seed, the scenario and the outcome of the worst day; None if none could be played.
+
+    Args:
+        scenario: Its fleet and load are taken.
+        seeds: A day for each.
+        policy: Another decision module of the laboratory.
+        max_faults: Faults in one day at most.
+        on_day: Takes the seed that was played, and the worst badness so far.
+    """
     found = None
     for seed in seeds:
-        tried = with_troubles(script, draw(Random(seed), script.day.length_s, most))
+        tried = replace(scenario, faults=draw(Random(seed), scenario.day.length_s, max_faults))
         outcome = play(tried, seed, policy)
         if outcome is not None and (found is None or badness(outcome) > badness(found[2])):
             found = seed, tried, outcome
-        told(seed, badness(found[2]) if found else 0.0)
+        on_day(seed, badness(found[2]) if found else 0.0)
     return found
 
 
-def cut_down(seed: int, script: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
-    """Leave out troubles while what was found stays: the same broken rules, or nine tenths of the badness."""
-    broken = {v.rule for v in outcome.verdicts if not v.kept}
-
-    def still(tried: Outcome | None) -> bool:
-        if tried is None:
-            return False
-        if broken:
-            return broken <= {v.rule for v in tried.verdicts if not v.kept}
-        return badness(tried) >= 0.9 * badness(outcome)
-
-    going = True
-    while going:
-        going = False
-        for name in list(script.faults):
-            fewer = with_troubles(script, {k: t for k, t in script.faults.items() if k != name})
-            tried = play(fewer, seed, policy) if fewer.faults else None
-            if still(tried):
-                script, outcome, going = fewer, tried, True
+def _broken(outcome: Outcome) -> set[int]:
+    return {verdict.rule for verdict in outcome.verdicts if not verdict.kept}
+
+
+def _is_as_bad(tried: Outcome | None, found: Outcome, broken: set[int]) -> bool:
+    if tried is None:
+        return False
+    if broken:
+        return broken <= _broken(tried)
+    return badness(tried) >= STILL_AS_BAD * badness(found)
+
+
+def cut_down(seed: int, scenario: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
+    """Leave out faults while what was found stays: the same broken rules, or nine tenths of the badness."""
+    broken = _broken(outcome)
+    reduced = True
+    while reduced:
+        reduced = False
+        for left_out in list(scenario.faults):
+            faults = {name: fault for name, fault in scenario.faults.items() if name != left_out}
+            fewer = replace(scenario, faults=faults)
+            tried = play(fewer, seed, policy) if faults else None
+            if _is_as_bad(tried, outcome, broken):
+                scenario, outcome, reduced = fewer, tried, True
                 break
-    return script, outcome
+    return scenario, outcome
 
 
-def write(path: Path, seed: int, script: Scenario, outcome: Outcome) -> None:
-    """As a script that `hollyridge lab run` and `hollyridge day` read."""
-    lines = [f"; Found by a hunt from {script.path.name}, seed {seed}: served {outcome.figures['served']}."]
-    lines += [f"; rule {v.rule} broken: {v.where}" for v in outcome.verdicts if not v.kept]
+def write(path: Path, seed: int, scenario: Scenario, outcome: Outcome) -> None:
+    """Write a scenario that `hollyridge lab run` and `hollyridge day` read, with what was found in comments."""
+    lines = [f"; Found by a hunt from {scenario.path.name}, seed {seed}: served {outcome.figures['served']}."]
+    lines += [f"; rule {verdict.rule} broken: {verdict.where}" for verdict in outcome.verdicts if not verdict.kept]
+    settings = str((scenario.path.parent / scenario.day.settings).resolve())
     sections = {
-        "day": script.day.model_copy(
-            update={"seed": seed, "settings": str((script.path.parent / script.day.settings).resolve())}
-        ),
-        "fleet": script.fleet,
-        "load": script.load,
-        "net": script.net,
-        **{f"trouble {k}": t for k, t in script.faults.items()},
+        "day": scenario.day.model_copy(update={"seed": seed, "settings": settings}),
+        "fleet": scenario.fleet,
+        "load": scenario.load,
+        "net": scenario.net,
+        **{f"trouble {name}": fault for name, fault in scenario.faults.items()},
     }
     for name, section in sections.items():
         lines.append(f"\n[{name}]")
@@ -142,9 +159,9 @@
             text = ", ".join(map(str, value)) if isinstance(value, list) else value
             if text != "":
                 lines.append(f"{key} = {text}")
-    sets: dict[str, list[str]] = {}
-    for (section, key), value in script.overrides.items():
-        sets.setdefault(section, []).append(f"{key} = {value}")
-    for section, rows in sets.items():
-        lines += [f"\n[set {section}]", *rows]
+    overrides: dict[str, list[str]] = {}
+    for (section, key), value in scenario.overrides.items():
+        overrides.setdefault(section, []).append(f"{key} = {value}")
+    for section, keys in overrides.items():
+        lines += [f"\n[set {section}]", *keys]
     path.write_text("\n".join(lines) + "\n")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -373,7 +373,7 @@
 
 def test_a_hunt_finds_a_broken_rule_and_cuts_it_down(tmp_path):
     loaded = scenario.load(SMALL)
-    seed, worst, found = hunt.hunt(loaded, range(1, 9), "deaf", most=4)
+    seed, worst, found = hunt.hunt(loaded, range(1, 9), "deaf", max_faults=4)
     broken = {v.rule for v in found.verdicts if not v.kept}
     assert 3 in broken
     less, cut = hunt.cut_down(seed, worst, found, "deaf")
