--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -1,110 +1,166 @@
-"""What a push costs by each front: bytes, messages, time till the last proxy holds it, CPU a line, memory.
+"""What a push costs by each protocol: bytes, messages, time till the last proxy holds it, CPU, memory.
 
     .venv/bin/python benchmarks/fronts.py --front clone --proxies 130 --tasks 114 [--slow 0.1] [--json]
 
-Joins all proxies, then drains one task and, later, adds ten. `--slow` is the part of proxies that read slowly.
+Joins all proxies, then drains one task and, later, adds ten in each zone. `--slow` is the share of proxies that read
+slowly.
 """
 
 from __future__ import annotations
 
-import subprocess
-import sys
-import tempfile
 import time
 import urllib.request
-from pathlib import Path
+from collections.abc import Callable
+from contextlib import ExitStack
+from typing import NamedTuple
 
 import click
-import gevent
 import msgspec
-import zmq.green as zmq
-from gevent import socket
-from gevent.fileobject import FileObject
-from joins import settings
-from soak import usage
-
-from hollyridge.client import ChpGateway
-from hollyridge.lab.stand_ins.live import free_port, free_ports
-from hollyridge.sasp.client import ConnectionLostError, HeldWeights, LoadBalancerClient, MemberRegistrar
+from proxy_group import GroupSpec, ProxyGroup, Question, run_group
+from service_process import TASK_PORT, Service, members, name_of, print_result, running_service, usage_of
+
+from hollyridge.lab.stand_ins.live import free_ports
+from hollyridge.sasp.client import MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-METHODS = ["read-chapter", "unlock-chapter", "redeem-code"]
-
-
-class Proxy:
-    def __init__(self, k: int, front: str, ports: tuple[int, int], context, slow: bool) -> None:
-        self.uid, self.source, self.slow = f"gw-{k}", f"127.{1 + k % 3}.9.{1 + k // 3 % 250}", slow
-        self.bytes = self.messages = 0
-        self.tasks: set[str] = set()
-        self.context = context
-        gevent.spawn(self.sasp if front == "sasp" else self.clone, ports[front == "clone"])
-
-    def heard(self, raw) -> None:
-        self.messages += 1
-        self.bytes += len(raw) if isinstance(raw, bytes) else sum(map(len, raw))
-        if self.slow:
-            gevent.sleep(0.05)
-
-    def sasp(self, port: int) -> None:
-        gw = LoadBalancerClient(
-            ("127.0.0.1", port),
-            self.uid,
-            source=self.source,
-            timeout=60,
-            connect=socket.create_connection,
-            heard=self.heard,
-        )
-        gw.start(METHODS)
-        held = HeldWeights()
-        try:
-            while pushed := gw.receive():
-                held.take(pushed[1].groups)
-                self.tasks = {f"{m.host}:{m.port}" for m in held.lines(METHODS[0])}
-        except ConnectionLostError:
-            return
-
-    def clone(self, port: int) -> None:
-        how = dict(zmq=zmq, context=self.context, source=self.source, heard=self.heard)
-        gateway = ChpGateway(("127.0.0.1", port), self.uid, METHODS, how, sleep=gevent.sleep)
-
-        def changed(_: ChpGateway) -> None:
-            self.tasks = set(gateway.table_for(METHODS[0]))
-
-        gateway.on_change(changed)
-        gateway.run()
-
-
-class Crowd:
-    """A process with some of the proxies, asked by lines what they hold."""
-
-    def __init__(self, front: str, ports: tuple[int, int], first: int, count: int, slow: int) -> None:
-        self.process = subprocess.Popen(
-            [sys.executable, __file__, "--crowd", msgspec.json.encode([front, ports, first, count, slow]).decode()],
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-        )
-
-    def ask(self, near: dict, gone: str) -> list:
-        self.process.stdin.write(msgspec.json.encode([near, gone]) + b"\n")
-        self.process.stdin.flush()
-        return msgspec.json.decode(self.process.stdout.readline())
-
-
-def be_crowd(front: str, ports: tuple[int, int], first: int, count: int, slow: int) -> None:
-    context = zmq.Context()
-    context.max_sockets = 3 * count + 100
-    many = [Proxy(first + k, front, ports, context, k < slow) for k in range(count)]
-    for line in FileObject(sys.stdin.buffer, "rb"):
-        near, gone = msgspec.json.decode(line)
-        fine = all(
-            p.tasks and gone not in p.tasks and set(near.get(p.source.split(".")[1], ())) <= p.tasks
-            for p in many
-            if not p.slow
-        )
-        sys.stdout.buffer.write(
-            msgspec.json.encode([fine, sum(p.bytes for p in many), sum(p.messages for p in many)]) + b"\n"
-        )
-        sys.stdout.buffer.flush()
+START_S = 2.0  # till the assigner listens
+SETTLE_S = 1.0  # till the members' list has settled
+QUIET_S = 3.0  # before each push, so that the one before it is over
+IDLE_S = 5.0  # over which the CPU at rest is measured
+JOIN_TIMEOUT_S = 60.0
+PUSH_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.01
+STATUS_TIMEOUT_S = 5.0
+PROXIES_PER_PROCESS = 125
+ZONE_OCTETS = (1, 2, 3)
+NEW_TASKS_PER_ZONE = 10
+ANY_TABLE = Question({}, "")
+
+
+class Received(NamedTuple):
+    """What all proxies have received so far.
+
+    Attributes:
+        complete_s: Time till every quick proxy held what it should; -1 if one did not in time.
+        received_bytes: Bytes of all messages.
+        messages: Their number.
+    """
+
+    complete_s: float
+    received_bytes: int
+    messages: int
+
+
+class PushBenchmark:
+    """Measures pushes of one assigner to groups of proxies."""
+
+    def __init__(self, service: Service, groups: list[ProxyGroup]) -> None:
+        self.service = service
+        self.groups = groups
+
+    def wait_until_complete(self, question: Question, timeout_s: float, since_s: float) -> Received:
+        """Ask all groups until their proxies hold what they should, or the time is over."""
+        while True:
+            answers = [group.ask(question) for group in self.groups]
+            complete = all(answer.complete for answer in answers)
+            if complete or time.monotonic() - since_s > timeout_s:
+                return Received(
+                    round(time.monotonic() - since_s, 3) if complete else -1.0,
+                    sum(answer.received_bytes for answer in answers),
+                    sum(answer.messages for answer in answers),
+                )
+            time.sleep(POLL_INTERVAL_S)
+
+    def measure(self, name: str, change: Callable[[], object], expected: Question) -> dict:
+        """Make a change and measure its push; keys of the result begin with the name."""
+        time.sleep(QUIET_S)
+        before = self.wait_until_complete(ANY_TABLE, 0, time.monotonic())
+        cpu_before_s = usage_of(self.service.pid).cpu_s
+        since_s = time.monotonic()
+        change()
+        after = self.wait_until_complete(expected, PUSH_TIMEOUT_S, since_s)
+        cpu_s = usage_of(self.service.pid).cpu_s - cpu_before_s
+        return {
+            f"{name}_last_s": after.complete_s,
+            f"{name}_bytes": after.received_bytes - before.received_bytes,
+            f"{name}_messages": after.messages - before.messages,
+            f"{name}_cpu_ms": round(1000 * cpu_s, 1),
+        }
+
+    def idle_cpu_share(self) -> float:
+        """CPU of the assigner while nothing changes, as a share of a core."""
+        started_s = time.monotonic()
+        cpu_before_s = usage_of(self.service.pid).cpu_s
+        time.sleep(IDLE_S)
+        cpu_s = usage_of(self.service.pid).cpu_s - cpu_before_s
+        return round(cpu_s / (time.monotonic() - started_s), 4)
+
+
+def group_specs(front: str, port: int, proxies: int, slow: float) -> list[GroupSpec]:
+    """Spread proxies over processes, each with the same share of slow ones."""
+    specs = []
+    for first in range(0, proxies, PROXIES_PER_PROCESS):
+        count = min(PROXIES_PER_PROCESS, proxies - first)
+        specs.append(GroupSpec(front, port, first, count, round(slow * count)))
+    return specs
+
+
+def new_members() -> dict[str, list[Member]]:
+    """The tasks that are added, by the second octet of their zone."""
+    return {
+        str(octet): [
+            Member.at(f"127.{octet}.1.{number}", TASK_PORT, "run=b up=100")
+            for number in range(1, NEW_TASKS_PER_ZONE + 1)
+        ]
+        for octet in ZONE_OCTETS
+    }
+
+
+def measure_pushes(benchmark: PushBenchmark, registrar: MemberRegistrar, registered: list[Member]) -> dict:
+    """Drain one task, then add ten in each zone, and measure both."""
+    drained = registered[0]
+    gone = name_of(drained)
+    added = new_members()
+    present = {octet: [name_of(member) for member in zone_members] for octet, zone_members in added.items()}
+    all_added = [member for zone_members in added.values() for member in zone_members]
+    return {
+        **benchmark.measure("drain", lambda: registrar.quiesce([drained]), Question({}, gone)),
+        **benchmark.measure("ten_a_zone", lambda: registrar.register(all_added), Question(present, gone)),
+    }
+
+
+def front_counts(service: Service, front: str) -> dict:
+    """The counters of a protocol's server from the status page."""
+    with urllib.request.urlopen(f"http://127.0.0.1:{service.ports.otlp}/status", timeout=STATUS_TIMEOUT_S) as answer:
+        return msgspec.json.decode(answer.read())[front]
+
+
+def run(front: str, proxies: int, tasks: int, lines_per_s: float, slow: float) -> dict:
+    """Run the benchmark and return its figures."""
+    chp_port = free_ports(3)
+    chp_settings = f"\n[clone]\nlisten = 127.0.0.1:{chp_port}\n"
+    with running_service(lines_per_s, chp_settings) as service, ExitStack() as stack:
+        time.sleep(START_S)
+        registrar = MemberRegistrar(("127.0.0.1", service.ports.sasp), "shelf")
+        registered = members(tasks)
+        registrar.register(registered)
+        time.sleep(SETTLE_S)
+        started_s = time.monotonic()
+        port = service.ports.sasp if front == "sasp" else chp_port
+        groups = [stack.enter_context(ProxyGroup(spec)) for spec in group_specs(front, port, proxies, slow)]
+        benchmark = PushBenchmark(service, groups)
+        joined = benchmark.wait_until_complete(ANY_TABLE, JOIN_TIMEOUT_S, started_s)
+        return {
+            "front": front,
+            "proxies": proxies,
+            "tasks": tasks,
+            "slow": slow,
+            "joined_s": joined.complete_s,
+            **measure_pushes(benchmark, registrar, registered),
+            "quiet_cpu_share": benchmark.idle_cpu_share(),
+            "front_counts": front_counts(service, front),
+            "rss_mb": round(usage_of(service.pid).rss_mb, 1),
+        }
 
 
 @click.command()
@@ -113,78 +169,16 @@
 @click.option("--tasks", default=114)
 @click.option("--lines-per-s", default=100000.0)
 @click.option("--slow", default=0.0)
-@click.option("--crowd", default="", hidden=True)
+@click.option("--crowd", default="", hidden=True, help="Be a group of proxies; the program starts these itself.")
 @click.option("--json", "as_json", is_flag=True)
-def main(front: str, proxies: int, tasks: int, lines_per_s: float, slow: float, crowd: str, as_json: bool) -> None:
+def main(  # noqa: PLR0913, PLR0917 - click passes each option as an argument
+    front: str, proxies: int, tasks: int, lines_per_s: float, slow: float, crowd: str, as_json: bool
+) -> None:
+    """Measure what pushes cost by one protocol."""
     if crowd:
-        be_crowd(*msgspec.json.decode(crowd))
+        run_group(crowd)
         return
-    with tempfile.TemporaryDirectory() as folder:
-        ports = free_port(), free_port()
-        path, clone = settings(Path(folder), ports, lines_per_s), free_ports(3)
-        path.write_text(path.read_text() + f"\n[clone]\nlisten = 127.0.0.1:{clone}\n")
-        service = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=subprocess.DEVNULL
-        )
-        crowds = []
-        try:
-            time.sleep(2)
-            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf")
-            members = [Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)]
-            agent.register(members)
-            time.sleep(1)
-            result = dict(front=front, proxies=proxies, tasks=tasks, slow=slow)
-            begun = time.monotonic()
-            crowds = [
-                Crowd(
-                    front, (ports[0], clone), first, min(125, proxies - first), round(slow * min(125, proxies - first))
-                )
-                for first in range(0, proxies, 125)
-            ]
-
-            def until(near: dict, gone: str, seconds: float, since: float) -> tuple:
-                while True:
-                    told = [crowd.ask(near, gone) for crowd in crowds]
-                    fine = all(row[0] for row in told)
-                    if fine or time.monotonic() - since > seconds:
-                        return (
-                            round(time.monotonic() - since, 3) if fine else -1.0,
-                            sum(r[1] for r in told),
-                            sum(r[2] for r in told),
-                        )
-                    time.sleep(0.01)
-
-            result["joined_s"], octets, messages = until({}, "", 60, begun)
-
-            def measured(name: str, act, near: dict, gone: str) -> None:
-                time.sleep(3)
-                _, octets, messages = until({}, "", 0, time.monotonic())
-                cpu, since = usage(service.pid)[0], time.monotonic()
-                act()
-                last, octets_after, messages_after = until(near, gone, 20, since)
-                result[f"{name}_last_s"] = last
-                result[f"{name}_bytes"] = octets_after - octets
-                result[f"{name}_messages"] = messages_after - messages
-                result[f"{name}_cpu_ms"] = round(1000 * (usage(service.pid)[0] - cpu), 1)
-
-            gone = f"{members[0].host}:9000"
-            measured("drain", lambda: agent.quiesce([members[0]]), {}, gone)
-            new = [Member.at(f"127.{z}.1.{k}", 9000, "run=b up=100") for z in (1, 2, 3) for k in range(1, 11)]
-            near = {str(z): [f"127.{z}.1.{k}:9000" for k in range(1, 11)] for z in (1, 2, 3)}
-            measured("ten_a_zone", lambda: agent.register(new), near, gone)
-            begun, cpu = time.monotonic(), usage(service.pid)[0]
-            time.sleep(5)
-            result["quiet_cpu_share"] = round((usage(service.pid)[0] - cpu) / (time.monotonic() - begun), 4)
-            with urllib.request.urlopen(f"http://127.0.0.1:{ports[1]}/status", timeout=5) as answer:
-                result["front_counts"] = msgspec.json.decode(answer.read())[front]
-            result["rss_mb"] = round(usage(service.pid)[1], 1)
-        finally:
-            for one in crowds:
-                one.process.kill()
-                one.process.wait()
-            service.terminate()
-            service.wait()
-    click.echo(msgspec.json.encode(result) if as_json else "\n".join(f"{k}: {v}" for k, v in result.items()))
+    print_result(run(front, proxies, tasks, lines_per_s, slow), as_json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -1,4 +1,4 @@
-"""How fast proxies join: many SASP load balancers dial one assigner at once; until when does each hold a table?
+"""How fast proxies join: many SASP load balancers connect to one assigner at once; when does each hold a table?
 
 .venv/bin/python benchmarks/joins.py --proxies 130 --tasks 114 [--json]
 """
@@ -6,36 +6,66 @@
 from __future__ import annotations
 
 import resource
-import subprocess
-import sys
-import tempfile
 import time
-from pathlib import Path
+from typing import NamedTuple
 
 import click
 import gevent
-import msgspec
 from gevent import socket
+from service_process import METHODS, Ports, members, print_result, running_service
 
-from hollyridge.lab.stand_ins.live import free_port
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
-from hollyridge.sasp.codec import Member
-from hollyridge.settings.assigner import load
 
-EXAMPLE = Path(__file__).parent.parent / "examples" / "loopback.ini"
+START_S = 1.5  # till the assigner listens
+SETTLE_S = 1.0  # till the members' list has settled
+TIMEOUT_S = 60.0  # for a table to arrive
+LAST_FRAMES_S = 2.0  # that a proxy stays connected after its table arrived
 
 
-def settings(folder: Path, ports: tuple[int, int], lines_per_s: float) -> Path:
-    text = EXAMPLE.read_text().replace(":3860", f":{ports[0]}").replace(":4318", f":{ports[1]}")
-    text = text.replace("lines_per_s = 3000", f"lines_per_s = {lines_per_s}")
-    text = text.replace("most_waiting = 6000", f"most_waiting = {2 * lines_per_s}")
-    path = folder / "a.ini"
-    path.write_text(
-        text + "connects_per_s = 4000\n"
-        if "connects_per_s" in text
-        else text.replace("fleet = shelf", "fleet = shelf\nconnects_per_s = 4000")
-    )
-    return path
+class Join(NamedTuple):
+    """A proxy that holds a table: when it arrived, from the start of all, and its lines."""
+
+    after_s: float
+    lines: int
+
+
+class JoinBenchmark:
+    """Proxies that join at once.
+
+    Attributes:
+        joins: Those that hold a table.
+        received_bytes: Bytes of all frames that they received.
+    """
+
+    def __init__(self, ports: Ports) -> None:
+        self.ports = ports
+        self.joins: list[Join] = []
+        self.received_bytes = 0
+        self.started_s = time.monotonic()
+
+    def count_bytes(self, raw: bytes) -> None:
+        """Count a received frame."""
+        self.received_bytes += len(raw)
+
+    def join(self, number: int) -> None:
+        """Connect a proxy and wait for its table."""
+        client = LoadBalancerClient(
+            ("127.0.0.1", self.ports.sasp),
+            f"gw-{number}",
+            source=f"127.{1 + number % 3}.9.{1 + number // 3}",
+            timeout=TIMEOUT_S,
+            connect=socket.create_connection,
+            heard=self.count_bytes,
+        )
+        client.start(METHODS)
+        _, update = client.receive(TIMEOUT_S)
+        lines = sum(len(group.weights) for group in update.groups)
+        self.joins.append(Join(time.monotonic() - self.started_s, lines))
+        client.receive(LAST_FRAMES_S)
+
+    def run(self, proxies: int) -> None:
+        """Let all proxies join."""
+        gevent.joinall([gevent.spawn(self.join, number) for number in range(proxies)])
 
 
 @click.command()
@@ -44,58 +74,30 @@
 @click.option("--lines-per-s", default=3000.0)
 @click.option("--json", "as_json", is_flag=True)
 def main(proxies: int, tasks: int, lines_per_s: float, as_json: bool) -> None:
-    with tempfile.TemporaryDirectory() as folder:
-        ports = free_port(), free_port()
-        path = settings(Path(folder), ports, lines_per_s)
-        load(path)
-        service = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=subprocess.DEVNULL
-        )
-        try:
-            gevent.sleep(1.5)
-            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
-            agent.register([Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)])
-            gevent.sleep(1)
-            held, bytes_in = [], [0]
-            begun = time.monotonic()
-
-            def join(k: int) -> None:
-                def heard(raw: bytes) -> None:
-                    bytes_in[0] += len(raw)
-
-                gw = LoadBalancerClient(
-                    ("127.0.0.1", ports[0]),
-                    f"gw-{k}",
-                    source=f"127.{1 + k % 3}.9.{1 + k // 3}",
-                    timeout=60,
-                    connect=socket.create_connection,
-                    heard=heard,
-                )
-                gw.start(("read-chapter", "unlock-chapter", "redeem-code"))
-                pushed = gw.receive(60)
-                held.append((time.monotonic() - begun, sum(len(g.weights) for g in pushed[1].groups)))
-                gw.receive(2)
-
-            gevent.joinall([gevent.spawn(join, k) for k in range(proxies)])
-        finally:
-            service.terminate()
-            service.wait()
-        usage = resource.getrusage(resource.RUSAGE_CHILDREN)
-        times = sorted(at for at, _ in held)
-        result = dict(
-            proxies=proxies,
-            tasks=tasks,
-            lines_per_s=lines_per_s,
-            first_s=round(times[0], 3),
-            median_s=round(times[len(times) // 2], 3),
-            last_s=round(times[-1], 3),
-            lines=sum(lines for _, lines in held),
-            bytes=bytes_in[0],
-            joins_per_s=round(len(times) / times[-1], 1),
-            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
-            rss_mb=round(usage.ru_maxrss / 1024, 1),
-        )
-        click.echo(msgspec.json.encode(result) if as_json else "\n".join(f"{k}: {v}" for k, v in result.items()))
+    """Start an assigner, let all proxies join at once, and print how long that took."""
+    with running_service(lines_per_s) as service:
+        gevent.sleep(START_S)
+        registrar = MemberRegistrar(("127.0.0.1", service.ports.sasp), "shelf", connect=socket.create_connection)
+        registrar.register(members(tasks))
+        gevent.sleep(SETTLE_S)
+        benchmark = JoinBenchmark(service.ports)
+        benchmark.run(proxies)
+    used = resource.getrusage(resource.RUSAGE_CHILDREN)  # of the assigner, which has ended
+    times = sorted(join.after_s for join in benchmark.joins)
+    result = {
+        "proxies": proxies,
+        "tasks": tasks,
+        "lines_per_s": lines_per_s,
+        "first_s": round(times[0], 3),
+        "median_s": round(times[len(times) // 2], 3),
+        "last_s": round(times[-1], 3),
+        "lines": sum(join.lines for join in benchmark.joins),
+        "bytes": benchmark.received_bytes,
+        "joins_per_s": round(len(times) / times[-1], 1),
+        "cpu_s": round(used.ru_utime + used.ru_stime, 2),
+        "rss_mb": round(used.ru_maxrss / 1024, 1),
+    }
+    print_result(result, as_json)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/benchmarks/proxy_group.py
@@ -0,0 +1,166 @@
+"""A process with some of the proxies of a benchmark, which is asked over pipes what they hold and have received."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+from typing import NamedTuple
+
+import gevent
+import msgspec
+import zmq.green as zmq
+from gevent import socket
+from gevent.fileobject import FileObject
+from service_process import METHODS, name_of
+
+from hollyridge.client import ChpGateway
+from hollyridge.sasp.client import ConnectionLostError, HeldWeights, LoadBalancerClient
+
+TIMEOUT_S = 60.0  # of a proxy's requests
+SLOW_READ_S = 0.05  # that a slow proxy takes for each message
+SOCKETS_PER_PROXY = 3  # of the CHP protocol
+SPARE_SOCKETS = 100
+PROGRAM = Path(__file__).with_name("fronts.py")
+
+
+class GroupSpec(NamedTuple):
+    """What a group is started with.
+
+    Attributes:
+        front: The protocol that its proxies speak, `sasp` or `clone`.
+        port: Port of the assigner's server of this protocol.
+        first: Number of its first proxy.
+        count: Its proxies.
+        slow: How many of them read slowly.
+    """
+
+    front: str
+    port: int
+    first: int
+    count: int
+    slow: int
+
+
+class Question(NamedTuple):
+    """What every quick proxy should hold.
+
+    Attributes:
+        present: Tasks that must be in the tables of a zone's proxies, by the second octet of its addresses.
+        absent: A task that must be in no table; empty for none.
+    """
+
+    present: dict[str, list[str]]
+    absent: str
+
+
+class Answer(NamedTuple):
+    """State of a group.
+
+    Attributes:
+        complete: Whether every quick proxy holds a table that is as asked for.
+        received_bytes: What all its proxies have received so far.
+        messages: In how many messages.
+    """
+
+    complete: bool
+    received_bytes: int
+    messages: int
+
+
+class Proxy:
+    """A proxy that speaks one of the protocols and keeps what it holds for the first method."""
+
+    def __init__(self, number: int, spec: GroupSpec, context: zmq.Context, slow: bool) -> None:
+        self.uid = f"gw-{number}"
+        self.zone_octet = 1 + number % 3
+        self.source = f"127.{self.zone_octet}.9.{1 + number // 3 % 250}"
+        self.slow = slow
+        self.received_bytes = 0
+        self.messages = 0
+        self.tasks: set[str] = set()
+        self.context = context
+        gevent.spawn(self.run_sasp if spec.front == "sasp" else self.run_chp, spec.port)
+
+    def count(self, raw: bytes | list[bytes]) -> None:
+        """Count a received message; a slow proxy takes its time over it."""
+        self.messages += 1
+        self.received_bytes += len(raw) if isinstance(raw, bytes) else sum(map(len, raw))
+        if self.slow:
+            gevent.sleep(SLOW_READ_S)
+
+    def run_sasp(self, port: int) -> None:
+        """Take updates by SASP until the connection ends."""
+        client = LoadBalancerClient(
+            ("127.0.0.1", port),
+            self.uid,
+            source=self.source,
+            timeout=TIMEOUT_S,
+            connect=socket.create_connection,
+            heard=self.count,
+        )
+        client.start(METHODS)
+        weights = HeldWeights()
+        try:
+            while pushed := client.receive():
+                weights.take(pushed[1].groups)
+                self.tasks = {name_of(member) for member in weights.lines(METHODS[0])}
+        except ConnectionLostError:
+            return
+
+    def run_chp(self, port: int) -> None:
+        """Take updates by CHP till the program ends."""
+        how = {"zmq": zmq, "context": self.context, "source": self.source, "heard": self.count}
+        gateway = ChpGateway(("127.0.0.1", port), self.uid, list(METHODS), how, sleep=gevent.sleep)
+
+        def keep_tasks(_: ChpGateway) -> None:
+            self.tasks = set(gateway.table_for(METHODS[0]))
+
+        gateway.on_change(keep_tasks)
+        gateway.run()
+
+    def holds(self, question: Question) -> bool:
+        """Whether it holds a table that is as asked for."""
+        present = set(question.present.get(str(self.zone_octet), ()))
+        return bool(self.tasks) and question.absent not in self.tasks and present <= self.tasks
+
+
+class ProxyGroup:
+    """The handle of a group's process, by which it is asked; the process is killed on leaving the context."""
+
+    def __init__(self, spec: GroupSpec) -> None:
+        self.process = subprocess.Popen(
+            [sys.executable, str(PROGRAM), "--crowd", msgspec.json.encode(spec).decode()],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
+
+    def __enter__(self) -> ProxyGroup:
+        return self
+
+    def __exit__(self, *exception: object) -> None:
+        self.process.kill()
+        self.process.wait()
+
+    def ask(self, question: Question) -> Answer:
+        """Send a question and wait for the answer."""
+        self.process.stdin.write(msgspec.json.encode(question) + b"\n")
+        self.process.stdin.flush()
+        return msgspec.json.decode(self.process.stdout.readline(), type=Answer)
+
+
+def run_group(raw_spec: str) -> None:
+    """Run the proxies of a group, and answer questions on standard input till it ends."""
+    spec = msgspec.json.decode(raw_spec, type=GroupSpec)
+    context = zmq.Context()
+    context.max_sockets = SOCKETS_PER_PROXY * spec.count + SPARE_SOCKETS
+    proxies = [Proxy(spec.first + index, spec, context, index < spec.slow) for index in range(spec.count)]
+    for line in FileObject(sys.stdin.buffer, "rb"):
+        question = msgspec.json.decode(line, type=Question)
+        answer = Answer(
+            complete=all(proxy.holds(question) for proxy in proxies if not proxy.slow),
+            received_bytes=sum(proxy.received_bytes for proxy in proxies),
+            messages=sum(proxy.messages for proxy in proxies),
+        )
+        sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
+        sys.stdout.buffer.flush()
--- a/benchmarks/seeds.py
+++ b/benchmarks/seeds.py
@@ -1,4 +1,4 @@
-"""One script over many seeds and policies, several days at once; rules broken and service by policy.
+"""One scenario over many seeds and decision modules, several days at a time: rules broken and service by module.
 
 .venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
 """
@@ -9,17 +9,88 @@
 import subprocess
 import sys
 from concurrent.futures import ThreadPoolExecutor
+from typing import NamedTuple
 
 import click
 import msgspec
 
+from hollyridge.lab.experiments.day_command import EXIT_CODES_OF_A_DAY
 
-def play(script: str, policy: str, seed: int) -> dict:
-    words = [sys.executable, "-m", "hollyridge.cli.main", "day", script, "--json", "--seed", str(seed)]
-    ran = subprocess.run(words + ["--policy", policy] * bool(policy), capture_output=True, timeout=1200)
-    if ran.returncode not in (0, 1):
-        return {"policy": policy, "seed": seed, "failed": ran.stderr.decode()[-300:]}
-    return {"policy": policy, "seed": seed, **msgspec.json.decode(ran.stdout)}
+DAY_TIMEOUT_S = 1200  # of real time; days are played live
+MAX_ERROR_CHARACTERS = 300
+RULES = range(1, 6)
+DEFAULT_MODULE = "module"  # how the service's own decision module is shown
+
+
+class Job(NamedTuple):
+    """One day to run; `policy` is empty for the service's own decision module."""
+
+    script: str
+    policy: str
+    seed: int
+
+
+def play(job: Job) -> dict:
+    """Run a live day in a process of its own; its figures, or the reason under `failed`."""
+    command = [sys.executable, "-m", "hollyridge.cli.main", "day", job.script, "--json", "--seed", str(job.seed)]
+    if job.policy:
+        command += ["--policy", job.policy]
+    process = subprocess.run(command, capture_output=True, timeout=DAY_TIMEOUT_S)
+    key = {"policy": job.policy, "seed": job.seed}
+    if process.returncode not in EXIT_CODES_OF_A_DAY:
+        return {**key, "failed": process.stderr.decode()[-MAX_ERROR_CHARACTERS:]}
+    return {**key, **msgspec.json.decode(process.stdout)}
+
+
+def play_all(jobs: list[Job], at_once: int, out: str | None) -> list[dict]:
+    """Run all days; results are in the order of the jobs and, if asked for, appended to a file as they come."""
+    rows = []
+    with ThreadPoolExecutor(at_once) as pool:
+        for row in pool.map(play, jobs):
+            rows.append(row)
+            if out:
+                with open(out, "ab") as file:
+                    file.write(msgspec.json.encode(row) + b"\n")
+    return rows
+
+
+def good_days(rows: list[dict], policy: str) -> list[dict]:
+    """A module's days that could be run."""
+    return [row for row in rows if row["policy"] == policy and "failed" not in row]
+
+
+def verdicts_by_rule(days: list[dict]) -> dict[int, list[dict]]:
+    """The verdicts of all days, by rule."""
+    verdicts = [verdict for day in days for verdict in day["rules"]]
+    return {rule: [verdict for verdict in verdicts if verdict["rule"] == rule] for rule in RULES}
+
+
+def summary_line(rows: list[dict], policy: str) -> str:
+    """One line on a module: service, updates, and the rules."""
+    days = good_days(rows, policy)
+    failed = sum(row["policy"] == policy for row in rows) - len(days)
+    verdicts = verdicts_by_rule(days)
+    broken = {rule: sum(not verdict["kept"] for verdict in verdicts[rule]) for rule in RULES}
+    nearest = {rule: max(verdict["nearest"] for verdict in verdicts[rule]) for rule in RULES}
+    served = [day["served"] for day in days]
+    worst_10s = statistics.mean(day["worst_10s"] for day in days)
+    decisions = statistics.mean(day["decisions_sent"] for day in days)
+    lines = statistics.mean(day["lines"] for day in days)
+    return (
+        f"{policy or DEFAULT_MODULE}: {len(days)} days, {failed} not played; served "
+        f"{statistics.mean(served):.4f} ({min(served):.4f} to {max(served):.4f}), worst 10 s {worst_10s:.4f}; "
+        f"decisions {decisions:.0f}, lines {lines:.0f}; broken {broken}; nearest {nearest}"
+    )
+
+
+def comparison_line(rows: list[dict], base: str, policy: str) -> str:
+    """One line on how a module compares with the base on the seeds that both have run."""
+    base_served = {day["seed"]: day["served"] for day in good_days(rows, base)}
+    gaps = [base_served[day["seed"]] - day["served"] for day in good_days(rows, policy) if day["seed"] in base_served]
+    return (
+        f"{base or DEFAULT_MODULE} better than {policy} on {sum(gap > 0 for gap in gaps)} of {len(gaps)} "
+        f"seeds, by {statistics.mean(gaps):.4f} on average"
+    )
 
 
 @click.command()
@@ -29,43 +100,14 @@
 @click.option("--at-once", default=6)
 @click.option("--out", type=click.Path(dir_okay=False), help="All results, a JSON line each.")
 def main(script: str, seeds: int, policies: str, at_once: int, out: str | None) -> None:
+    """Run SCRIPT live with each decision module and seed; print a line for each module, then the comparisons."""
     names = policies.split(",")
-    jobs = [(script, policy, seed) for seed in range(1, seeds + 1) for policy in names]
-    rows = []
-    with ThreadPoolExecutor(at_once) as pool:
-        for row in pool.map(lambda job: play(*job), jobs):
-            rows.append(row)
-            if out:
-                with open(out, "ab") as file:
-                    file.write(msgspec.json.encode(row) + b"\n")
+    jobs = [Job(script, policy, seed) for seed in range(1, seeds + 1) for policy in names]
+    rows = play_all(jobs, at_once, out)
     for policy in names:
-        mine = [row for row in rows if row["policy"] == policy]
-        good = [row for row in mine if "failed" not in row]
-        broken = {
-            rule: sum(not v["kept"] for row in good for v in row["rules"] if v["rule"] == rule) for rule in range(1, 6)
-        }
-        nearest = {
-            rule: max(v["nearest"] for row in good for v in row["rules"] if v["rule"] == rule) for rule in range(1, 6)
-        }
-        served = [row["served"] for row in good]
-        click.echo(
-            f"{policy or 'module'}: {len(good)} days, {len(mine) - len(good)} not played; served "
-            f"{statistics.mean(served):.4f} ({min(served):.4f} to {max(served):.4f}), worst 10 s "
-            f"{statistics.mean(r['worst_10s'] for r in good):.4f}; decisions "
-            f"{statistics.mean(r['decisions_sent'] for r in good):.0f}, lines "
-            f"{statistics.mean(r['lines'] for r in good):.0f}; broken {broken}; nearest {nearest}"
-        )
-    base = {row["seed"]: row["served"] for row in rows if row["policy"] == names[0] and "failed" not in row}
+        click.echo(summary_line(rows, policy))
     for policy in names[1:]:
-        gaps = [
-            base[row["seed"]] - row["served"]
-            for row in rows
-            if row["policy"] == policy and "failed" not in row and row["seed"] in base
-        ]
-        click.echo(
-            f"{names[0] or 'module'} better than {policy} on {sum(g > 0 for g in gaps)} of {len(gaps)} "
-            f"seeds, by {statistics.mean(gaps):.4f} on average"
-        )
+        click.echo(comparison_line(rows, names[0], policy))
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -2,151 +2,186 @@
 
     .venv/bin/python benchmarks/soak.py --seconds 600 --proxies 130 --tasks 114 [--json]
 
-With --proxies 0 it is idle. Tasks answer in times drawn by a seed that drift, so that weights keep moving.
+With --proxies 0 it is idle. Tasks answer in times that are drawn by a seed and drift, so that weights keep moving.
 """
 
 from __future__ import annotations
 
 import http.client
-import os
-import subprocess
-import sys
-import tempfile
 import time
-from pathlib import Path
+from itertools import pairwise
 from random import Random
 
 import click
 import gevent
 import msgspec
 from gevent import socket
-from joins import settings
+from service_process import METHODS, ZONES, Ports, Usage, members, name_of, print_result, running_service, usage_of
 
-from hollyridge.lab.stand_ins.live import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
-from hollyridge.sasp.codec import Member
 
-ZONES = ("abdali", "khalda", "sahab")
-TICK = os.sysconf("SC_CLK_TCK")
-
-
-def usage(pid: int) -> tuple[float, float]:
-    """CPU seconds and resident MB."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK, int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
-
-
-class Gateway:
-    def __init__(self, k: int, ports: tuple[int, int], tasks: list[str], speeds: list[float]) -> None:
-        self.uid, self.zone, self.ports = f"gw-{k}", k % 3, ports
-        self.tasks, self.speeds, self.rng = tasks, speeds, Random(k)
-        self.messages = self.lines = 0
-        gevent.spawn(self.listen)
+LINES_PER_S = 9000
+START_S = 1.5  # till the assigner listens
+WARM_UP_S = 10.0  # till all proxies hold tables and report
+SAMPLING_INTERVAL_S = 10
+REPORT_INTERVAL_S = 1.0
+TIMEOUT_S = 60.0  # of a proxy's requests
+HTTP_TIMEOUT_S = 5.0
+TASKS_PER_REPORT = 12
+RPCS_PER_REPORT = 30
+MIN_LATENCY_S = 0.03
+
+
+def http_connection(ports: Ports) -> http.client.HTTPConnection:
+    """A connection to the assigner's intake and status page that lets other greenlets run while it waits."""
+    connection = http.client.HTTPConnection("127.0.0.1", ports.otlp, timeout=HTTP_TIMEOUT_S)
+    connection._create_connection = socket.create_connection
+    return connection
+
+
+class Proxy:
+    """A proxy that takes updates and reports on some tasks each second.
+
+    Attributes:
+        messages: Updates received.
+        lines: Their lines.
+    """
+
+    def __init__(self, number: int, ports: Ports, tasks: list[str], latencies_s: list[float]) -> None:
+        """Connect the proxy and let it run till the program ends.
+
+        Args:
+            number: Its number, which gives its zone and its seed.
+            ports: Where the assigner listens.
+            tasks: Names of the tasks.
+            latencies_s: Latency of each task; the benchmark changes it in place.
+        """
+        self.uid = f"gw-{number}"
+        self.zone = number % len(ZONES)
+        self.ports = ports
+        self.tasks = tasks
+        self.latencies_s = latencies_s
+        self.rng = Random(number)
+        self.messages = 0
+        self.lines = 0
+        gevent.spawn(self.receive)
         gevent.spawn(self.report)
 
-    def listen(self) -> None:
-        gw = LoadBalancerClient(
-            ("127.0.0.1", self.ports[0]),
+    def receive(self) -> None:
+        """Take updates until the connection ends."""
+        client = LoadBalancerClient(
+            ("127.0.0.1", self.ports.sasp),
             self.uid,
             source=f"127.{1 + self.zone}.9.{self.zone + 1}",
-            timeout=60,
+            timeout=TIMEOUT_S,
             connect=socket.create_connection,
         )
-        gw.start(("read-chapter", "unlock-chapter", "redeem-code"))
+        client.start(METHODS)
         try:
-            while pushed := gw.receive():
+            while pushed := client.receive():
                 self.messages += 1
-                self.lines += sum(len(g.weights) for g in pushed[1].groups)
+                self.lines += sum(len(group.weights) for group in pushed[1].groups)
         except ConnectionLostError:
             return
 
+    def figures_of(self, task: int, start_ns: int, end_ns: int) -> list[Figure]:
+        """Draw what this proxy has seen of a task in a period."""
+        name = self.tasks[task]
+        attributes = {"proxy": self.uid, "zone": ZONES[self.zone], "task": name, "method": METHODS[0]}
+        attempts = self.rng.randrange(1, 6)
+        spent_s = attempts * self.latencies_s[task] * self.rng.uniform(0.7, 1.4)
+        return [
+            Figure("hollyridge.tries", attempts, attributes, end_ns, start_ns),
+            Figure("hollyridge.tries.failed", 0, attributes, end_ns, start_ns),
+            Figure("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
+            Figure("hollyridge.task.util", self.rng.uniform(0.4, 0.7), {"task": name}, end_ns),
+        ]
+
+    def next_report(self, start_ns: int, end_ns: int) -> list[Figure]:
+        """Draw the report of a period on some of the tasks."""
+        figures: list[Figure] = []
+        for task in self.rng.sample(range(len(self.tasks)), min(TASKS_PER_REPORT, len(self.tasks))):
+            figures += self.figures_of(task, start_ns, end_ns)
+        attributes = {"proxy": self.uid, "method": METHODS[0]}
+        return [*figures, Figure("hollyridge.rpcs", RPCS_PER_REPORT, attributes, end_ns, start_ns)]
+
     def report(self) -> None:
-        gevent.sleep(self.rng.random())
-        connection = http.client.HTTPConnection("127.0.0.1", self.ports[1], timeout=5)
-        connection._create_connection = socket.create_connection
-        begun = time.time_ns()
+        """Report each second till the program ends; a report that can't be sent is dropped."""
+        gevent.sleep(self.rng.random())  # so that proxies do not report in step
+        connection = http_connection(self.ports)
+        start_ns = time.time_ns()
         while True:
-            gevent.sleep(1)
-            end, figures = time.time_ns(), []
-            for task in self.rng.sample(range(len(self.tasks)), min(12, len(self.tasks))):
-                place = {
-                    "proxy": self.uid,
-                    "zone": ZONES[self.zone],
-                    "task": self.tasks[task],
-                    "method": "read-chapter",
-                }
-                tries = self.rng.randrange(1, 6)
-                for name, value in (
-                    ("tries", tries),
-                    ("tries.failed", 0),
-                    ("tries.time", tries * self.speeds[task] * self.rng.uniform(0.7, 1.4)),
-                ):
-                    figures.append(Figure(f"hollyridge.{name}", value, place, end, begun))
-                figures.append(
-                    Figure("hollyridge.task.util", self.rng.uniform(0.4, 0.7), {"task": self.tasks[task]}, end)
-                )
-            figures.append(Figure("hollyridge.rpcs", 30, {"proxy": self.uid, "method": "read-chapter"}, end, begun))
-            begun = end
+            gevent.sleep(REPORT_INTERVAL_S)
+            end_ns = time.time_ns()
+            figures = self.next_report(start_ns, end_ns)
+            start_ns = end_ns
             try:
                 post(connection, request_of(self.uid, figures))
             except (OSError, http.client.HTTPException):
                 connection.close()
 
 
+def sample_usage(pid: int, seconds: int, latencies_s: list[float], rng: Random) -> list[Usage]:
+    """Sample a process every ten seconds, and let the tasks' latencies drift after each sample.
+
+    Returns:
+        The usage at the start and at each sample.
+    """
+    started_s = time.monotonic()
+    samples = [usage_of(pid)]
+    while time.monotonic() - started_s < seconds:
+        gevent.sleep(min(SAMPLING_INTERVAL_S, seconds))
+        samples.append(usage_of(pid))
+        latencies_s[:] = [max(MIN_LATENCY_S, latency * rng.uniform(0.85, 1.18)) for latency in latencies_s]
+    return samples
+
+
+def status_of(ports: Ports) -> dict:
+    """The assigner's status page."""
+    connection = http_connection(ports)
+    connection.request("GET", "/status")
+    return msgspec.json.decode(connection.getresponse().read())
+
+
 @click.command()
 @click.option("--seconds", default=600)
 @click.option("--proxies", default=130)
 @click.option("--tasks", default=114)
 @click.option("--json", "as_json", is_flag=True)
 def main(seconds: int, proxies: int, tasks: int, as_json: bool) -> None:
-    with tempfile.TemporaryDirectory() as folder:
-        ports = free_port(), free_port()
-        path = settings(Path(folder), ports, 9000)
-        service = subprocess.Popen(
-            [sys.executable, "-m", "hollyridge.cli.main", "serve", str(path)], stderr=subprocess.DEVNULL
-        )
-        try:
-            gevent.sleep(1.5)
-            rng, rows = Random(1), []
-            agent = MemberRegistrar(("127.0.0.1", ports[0]), "shelf", connect=socket.create_connection)
-            members = [Member.at(f"127.{1 + k % 3}.0.{1 + k // 3}", 9000, "run=a up=100") for k in range(tasks)]
-            agent.register(members)
-            speeds = [rng.uniform(0.05, 0.2) for _ in members]
-            gateways = [Gateway(k, ports, [f"{m.host}:{m.port}" for m in members], speeds) for k in range(proxies)]
-            gevent.sleep(10)
-            begun, (cpu, _) = time.monotonic(), usage(service.pid)
-            first_cpu = cpu
-            while time.monotonic() - begun < seconds:
-                gevent.sleep(min(10, seconds))
-                now, mb = usage(service.pid)
-                rows.append((now - cpu, mb))
-                cpu = now
-                speeds[:] = [max(0.03, s * rng.uniform(0.85, 1.18)) for s in speeds]
-            lasted = time.monotonic() - begun
-            connection = http.client.HTTPConnection("127.0.0.1", ports[1], timeout=5)
-            connection._create_connection = socket.create_connection
-            connection.request("GET", "/status")
-            status = msgspec.json.decode(connection.getresponse().read())
-        finally:
-            service.terminate()
-            service.wait()
-    result = dict(
-        seconds=round(lasted),
-        proxies=proxies,
-        tasks=tasks,
-        cpu_share=round((cpu - first_cpu) / lasted, 4),
-        worst_10s_cpu_share=round(max(row[0] for row in rows) / 10, 4),
-        rss_first_mb=round(rows[0][1], 1),
-        rss_last_mb=round(rows[-1][1], 1),
-        messages=sum(g.messages for g in gateways),
-        lines=sum(g.lines for g in gateways),
-        points=status["otlp"]["points"],
-        decisions=status["core"]["decisions"],
-        news_to_frame_us=status["core"]["news_to_frame_us"],
-        waiting_most=status["core"]["waiting_most"],
-    )
-    click.echo(msgspec.json.encode(result) if as_json else "\n".join(f"{k}: {v}" for k, v in result.items()))
+    """Run an assigner with proxies for some time and print the resources that it used."""
+    with running_service(LINES_PER_S) as service:
+        gevent.sleep(START_S)
+        rng = Random(1)
+        registrar = MemberRegistrar(("127.0.0.1", service.ports.sasp), "shelf", connect=socket.create_connection)
+        registered = members(tasks)
+        registrar.register(registered)
+        latencies_s = [rng.uniform(0.05, 0.2) for _ in registered]
+        names = [name_of(member) for member in registered]
+        running = [Proxy(number, service.ports, names, latencies_s) for number in range(proxies)]
+        gevent.sleep(WARM_UP_S)
+        started_s = time.monotonic()
+        samples = sample_usage(service.pid, seconds, latencies_s, rng)
+        lasted_s = time.monotonic() - started_s
+        status = status_of(service.ports)
+    cpu_s = [after.cpu_s - before.cpu_s for before, after in pairwise(samples)]
+    result = {
+        "seconds": round(lasted_s),
+        "proxies": proxies,
+        "tasks": tasks,
+        "cpu_share": round((samples[-1].cpu_s - samples[0].cpu_s) / lasted_s, 4),
+        "worst_10s_cpu_share": round(max(cpu_s) / SAMPLING_INTERVAL_S, 4),
+        "rss_first_mb": round(samples[1].rss_mb, 1),
+        "rss_last_mb": round(samples[-1].rss_mb, 1),
+        "messages": sum(proxy.messages for proxy in running),
+        "lines": sum(proxy.lines for proxy in running),
+        "points": status["otlp"]["points"],
+        "decisions": status["core"]["decisions"],
+        "news_to_frame_us": status["core"]["news_to_frame_us"],
+        "waiting_most": status["core"]["waiting_most"],
+    }
+    print_result(result, as_json)
 
 
 if __name__ == "__main__":
