--- a/benchmarks/service_process.py
+++ b/benchmarks/service_process.py
@@ -14,7 +14,7 @@
 import click
 import msgspec
 
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.sasp.codec import Member
 from hollyridge.settings.assigner import load
 
