--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -20,7 +20,6 @@
 from service_process import TASK_PORT, Service, members, name_of, print_result, running_service, usage_of
 
 from hollyridge.lab.stand_ins.ports import free_ports
-from hollyridge.lab.stand_ins.ports import free_port, free_ports
 from hollyridge.sasp.client import MemberRegistrar
 from hollyridge.sasp.codec import Member
 
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -14,7 +14,6 @@
 from gevent import socket
 from service_process import METHODS, Ports, members, print_result, running_service
 
-from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
 
 START_S = 1.5  # till the assigner listens
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -18,7 +18,6 @@
 from gevent import socket
 from service_process import METHODS, ZONES, Ports, Usage, members, name_of, print_result, running_service, usage_of
 
-from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -43,11 +43,11 @@
 
 def test_a_scenario_with_other_faults_keeps_the_rest_and_leaves_the_original_alone():
     original = scenario.load(ROOT / "examples" / "lab" / "small.ini")
-    before = dict(original.troubles)
+    before = dict(original.faults)
     changed = with_faults(original, {})
-    assert changed.troubles == {}
+    assert changed.faults == {}
     assert (changed.day, changed.fleet, changed.load) == (original.day, original.fleet, original.load)
-    assert original.troubles == before != {}
+    assert original.faults == before != {}
 
 
 @pytest.mark.parametrize(("name", "arguments"), [("module", []), ("commit:HEAD~1", []), ("even", ["--policy", "even"])])
