--- a/tests/peers/test_peers_clients.py
+++ b/tests/peers/test_peers_clients.py
@@ -11,7 +11,7 @@
 
 from hollyridge.chp import codec as chp
 from hollyridge.client import ChpGateway, SaspGateway
-from hollyridge.lab.stand_ins.live import free_port, free_ports
+from hollyridge.lab.stand_ins.ports import free_port, free_ports
 from hollyridge.membership.rendezvous import preferred_owner
 from hollyridge.sasp import ownership_extension
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar, RefusedError
