--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -81,6 +81,7 @@
         self.max_connections = max(MIN_CONNECTIONS, config.max_descriptors - config.reserved_descriptors)
         self.pending = PendingConnections(config.join_timeout_us)
         self.connection_added = Event()
+        self.sweeper: gevent.Greenlet | None = None
         self.collectors: dict[int, list[Connection]] = {}
         self.message_reader = MessageReader(config.names, assigner_config)
         self.report_handler = ReportHandler(self.engine, self.by_proxy, self.counts)
@@ -97,9 +98,15 @@
             OSError: The address is taken.
         """
         self.server.start()
-        gevent.spawn(self._close_overdue)
+        self.sweeper = gevent.spawn(self._close_overdue)
         return self.server.server_port
 
+    def stop(self) -> None:
+        """Accept no more connections and close those that are open."""
+        super().stop()
+        if self.sweeper is not None:
+            self.sweeper.kill(block=False)
+
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
         """Lines that this message comes to at the proxy, its head left out; and of all its tables in full."""
         view = self.by_proxy[proxy].planned_view
--- a/tests/resp/test_resp_server.py
+++ b/tests/resp/test_resp_server.py
@@ -58,3 +58,11 @@
     assert rig.server.counts["spoilt"] == 1  # s-99 was never listed
     assert [event.task for event in rig.events(TrafficReport)] == [5]
     rig.server.stop()
+
+
+def test_a_server_that_was_stopped_leaves_nothing_running():
+    rig = ServerRig()
+    sweeper = rig.server.sweeper
+    rig.proxy(3)
+    rig.server.stop()
+    rig.until(lambda: sweeper.dead and not rig.server.streams)
