--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -10,7 +10,7 @@
 from service_rig import wait_for
 
 from hollyridge.client import ChpGateway, SaspGateway
-from hollyridge.lab.stand_ins.live import free_port, free_ports
+from hollyridge.lab.stand_ins.ports import free_port, free_ports
 from hollyridge.sasp.client import MemberRegistrar
 from hollyridge.sasp.codec import Member
 from hollyridge.service import Service
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -24,8 +24,8 @@
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.delivery.update_builder import ServerCapabilities, UpdateBuilder
 from hollyridge.lab import scenario
-from hollyridge.lab.checks.checker import Verdict
 from hollyridge.lab.checks.ownership import Gap
+from hollyridge.lab.checks.rules import Verdict
 from hollyridge.lab.day import Outcome
 from hollyridge.lab.experiments import hunt, takeover
 from hollyridge.lab.reports import profiler
@@ -104,8 +104,8 @@
 
 def takeovers() -> str:
     days = [
-        takeover.Told(1, ("assigner_killed",), (Gap("gw-1", 1.5), Gap("gw-2", 0.5)), 0, 0.25, 7, (), 0.875, 1),
-        takeover.Told(2, ("peers_cut",), (), 1, 0.75, 2, (3, 5), 0.5, 0),
+        takeover.TakeoverDay(1, ("assigner_killed",), (Gap("gw-1", 1.5), Gap("gw-2", 0.5)), 0, 0.25, 7, (), 0.875, 1),
+        takeover.TakeoverDay(2, ("peers_cut",), (), 1, 0.75, 2, (3, 5), 0.5, 0),
     ]
     with patch.object(takeover, "many", lambda *words: days):
         return printed("lab", "takeover", str(ROOT / "examples/fleet/takeover.ini"), "--seeds", "2", "--json")
@@ -127,7 +127,7 @@
 
 
 def hunted() -> str:
-    found = played()[1].script
+    found = played()[1].scenario
     with (
         patch.object(hunt, "hunt", lambda *words: (7, found, OUTCOME)),
         patch.object(hunt, "cut_down", lambda *words: (found, OUTCOME)),
