--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -1,4 +1,4 @@
-"""What a push costs by each protocol: bytes, messages, time till the last proxy holds it, CPU, memory.
+"""What a push costs by each protocol: bytes, messages, time until the last proxy holds it, CPU, memory.
 
     .venv/bin/python benchmarks/fronts.py --front clone --proxies 130 --tasks 114 [--slow 0.1] [--json]
 
@@ -23,8 +23,8 @@
 from hollyridge.sasp.client import MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-START_S = 2.0  # till the assigner listens
-SETTLE_S = 1.0  # till the members' list has settled
+START_S = 2.0  # until the assigner listens
+SETTLE_S = 1.0  # until the members' list has settled
 QUIET_S = 3.0  # before each push, so that the one before it is over
 IDLE_S = 5.0  # over which the CPU at rest is measured
 JOIN_TIMEOUT_S = 60.0
@@ -41,7 +41,7 @@
     """What all proxies have received so far.
 
     Attributes:
-        complete_s: Time till every quick proxy held what it should; -1 if one did not in time.
+        complete_s: Time until every quick proxy held what it should; -1 if one did not in time.
         received_bytes: Bytes of all messages.
         messages: Their number.
     """
@@ -119,13 +119,13 @@
 def measure_pushes(benchmark: PushBenchmark, registrar: MemberRegistrar, registered: list[Member]) -> dict:
     """Drain one task, then add ten in each zone, and measure both."""
     drained = registered[0]
-    gone = name_of(drained)
+    drained_name = name_of(drained)
     added = new_members()
     present = {octet: [name_of(member) for member in zone_members] for octet, zone_members in added.items()}
     all_added = [member for zone_members in added.values() for member in zone_members]
     return {
-        **benchmark.measure("drain", lambda: registrar.quiesce([drained]), Question({}, gone)),
-        **benchmark.measure("ten_a_zone", lambda: registrar.register(all_added), Question(present, gone)),
+        **benchmark.measure("drain", lambda: registrar.quiesce([drained]), Question({}, drained_name)),
+        **benchmark.measure("ten_a_zone", lambda: registrar.register(all_added), Question(present, drained_name)),
     }
 
 
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -16,8 +16,8 @@
 
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
 
-START_S = 1.5  # till the assigner listens
-SETTLE_S = 1.0  # till the members' list has settled
+START_S = 1.5  # until the assigner listens
+SETTLE_S = 1.0  # until the members' list has settled
 TIMEOUT_S = 60.0  # for a table to arrive
 LAST_FRAMES_S = 2.0  # that a proxy stays connected after its table arrived
 
--- a/benchmarks/proxy_group.py
+++ b/benchmarks/proxy_group.py
@@ -109,7 +109,7 @@
             return
 
     def run_chp(self, port: int) -> None:
-        """Take updates by CHP till the program ends."""
+        """Take updates by CHP until the program ends."""
         how = {"zmq": zmq, "context": self.context, "source": self.source, "heard": self.count}
         gateway = ChpGateway(("127.0.0.1", port), self.uid, list(METHODS), how, sleep=gevent.sleep)
 
@@ -150,7 +150,7 @@
 
 
 def run_group(raw_spec: str) -> None:
-    """Run the proxies of a group, and answer questions on standard input till it ends."""
+    """Run the proxies of a group, and answer questions on standard input until it ends."""
     spec = msgspec.json.decode(raw_spec, type=GroupSpec)
     context = zmq.Context()
     context.max_sockets = SOCKETS_PER_PROXY * spec.count + SPARE_SOCKETS
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -22,8 +22,8 @@
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 
 LINES_PER_S = 9000
-START_S = 1.5  # till the assigner listens
-WARM_UP_S = 10.0  # till all proxies hold tables and report
+START_S = 1.5  # until the assigner listens
+WARM_UP_S = 10.0  # until all proxies hold tables and report
 SAMPLING_INTERVAL_S = 10
 REPORT_INTERVAL_S = 1.0
 TIMEOUT_S = 60.0  # of a proxy's requests
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, number: int, ports: Ports, tasks: list[str], latencies_s: list[float]) -> None:
-        """Connect the proxy and let it run till the program ends.
+        """Connect the proxy and let it run until the program ends.
 
         Args:
             number: Its number, which gives its zone and its seed.
@@ -107,7 +107,7 @@
         return [*figures, Figure("hollyridge.rpcs", RPCS_PER_REPORT, attributes, end_ns, start_ns)]
 
     def report(self) -> None:
-        """Report each second till the program ends; a report that can't be sent is dropped."""
+        """Report each second until the program ends; a report that can't be sent is dropped."""
         gevent.sleep(self.rng.random())  # so that proxies do not report in step
         connection = http_connection(self.ports)
         start_ns = time.time_ns()
--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -25,8 +25,8 @@
 QUIET_SHARE = 0.5  # of the data points
 SERIES_PER_REQUEST = 20
 PERIOD_NS = 1_000_000_000  # that a report covers
-SETTLE_S = 1.0  # from registration of the members till readers connect
-LAST_UPDATE_S = 1.5  # from the last report till weights are compared
+SETTLE_S = 1.0  # from registration of the members until readers connect
+LAST_UPDATE_S = 1.5  # from the last report until weights are compared
 TASK_PORT = 9000
 
 
