--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -24,7 +24,7 @@
 from soak import usage
 
 from hollyridge.client import ChpGateway
-from hollyridge.lab.stand_ins.live import free_port, free_ports
+from hollyridge.lab.stand_ins.ports import free_port, free_ports
 from hollyridge.sasp.client import ConnectionLostError, HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -17,7 +17,7 @@
 import msgspec
 from gevent import socket
 
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 from hollyridge.settings.assigner import load
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -22,7 +22,7 @@
 from gevent import socket
 from joins import settings
 
-from hollyridge.lab.stand_ins.live import free_port
+from hollyridge.lab.stand_ins.ports import free_port
 from hollyridge.otlp.sender import Figure, post, request_of
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Sequence
 from random import Random
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from hollyridge.lab.reports.record import Recorder
 from hollyridge.lab.scenario import Scenario
@@ -16,7 +16,9 @@
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.world import VirtualWorld
 from hollyridge.otlp.sender import Figure
-from hollyridge.service import Service
+
+if TYPE_CHECKING:
+    from hollyridge.service import Service
 
 US_PER_S = 1_000_000
 FIRST_ASSIGNER_PORT = 6000
--- a/tests/test_day.py
+++ b/tests/lab/test_lab_day.py
@@ -12,7 +12,7 @@
 from hollyridge.lab.checks.parity import compare
 from hollyridge.lab.reports.record import parts_of, read_all
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SMALL, UNFORGIVING = ROOT / "examples" / "small-day.ini", ROOT / "tests" / "days" / "unforgiving.ini"
 RECKLESS = ROOT / "tests" / "days" / "reckless.ini"
 TAKEOVER = ROOT / "tests" / "days" / "takeover.ini"
