--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -87,7 +87,7 @@
     script: Scenario,
     seeds: range,
     policy: str = "",
-    most: int = 5,
+    max_faults: int = 5,
     on_progress: Callable[[int, float], None] = lambda seed, worst: None,
 ) -> FoundDay | None:
     """Draw and run a day for each seed.
@@ -96,7 +96,7 @@
         script: The scenario whose fleet and load are used; its own faults are not.
         seeds: Seeds of the draws and of the days.
         policy: A decision module of the laboratory; the service's own if empty.
-        most: Faults in one day at most.
+        max_faults: Faults in one day at most.
         on_progress: Called after each seed with the worst badness so far.
 
     Returns:
@@ -104,7 +104,7 @@
     """
     worst: FoundDay | None = None
     for seed in seeds:
-        candidate = with_faults(script, draw(Random(seed), script.day.length_s, most))
+        candidate = with_faults(script, draw(Random(seed), script.day.length_s, max_faults))
         outcome = play(candidate, seed, policy)
         if outcome is not None and (worst is None or badness(outcome) > badness(worst.outcome)):
             worst = FoundDay(seed, candidate, outcome)
