--- a/hollyridge/cli/fleet.py
+++ b/hollyridge/cli/fleet.py
@@ -54,7 +54,7 @@
 
 
 def _ask(assigners: tuple[str, ...], action: str | None) -> tuple[dict[str, dict], list[str]]:
-    """What each assigner tells, by its name, after the action; and why others told nothing."""
+    """What each assigner answers, by its name, after the action; and why others did not."""
     views: dict[str, dict] = {}
     silent: list[str] = []
     for url in assigners:
--- a/hollyridge/lab/__init__.py
+++ b/hollyridge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins on real sockets, troubles, recordings of what passed, and the checker of the rules."""
+"""The laboratory: days with faults, simulated or on real sockets, and checks of the rules from recordings of them."""
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -1,6 +1,6 @@
-"""What recordings prove: who was joined when, what each proxy held, what each assigner was told of the tasks.
+"""What recordings prove: who was joined when, what each proxy held, what each assigner knew of the tasks.
 
-It is read from what passed on the sockets only; an assigner's own word is not heard.
+Only what passed on the sockets counts; nothing that an assigner reports of itself does.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class TaskNews(NamedTuple):
-    """What an assigner was told of a task.
+    """A change of a task that an assigner has learned of.
 
     Attributes:
-        at: When its answer came (us): from then on it knows.
+        at: When it answered (us): from then on it knows.
         state: ready, draining or gone.
         started: When the task's run began (us).
     """
--- a/hollyridge/lab/checks/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -75,7 +75,7 @@
 
 
 def believed(rows: Iterable[dict]) -> float:
-    """The longest (s) that two assigners claimed one proxy at a time, from what they told twice a second."""
+    """The longest (s) that two assigners claimed one proxy at a time, from what they report twice a second."""
     claims: dict[int, frozenset[str]] = {}
     since: dict[str, int] = {}
     longest_us = 0
--- a/hollyridge/lab/checks/rules.py
+++ b/hollyridge/lab/checks/rules.py
@@ -243,7 +243,7 @@
 
 
 def _known_since(evidence: Evidence, task: str, run: str) -> dict[int, int]:
-    """When each assigner was first told of this run of a task (us)."""
+    """When each assigner first learned of this run of a task (us)."""
     return {
         assigner: news.at
         for assigner, tasks in evidence.task_news.items()
@@ -253,7 +253,7 @@
 
 
 def _knew(evidence: Evidence, limits: RuleLimits, proxy: str, known: dict[int, int], at: int) -> bool:
-    """Whether a proxy could know of a start that assigners were told of when `known` says.
+    """Whether a proxy could know of a start that assigners learned of when `known` says.
 
     It could if its last message by then was sent knowing of it, or if the assigner that it is joined to has known for
     the grace.
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -38,7 +38,7 @@
 MAX_OTHERS = 2
 
 
-class Told(NamedTuple):
+class TakeoverDay(NamedTuple):
     """One day.
 
     Attributes:
@@ -72,9 +72,9 @@
     return drawn(rng, kinds, RANGES, FIRST_S, LAST_FRACTION * length_s)
 
 
-def play(  # noqa: PLR0913, PLR0917 - what a day is told by
+def play(  # noqa: PLR0913, PLR0917 - options of the command and of tests
     path: str, seed: int, front: str, shared: bool = True, assigners: int = 0, times: float = 1.0, own: bool = False
-) -> Told:
+) -> TakeoverDay:
     """One day of the scenario with faults drawn by seed, or with its `own`."""
     loaded = scenarios.load(path, fronts=(front,), assigners=assigners, times=times)
     faults = loaded.faults if own else draw(Random(seed), loaded.day.length_s)
@@ -83,7 +83,7 @@
     outcome = Day(loaded, environment, seed).play()
     rows = environment.record.rows
     evidence = Evidence(rows)
-    return Told(
+    return TakeoverDay(
         seed,
         tuple(faults),
         tuple(gaps(evidence)),
@@ -113,8 +113,8 @@
     at_once: int = 0,
     shared: bool = True,
     assigners: int = 0,
-    on_day: Callable[[Told], None] = lambda told: None,
-) -> list[Told]:
+    on_day: Callable[[TakeoverDay], None] = lambda day: None,
+) -> list[TakeoverDay]:
     """A day for each seed, in processes beside each other; each day is the same whoever plays it."""
     found = []
     with ProcessPoolExecutor(at_once or max(1, (os.cpu_count() or 2) - 1)) as pool:
@@ -125,7 +125,7 @@
     return sorted(found)
 
 
-def summary(found: list[Told]) -> dict:
+def summary(found: list[TakeoverDay]) -> dict:
     """What the days come to, as `--json` has it."""
     seconds = sorted(gap.seconds for day in found for gap in day.gaps)
     worst = max(found, key=lambda day: max([0.0, *(gap.seconds for gap in day.gaps)]))
--- a/hollyridge/lab/reports/day_page.py
+++ b/hollyridge/lab/reports/day_page.py
@@ -1,4 +1,4 @@
-"""The page of a recorded day: outcomes, latency, weights, updates, and what the assigners told of themselves."""
+"""The page of a recorded day: outcomes, latency, weights, updates, and the assigners' own status."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     Attributes:
         start: When the first RPC came in (us).
         done: The RPCs that were done.
-        states: What each assigner told of itself.
+        states: Recorded status of each assigner.
         faults: Name, and second of the day, of each fault's begin.
     """
 
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -40,20 +40,20 @@
         relay: Stands between the assigners of a shared fleet.
     """
 
-    def __init__(self, script: Scenario, folder: Path, policy: str = "") -> None:
+    def __init__(self, scenario: Scenario, folder: Path, policy: str = "") -> None:
         """Prepare a day.
 
         Args:
-            script: The scenario.
+            scenario: What is played.
             folder: For recordings, logs and settings files.
             policy: Another decision module of the laboratory; empty for the service's own.
         """
-        self.script = script
+        self.scenario = scenario
         self.folder = folder
         self.policy = policy
         self.world = LiveWorld()
         self.record = Recorder(folder / "day.jsonl")
-        count = script.config.assigner.assigners
+        count = scenario.config.assigner.assigners
         self.ports = [(free_port(), free_port(), free_ports(CHP_PORTS)) for _ in range(count)]
         self.addresses = {
             name: [["127.0.0.1", ports[index]] for ports in self.ports]
@@ -64,14 +64,14 @@
         self.assigners: list[subprocess.Popen | None] = [None] * count
         self.starts = 0
         self.relay: Relay | None = None
-        if script.fleet.shared:
+        if scenario.fleet.shared:
             self._start_relay(count)
         for number in range(count):
             self._write_settings(number)
 
     def _start_relay(self, count: int) -> None:
         self.peers = [free_port(socket.SOCK_DGRAM) for _ in range(count)]
-        self.relay = Relay(self.peers, self.script.day.seed)
+        self.relay = Relay(self.peers, self.scenario.day.seed)
         (self.folder / "fleet.key").write_text(os.urandom(KEY_BYTES).hex())
 
     def _settings_path(self, number: int) -> Path:
@@ -80,14 +80,14 @@
     def _write_settings(self, number: int) -> None:
         """Write an assigner's settings: the scenario's, with its overrides and this environment's addresses."""
         parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
-        parser.read(self.script.path.parent / self.script.day.settings)
+        parser.read(self.scenario.path.parent / self.scenario.day.settings)
         sasp, otlp, chp = self.ports[number]
-        overrides = [(*place, value) for place, value in self.script.overrides.items()]
+        overrides = [(*place, value) for place, value in self.scenario.overrides.items()]
         for section, key, value in (
             *overrides,
             ("sasp", "listen", f"127.0.0.1:{sasp}"),
             ("otlp", "listen", f"127.0.0.1:{otlp}"),
-            ("clone", "listen", f"127.0.0.1:{chp}" if "clone" in self.script.fleet.fronts else ""),
+            ("clone", "listen", f"127.0.0.1:{chp}" if "clone" in self.scenario.fleet.fronts else ""),
             ("log", "format", "json"),
             ("log", "status_every_s", "1"),
         ):
@@ -101,7 +101,7 @@
 
     def _set_peers(self, parser: configparser.ConfigParser, number: int) -> None:
         known = [f"127.0.0.1:{port}" for port in self.relay.known]
-        zones = self.script.config.zone_names
+        zones = self.scenario.config.zone_names
         if not parser.has_section("peers"):
             parser.add_section("peers")
         parser["peers"].update(
@@ -123,7 +123,7 @@
     def agent(self, number: int) -> Agent:
         """The agent of one assigner."""
         address = "127.0.0.1", self.ports[number][0]
-        return Agent(address, self.script.config.sasp.fleet, self.record, number=number)
+        return Agent(address, self.scenario.config.sasp.fleet, self.record, number=number)
 
     def wait_for_sync(self, agent: Agent) -> None:
         """Wait until an agent has registered the first tasks."""
@@ -181,8 +181,8 @@
         """
         day.set_up()
         begun = now_us()
-        jobs = [gevent.spawn(day.cause, name, fault) for name, fault in self.script.faults.items()]
-        length_s = self.script.day.length_s
+        jobs = [gevent.spawn(day.cause, name, fault) for name, fault in self.scenario.faults.items()]
+        length_s = self.scenario.day.length_s
         while (passed_s := (now_us() - begun) / 1e6) < length_s:
             day.on_progress(min(1.0, passed_s / length_s))
             gevent.sleep(PROGRESS_INTERVAL_S)
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -81,7 +81,7 @@
 
     def _config(self) -> ServiceConfig:
         """The scenario's settings with this process's addresses."""
-        config, port = copy(self.simulation.script.config), self.simulation.first_port(self.number)
+        config, port = copy(self.simulation.scenario.config), self.simulation.first_port(self.number)
         if config.clone.listen:
             config.clone = config.clone.model_copy(update={"listen": f"127.0.0.1:{port}"})
         config.sasp = config.sasp.model_copy(update={"listen": f"127.0.0.1:{port + SASP_PORT}"})
@@ -91,7 +91,7 @@
     def _peer_config(self, config: ServiceConfig) -> PeerConfig | None:
         """This assigner's part in a shared fleet; None if it shares nothing."""
         simulation = self.simulation
-        if not simulation.script.fleet.shared:
+        if not simulation.scenario.fleet.shared:
             return None
         zones = config.zone_names
         addresses = [simulation.peer_address(number) for number in range(len(simulation.processes))]
@@ -211,7 +211,7 @@
             self.simulation.record("claims", assigner=self.number, uids=list(service.fleet.owners.mine))
 
     def _check_connections(self, server: SaspServer, now: int) -> None:
-        send_buffer_bytes = self.simulation.script.config.sasp.send_buffer_bytes
+        send_buffer_bytes = self.simulation.scenario.config.sasp.send_buffer_bytes
         for number, connection in list(server.streams.items()):
             consumed = connection.sock.consumed_bytes
             server.presence.check_backlog(now, number, consumed, connection.sent - consumed > send_buffer_bytes)
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -63,14 +63,14 @@
         status: Last status of each assigner that was killed or has ended.
     """
 
-    def __init__(self, script: Scenario, policy: str, seed: int, ties: int | None) -> None:
-        self.script = script
+    def __init__(self, scenario: Scenario, policy: str, seed: int, ties: int | None) -> None:
+        self.scenario = scenario
         self.policy = policy
         self.seed = seed
         self.world = VirtualWorld(ties)
         self.record = Recorder(None, self.world.now)
         self.rng = Random(seed + DELAY_SEED_OFFSET)
-        self.net = script.net
+        self.net = scenario.net
         self.network = Network(self.world, lambda: self.delay_s(self.net.orders_ms))
         self.tasks_by_key: dict[str, Task] = {}
         self.last_task_port = FIRST_TASK_PORT
@@ -87,7 +87,7 @@
         }
 
     def _addresses(self, offset: int) -> list[list]:
-        count = self.script.config.assigner.assigners
+        count = self.scenario.config.assigner.assigners
         return [["127.0.0.1", self.first_port(number) + offset] for number in range(count)]
 
     @staticmethod
--- a/hollyridge/lab/stand_ins/task.py
+++ b/hollyridge/lab/stand_ins/task.py
@@ -30,7 +30,7 @@
         method_failure: Method, fraction that fails, and whether by silence; empty for none.
         slowdown: How many times longer work takes.
         handshake_factor: How many times the work a new connection costs; it takes `connect_delay_s` longer.
-        false_load: How the load that it tells differs (low, zero, stuck, busy), and the fraction told; empty for true.
+        false_load: How the load in its answers is false (low, zero, stuck, busy), and the fraction reported; or empty.
     """
 
     FAULT_ATTRIBUTES: ClassVar[frozenset[str]] = frozenset(
@@ -137,9 +137,9 @@
             if how == "busy":
                 utilization, queue = 1.0, self.spec.queue
             if how != "stuck":
-                told = {"zero": 0.0, "low": fraction}.get(how, 1.0)
-                self.utilization = utilization * told
-                self.queue = round(queue * told)
+                reported = {"zero": 0.0, "low": fraction}.get(how, 1.0)
+                self.utilization = utilization * reported
+                self.queue = round(queue * reported)
 
     # Connections.
 
--- a/hollyridge/lab/stand_ins/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -30,21 +30,21 @@
     """
 
     def __init__(
-        self, script: Scenario, policy: str = "", seed: int = 1, ties: int | None = None, record: str | None = None
+        self, scenario: Scenario, policy: str = "", seed: int = 1, ties: int | None = None, record: str | None = None
     ) -> None:
         """Prepare a day.
 
         Args:
-            script: The scenario.
+            scenario: What is played.
             policy: Another decision module of the laboratory; empty for the service's own.
             seed: Of the network, the stand-ins and the assigners.
             ties: Shuffles what is due at the same moment, by this seed (see `VirtualWorld`).
             record: Where the recording is written at the end.
         """
-        super().__init__(script, policy, seed, ties)
+        super().__init__(scenario, policy, seed, ties)
         self.record_path = record
         self.failures: list[str] = []
-        self.processes = [SimulatedProcess(self, number) for number in range(script.config.assigner.assigners)]
+        self.processes = [SimulatedProcess(self, number) for number in range(scenario.config.assigner.assigners)]
         self.peers = {self.peer_address(process.number): process for process in self.processes}
 
     def start_worker(self, _name: str, on_message: Callable[[dict], None]) -> VirtualCommandHandler:
@@ -86,11 +86,11 @@
         def run_day() -> None:
             day.set_up()
             begun.append(self.world.now())
-            for name, trouble in self.script.faults.items():
-                self.world.spawn(day.cause, name, trouble)
+            for name, fault in self.scenario.faults.items():
+                self.world.spawn(day.cause, name, fault)
 
         self.world.spawn(run_day)
-        passed_s, length_s = 0.0, self.script.day.length_s
+        passed_s, length_s = 0.0, self.scenario.day.length_s
         while not begun or (self.world.now() - begun[0]) / US_PER_S < length_s:
             passed_s += STEP_S
             self.world.run(passed_s)
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -167,7 +167,7 @@
     def __init__(self, process: AssignerProcess) -> None:
         self.process = process
         simulation = process.simulation
-        fleet = simulation.script.config.sasp.fleet
+        fleet = simulation.scenario.config.sasp.fleet
         super().__init__(("", 0), fleet, simulation.record, simulation.world.spawn, process.number)
 
     def run(self) -> None:
