--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -9,7 +9,8 @@
 from hollyridge.lab.checks.metrics import figures_of
 from hollyridge.lab.checks.ownership import of_day
 from hollyridge.lab.checks.parity import compare
-from hollyridge.lab.checks.rules import RuleLimits, Verdict, check
+from hollyridge.lab.checks.rules import check
+from hollyridge.lab.checks.verdicts import RuleLimits, Verdict
 from hollyridge.lab.environment import DayError, Environment
 from hollyridge.lab.faults.assigner_faults import AssignerFaults
 from hollyridge.lab.faults.proxy_faults import ProxyFaults
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -25,7 +25,7 @@
 from hollyridge.delivery.update_builder import ServerCapabilities, UpdateBuilder
 from hollyridge.lab import scenario
 from hollyridge.lab.checks.ownership import Gap
-from hollyridge.lab.checks.rules import Verdict
+from hollyridge.lab.checks.verdicts import Verdict
 from hollyridge.lab.day import Outcome
 from hollyridge.lab.experiments import hunt, takeover
 from hollyridge.lab.reports import profiler
