--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -56,7 +56,7 @@
             source=f"127.{1 + number % 3}.9.{1 + number // 3}",
             timeout=TIMEOUT_S,
             connect=socket.create_connection,
-            heard=self.count_bytes,
+            on_receive=self.count_bytes,
         )
         client.start(METHODS)
         _, update = client.receive(TIMEOUT_S)
--- a/benchmarks/proxy_group.py
+++ b/benchmarks/proxy_group.py
@@ -97,7 +97,7 @@
             source=self.source,
             timeout=TIMEOUT_S,
             connect=socket.create_connection,
-            heard=self.count,
+            on_receive=self.count,
         )
         client.start(METHODS)
         weights = HeldWeights()
@@ -110,7 +110,7 @@
 
     def run_chp(self, port: int) -> None:
         """Take updates by CHP till the program ends."""
-        how = {"zmq": zmq, "context": self.context, "source": self.source, "heard": self.count}
+        how = {"zmq": zmq, "context": self.context, "source": self.source, "on_receive": self.count}
         gateway = ChpGateway(("127.0.0.1", port), self.uid, list(METHODS), how, sleep=gevent.sleep)
 
         def keep_tasks(_: ChpGateway) -> None:
--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -27,9 +27,9 @@
 class Subscriber:
     """One session of the proxy `uid` with the assigner at `address` (host, port of the snapshot socket).
 
-    `heard(parts)`, if given, is called with every message received; `keys(sock)` prepares a socket for CURVE. When a
-    session is over, begin another with the same `client` to keep what is held. `insist`: the assigner that it was
-    redirected to could not be reached.
+    `on_receive(parts)`, if given, is called with every message received; `keys(sock)` prepares a socket for CURVE.
+    When a session is over, begin another with the same `client` to keep what is held. `insist`: the assigner that it
+    was redirected to could not be reached.
 
     Attributes:
         heartbeat_s: The assigner's time between two heartbeats.
@@ -45,7 +45,7 @@
         context: pyzmq.Context | None = None,
         source: str = "",
         client: ProxyReplicas | None = None,
-        heard: Callable | None = None,
+        on_receive: Callable | None = None,
         keys: Callable = lambda sock: None,
         clock: Callable[[], float] = time.monotonic,
         insist: bool = False,
@@ -54,7 +54,7 @@
             import zmq
         self.zmq = zmq
         self.uid = uid
-        self.heard = heard
+        self.on_receive = on_receive
         self.clock = clock
         self.client = client or ProxyReplicas(uid, methods)
         for replica in self.client.replicas.values():
@@ -139,8 +139,8 @@
 
     def take(self, parts: list[bytes]) -> bool:
         """Take one message; whether the tables changed."""
-        if self.heard:
-            self.heard(parts)
+        if self.on_receive:
+            self.on_receive(parts)
         try:
             message = codec.decode(parts)
             self.last_message = self.clock()
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -79,8 +79,8 @@
         self,
         loop: EventLoop,
         config: ChpConfig,
-        presence: SessionTracker,
-        keeper: ConnectionLimiter,
+        session_tracker: SessionTracker,
+        limiter: ConnectionLimiter,
         zone_of: Callable[[str], int],
         name_of: Callable[[int], str],
         log: BoundLogger,
@@ -95,8 +95,8 @@
         self.engine = loop.engine
         self.clock = loop.clock
         self.config = config
-        self.presence = presence
-        self.keeper = keeper
+        self.session_tracker = session_tracker
+        self.limiter = limiter
         self.zone_of = zone_of
         self.log = log
         self.access = access
@@ -199,7 +199,7 @@
     def _note_ack(self, now: int, session: SubscriberSession, ack: codec.Ack) -> None:
         """What a proxy has applied: a heartbeat, an acknowledgement, and how far it lags."""
         self.counts["acks"] += 1
-        self.presence.polled(now, session.number)
+        self.session_tracker.polled(now, session.number)
         if self.ownership.shared:
             self.ownership.acknowledge(session.uid, ack.request_number if session.fence else 0)
             if session.number not in self.sessions.by_number:
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -29,7 +29,7 @@
 
     def __init__(self, server: ChpServer) -> None:
         self.server = server
-        self.presence = server.presence
+        self.session_tracker = server.session_tracker
         self.by_uid: dict[str, SubscriberSession] = {}
         self.by_proxy: dict[int, SubscriberSession] = {}
         self.by_number: dict[int, SubscriberSession] = {}
@@ -68,19 +68,19 @@
         uid = request.uid
         self.newest_number += 1
         number = self.newest_number
-        if self.presence.start(now, number, uid, push=False).turned_away:
+        if self.session_tracker.start(now, number, uid, push=False).turned_away:
             self.server.counts["refused"] += 1
             return
         older = self.by_uid.get(uid)
         if older is not None:
             self.leave(now, older, "a newer session has the same uid", keep_lease=True)
-        session = SubscriberSession(uid, request.user, number, request.routing_id, self.server.keeper.reply_bucket())
+        session = SubscriberSession(uid, request.user, number, request.routing_id, self.server.limiter.reply_bucket())
         self.by_uid[uid] = session
         session.fence = fence
         proxy = self.server.engine.join(now, self.server, uid, zone, self.server.config.default_rate)
         if proxy is None:
             del self.by_uid[uid]
-            self.presence.end(number)
+            self.session_tracker.end(number)
             return
         session.proxy = proxy
         self.by_proxy[proxy] = session
@@ -112,7 +112,7 @@
             del self.by_uid[session.uid]
         self.by_number.pop(session.number, None)
         self.by_routing_id.pop(session.routing_id, None)
-        self.presence.end(session.number)
+        self.session_tracker.end(session.number)
         self.server.key_space.drop(session.home)
         if self.by_proxy.get(session.proxy) is session:
             del self.by_proxy[session.proxy]
@@ -133,8 +133,8 @@
             needed = self.server.publication.heads_of(session)
             behind = bool(needed) and not session.has_applied(needed)
             applied = sum(session.applied.get(subtree, 0) for subtree in needed)
-            self.presence.check_backlog(now, session.number, applied, behind)
-        for number, reason in self.presence.overdue(now):
+            self.session_tracker.check_backlog(now, session.number, applied, behind)
+        for number, reason in self.session_tracker.overdue(now):
             session = self.by_number.get(number)
             if session is not None:
                 self.server.counts["cut"] += 1
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -10,7 +10,7 @@
 from hollyridge.errors import HollyridgeError
 
 STALE_HEARTBEATS = 2  # a session stands while a heartbeat of its own subtree is not older than so many
-SILENCE_MARGIN_S = 0.5  # beside `silent_beats` heartbeats
+SILENCE_MARGIN_S = 0.5  # beside `max_missing_heartbeats` heartbeats
 FIRST_REPLY_HEARTBEATS = 2  # where other assigners know of this proxy, they may answer at once
 
 
@@ -21,8 +21,8 @@
 class ChpGateway(Gateway):
     """A gateway of a CHP server.
 
-    A session ends after `silent_beats` heartbeats that did not come; the next one keeps what is held and asks for what
-    has changed.
+    A session ends when more than `max_missing_heartbeats` heartbeats are missing; the next one keeps what is held and
+    asks for what has changed.
     """
 
     silences = (HeartbeatTimeoutError,)
@@ -33,7 +33,7 @@
         uid: str,
         methods: list[str],
         how: dict | None = None,
-        silent_beats: float = 3.0,
+        max_missing_heartbeats: float = 3.0,
         before: Callable[[int], None] = lambda lines: None,
         **options: object,
     ) -> None:
@@ -43,18 +43,18 @@
             address: Of an assigner, or a list of several: when one doesn't answer, the next is asked.
             uid: Name of the proxy.
             methods: Names of the methods.
-            how: Options of `Subscriber` (zmq, context, source, heard, keys).
-            silent_beats: Heartbeats that may be missing.
+            how: Options of `Subscriber` (zmq, context, source, on_receive, keys).
+            max_missing_heartbeats: Heartbeats that may be missing.
             before: Called with the number of lines before tables are replaced.
             options: Those of `Gateway`.
         """
         super().__init__(uid, methods, **options)
         self.addresses = several(address)
-        self.ways = len(self.addresses)
+        self.assigner_count = len(self.addresses)
         self.how = how or {}
-        self.silent_beats = silent_beats
+        self.max_missing_heartbeats = max_missing_heartbeats
         self.before = before
-        self.client = ProxyReplicas(uid, methods, self.judge)
+        self.client = ProxyReplicas(uid, methods, self.fencing)
         self.subscriber: Subscriber | None = None
         self.heartbeat_s = 1.0
         self.versions: dict[str, int] = {}
@@ -62,12 +62,12 @@
     def session(self) -> None:
         """One session, until it ends."""
         subscriber = Subscriber(
-            self.addresses[self.way],
+            self.addresses[self.assigner_index],
             self.uid,
             self.methods,
             client=self.client,
             clock=self.clock,
-            insist=self.pleads,
+            insist=self.insists,
             **self.how,
         )
         self.subscriber = subscriber
@@ -78,7 +78,7 @@
                     self.alive()
                     self.heartbeat_s = subscriber.heartbeat_s
                 else:
-                    self.standing_stream = False
+                    self.session_stands = False
                     self._check_silence(subscriber)
         finally:
             subscriber.close()  # here and not in `hang_up`: its sockets belong to this thread
@@ -93,8 +93,8 @@
             self.replace_tables(tables.lines, tables.levels)
 
     def _check_silence(self, subscriber: Subscriber) -> None:
-        patience_s = self.silent_beats * subscriber.heartbeat_s + SILENCE_MARGIN_S
-        if self.judge.accepted_token and not subscriber.joined:
+        patience_s = self.max_missing_heartbeats * subscriber.heartbeat_s + SILENCE_MARGIN_S
+        if self.fencing.accepted_token and not subscriber.joined:
             patience_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
         if subscriber.silent_for > patience_s:
             raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -71,13 +71,13 @@
     Attributes:
         tables: Weight by `host:port`, by method.
         levels: Admission and retries, by method.
-        judge: Whose orders the proxy obeys, where assigners share a fleet.
-        addresses: Assigners that may be asked; `way` is the index of the one whose turn it is, of `ways`.
-        pleads: Whether the next session insists on being taken in.
-        standing_stream: Whether a session stands.
-        lived: Whether this session has stood at any time.
-        heard_at: When a session was last known to stand, None if never.
-        trouble: Why the last session ended.
+        fencing: Whose orders the proxy obeys, where assigners share a fleet.
+        addresses: Assigners that may be asked; `assigner_index` is the one whose turn it is, of `assigner_count`.
+        insists: Whether the next session insists on being taken in.
+        session_stands: Whether a session stands.
+        session_stood: Whether this session has stood at any time.
+        last_alive: When a session was last known to stand, None if never.
+        end_reason: Why the last session ended.
         sessions: How many were begun.
         watch: Called with True when a session begins, and with False when it has ended.
     """
@@ -116,13 +116,13 @@
         self.clock = clock
         self.cut_off_after = cut_off_after
         self.rng = rng or Random()
-        self.judge = FencingChecker(int(time.time()) << REQUESTS_PER_S_BITS if numbers_from is None else numbers_from)
+        self.fencing = FencingChecker(int(time.time()) << REQUESTS_PER_S_BITS if numbers_from is None else numbers_from)
         self.addresses: list[tuple[str, int]] = []
-        self.ways = 1
-        self.way = 0
+        self.assigner_count = 1
+        self.assigner_index = 0
         self.redirected_to = -1  # index of the assigner that the last redirect named
         self.hops = 0
-        self.pleads = False
+        self.insists = False
         self.tables: dict[str, Mapping[str, float]] = {
             method: MappingProxyType(dict(standing or {})) for method in methods
         }
@@ -131,11 +131,11 @@
         for method, picker in self.pickers.items():
             picker.set(self.tables[method])
         self.listeners: list[Callable[[Gateway], None]] = []
-        self.heard_at: float | None = None
-        self.standing_stream = False
-        self.lived = False
+        self.last_alive: float | None = None
+        self.session_stands = False
+        self.session_stood = False
         self.stopped = False
-        self.trouble = ""
+        self.end_reason = ""
         self.sessions = 0
         self.watch: Callable[[bool], None] = lambda begins: None
 
@@ -165,14 +165,14 @@
     @property
     def state(self) -> GatewayState:
         """Whether what is held is up to date."""
-        if self.standing_stream:
+        if self.session_stands:
             return GatewayState.FRESH
         return GatewayState.STALE if self.age < self.cut_off_after else GatewayState.CUT_OFF
 
     @property
     def age(self) -> float:
         """Seconds since a session was last known to stand; infinite if none ever was."""
-        return float("inf") if self.heard_at is None else self.clock() - self.heard_at
+        return float("inf") if self.last_alive is None else self.clock() - self.last_alive
 
     def start(self) -> None:
         """Run in a thread of its own."""
@@ -206,12 +206,12 @@
 
     def alive(self) -> None:
         """The session stands."""
-        self.heard_at = self.clock()
-        self.standing_stream = True
-        self.lived = True
+        self.last_alive = self.clock()
+        self.session_stands = True
+        self.session_stood = True
         self.redirected_to = -1
         self.hops = 0
-        self.pleads = False
+        self.insists = False
 
     # Sessions one after the other.
 
@@ -234,20 +234,20 @@
 
     def _run_session(self) -> SessionEnd:
         self.sessions += 1
-        self.lived = False
+        self.session_stood = False
         end = SessionEnd()
         try:
             self.watch(True)
             self.session()
-            self.trouble = "closed"
+            self.end_reason = "closed"
         except RedirectedError as redirect:
             end = SessionEnd(redirected=True)
-            self.trouble = f"sent on to {redirect.address}"
+            self.end_reason = f"sent on to {redirect.address}"
             self._follow_redirect(redirect.address)
         except Exception as error:  # boundary of the user's process: what is held is used, and it connects again
             end = SessionEnd(silent=isinstance(error, self.silences))
-            self.trouble = f"{recorded_name(error)}: {error}"
-        self.standing_stream = False
+            self.end_reason = f"{recorded_name(error)}: {error}"
+        self.session_stands = False
         self.hang_up()
         self.watch(False)
         return end
@@ -266,12 +266,12 @@
         target = (host.strip("[]"), int(port)) if port.isdigit() else None
         if target is not None and target not in self.addresses and len(self.addresses) < MAX_ADDRESSES:
             self.addresses.append(target)
-            self.ways = len(self.addresses)
+            self.assigner_count = len(self.addresses)
         if target in self.addresses and self.hops <= MAX_HOPS:
-            self.way = self.redirected_to = self.addresses.index(target)
+            self.assigner_index = self.redirected_to = self.addresses.index(target)
         else:
-            self.pleads = True
-            self.way = (self.way + 1) % self.ways
+            self.insists = True
+            self.assigner_index = (self.assigner_index + 1) % self.assigner_count
 
     def _choose_assigner(self, silent: bool) -> None:
         """Choose whom to ask after a session that was not redirected.
@@ -280,6 +280,6 @@
         that fell silent, for the others know more. Where a redirect had named the silent one, the next has to take it
         in.
         """
-        if not self.lived or (silent and self.judge.accepted_token):
-            self.pleads = self.pleads or self.way == self.redirected_to
-            self.way = (self.way + 1) % self.ways
+        if not self.session_stood or (silent and self.fencing.accepted_token):
+            self.insists = self.insists or self.assigner_index == self.redirected_to
+            self.assigner_index = (self.assigner_index + 1) % self.assigner_count
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -40,7 +40,9 @@
 
 
 class Reporter:
-    """Reports for the proxy `uid` in `zone`. `met`, `came` and `load` may be called from anywhere in its own thread.
+    """Reports for the proxy `uid` in `zone`.
+
+    `add_attempt`, `add_rpc` and `set_load` may be called from anywhere in its own thread.
 
     Attributes:
         lost: Reports that could not be sent.
@@ -54,7 +56,7 @@
         self.loads: dict[str, dict[str, float]] = {}
         self.lost = 0
 
-    def came(self, method: str, unanswered: bool = False) -> None:
+    def add_rpc(self, method: str, unanswered: bool = False) -> None:
         """An RPC was received; or, called again, one that was admitted got no answer."""
         sums = self.rpcs[method]
         if unanswered:
@@ -62,21 +64,21 @@
         else:
             sums.received += 1
 
-    def met(self, task: str, method: str, ok: bool, seconds: float) -> None:
+    def add_attempt(self, task: str, method: str, ok: bool, seconds: float) -> None:
         """An attempt at a task has ended."""
         sums = self.attempts[task, method]
         sums.attempts += 1
         sums.failed += not ok
         sums.seconds += seconds if ok else 0.0
 
-    def load(self, task: str, **figures: float) -> None:
+    def set_load(self, task: str, **figures: float) -> None:
         """The load that a task's answer carried: util, queue."""
         self.loads[task] = figures
 
     def figures(self, begun: int, end: int) -> list[Figure]:
         """What was summed since the last call; times in ns since the epoch.
 
-        >>> reporter = Reporter("gw-1", "abdali"); reporter.met("127.0.0.1:80", "read", True, 0.25)
+        >>> reporter = Reporter("gw-1", "abdali"); reporter.add_attempt("127.0.0.1:80", "read", True, 0.25)
         >>> [(figure.name, figure.value) for figure in reporter.figures(0, 10)]
         [('hollyridge.tries', 1.0), ('hollyridge.tries.failed', 0.0), ('hollyridge.tries.time', 0.25)]
         >>> reporter.figures(10, 20)
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -11,7 +11,7 @@
 from hollyridge.sasp.client import HeartbeatTimeoutError, HeldWeights, LoadBalancerClient, RefusedError
 from hollyridge.sasp.ownership_extension import Owned, Redirected, read_reply
 
-BEATS = 4  # heartbeats in a lease
+HEARTBEATS_PER_LEASE = 4  # heartbeats in a lease
 FIRST_REPLY_PART = 3  # an assigner of a shared fleet has to answer at first within a lease divided by this
 DEFAULT_TIMEOUT_S = 5.0
 NOT_OWNED = Owned(0, 0.0)
@@ -41,7 +41,7 @@
         """Begin a session; the number of its request for an owner."""
         self.held.new_stream()
         self.own = NOT_OWNED
-        return self.judge.next_token()
+        return self.fencing.next_token()
 
     def take(self, message: codec.SendWeights) -> None:
         """Apply a message, unless its sender is not to be obeyed.
@@ -54,7 +54,7 @@
             raise RedirectedError(ownership.address)
         self.own = ownership or self.own
         self.lease = self.own.lease_s or self.lease
-        if not self.judge.accepts(self.own.fence):
+        if not self.fencing.accepts(self.own.fence):
             return
         self.held.take(message.groups)
         tables = {method: self._weights_of(group) for method, group in self.groups.items() if group in self.held.fresh}
@@ -86,14 +86,14 @@
             uid: Name of the proxy.
             methods: Names of the methods.
             groups: The group that a method goes by, itself if not named.
-            how: Options of `LoadBalancerClient` (source, timeout, connect, heard, said).
+            how: Options of `LoadBalancerClient` (source, timeout, connect, on_receive, on_send).
             receive_s: How often a session without changes is noted to stand.
             before: Called with the groups of a message before it is applied.
             options: Those of `Gateway`.
         """
         super().__init__(uid, methods, **options)
         self.addresses = several(address)
-        self.ways = len(self.addresses)
+        self.assigner_count = len(self.addresses)
         self.how = how or {}
         self.receive_s = receive_s
         self.before = before
@@ -106,10 +106,10 @@
         """One connection, until it ends."""
         number = self.begin()
         how = {**self.how, "timeout": self.patience(self.how.get("timeout", DEFAULT_TIMEOUT_S))}
-        client = LoadBalancerClient(self.addresses[self.way], self.uid, **how)
+        client = LoadBalancerClient(self.addresses[self.assigner_index], self.uid, **how)
         self.client = client
         try:
-            client.start(dict.fromkeys(self.groups.values()), number=number, insist=self.pleads)
+            client.start(dict.fromkeys(self.groups.values()), number=number, insist=self.insists)
         except RefusedError:
             while client.pushed:  # there may be a redirect among them
                 _, message = client.pushed.popleft()
@@ -120,7 +120,7 @@
         while not self.stopped:
             self._receive(client)
             lease_s = self.own.lease_s
-            if lease_s and self.clock() - heartbeat_at >= lease_s / BEATS:
+            if lease_s and self.clock() - heartbeat_at >= lease_s / HEARTBEATS_PER_LEASE:
                 heartbeat_at = self.clock()
                 client.timeout = lease_s / 2
                 client.alive()
@@ -128,7 +128,7 @@
 
     def _receive(self, client: LoadBalancerClient) -> None:
         lease_s = self.own.lease_s
-        pushed = client.receive(min(self.receive_s, lease_s / BEATS) if lease_s else self.receive_s)
+        pushed = client.receive(min(self.receive_s, lease_s / HEARTBEATS_PER_LEASE) if lease_s else self.receive_s)
         if pushed is not None:
             number, message = pushed
             self.before(message.groups)
--- a/hollyridge/lab/stand_ins/agent.py
+++ b/hollyridge/lab/stand_ins/agent.py
@@ -98,8 +98,8 @@
         return MemberRegistrar(
             self.address,
             self.fleet,
-            heard=partial(self.record.frame, "heard", self.who, stream),
-            said=partial(self.record.frame, "said", self.who, stream),
+            on_receive=partial(self.record.frame, "heard", self.who, stream),
+            on_send=partial(self.record.frame, "said", self.who, stream),
         )
 
     def _keep_stream(self, client: MemberRegistrar) -> None:
--- a/hollyridge/lab/stand_ins/clients.py
+++ b/hollyridge/lab/stand_ins/clients.py
@@ -89,7 +89,7 @@
         """One attempt of the client, which the proxy may repeat as the assigner orders."""
         proxy, name = self.proxy, self.plan.methods[call.method].name
         proxy.wait_while_stalled()
-        proxy.reporter.came(name)
+        proxy.reporter.add_rpc(name)
         admitted, retry = proxy.gateway.level_for(name)
         outcome = rpc.PUSHED_BACK
         if self.rng.random() < admitted:
@@ -101,5 +101,5 @@
                     break
                 outcome = proxy.send(call, deadline_s)
         if outcome not in (rpc.OK, rpc.PUSHED_BACK, rpc.NOT_SENT):
-            proxy.reporter.came(name, unanswered=True)
+            proxy.reporter.add_rpc(name, unanswered=True)
         return outcome
--- a/hollyridge/lab/stand_ins/command_handler.py
+++ b/hollyridge/lab/stand_ins/command_handler.py
@@ -70,7 +70,7 @@
 
     def do_leave(self, name: str, far: list[int]) -> None:
         """End a proxy's stream if it goes to one of these assigners."""
-        if name in self.proxies and self.proxies[name].gateway.way in far:
+        if name in self.proxies and self.proxies[name].gateway.assigner_index in far:
             self.proxies[name].hang_up()
 
     def do_break(self, name: str) -> None:
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hollyridge.client import ChpGateway
-from hollyridge.client.sasp import BEATS, SaspTables
+from hollyridge.client.sasp import HEARTBEATS_PER_LEASE, SaspTables
 from hollyridge.lab.stand_ins.proxy import Proxy
 from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
 from hollyridge.lab.stand_ins.streams import FrameQueue, SimulatedStream
@@ -43,7 +43,7 @@
         self.held = HeldWeights()
         self.stream: SimulatedStream | None = None
         self.addresses = [tuple(address) for address in simulation.addresses["sasp"]]
-        self.ways = len(simulation.processes)
+        self.assigner_count = len(simulation.processes)
         self.groups = {method.name: method.group for method in proxy.methods}
 
     def session(self) -> None:
@@ -54,7 +54,7 @@
             RefusedError: It refused the registration.
             HeartbeatTimeoutError: It did not answer in time.
         """
-        process = self.simulation.processes[self.way]
+        process = self.simulation.processes[self.assigner_index]
         if process.service is None:
             raise ConnectionError("nobody listens")
         frames = FrameQueue(self.simulation.world)
@@ -67,7 +67,7 @@
     def _open(self, stream: SimulatedStream, heartbeat: codec.Message, question: int) -> None:
         groups = tuple(codec.MembersOf(Group(self.uid, name), ()) for name in dict.fromkeys(self.groups.values()))
         self.send(stream, 1, heartbeat)
-        self.send(stream, 2, ownership_extension.write_request(self.uid, question, self.pleads))
+        self.send(stream, 2, ownership_extension.write_request(self.uid, question, self.insists))
         self.send(stream, REGISTRATION_NUMBER, codec.Register(True, groups))
 
     def send(self, stream: SimulatedStream, number: int, message: codec.Message) -> None:
@@ -131,7 +131,7 @@
     def _wait_s(self) -> float | None:
         lease_s = self.gateway.own.lease_s
         if lease_s:
-            return lease_s / BEATS
+            return lease_s / HEARTBEATS_PER_LEASE
         return None if self.answered else self.first_answer_s
 
     def _on_frame(self, frame: bytes) -> None:
@@ -146,7 +146,7 @@
         limit_s = lease_s / 2 if self.last_number > REGISTRATION_NUMBER else self.first_answer_s
         if not self.answered and waited_s >= limit_s:
             raise HeartbeatTimeoutError("no answer in time")
-        if lease_s and waited_s >= lease_s / BEATS and self.answered:
+        if lease_s and waited_s >= lease_s / HEARTBEATS_PER_LEASE and self.answered:
             self.last_sent_s = self.gateway.clock()
             self.answered = False
             self.last_number += 1
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -139,11 +139,11 @@
 
     def _open_gateway(self, standing: list[str], home: int) -> Gateway:
         gateway = self.open(self.plan.front, standing)
-        gateway.way = home % gateway.ways
+        gateway.assigner_index = home % gateway.assigner_count
         gateway.on_change(self._close_unused)
         gateway.on_change(
             lambda changed: self.record(
-                "applied", proxy=self.uid, assigner=changed.way, asked=changed.judge.accepted_token
+                "applied", proxy=self.uid, assigner=changed.assigner_index, asked=changed.fencing.accepted_token
             )
         )
         gateway.watch = self._on_session
@@ -162,15 +162,15 @@
         connection_options = {
             "source": self.host,
             "zmq": zmq,
-            "heard": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
+            "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
         return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **terms)
 
     def _open_sasp(self, terms: dict) -> Gateway:
         connection_options = {
             "source": self.host,
-            "heard": lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
-            "said": lambda raw: self.record.frame("said", self.uid, self.stream, raw),
+            "on_receive": lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
+            "on_send": lambda raw: self.record.frame("said", self.uid, self.stream, raw),
         }
         return SaspGateway(
             self.plan.sasp,
@@ -184,11 +184,16 @@
         )
 
     def _on_session(self, begins: bool) -> None:
-        if begins and self.gateway.way in self.unreachable_assigners:
+        if begins and self.gateway.assigner_index in self.unreachable_assigners:
             raise ConnectionError("no way to the assigner")
         self.stream += begins
         self.record(
-            "stream", who=self.uid, stream=self.stream, up=begins, why=self.gateway.trouble, assigner=self.gateway.way
+            "stream",
+            who=self.uid,
+            stream=self.stream,
+            up=begins,
+            why=self.gateway.end_reason,
+            assigner=self.gateway.assigner_index,
         )
 
     def apply(self, lines: int) -> None:
@@ -233,7 +238,7 @@
 
     def send_report(self, figures: list[Figure]) -> None:
         """Send a load report to the assigner that it goes to."""
-        self.reporter.send(self.plan.otlp[self.gateway.way], figures, gevent.sleep)
+        self.reporter.send(self.plan.otlp[self.gateway.assigner_index], figures, gevent.sleep)
 
     # RPCs.
 
@@ -252,10 +257,10 @@
         self.in_flight[task] += 1
         outcome, answer = self._call_over_link(self.connections[task], task.split(".")[1], call, timeout_s)
         self.in_flight[task] -= 1
-        self.reporter.met(task, name, outcome == rpc.OK, self.seconds() - now)
+        self.reporter.add_attempt(task, name, outcome == rpc.OK, self.seconds() - now)
         self._count_failures(task, outcome, now)
         if answer is not None:
-            self.reporter.load(task, util=answer.util, queue=answer.queue)
+            self.reporter.set_load(task, util=answer.util, queue=answer.queue)
         return outcome
 
     def _count_failures(self, task: str, outcome: int, begun_s: float) -> None:
@@ -308,7 +313,7 @@
                 self.world.later(delay_s, self._post, figures)
 
     def _post(self, figures: list[Figure]) -> None:
-        if not self.down and self.gateway.way not in self.unreachable_assigners:
+        if not self.down and self.gateway.assigner_index not in self.unreachable_assigners:
             self.send_report(figures)
 
     # Its end.
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -215,8 +215,8 @@
         send_buffer_bytes = self.simulation.script.config.sasp.send_buffer_bytes
         for number, connection in list(server.streams.items()):
             consumed = connection.sock.consumed_bytes
-            server.presence.check_backlog(now, number, consumed, connection.sent - consumed > send_buffer_bytes)
-        for number, reason in server.presence.overdue(now):
+            server.session_tracker.check_backlog(now, number, consumed, connection.sent - consumed > send_buffer_bytes)
+        for number, reason in server.session_tracker.overdue(now):
             if number in server.streams:
                 server.close(server.streams[number], reason)
 
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -47,7 +47,7 @@
         self.open = True
         self.server = process.service.front
         self.server.number += 1
-        self.connection = Connection(self.server.number, self, (host, 0), self.server.keeper.reply_bucket())
+        self.connection = Connection(self.server.number, self, (host, 0), self.server.limiter.reply_bucket())
         self.connection.due = WakeUp(self.wake_writer)
         self.server.streams[self.connection.number] = self.connection
         self.writer_due = False
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -101,12 +101,14 @@
         }
         if front == "sasp":
             return VirtualSaspGateway(simulation, self, **terms)
-        context = Context(simulation.network, cut=lambda _endpoint: self.gateway.way in self.unreachable_assigners)
+        context = Context(
+            simulation.network, cut=lambda _endpoint: self.gateway.assigner_index in self.unreachable_assigners
+        )
         connection_options = {
             "source": self.host,
             "zmq": Library(self.world),
             "context": context,
-            "heard": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
+            "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
         return VirtualChpGateway(
             simulation.addresses["clone"], self.uid, self.names, connection_options, before=self.apply, **terms
@@ -122,7 +124,7 @@
 
     def send_report(self, figures: list[Figure]) -> None:
         """Hand a load report to the assigner, without OTLP's bytes."""
-        self.simulation.processes[self.gateway.way].report(self.uid, figures)
+        self.simulation.processes[self.gateway.assigner_index].report(self.uid, figures)
 
 
 class VirtualCommandHandler(CommandHandler):
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -54,7 +54,7 @@
 class Client:
     """A connection to the service.
 
-    `heard(frame)` and `said(frame)`, if given, are called with each frame received and sent. Methods raise
+    `on_receive(frame)` and `on_send(frame)`, if given, are called with each frame received and sent. Methods raise
     ConnectionLostError when the connection breaks and RefusedError for a return code; connecting raises OSError.
     """
 
@@ -64,14 +64,14 @@
         source: str = "",
         timeout: float = 5.0,
         connect: Callable = socket.create_connection,
-        heard: Callable | None = None,
-        said: Callable | None = None,
+        on_receive: Callable | None = None,
+        on_send: Callable | None = None,
     ) -> None:
         self.sock = connect(address, timeout=timeout, **({"source_address": (source, 0)} if source else {}))
         self.timeout = timeout
         self.framer = codec.Framer(MAX_MESSAGE_BYTES)
-        self.heard = heard
-        self.said = said
+        self.on_receive = on_receive
+        self.on_send = on_send
         self.frames: deque[bytes] = deque()
         self.pushed: deque[tuple[int, codec.SendWeights]] = deque()
         self.number = 0
@@ -87,8 +87,8 @@
             while not self.frames:
                 self._receive(deadline)
             frame = self.frames.popleft()
-            if self.heard:
-                self.heard(frame)
+            if self.on_receive:
+                self.on_receive(frame)
             return codec.decode(frame)
         except TimeoutError:
             raise
@@ -114,8 +114,8 @@
             self.sock.sendall(frame)
         except OSError as error:
             raise ConnectionLostError(str(error)) from error
-        if self.said:
-            self.said(frame)
+        if self.on_send:
+            self.on_send(frame)
         deadline = time.monotonic() + self.timeout
         while True:
             try:
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -31,7 +31,7 @@
     def __init__(
         self,
         server: SaspServer,
-        presence: SessionTracker,
+        session_tracker: SessionTracker,
         refusals: Refusals,
         ownership: OwnershipHooks,
         weight_replies: WeightReplies,
@@ -41,7 +41,7 @@
         self.clock = server.clock
         self.config = server.config
         self.zone_of: Callable[[str], int] = server.zone_of
-        self.presence = presence
+        self.session_tracker = session_tracker
         self.refusals = refusals
         self.ownership = ownership
         self.weight_replies = weight_replies
@@ -102,7 +102,7 @@
             if not batch.members:
                 del connection.views[name]
         if not connection.views and connection.proxy >= 0:
-            self.presence.end(connection.number)
+            self.session_tracker.end(connection.number)
             self.unbind(self.clock(), connection)
         return Code.OK
 
@@ -113,15 +113,15 @@
             self.server.counts["asked_too_often"] += 1
             code = Code.NOT_FROM_YOU
         if code != Code.OK:
-            return codec.GetWeightsReply(code, self.presence.interval, ())
+            return codec.GetWeightsReply(code, self.session_tracker.interval, ())
         if connection.proxy >= 0 and not connection.weights_ready.is_set():
             self.server.loop.wake()
-            connection.weights_ready.wait(self.presence.first_answer / 1e6)
+            connection.weights_ready.wait(self.session_tracker.first_answer / 1e6)
         batches = self.weight_replies.in_full(connection, message.groups)
         if not connection.push:
             connection.sent_marks.extend(SentMark(0, *mark) for mark in connection.pending)
             connection.pending.clear()
-        return codec.GetWeightsReply(Code.OK, self.presence.interval, batches)
+        return codec.GetWeightsReply(Code.OK, self.session_tracker.interval, batches)
 
     # Joining and leaving.
 
@@ -133,7 +133,7 @@
             if refusal is not None:
                 self._redirect_newcomer(connection, refusal)
                 return Code.NOT_FROM_YOU
-        started = self.presence.start(now, connection.number, connection.uid, connection.push)
+        started = self.session_tracker.start(now, connection.number, connection.uid, connection.push)
         if started.turned_away:
             return Code.NOT_FROM_YOU
         if started.close >= 0 and started.close in self.server.streams:
@@ -148,7 +148,7 @@
         if zone >= 0:
             proxy = self.engine.join(now, self.server, connection.uid, zone, self.config.default_rate)
         if proxy is None or proxy < 0:
-            self.presence.end(connection.number)
+            self.session_tracker.end(connection.number)
             return Code.NOT_FROM_YOU
         connection.proxy = proxy
         self.server.by_proxy[proxy] = connection
@@ -166,7 +166,7 @@
 
     def _redirect_newcomer(self, connection: Connection, refusal: StaleToken | ForwardProxy) -> None:
         """Tell it ahead of the reply which assigner it should ask, and end the connection that it had here before."""
-        older = self.server.streams.get(self.presence.by_uid.get(connection.uid, -1))
+        older = self.server.streams.get(self.session_tracker.by_uid.get(connection.uid, -1))
         if isinstance(refusal, ForwardProxy):
             self.ownership.send_redirect(connection, refusal.owner)
             if older is not None and older is not connection:
@@ -182,6 +182,6 @@
         if assigner:  # it closes the connection itself once it has read that; if not, its next request is refused
             self.ownership.send_redirect(connection, assigner)
             self.unbind(self.clock(), connection)
-            self.presence.end(connection.number)
+            self.session_tracker.end(connection.number)
         else:
             self._release(connection, reason)
--- a/hollyridge/sasp/registration.py
+++ b/hollyridge/sasp/registration.py
@@ -70,14 +70,14 @@
         self,
         loop: EventLoop,
         config: SaspConfig,
-        presence: SessionTracker,
+        session_tracker: SessionTracker,
         refusals: Refusals,
         zone_of: Callable[[str], int],
     ) -> None:
         self.engine = loop.engine
         self.clock = loop.clock
         self.config = config
-        self.presence = presence
+        self.session_tracker = session_tracker
         self.refusals = refusals
         self.zone_of = zone_of
         self.by_task: dict[int, codec.Member] = {}
@@ -161,7 +161,7 @@
         if connection.uid:
             return Code.NOT_FROM_YOU
         if group.uid != self.config.fleet:
-            known = group.uid in self.presence.by_uid
+            known = group.uid in self.session_tracker.by_uid
             return Code.NOT_FROM_YOU if known else Code.NOT_CONTACTED_YET
         return Code.OK if group.name == self.config.members_group else Code.INVALID_GROUP
 
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -49,8 +49,8 @@
         self,
         loop: EventLoop,
         config: SaspConfig,
-        presence: SessionTracker,
-        keeper: ConnectionLimiter,
+        session_tracker: SessionTracker,
+        limiter: ConnectionLimiter,
         zone_of: Callable[[str], int],
         log: BoundLogger,
         access: AccessControl = OPEN_ACCESS,
@@ -60,8 +60,8 @@
     ) -> None:
         super().__init__(loop, config.host, config.port)
         self.config = config
-        self.presence = presence
-        self.keeper = keeper
+        self.session_tracker = session_tracker
+        self.limiter = limiter
         self.zone_of = zone_of
         self.log = log
         self.access = access
@@ -71,9 +71,9 @@
         )
         refusals = Refusals(access, log)
         self.ownership = OwnershipHooks(peers, zone_name)
-        self.member_requests = MemberRequests(loop, config, presence, refusals, zone_of)
+        self.member_requests = MemberRequests(loop, config, session_tracker, refusals, zone_of)
         self.weight_replies = WeightReplies(loop, config, self.member_requests, self.ownership)
-        self.load_balancers = LoadBalancerRequests(self, presence, refusals, self.ownership, self.weight_replies)
+        self.load_balancers = LoadBalancerRequests(self, session_tracker, refusals, self.ownership, self.weight_replies)
         self.transport = ConnectionTransport(self)
         self.counts = dict.fromkeys(
             ("connections", "refused", "frames_in", "frames_out", "bad_frames", "closed", "asked_too_often"), 0
@@ -110,7 +110,7 @@
             return
         self.number += 1
         self.counts["connections"] += 1
-        connection = Connection(self.number, sock, address, self.keeper.reply_bucket())
+        connection = Connection(self.number, sock, address, self.limiter.reply_bucket())
         self.streams[self.number] = connection
         writer = None
         try:
@@ -128,14 +128,14 @@
         finally:
             connection.closed = connection.closed or "closed by the other side"
             connection.due.set()
-            self.keeper.release(address[0])
+            self.limiter.release(address[0])
             self.end(connection)
             if writer is not None:
                 writer.kill(block=False)
             sock.close()
 
     def _admit(self, sock: plain.socket, address: tuple) -> bool:
-        reason = self.keeper.admit(self.clock(), address[0])
+        reason = self.limiter.admit(self.clock(), address[0])
         if reason:
             self.counts["refused"] += 1
             if should_log(self.counts["refused"]):
@@ -147,7 +147,7 @@
         """A connection has ended: let go of all that it had."""
         now = self.clock()
         self.transport.unacknowledged.pop(connection.number, None)
-        self.presence.end(connection.number)
+        self.session_tracker.end(connection.number)
         if self.forget(now, connection):
             self.ownership.release(connection.uid)
         self.member_requests.connection_lost(now, connection)
@@ -190,7 +190,7 @@
     def _note_request(self, connection: Connection) -> None:
         """A request has come: a sign of life, and from one that asks the acknowledgement of its last answer."""
         now = self.clock()
-        self.presence.polled(now, connection.number)
+        self.session_tracker.polled(now, connection.number)
         self.ownership.acknowledge(connection)
         if not connection.push:
             for sent in connection.sent_marks:
@@ -262,4 +262,4 @@
 
     def status(self) -> dict:
         """Figures for the status page."""
-        return {**self.counts, "streams": len(self.streams), "refused_why": self.keeper.refused}
+        return {**self.counts, "streams": len(self.streams), "refused_why": self.limiter.refused}
--- a/hollyridge/sasp/transport.py
+++ b/hollyridge/sasp/transport.py
@@ -56,7 +56,7 @@
     def read_until_closed(self, connection: Connection) -> None:
         """Read requests and have them carried out; OSError and SaspError end the connection."""
         framer = codec.Framer(self.config.max_message_bytes)
-        requests = self.server.keeper.request_bucket()
+        requests = self.server.limiter.request_bucket()
         opened_us = self.clock()
         frame_began_us = opened_us
         while not connection.closed:
@@ -144,7 +144,7 @@
                 self._check_acknowledged(now, connection)
             turn += 1
             if turn % OVERDUE_EVERY == 0:
-                for number, reason in self.server.presence.overdue(now):
+                for number, reason in self.server.session_tracker.overdue(now):
                     if number in self.server.streams:
                         self.server.close(self.server.streams[number], reason)
                 self.server.member_requests.forget_stale()
@@ -160,7 +160,7 @@
         taken_bytes = (
             connection.sent - queued_bytes if self.server.secure is None else connection.sent * (queued_bytes == 0)
         )
-        self.server.presence.check_backlog(now, connection.number, taken_bytes, queued_bytes > 0)
+        self.server.session_tracker.check_backlog(now, connection.number, taken_bytes, queued_bytes > 0)
         if connection.push:
             marks = connection.sent_marks
             while marks and marks[0].sent_bytes <= taken_bytes:
--- a/tests/peers/test_peers_clients.py
+++ b/tests/peers/test_peers_clients.py
@@ -71,7 +71,7 @@
     )
     jobs = [gevent.spawn(g.run) for g in (sasp_client, chp_client)]
     assert wait_for(lambda: sasp_client.table_for("read-chapter") and chp_client.table_for("read-chapter"))
-    assert sasp_client.judge.accepted_token == chp_client.judge.accepted_token == 0
+    assert sasp_client.fencing.accepted_token == chp_client.fencing.accepted_token == 0
     for g in (sasp_client, chp_client):
         g.stop()
     gevent.sleep(0.1)
--- a/tests/peers/test_peers_peer_service.py
+++ b/tests/peers/test_peers_peer_service.py
@@ -23,7 +23,7 @@
     assert {uid for uid, k in before.items() if k != dead} == {
         uid for uid, k in before.items() if three.owners(uid) == [k]
     }  # nobody else moved
-    assert all(g.judge.accepted_token for g in gateways.values())
+    assert all(g.fencing.accepted_token for g in gateways.values())
     three.start(dead)  # and under the same name it gets its own back, in steps
     assert wait_for(lambda: three.owned_once(gateways) and {u: three.owners(u)[0] for u in gateways} == before, 12)
     assert wait_for(lambda: not any(s.fleet.status()["disagreements"] for s in three.services))
