--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -117,7 +117,7 @@
         self.sockets.bind()
         jobs = (self._answer_requests, self._collect_acks, self._send_heartbeats)
         self.jobs = [self.loop.spawn(job) for job in jobs]
-        self.log.info("chp_server_started", host=self.config.host, port=self.config.port)
+        self.log.info("server_started", protocol="chp", host=self.config.host, port=self.config.port)
         return self.config.port
 
     def stop(self) -> None:
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -117,7 +117,7 @@
         if self.by_proxy.get(session.proxy) is session:
             del self.by_proxy[session.proxy]
             self.server.engine.leave(now, session.proxy)
-        self.server.log.info("session_ended", uid=session.uid, reason=reason, protocol="chp")
+        self.server.log.info("stream_ended", uid=session.uid, reason=reason, protocol="chp")
         self.server.loop.wake()
 
     def recheck(self, now: int) -> None:
--- a/hollyridge/chp/sockets.py
+++ b/hollyridge/chp/sockets.py
@@ -72,7 +72,7 @@
                 except zmq.ZMQError:
                     sleep(REBIND_INTERVAL_S)
             else:
-                log.error("rebind_failed", endpoint=endpoint)
+                log.error("listen_failed", endpoint=endpoint)
 
     def close(self) -> None:
         """Close all three."""
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -85,7 +85,7 @@
         """Listen; returns the port. OSError if the address is taken."""
         self.server.start()
         gevent.spawn(self.transport.monitor)
-        self.log.info("sasp_server_started", host=self.config.host, port=self.server.server_port)
+        self.log.info("server_started", protocol="sasp", host=self.config.host, port=self.server.server_port)
         return self.server.server_port
 
     def close(self, stream: Connection, why: str) -> None:
@@ -139,7 +139,7 @@
         if reason:
             self.counts["refused"] += 1
             if should_log(self.counts["refused"]):
-                self.log.warning("connection_refused", peer=address[0], reason=reason, times=self.counts["refused"])
+                self.log.warning("connection_rejected", peer=address[0], reason=reason, times=self.counts["refused"])
             sock.close()
         return not reason
 
@@ -152,7 +152,11 @@
             self.ownership.release(connection.uid)
         self.member_requests.connection_lost(now, connection)
         self.log.info(
-            "connection_closed", peer=connection.address[0], uid=connection.uid or None, reason=connection.closed
+            "stream_ended",
+            peer=connection.address[0],
+            uid=connection.uid or None,
+            reason=connection.closed,
+            protocol="sasp",
         )
         self.loop.wake()
 
@@ -174,7 +178,7 @@
         reply = self._answer(connection, message)
         if reply.code:
             self.log.info(
-                "request_refused",
+                "request_rejected",
                 peer=peer,
                 uid=connection.uid or None,
                 request=type(message).__name__,
@@ -183,7 +187,7 @@
         try:
             connection.reply(codec.encode(number, reply))
         except ValueError as error:
-            self.log.warning("reply_too_long", peer=peer, uid=connection.uid or None, reason=str(error))
+            self.log.warning("reply_oversized", peer=peer, uid=connection.uid or None, reason=str(error))
             connection.reply(codec.encode(number, codec.reply_to(message, Code.NOT_FROM_YOU)))
         self.loop.wake()
 
