--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -202,7 +202,7 @@
         for path in sorted(self.folder.glob("assigner-*.log")):
             number = int(path.stem.split("-")[1])
             for line in path.read_bytes().splitlines():
-                if b'"status"' in line and line.startswith(b"{"):
+                if b'"status_reported"' in line and line.startswith(b"{"):
                     core = msgspec.json.decode(line).get("core", {})
                     if "at" in core:
                         rows.append(_state_record(number, core))
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -110,7 +110,7 @@
     def start(self) -> int:
         """Listen; returns the port. Raises OSError if the address is taken."""
         self.server.start()
-        self.log.info("otlp_server_started", host=self.config.host, port=self.server.server_port)
+        self.log.info("server_started", protocol="otlp", host=self.config.host, port=self.server.server_port)
         return self.server.server_port
 
     def stop(self) -> None:
@@ -145,7 +145,7 @@
             self.counts["bad"] += 1
         if error.status not in KEEP_ALIVE_STATUSES:
             headers.append(("Connection", "close"))
-        self.log.warning("request_rejected", peer=request.peer, status=int(error.status), reason=str(error))
+        self.log.warning("report_rejected", peer=request.peer, status=int(error.status), reason=str(error))
         body = serialize(Status(code=error.grpc_code, message=str(error)), request.is_json)
         return HttpResponse(error.status, JSON if request.is_json else PROTOBUF, body, tuple(headers))
 
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -316,7 +316,7 @@
         self.front.recheck()
         if self.clone is not None:
             self.clone.recheck()
-        self.log.info("keys read again", bearers=len(terms.principals))
+        self.log.info("keys_reloaded", principals=len(terms.principals))
 
     def status(self) -> dict:
         """The status page."""
@@ -331,4 +331,4 @@
         """Log the status at the interval of the settings."""
         while True:
             gevent.sleep(self.terms.log.status_every_s)
-            self.log.info("status", **self.status())
+            self.log.info("status_reported", **self.status())
