--- a/hollyridge/lab/experiments/policies.py
+++ b/hollyridge/lab/experiments/policies.py
@@ -1,142 +1,186 @@
-"""Other decision modules for the laboratory: baselines to compare with, and saboteurs that the checker must catch.
-Each breaks one rule. They stand in for the module; the program around them is the real one."""
+"""Other decision modules for the laboratory: baselines to compare with, and modules that each break one rule.
+
+The ones that break a rule show that the checks find it. All of them stand in for `decisions.assigner.Assigner`; the
+program around them is the real one.
+"""
 
 from __future__ import annotations
 
-from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
-
-
-class Simple:
-    """Tables by zone, changed whenever `weights(zone)` changes. For baselines."""
-
-    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+from hollyridge.interface import (
+    AssignerConfig,
+    BindTable,
+    Command,
+    EndpointListUpdate,
+    Event,
+    ProxyJoined,
+    SetTimer,
+    SetWeight,
+    TaskState,
+    TimerFired,
+    TrafficReport,
+)
+
+MIN_WEIGHT = 0.01  # that the slowest task gets of the fastest one's
+EMPTY_AFTER_US = 4_000_000  # from its first decision until a table is emptied
+OVERLOAD_FACTOR = 1000  # on the weight of a cold task
+RESEND_INTERVAL_US = 100_000
+RESEND_TIMER = 9  # a token that the real decisions do not use
+RESEND_STEPS = 7  # different weights that are sent by turns
+
+
+class Baseline:
+    """Tables by zone, changed whenever `weights(zone)` changes."""
+
+    def __init__(self, config: AssignerConfig, seed: int) -> None:
         self.config = config
-        self.open: dict[int, int] = {}  # zone by task
-        self.said: list[dict[int, float]] = [{} for _ in range(config.zones)]
+        self.zone_by_task: dict[int, int] = {}  # of those that are ready
+        self.sent: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
     def weights(self, zone: int) -> dict[int, float]:
+        """What the zone's table should hold."""
         raise NotImplementedError
 
-    def hear(self, now: int, event: api.Event) -> None:
-        pass
+    def observe(self, now: int, event: Event) -> None:
+        """Learn from an event; baselines that learn override this."""
 
-    def decide(self, now: int, events: list) -> list:
-        orders: list = []
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
+        """Commands for one batch of events."""
+        bindings: list[Command] = []
         for event in events:
-            self.hear(now, event)
-            if isinstance(event, api.EndpointListUpdate):
-                for entry in event.endpoints:
-                    self.open.pop(entry.task, None)
-                    if entry.state == api.TaskState.READY:
-                        self.open[entry.task] = entry.zone
-            elif isinstance(event, api.ProxyJoined):
-                orders.append(api.BindTable(event.proxy, event.zone, 0))
-        puts: list = []
-        for zone, said in enumerate(self.said):
-            lines = self.weights(zone)
-            puts += [api.SetWeight(0.0, task, zone) for task in said if task not in lines]
-            puts += [api.SetWeight(weight, task, zone) for task, weight in lines.items() if said.get(task) != weight]
-            self.said[zone] = lines
-        return puts + orders
-
-
-class Even(Simple):
-    """Every open task in every table with the same weight; changes only with the list."""
+            self.observe(now, event)
+            if isinstance(event, EndpointListUpdate):
+                self.update_endpoints(event)
+            elif isinstance(event, ProxyJoined):
+                bindings.append(BindTable(event.proxy, event.zone, 0))
+        changes: list[Command] = []
+        for zone, sent in enumerate(self.sent):
+            weights = self.weights(zone)
+            changes += [SetWeight(0.0, task, zone) for task in sent if task not in weights]
+            changes += [SetWeight(weight, task, zone) for task, weight in weights.items() if sent.get(task) != weight]
+            self.sent[zone] = weights
+        return changes + bindings
+
+    def update_endpoints(self, update: EndpointListUpdate) -> None:
+        """Take what the endpoint list says of tasks."""
+        for endpoint in update.endpoints:
+            self.zone_by_task.pop(endpoint.task, None)
+            if endpoint.state == TaskState.READY:
+                self.zone_by_task[endpoint.task] = endpoint.zone
+
+
+class Even(Baseline):
+    """Every ready task in every table with the same weight; changes only with the endpoint list."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        return dict.fromkeys(self.open, 1.0)
+        """The same weight for all."""
+        return dict.fromkeys(self.zone_by_task, 1.0)
 
 
-class Static(Simple):
+class Static(Baseline):
     """What each table began with; only closed tasks leave, and others come only when none is left."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        kept = {task: 1.0 for task in self.said[zone] if task in self.open}
-        return kept or dict.fromkeys(self.open, 1.0)
+        """Those of the table that are still ready, or all if none is."""
+        kept = {task: 1.0 for task in self.sent[zone] if task in self.zone_by_task}
+        return kept or dict.fromkeys(self.zone_by_task, 1.0)
 
 
-class ZoneOnly(Simple):
+class ZoneOnly(Baseline):
     """Even among the tasks of the proxy's own zone; all others only where it has none."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        home = [task for task, where in self.open.items() if where == zone]
-        return dict.fromkeys(home or self.open, 1.0)
+        """The zone's own tasks, or all if it has none."""
+        own = [task for task, home in self.zone_by_task.items() if home == zone]
+        return dict.fromkeys(own or self.zone_by_task, 1.0)
+
 
+class LeastLatency(Baseline):
+    """By the inverse of the mean latency that the zone's proxies last saw, pushed as it changes.
 
-class LeastLatency(Simple):
-    """By the inverse of the mean latency that the zone's proxies last met, pushed as it changes; who has not been heard
-    counts as the best that has."""
+    A task without a report counts as the best of the others.
+    """
 
-    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+    def __init__(self, config: AssignerConfig, seed: int) -> None:
         super().__init__(config, seed)
-        self.took: list[dict[int, float]] = [{} for _ in range(config.zones)]
+        self.latency_us: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
-    def hear(self, now: int, event: api.Event) -> None:
-        if isinstance(event, api.TrafficReport) and event.attempts > event.failed and event.latency_us > 0:
-            self.took[event.zone][event.task] = event.latency_us
+    def observe(self, now: int, event: Event) -> None:
+        """Remember the latency of a report."""
+        if isinstance(event, TrafficReport) and event.attempts > event.failed and event.latency_us > 0:
+            self.latency_us[event.zone][event.task] = event.latency_us
 
     def weights(self, zone: int) -> dict[int, float]:
-        took = {task: us for task, us in self.took[zone].items() if task in self.open}
-        best = min(took.values(), default=1.0)
-        return {task: round(best / took.get(task, best), 2) or 0.01 for task in self.open}
+        """Weights between 0.01 and 1."""
+        latency_us = {task: us for task, us in self.latency_us[zone].items() if task in self.zone_by_task}
+        best = min(latency_us.values(), default=1.0)
+        return {task: round(best / latency_us.get(task, best), 2) or MIN_WEIGHT for task in self.zone_by_task}
 
 
 class PushWithoutGate(Assigner):
-    """The module without the gate: every change that is worth a line is pushed each period."""
+    """The decisions without the push gate: every change that is worth a line is pushed each period."""
 
-    def __init__(self, config: api.AssignerConfig, seed: int) -> None:
+    def __init__(self, config: AssignerConfig, seed: int) -> None:
         super().__init__(config, seed)
         self.push_gate.decide = lambda published_cost, current_cost, held: not held
 
 
 class EmptiesTables(Assigner):
-    """Rule 1: after a while it takes every line out of a table and puts none back."""
+    """Breaks rule 1: after a while it takes every line out of a table and puts none back."""
 
-    begun = 0
+    first_decision_us = 0
 
-    def decide(self, now: int, events: list) -> list:
-        orders = super().decide(now, events)
-        self.begun = self.begun or now
-        if now - self.begun < 4_000_000:
-            return orders
-        lines = self.tables[0].weights
-        orders = [o for o in orders if not (isinstance(o, api.SetWeight) and o.table == 0)]
-        orders += [api.SetWeight(0.0, task, 0) for task in lines]
-        lines.clear()
-        return orders
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
+        """The real commands, and the emptied table in place of its lines."""
+        commands = super().decide(now, events)
+        self.first_decision_us = self.first_decision_us or now
+        if now - self.first_decision_us < EMPTY_AFTER_US:
+            return commands
+        weights = self.tables[0].weights
+        commands = [command for command in commands if not (isinstance(command, SetWeight) and command.table == 0)]
+        commands += [SetWeight(0.0, task, 0) for task in weights]
+        weights.clear()
+        return commands
 
 
 class KeepsDrainedEndpoints(Assigner):
-    """Rule 3: it never takes a line out."""
+    """Breaks rule 3: it never takes a line out."""
 
-    def decide(self, now: int, events: list) -> list:
-        return [o for o in super().decide(now, events) if not (isinstance(o, api.SetWeight) and o.weight == 0)]
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
+        """The real commands but those that take a line out."""
+        commands = super().decide(now, events)
+        return [command for command in commands if not (isinstance(command, SetWeight) and command.weight == 0)]
 
 
 class OverloadsColdTasks(Assigner):
-    """Rule 4: the first of those that have just started gets nearly all."""
+    """Breaks rule 4: the first of the tasks that have just started gets nearly all."""
 
-    def decide(self, now: int, events: list) -> list:
-        orders = super().decide(now, events)
-        cold = [i for i, part in self.planner.slow_start_factors(now).items() if part < 1]
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
+        """The real commands with that task's weight raised."""
+        commands = super().decide(now, events)
+        factors = self.planner.slow_start_factors(now)
+        first_cold = min((task for task, factor in factors.items() if factor < 1), default=-1)
         return [
-            o._replace(weight=o.weight * 1000)
-            if isinstance(o, api.SetWeight) and o.task == min(cold, default=-1)
-            else o
-            for o in orders
+            command._replace(weight=command.weight * OVERLOAD_FACTOR)
+            if isinstance(command, SetWeight) and command.task == first_cold
+            else command
+            for command in commands
         ]
 
 
 class FloodsQueue(Assigner):
-    """Rule 5: it says a line again ten times a second."""
+    """Breaks rule 5: it sends a line of each table again ten times a second."""
 
-    def decide(self, now: int, events: list) -> list:
-        orders = super().decide(now, events)
+    def decide(self, now: int, events: list[Event]) -> list[Command]:
+        """The real commands, and the first line of each table with another weight."""
+        commands = super().decide(now, events)
+        factor = 1 + now // 1000 % RESEND_STEPS / 10
         for number, table in enumerate(self.tables.tables):
-            lines = list(table.weights.items())[:1]
-            orders += [api.SetWeight(w * (1 + now // 1000 % 7 / 10), i, number) for i, w in lines]
-        return [*orders, api.SetTimer(9, 100_000)] if any(isinstance(e, api.TimerFired) for e in events) else orders
+            first_line = list(table.weights.items())[:1]
+            commands += [SetWeight(weight * factor, task, number) for task, weight in first_line]
+        if any(isinstance(event, TimerFired) for event in events):
+            commands = [*commands, SetTimer(RESEND_TIMER, RESEND_INTERVAL_US)]
+        return commands
 
 
 POLICIES = {
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -64,7 +64,7 @@
         }
     )
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - what the command that starts a proxy says, by name
         self,
         world: World,
         uid: str,
--- a/hollyridge/lab/stand_ins/task.py
+++ b/hollyridge/lab/stand_ins/task.py
@@ -46,7 +46,7 @@
         }
     )
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - what the command that starts a task says, by name
         self,
         world: World,
         name: str,
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -1,93 +1,119 @@
-"""From what the decision module knows to what the solver is told, and back. Reads the module, changes nothing in it."""
+"""Translates between the decisions and the solver: what they have learned in, weight proposals out.
+
+Reads the decisions' state and changes nothing in it.
+"""
 
 from __future__ import annotations
 
-from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
+from hollyridge.interface import AssignerConfig, BalancingPolicy, TaskState, WeightProposal
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 from hollyridge.solver.planner import Plan
 
-ENOUGH = 0.99  # part of the RPCs from which all counts as served
-DOUBT = 0.25  # of a rate that no busy period was heard of yet; it falls as more are
+FULLY_SERVED = 0.99  # fraction of the RPCs from which on all count as served
+UNTESTED_DOUBT = 0.25  # of a capacity that no busy period was reported for yet; it falls as more are
+MIN_OWN_SHARE = 0.05  # of a task's capacity, however much of it other assigners seem to use
+MIN_TABLE_SIZE = 2
+US_PER_S = 1e6
+
+
+def fleet_of(assigner: Assigner, now_us: int, handshake: float, connections: float) -> Fleet | None:
+    """The fleet as the decisions know it; None while no capacity is known.
 
+    One method stands for all, since a zone's table is theirs in common and admission stays with the decisions.
 
-def fleet_of(module: Assigner, now: int, handshake: float, connections: float) -> Fleet | None:
-    """None where nothing is known yet of what tasks can do. One method stands for all: a zone's table is theirs in
-    common, and levels stay with the module. What others send to a task, as its load tells, is not ours to share out."""
-    config, estimates, endpoints, tables = module.config, module.estimates, module.endpoints, module.tables
-    period = config.report_period_us / 1e6
-    known = [i for i in endpoints.ready_tasks() if i < len(estimates.capacity) and estimates.capacity[i] > 0]
+    Args:
+        assigner: The decisions.
+        now_us: The time.
+        handshake: Work of a new connection, in average RPCs.
+        connections: Connections that a task takes.
+    """
+    capacity = assigner.estimates.capacity
+    known = [task for task in assigner.endpoints.ready_tasks() if task < len(capacity) and capacity[task] > 0]
     if not known:
         return None
-    usual = sum(estimates.capacity[i] for i in known) / sum(endpoints.listed_weight[i] for i in known)
-    tasks = []
-    for i, state in enumerate(endpoints.state):
-        reported = i < len(estimates.capacity)  # columns by task are all of one length
-        does = usual * endpoints.listed_weight[i]
-        if reported and estimates.capacity[i] > 0:
-            does = estimates.capacity[i]
-        mine = estimates.attempts_and_failures([i])[0] / does if reported else 0.0
-        others = max(0.0, estimates.mean_utilization[i] - mine) if reported and config.assigners > 1 else 0.0
-        heard = estimates.busy_periods[i] if reported else 0.0
-        health = max((row[i] for row in module.outliers.factor if i < len(row)), default=1.0)
-        tasks.append(
-            Task(
-                str(i),
-                max(0, endpoints.zone[i]),
-                does * health * max(0.05, 1 - others) / period,
-                DOUBT / (1 + heard),
-                stated_part(config, now, endpoints.started_at_us[i]),
-                connections,
-                state == api.TaskState.READY,
-            )
-        )
-    zones = []
-    for z in range(config.zones):
-        proxies = [p for p, zone in tables.proxy_zone.items() if zone == z]
-        comes = sum(estimates.offered(p) or tables.proxy_rate[p] * period for p in proxies) / period
-        tries, bad, slow = (
-            (sum(column) for column in zip(*estimates.traffic[z])) if estimates.traffic[z] else (0.0, 0.0, 0.0)
-        )
-        stays = slow / max(tries - bad, 1.0) / 1e6
-        zones.append(Zone(str(z), len(proxies), (comes,), comes * stays / max(len(proxies), 1)))
-    held = tuple(dict(tables[z].weights) if tables[z].proxies else {} for z in range(config.zones))
-    pick = "p2c" if config.balancing_policy == api.BalancingPolicy.P2C else "random"
+    listed_weight = assigner.endpoints.listed_weight
+    per_weight = sum(capacity[task] for task in known) / sum(listed_weight[task] for task in known)
+    config, tables = assigner.config, assigner.tables
+    current_tables = tuple(dict(tables[z].weights) if tables[z].proxies else {} for z in range(config.zones))
     return Fleet(
         (Method("all", 1.0),),
-        tuple(zones),
-        tuple(tasks),
-        held,
+        tuple(zone_of(assigner, zone) for zone in range(config.zones)),
+        tuple(
+            task_of(assigner, task, now_us, per_weight, connections) for task in range(len(assigner.endpoints.state))
+        ),
+        current_tables,
         config.cross_zone_cost,
         handshake,
-        balancing_policy=pick,
-        min_table_size=max(2, 2 * config.initial_table_size),
+        balancing_policy="p2c" if config.balancing_policy == BalancingPolicy.P2C else "random",
+        min_table_size=max(MIN_TABLE_SIZE, 2 * config.initial_table_size),
     )
 
 
+def task_of(assigner: Assigner, task: int, now_us: int, capacity_per_weight: float, connections: float) -> Task:
+    """One task, with the part of its capacity that other assigners do not use."""
+    config, estimates, endpoints = assigner.config, assigner.estimates, assigner.endpoints
+    reported = task < len(estimates.capacity)  # columns by task are all of one length
+    capacity = capacity_per_weight * endpoints.listed_weight[task]
+    if reported and estimates.capacity[task] > 0:
+        capacity = estimates.capacity[task]
+    own_use = estimates.attempts_and_failures([task])[0] / capacity if reported else 0.0
+    shared = reported and config.assigners > 1
+    others_use = max(0.0, estimates.mean_utilization[task] - own_use) if shared else 0.0
+    busy_periods = estimates.busy_periods[task] if reported else 0.0
+    health = max((factors[task] for factors in assigner.outliers.factor if task < len(factors)), default=1.0)
+    period_s = config.report_period_us / US_PER_S
+    return Task(
+        str(task),
+        max(0, endpoints.zone[task]),
+        capacity * health * max(MIN_OWN_SHARE, 1 - others_use) / period_s,
+        UNTESTED_DOUBT / (1 + busy_periods),
+        warm_fraction(config, now_us, endpoints.started_at_us[task]),
+        connections,
+        endpoints.state[task] == TaskState.READY,
+    )
+
+
+def zone_of(assigner: Assigner, zone: int) -> Zone:
+    """One zone's proxies and demand; RPCs in flight follow from the demand and the mean latency (Little's law)."""
+    estimates, tables = assigner.estimates, assigner.tables
+    period_s = assigner.config.report_period_us / US_PER_S
+    proxies = [proxy for proxy, home in tables.proxy_zone.items() if home == zone]
+    demand = sum(estimates.offered(proxy) or tables.proxy_rate[proxy] * period_s for proxy in proxies) / period_s
+    traffic = estimates.traffic[zone]
+    attempts, failed, latency_sum_us = (sum(column) for column in zip(*traffic)) if traffic else (0.0, 0.0, 0.0)
+    latency_s = latency_sum_us / max(attempts - failed, 1.0) / US_PER_S
+    return Zone(str(zone), len(proxies), (demand,), demand * latency_s / max(len(proxies), 1))
+
+
 def without_the_gone(fleet: Fleet) -> Fleet:
-    """Only the tasks that are open or still in a table, numbered anew."""
+    """Only the tasks that take requests or are still in a table, numbered anew."""
     kept = [
         i
         for i, task in enumerate(fleet.tasks)
         if task.accepts_requests or any(i in table for table in fleet.current_tables)
     ]
     number = {i: at for at, i in enumerate(kept)}
-    held = tuple({number[i]: weight for i, weight in table.items()} for table in fleet.current_tables)
-    return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), current_tables=held)
+    tables = tuple({number[i]: weight for i, weight in table.items()} for table in fleet.current_tables)
+    return fleet._replace(tasks=tuple(fleet.tasks[i] for i in kept), current_tables=tables)
 
 
-def stated_part(config: api.AssignerConfig, now: int, started: int) -> float:
-    """Of what it can do when warm, by the stated floor and time."""
-    if started <= 0 or now - started >= config.warm_up_us:
+def warm_fraction(config: AssignerConfig, now_us: int, started_at_us: int) -> float:
+    """The fraction of its warm capacity that a task has, by the stated start and warm-up time."""
+    if started_at_us <= 0 or now_us - started_at_us >= config.warm_up_us:
         return 1.0
     return (
-        config.cold_capacity_fraction + (1 - config.cold_capacity_fraction) * max(0, now - started) / config.warm_up_us
+        config.cold_capacity_fraction
+        + (1 - config.cold_capacity_fraction) * max(0, now_us - started_at_us) / config.warm_up_us
     )
 
 
-def proposals(plan: Plan, pushes_back: bool) -> list[api.WeightProposal]:
-    """What the module is told. Where there is too little for everyone and nothing can be pushed back, all of it comes
-    all the same: a plan for what could be let in is no plan then, and the loop, which spreads, goes on alone."""
-    if not pushes_back and any(part < ENOUGH for row in plan.served for part in row):
+def proposals(plan: Plan, sheds_load: bool) -> list[WeightProposal]:
+    """A proposal for each zone that the plan has a table for.
+
+    Where there is too little capacity and nothing can be shed, all RPCs come all the same: a plan for what could be
+    served is no plan then. There are no proposals, and the feedback loop, which spreads them, goes on alone.
+    """
+    if not sheds_load and any(served < FULLY_SERVED for row in plan.served for served in row):
         return []
-    return [api.WeightProposal(z, tuple(sorted(table.items()))) for z, table in enumerate(plan.tables) if table]
+    return [WeightProposal(zone, tuple(sorted(table.items()))) for zone, table in enumerate(plan.tables) if table]
