--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -74,8 +74,8 @@
 def _plan(file: str) -> tuple[Fleet, Plan, dict[str, list[int]], float]:
     """The fleet, its plan, its tasks by name, and the seconds it took; exits where there is no plan."""
     from hollyridge.core.solver_service import load_solver_library
+    from hollyridge.settings.fleet_file import load, read_text
     from hollyridge.settings.ini import FaultsError
-    from hollyridge.settings.solve import load, read_text
     from hollyridge.solver.fleet import InvalidFleetError
     from hollyridge.solver.linear_program import SolverTimeoutError
     from hollyridge.solver.planner import solve as plan_of
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -34,8 +34,8 @@
 from hollyridge.sasp.server import SaspServer
 from hollyridge.sessions.access import AccessControl
 from hollyridge.sessions.session_tracker import SessionTracker
+from hollyridge.settings.fleet_file import write
 from hollyridge.settings.service_config import ServiceConfig
-from hollyridge.settings.solve import write
 from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
 MAX_CACHED_NAMES = 100_000  # names of tasks in load reports whose key is remembered
--- a/tests/solver/test_solver_planner.py
+++ b/tests/solver/test_solver_planner.py
@@ -7,7 +7,7 @@
 from solver_cases import SOLVE, fleet_of_tasks
 
 from hollyridge.decisions.push_gate import NOISE_FLOOR
-from hollyridge.settings.solve import load
+from hollyridge.settings.fleet_file import load
 from hollyridge.solver.evaluation import cost_of
 from hollyridge.solver.planner import solve
 
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -29,8 +29,8 @@
 from hollyridge.lab.day import Outcome
 from hollyridge.lab.experiments import hunt, takeover
 from hollyridge.lab.reports import profiler
+from hollyridge.settings import fleet_file as solving
 from hollyridge.settings import sections
-from hollyridge.settings import solve as solving
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 from hollyridge.store.table_versions import TableStore
 
