--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -54,13 +54,13 @@
         self.starts += 1
         service = self._make_service()
         self._attach(service)
-        self.service, self.names = service, service.names()
-        if service.clone is not None:
-            service.clone.start()
-        if service.solving is not None:
-            service.solving.apply = lambda call, words: call(*words)
+        self.service, self.names = service, service.attribute_names()
+        if service.chp_server is not None:
+            service.chp_server.start()
+        if service.solver_service is not None:
+            service.solver_service.apply = lambda call, words: call(*words)
         self._attach_disk(service)
-        service.begin()
+        service.start_background()
         self.schedule_engine()
         self.world.spawn(self._watch_connections, service)
 
@@ -106,24 +106,24 @@
 
     def _attach(self, service: Service) -> None:
         """Let the simulated clock and network drive the service."""
-        if service.fleet is not None:
-            service.fleet.send = self._send_datagram
+        if service.peers is not None:
+            service.peers.send = self._send_datagram
         service.loop.wake = self.schedule_engine
         service.loop.spawn = self.world.spawn
         service.loop.sleep = lambda seconds: self._sleep(service, seconds)
 
     def _attach_disk(self, service: Service) -> None:
-        if service.keeping is not None:
-            service.keeping.apply = lambda call, words: call(*words)
-            service.keeping.write = self._write_disk
-            service.keeping.read = self._read_disk
-            service.keeping.wall_ms = lambda: self.world.now() // 1000
+        if service.persistence is not None:
+            service.persistence.apply = lambda call, words: call(*words)
+            service.persistence.write = self._write_disk
+            service.persistence.read = self._read_disk
+            service.persistence.wall_ms = lambda: self.world.now() // 1000
 
     def kill(self) -> None:
         """Kill the assigner: its connections break, its disk stays."""
         service, self.service = self.service, None
         self.simulation.status.append(service.status())
-        for connection in list(service.front.streams.values()):
+        for connection in list(service.sasp_server.streams.values()):
             self.world.spawn(connection.sock.close)
         if self.context is not None:
             self.context.end()
@@ -154,7 +154,7 @@
     def receive_datagram(self, address: str, raw: bytes) -> None:
         """Take a datagram of a peer."""
         if self.service is not None and not self.defer_if_stalled(self.receive_datagram, address, raw):
-            self.service.fleet.receive_datagram(address, raw)
+            self.service.peers.receive_datagram(address, raw)
 
     # Turns of the process.
 
@@ -202,14 +202,14 @@
             if now >= recorded_at:
                 recorded_at = now + STATE_INTERVAL_US
                 self._record_state(service)
-            self._check_connections(service.front, now)
+            self._check_connections(service.sasp_server, now)
 
     def _record_state(self, service: Service) -> None:
         status = service.engine.status()
         core = {key: status[key] for key in STATE}
         self.simulation.record("state", assigner=self.number, **core, **status["module"])
-        if service.fleet is not None:
-            self.simulation.record("claims", assigner=self.number, uids=list(service.fleet.lease_manager.held))
+        if service.peers is not None:
+            self.simulation.record("claims", assigner=self.number, uids=list(service.peers.lease_manager.held))
 
     def _check_connections(self, server: SaspServer, now: int) -> None:
         send_buffer_bytes = self.simulation.scenario.config.sasp.send_buffer_bytes
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -45,7 +45,7 @@
         self.host = host
         self.on_frame = on_frame
         self.open = True
-        self.server = process.service.front
+        self.server = process.service.sasp_server
         self.server.number += 1
         self.connection = Connection(self.server.number, self, (host, 0), self.server.limiter.reply_bucket())
         self.connection.due = WakeUp(self.wake_writer)
@@ -64,7 +64,7 @@
             return
         self.open = False
         self.connection.closed = self.connection.closed or "closed"
-        if self.process.service is not None and self.server is self.process.service.front:
+        if self.process.service is not None and self.server is self.process.service.sasp_server:
             self.server.end(self.connection)
         self.simulation.world.spawn(self.on_frame, None)
 
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -64,12 +64,12 @@
     it gives up.
 
     Attributes:
-        front: The SASP server.
-        clone: The pub-sub server (CHP), or None.
-        fleet: The exchange with other assigners, or None.
-        intake: The receiver of load reports, which also serves the status pages.
-        solving: The weight solver beside the loop, or None.
-        keeping: What keeps learned estimates on disk, or None.
+        sasp_server: The SASP server.
+        chp_server: The pub-sub server (CHP), or None.
+        peers: The exchange with other assigners, or None.
+        metrics_server: The receiver of load reports, which also serves the status pages.
+        solver_service: The weight solver beside the loop, or None.
+        persistence: What keeps learned estimates on disk, or None.
     """
 
     def __init__(
@@ -97,19 +97,19 @@
             terms.assigner_config(), terms.assigner.seed, terms.engine_limits(), registry, now, log, make
         )
         self.loop = EventLoop(self.engine, environment.clock)
-        self.report_names = self.names()
+        self.report_names = self.attribute_names()
         self.zone_name = dict(enumerate(terms.zone_names)).get  # by index; None for none
-        self.link: DatagramTransport | None = None
-        self.fleet = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
+        self.peer_transport: DatagramTransport | None = None
+        self.peers = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
         self.tls = server_context(terms.tls_files()) if terms.tls_files() else None
         self.limiter = self.build_limiter()
-        self.front = self.build_sasp_server()
+        self.sasp_server = self.build_sasp_server()
         self.curve: Curve | None = None
-        self.clone = self.build_chp_server(environment) if terms.clone.listen else None
-        self.solving = self.build_solver()
-        self.keeping = self.build_persistence()
-        self.intake = self.build_metrics_server()
+        self.chp_server = self.build_chp_server(environment) if terms.clone.listen else None
+        self.solver_service = self.build_solver()
+        self.persistence = self.build_persistence()
+        self.metrics_server = self.build_metrics_server()
 
     # Building.
 
@@ -150,7 +150,7 @@
             self.log,
             self.access,
             self.secure_handshake(),
-            self.fleet,
+            self.peers,
             self.zone_name,
         )
 
@@ -171,7 +171,7 @@
             self.curve,
             self.access,
             environment.epoch,
-            self.fleet,
+            self.peers,
             self.zone_name,
         )
 
@@ -194,12 +194,12 @@
         """The receiver of load reports, with the status pages."""
         pages = {
             "/status": Page("application/json", lambda: msgspec.json.encode(self.status())),
-            "/fleet": Page("text/plain; charset=utf-8", self.described),
+            "/fleet": Page("text/plain; charset=utf-8", self.fleet_page),
         }
         actions = {}
-        if self.fleet is not None:
-            pages["/peers"] = Page("application/json", lambda: msgspec.json.encode(self.fleet.status()))
-            actions = {"/peers/drain": self.fleet.drain, "/peers/undrain": lambda: self.fleet.drain(False)}
+        if self.peers is not None:
+            pages["/peers"] = Page("application/json", lambda: msgspec.json.encode(self.peers.status()))
+            actions = {"/peers/drain": self.peers.drain, "/peers/undrain": lambda: self.peers.drain(False)}
         options = HttpOptions(pages, actions, self.access, self.secure_handshake())
         return MetricsServer(self.loop, self.terms.otlp_config(), self.report_names, options, self.log)
 
@@ -220,7 +220,7 @@
         address, port, _ = self.engine.task_indices.names[task]
         return f"{Member(address, port).host}:{port}"
 
-    def names(self) -> AttributeNames:
+    def attribute_names(self) -> AttributeNames:
         """What turns the names in load reports into indices."""
         zones = {name: z for z, name in enumerate(self.terms.zone_names)}
         methods = {name: k for k, name in enumerate(self.terms.method_names)}
@@ -240,7 +240,7 @@
 
         return AttributeNames(zones.get, task, self.engine.proxy_indices.index.get, methods.get)
 
-    def described(self) -> bytes | None:
+    def fleet_page(self) -> bytes | None:
         """What the weight solver would be given now, as `hollyridge solve` reads it; None if nothing is known."""
         assigner, solver = self.engine.assigner, self.terms.solver
         if not isinstance(assigner, Assigner):  # a baseline of the laboratory learns nothing
@@ -256,26 +256,26 @@
 
     def start(self) -> tuple[int, int]:
         """The ports that SASP and OTLP listen on."""
-        if self.fleet is not None:
-            self.link = DatagramTransport(*self.fleet.config.listen, self.fleet.receive_datagram)
-            self.fleet.send = self.link.send
-        ports = self.front.start(), self.intake.start()
-        if self.clone is not None:
-            self.clone.start()
-        self.begin()
+        if self.peers is not None:
+            self.peer_transport = DatagramTransport(*self.peers.config.listen, self.peers.receive_datagram)
+            self.peers.send = self.peer_transport.send
+        ports = self.sasp_server.start(), self.metrics_server.start()
+        if self.chp_server is not None:
+            self.chp_server.start()
+        self.start_background()
         if self.terms.log.status_every_s:
-            gevent.spawn(self.tell_status)
+            gevent.spawn(self.log_status)
         return ports
 
-    def begin(self) -> None:
+    def start_background(self) -> None:
         """Start what needs no socket."""
-        if self.fleet is not None:
-            self.fleet.begin()
-            self.loop.spawn(self.fleet.run)
-        if self.keeping is not None:
-            self.loop.spawn(self.keeping.run)
-        if self.solving is not None:
-            self.loop.spawn(self.solving.run)
+        if self.peers is not None:
+            self.peers.begin()
+            self.loop.spawn(self.peers.run)
+        if self.persistence is not None:
+            self.loop.spawn(self.persistence.run)
+        if self.solver_service is not None:
+            self.loop.spawn(self.solver_service.run)
 
     def run(self) -> None:
         """Decide until `stop`."""
@@ -283,20 +283,20 @@
 
     def stop(self) -> None:
         """End every part; estimates are saved once more."""
-        if self.fleet is not None:
-            self.fleet.leave()
-        if self.link is not None:
-            self.link.stop()
-        if self.keeping is not None:
-            self.keeping.stopped = True
-            self.keeping.save()
+        if self.peers is not None:
+            self.peers.leave()
+        if self.peer_transport is not None:
+            self.peer_transport.stop()
+        if self.persistence is not None:
+            self.persistence.stopped = True
+            self.persistence.save()
         self.loop.stop()
-        self.front.stop()
-        if self.clone is not None:
-            self.clone.stop()
+        self.sasp_server.stop()
+        if self.chp_server is not None:
+            self.chp_server.stop()
         if self.curve is not None:
             self.curve.stop()
-        self.intake.stop()
+        self.metrics_server.stop()
 
     def reload(self, terms: ServiceConfig) -> None:
         """Take new keys and access rights without dropping a stream of a principal that keeps its own.
@@ -311,23 +311,23 @@
             before = self.curve.public
             self.curve.load(terms.curve_file())
             if self.curve.public != before:
-                self.clone.rebind()
+                self.chp_server.rebind()
         self.access.replace(terms.principals)
-        self.front.recheck()
-        if self.clone is not None:
-            self.clone.recheck()
+        self.sasp_server.recheck()
+        if self.chp_server is not None:
+            self.chp_server.recheck()
         self.log.info("keys_reloaded", principals=len(terms.principals))
 
     def status(self) -> dict:
         """The status page."""
-        fronts = {"sasp": self.front.status(), **({"clone": self.clone.status()} if self.clone else {})}
-        solver = {"solver": self.solving.status()} if self.solving is not None else {}
-        peers = {"peers": self.fleet.status()} if self.fleet is not None else {}
-        kept = {"kept": self.keeping.status()} if self.keeping is not None else {}
+        fronts = {"sasp": self.sasp_server.status(), **({"clone": self.chp_server.status()} if self.chp_server else {})}
+        solver = {"solver": self.solver_service.status()} if self.solver_service is not None else {}
+        peers = {"peers": self.peers.status()} if self.peers is not None else {}
+        kept = {"kept": self.persistence.status()} if self.persistence is not None else {}
         core = {**self.engine.status(), "turn_us": spread(self.loop.run_durations)}
-        return {"core": core, **fronts, "otlp": self.intake.status(), **solver, **peers, **kept}
+        return {"core": core, **fronts, "otlp": self.metrics_server.status(), **solver, **peers, **kept}
 
-    def tell_status(self) -> None:
+    def log_status(self) -> None:
         """Log the status at the interval of the settings."""
         while True:
             gevent.sleep(self.terms.log.status_every_s)
--- a/tests/limits/test_limits_flood.py
+++ b/tests/limits/test_limits_flood.py
@@ -28,7 +28,7 @@
     gevent.joinall(jobs, timeout=30, raise_error=True)
     assert set(seen["quiet"]) == {200}
     assert seen["loud"].count(429) > 30
-    status = r.service.intake.status()
+    status = r.service.metrics_server.status()
     assert status["senders"] == 2
     assert status["slowed"] == seen["loud"].count(429)
 
--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -67,8 +67,8 @@
         """Stops it without an announcement to its peers."""
         service = self.services[number]
         self.services[number] = None
-        service.fleet.leave = lambda: None
-        service.fleet.stopped = True
+        service.peers.leave = lambda: None
+        service.peers.stopped = True
         service.stop()
         self.jobs[number].join(2)
 
@@ -85,14 +85,14 @@
         return [
             k
             for k, service in enumerate(self.services)
-            if service is not None and uid in service.fleet.lease_manager.held
+            if service is not None and uid in service.peers.lease_manager.held
         ]
 
     def owned_once(self, uids):
         return all(len(self.owners(uid)) == 1 for uid in uids)
 
     def wait_until_joined(self):
-        assert wait_for(lambda: all(len(s.fleet.swim.alive()) == self.count - 1 for s in self.services))
+        assert wait_for(lambda: all(len(s.peers.swim.alive()) == self.count - 1 for s in self.services))
 
     def stop(self):
         for client in self.clients:
--- a/tests/peers/test_peers_clients.py
+++ b/tests/peers/test_peers_clients.py
@@ -35,7 +35,7 @@
     dealer.send_multipart(chp.encode(chp.Icanhaz("/proxy/old-clone/")))
     assert wait_for(lambda: three.owners("old-clone") == [2])
     assert three.owners("old-sasp") == [1]
-    assert three.services[2].fleet.lease_manager.fencing_token("old-clone") == 0
+    assert three.services[2].peers.lease_manager.fencing_token("old-clone") == 0
     dealer.close()
     old.close()
 
@@ -104,7 +104,7 @@
 
 
 def preferred_number(three, uid):
-    return int(preferred_owner(uid, "abdali", three.services[0].fleet.lease_manager.members)[1:])
+    return int(preferred_owner(uid, "abdali", three.services[0].peers.lease_manager.members)[1:])
 
 
 @pytest.mark.parametrize("name", [".owner/0/0", ".owner/x/0", ".owner/5/2", ".owner/5", f".owner/{10**20}/0"])
--- a/tests/peers/test_peers_peer_service.py
+++ b/tests/peers/test_peers_peer_service.py
@@ -26,7 +26,7 @@
     assert all(g.fencing.accepted_token for g in gateways.values())
     three.start(dead)  # and under the same name it gets its own back, in steps
     assert wait_for(lambda: three.owned_once(gateways) and {u: three.owners(u)[0] for u in gateways} == before, 12)
-    assert wait_for(lambda: not any(s.fleet.status()["disagreements"] for s in three.services))
+    assert wait_for(lambda: not any(s.peers.status()["disagreements"] for s in three.services))
 
 
 def test_a_drained_assigner_hands_over_all_and_leaves(three):
@@ -35,9 +35,9 @@
     gateways = [three.gateway((ChpGateway, SaspGateway)[k % 2], uid) for k, uid in enumerate(uids)]
     assert wait_for(lambda: three.owned_once(uids) and all(g.table_for("redeem-code") for g in gateways))
     busy = max(range(3), key=[three.owners(uid)[0] for uid in uids].count)
-    three.services[busy].fleet.drain()
-    assert wait_for(lambda: three.owned_once(uids) and not three.services[busy].fleet.lease_manager.held, 8)
-    assert three.services[busy].fleet.status()["drains"]
+    three.services[busy].peers.drain()
+    assert wait_for(lambda: three.owned_once(uids) and not three.services[busy].peers.lease_manager.held, 8)
+    assert three.services[busy].peers.status()["drains"]
 
 
 def test_commands_stop_when_a_paused_assigner_has_lost_its_leases(three):
@@ -45,7 +45,7 @@
     one = three.gateway(ChpGateway, "gw-1")
     assert wait_for(lambda: three.owned_once(["gw-1"]) and one.table_for("read-chapter"))
     service = three.services[three.owners("gw-1")[0]]
-    fleet, agent = service.fleet, three.agents[three.owners("gw-1")[0]]
+    fleet, agent = service.peers, three.agents[three.owners("gw-1")[0]]
     fleet.stopped, fleet.acknowledge_token = (
         True,
         lambda uid, asked: None,
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -35,7 +35,7 @@
         quick.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
         self.service = Service(assigner.load(LOOPBACK, quick), structlog.get_logger())
         self.sasp, self.otlp = self.service.start()
-        self.engine, self.front = self.service.engine, self.service.front
+        self.engine, self.front = self.service.engine, self.service.sasp_server
         self.job = gevent.spawn(self.service.run)
         self.clients = []
 
--- a/tests/solver/test_solver_service.py
+++ b/tests/solver/test_solver_service.py
@@ -31,7 +31,7 @@
 def test_solve_reads_the_fleet_page_of_an_assigner(rig):
     r = rig()
     agent, _ = r.agent(), r.balancer()
-    address = f"http://127.0.0.1:{r.service.intake.server.server_port}"
+    address = f"http://127.0.0.1:{r.service.metrics_server.server.server_port}"
     runner = CliRunner()
     thread = gevent.get_hub().threadpool
     empty = thread.apply(runner.invoke, (main, ["solve", address]))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -141,7 +141,7 @@
     both = [tries(r), tries(r, zone="khalda")]
     assert report("gate", both) == (200, 1)
     assert report("stranger", both) == (200, 2)
-    assert r.service.intake.uncounted["not for this sender"] == 3
+    assert r.service.metrics_server.uncounted["not for this sender"] == 3
 
 
 def test_keys_replaced_while_running(rig, keys, tmp_path):
