--- a/hollyridge/chp/codec.py
+++ b/hollyridge/chp/codec.py
@@ -37,6 +37,7 @@
     json,
     value_of,
 )
+from hollyridge.membership.fencing import OwnershipRequest
 
 __all__ = [
     "LAYOUT",
@@ -183,18 +184,6 @@
     return Kvsync(key, sequence, value)
 
 
-class OwnershipRequest(NamedTuple):
-    """A proxy asks to be owned, in the routing id of its session.
-
-    Attributes:
-        number: Number of the request; 0 where none was made.
-        insist: Whether to be taken in even if another assigner seems to be the owner: that one can't be reached.
-    """
-
-    number: int = 0
-    insist: bool = False
-
-
 REQUEST = struct.Struct(">BQ?")  # kind of routing id, number, insist
 REQUEST_KIND = 2  # no routing id made by older clients begins with it
 
--- a/hollyridge/chp/ownership.py
+++ b/hollyridge/chp/ownership.py
@@ -2,41 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from hollyridge.chp import codec
 from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
-from hollyridge.peers.peer_service import PeerService
+from hollyridge.peers.ownership import ProxyOwnership
 
 US_PER_MS = 1000
 
 
-class OwnershipHooks:
-    """Ownership of proxies, by `peers` (None: no fleet is shared); `zone_name` gives the name of a zone's index."""
-
-    def __init__(self, peers: PeerService | None, zone_name: Callable[[int], str]) -> None:
-        self.peers = peers
-        self.zone_name = zone_name
-
-    @property
-    def shared(self) -> bool:
-        """Whether other assigners share the fleet."""
-        return self.peers is not None
+class ChpOwnership(ProxyOwnership):
+    """Ownership of the CHP server's proxies, told to them by keys of their own subtree."""
 
     def claim(self, uid: str, zone: int, routing_id: bytes) -> LeaseGranted | StaleToken | ForwardProxy:
         """Claim the proxy; whether it is ours, and under which fencing token."""
-        request = codec.request_of(routing_id)
-        return self.peers.request_lease(uid, self.zone_name(zone), request.number, request.insist)
+        return self.request_lease(uid, zone, codec.request_of(routing_id))
 
     def acknowledge(self, uid: str, request_number: int) -> None:
         """The proxy has sent a heartbeat."""
         self.peers.acknowledge_token(uid, request_number)
 
-    def release(self, uid: str) -> None:
-        """The proxy has left."""
-        if self.peers is not None:
-            self.peers.end_proxy(uid)
-
     def own_value(self, fence: int) -> bytes:
         """The value of a proxy's key `own`."""
         lease_ms = self.peers.config.lease.duration_us // US_PER_MS
--- a/hollyridge/chp/publication.py
+++ b/hollyridge/chp/publication.py
@@ -11,7 +11,7 @@
 from hollyridge.chp import codec
 from hollyridge.chp.config import ChpConfig
 from hollyridge.chp.key_space import KeySpace
-from hollyridge.chp.ownership import OwnershipHooks
+from hollyridge.chp.ownership import ChpOwnership
 from hollyridge.chp.session import SentMark, SubscriberSession
 from hollyridge.chp.sockets import ServerSockets
 from hollyridge.core.event_loop import EventLoop
@@ -34,7 +34,7 @@
         key_space: KeySpace,
         sockets: ServerSockets,
         name_of: Callable[[int], str],
-        ownership: OwnershipHooks,
+        ownership: ChpOwnership,
         is_current: Callable[[SubscriberSession], bool],
     ) -> None:
         self.loop = loop
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -18,7 +18,7 @@
 from hollyridge.chp.codec import ChpError
 from hollyridge.chp.config import ChpConfig
 from hollyridge.chp.key_space import KeySpace
-from hollyridge.chp.ownership import OwnershipHooks
+from hollyridge.chp.ownership import ChpOwnership
 from hollyridge.chp.publication import Publication
 from hollyridge.chp.session import SubscriberSession
 from hollyridge.chp.session_registry import JoinRequest, SessionRegistry
@@ -105,7 +105,7 @@
         self.key_space.set(codec.OUT, 0, {})
         self.counts = dict.fromkeys(COUNTS, 0)
         self.sockets = ServerSockets(context, config, curve, self.counts)
-        self.ownership = OwnershipHooks(peers, zone_name)
+        self.ownership = ChpOwnership(peers, zone_name)
         self.sessions = SessionRegistry(self)
         self.publication = Publication(
             loop, config, self.key_space, self.sockets, name_of, self.ownership, self.sessions.is_current
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -2,9 +2,23 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 UNFENCED = 0  # the token of a message by an assigner that shares its fleet with nobody
 
 
+class OwnershipRequest(NamedTuple):
+    """A proxy asks to be owned, whatever protocol it speaks.
+
+    Attributes:
+        number: Number of the request; 0 where none was made.
+        insist: Whether to be taken in even if another assigner seems to be the owner: that one can't be reached.
+    """
+
+    number: int = 0
+    insist: bool = False
+
+
 class FencingChecker:
     """Issues fencing tokens and accepts only what carries the newest.
 
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -13,7 +13,7 @@
 from hollyridge.sasp import codec
 from hollyridge.sasp.codec import Code
 from hollyridge.sasp.connection import Connection, SentMark
-from hollyridge.sasp.ownership import OwnershipHooks
+from hollyridge.sasp.ownership import SaspOwnership
 from hollyridge.sasp.ownership_extension import OwnershipRequest, read_request
 from hollyridge.sasp.registration import Refusals
 from hollyridge.sasp.weight_replies import WeightReplies
@@ -33,7 +33,7 @@
         server: SaspServer,
         session_tracker: SessionTracker,
         refusals: Refusals,
-        ownership: OwnershipHooks,
+        ownership: SaspOwnership,
         weight_replies: WeightReplies,
     ) -> None:
         self.server = server
--- a/hollyridge/sasp/ownership.py
+++ b/hollyridge/sasp/ownership.py
@@ -5,10 +5,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from hollyridge.membership.leases import ForwardProxy, LeaseGranted, StaleToken
-from hollyridge.peers.peer_service import PeerService
+from hollyridge.peers.ownership import ProxyOwnership
 from hollyridge.sasp import codec
 from hollyridge.sasp.connection import Connection
 from hollyridge.sasp.ownership_extension import Owned, OwnershipReply, Redirected, write_reply
@@ -21,25 +19,12 @@
     return connection.version & MAX_MESSAGE_ID
 
 
-class OwnershipHooks:
-    """Ownership of load balancers, by `peers` (None: no fleet is shared).
-
-    `zone_name` gives the name of a zone's index.
-    """
-
-    def __init__(self, peers: PeerService | None, zone_name: Callable[[int], str]) -> None:
-        self.peers = peers
-        self.zone_name = zone_name
-
-    @property
-    def shared(self) -> bool:
-        """Whether other assigners share the fleet."""
-        return self.peers is not None
+class SaspOwnership(ProxyOwnership):
+    """Ownership of the SASP server's load balancers, told to them by the ownership extension."""
 
     def claim(self, connection: Connection, zone: int) -> StaleToken | ForwardProxy | None:
         """Claim the load balancer; None if it is ours, else why not."""
-        request = connection.ownership_request
-        answer = self.peers.request_lease(connection.uid, self.zone_name(zone), request.number, request.insist)
+        answer = self.request_lease(connection.uid, zone, connection.ownership_request)
         if type(answer) is not LeaseGranted:
             return answer
         connection.fence = answer.fencing_token
@@ -51,11 +36,6 @@
         if self.peers is not None and connection.proxy >= 0:
             self.peers.acknowledge_token(connection.uid, connection.fence)
 
-    def release(self, uid: str) -> None:
-        """The load balancer has left."""
-        if self.peers is not None:
-            self.peers.end_proxy(uid)
-
     def owned_entry(self, connection: Connection) -> codec.WeightsOf:
         """The group that tells the load balancer that it is ours, and for how long."""
         lease_s = self.peers.config.lease.duration_us / 1e6
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -12,6 +12,7 @@
 
 from typing import NamedTuple, Union
 
+from hollyridge.membership.fencing import OwnershipRequest
 from hollyridge.sasp.codec import Group, Member, MembersOf, Register, Weight, WeightFlags, WeightsOf
 
 GROUP_NAME = ".owner"
@@ -43,18 +44,6 @@
     address: str
 
 
-class OwnershipRequest(NamedTuple):
-    """A load balancer asks to be owned.
-
-    Attributes:
-        number: Number of the request; 0 where none was made.
-        insist: Whether to be taken in even if another assigner seems to be the owner: that one can't be reached.
-    """
-
-    number: int = 0
-    insist: bool = False
-
-
 OwnershipReply = Union[Owned, Redirected]
 
 
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -24,7 +24,7 @@
 from hollyridge.sasp.config import SaspConfig
 from hollyridge.sasp.connection import Connection
 from hollyridge.sasp.load_balancers import LoadBalancerRequests
-from hollyridge.sasp.ownership import OwnershipHooks
+from hollyridge.sasp.ownership import SaspOwnership
 from hollyridge.sasp.registration import MemberRequests, Refusals
 from hollyridge.sasp.transport import ConnectionTransport
 from hollyridge.sasp.weight_replies import WeightReplies
@@ -70,7 +70,7 @@
             admission=False, retries=False, ejection=False, acks=True, line_copies=len(config.groups)
         )
         refusals = Refusals(access, log)
-        self.ownership = OwnershipHooks(peers, zone_name)
+        self.ownership = SaspOwnership(peers, zone_name)
         self.member_requests = MemberRequests(loop, config, session_tracker, refusals, zone_of)
         self.weight_replies = WeightReplies(loop, config, self.member_requests, self.ownership)
         self.load_balancers = LoadBalancerRequests(self, session_tracker, refusals, self.ownership, self.weight_replies)
--- a/hollyridge/sasp/weight_replies.py
+++ b/hollyridge/sasp/weight_replies.py
@@ -12,7 +12,7 @@
 from hollyridge.sasp.codec import BalancerFlags, WeightFlags
 from hollyridge.sasp.config import SaspConfig
 from hollyridge.sasp.connection import Connection, PendingMark, SaspProxyView
-from hollyridge.sasp.ownership import OwnershipHooks, message_id
+from hollyridge.sasp.ownership import SaspOwnership, message_id
 from hollyridge.sasp.registration import MemberRequests
 from hollyridge.store.table_versions import Table
 
@@ -25,7 +25,7 @@
     """Keeps the views of load balancers and writes what is owed."""
 
     def __init__(
-        self, loop: EventLoop, config: SaspConfig, member_requests: MemberRequests, ownership: OwnershipHooks
+        self, loop: EventLoop, config: SaspConfig, member_requests: MemberRequests, ownership: SaspOwnership
     ) -> None:
         self.engine = loop.engine
         self.clock = loop.clock
