--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -75,6 +75,7 @@
         self.weight_replies = WeightReplies(loop, config, self.member_requests, self.ownership)
         self.load_balancers = LoadBalancerRequests(self, session_tracker, refusals, self.ownership, self.weight_replies)
         self.transport = ConnectionTransport(self)
+        self.monitor: gevent.Greenlet | None = None
         self.counts = dict.fromkeys(
             ("connections", "refused", "frames_in", "frames_out", "bad_frames", "closed", "asked_too_often"), 0
         )
@@ -84,10 +85,16 @@
     def start(self) -> int:
         """Listen; returns the port. OSError if the address is taken."""
         self.server.start()
-        gevent.spawn(self.transport.monitor)
+        self.monitor = gevent.spawn(self.transport.monitor)
         self.log.info("server_started", protocol="sasp", host=self.config.host, port=self.server.server_port)
         return self.server.server_port
 
+    def stop(self) -> None:
+        """Accept no more connections and close those that are open."""
+        super().stop()
+        if self.monitor is not None:
+            self.monitor.kill(block=False)
+
     def close(self, stream: Connection, why: str) -> None:
         """Close a connection; its greenlets see that and end."""
         if not stream.closed:
--- a/hollyridge/sasp/transport.py
+++ b/hollyridge/sasp/transport.py
@@ -135,7 +135,7 @@
     # Watching over connections.
 
     def monitor(self) -> None:
-        """Acknowledge what the other sides have taken, close what is overdue; runs as long as the process."""
+        """Acknowledge what the other sides have taken, close what is overdue; runs until it is killed."""
         turn = 0
         while True:
             gevent.sleep(MONITOR_INTERVAL_S)
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -100,6 +100,7 @@
         self.report_names = self.names()
         self.zone_name = dict(enumerate(terms.zone_names)).get  # by index; None for none
         self.link: DatagramTransport | None = None
+        self.jobs: list[gevent.Greenlet] = []  # that would run as long as the process; `stop` ends them
         self.fleet = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
         self.tls = server_context(terms.tls_files()) if terms.tls_files() else None
@@ -264,7 +265,7 @@
             self.clone.start()
         self.begin()
         if self.terms.log.status_every_s:
-            gevent.spawn(self.tell_status)
+            self.jobs.append(gevent.spawn(self.tell_status))
         return ports
 
     def begin(self) -> None:
@@ -275,7 +276,7 @@
         if self.keeping is not None:
             self.loop.spawn(self.keeping.run)
         if self.solving is not None:
-            self.loop.spawn(self.solving.run)
+            self.jobs.append(self.loop.spawn(self.solving.run))
 
     def run(self) -> None:
         """Decide until `stop`."""
@@ -290,6 +291,7 @@
         if self.keeping is not None:
             self.keeping.stopped = True
             self.keeping.save()
+        gevent.killall(self.jobs, block=False)
         self.loop.stop()
         self.front.stop()
         if self.clone is not None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,10 +1,16 @@
 """A whole assigner on loopback sockets: reports over OTLP, and what comes by HTTP otherwise."""
 
+import gc
 import gzip
 import json
+import os
+import weakref
 
+import gevent
 import pytest
-from service_rig import rig, tries  # noqa: F401 - `rig` is a fixture
+from service_rig import Rig, rig, tries, wait_for  # noqa: F401 - `rig` is a fixture
+
+from hollyridge.lab.stand_ins.ports import free_ports
 
 REPORTS = [
     # figures, how many are rejected, tries counted
@@ -57,3 +63,26 @@
     seen = [r.report([tries(r, begun=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)]
     assert seen[:2] == [200, 200]
     assert 429 in seen
+
+
+def running_greenlets():
+    return {each for each in gc.get_objects() if isinstance(each, gevent.Greenlet) and each.started and not each.dead}
+
+
+def test_a_stopped_service_leaves_no_greenlet_and_no_descriptor():
+    gevent.sleep(0)  # the hub opens its descriptors at its first turn
+    gc.collect()
+    greenlets, descriptors = running_greenlets(), len(os.listdir("/proc/self/fd"))
+    r = Rig(log__status_every_s=30, solver__on=True, clone__listen=f"127.0.0.1:{free_ports(3)}")
+    agent = r.agent()
+    assert len(running_greenlets() - greenlets) > 5
+    agent.close()
+    r.service.stop()
+    r.job.join(2)
+    assert r.job.successful()
+    assert wait_for(lambda: not running_greenlets() - greenlets, 2), running_greenlets() - greenlets
+    service = weakref.ref(r.service)
+    del r, agent
+    gc.collect()
+    assert service() is None
+    assert len(os.listdir("/proc/self/fd")) <= descriptors
