--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -99,6 +99,7 @@
         self.loop = EventLoop(self.engine, environment.clock)
         self.report_names = self.attribute_names()
         self.zone_name = dict(enumerate(terms.zone_names)).get  # by index; None for none
+        self.jobs: list[gevent.Greenlet] = []  # that would run as long as the process; `stop` ends them
         self.peer_transport: DatagramTransport | None = None
         self.peers = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
         self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
@@ -264,7 +265,7 @@
             self.chp_server.start()
         self.start_background()
         if self.terms.log.status_every_s:
-            gevent.spawn(self.log_status)
+            self.jobs.append(gevent.spawn(self.log_status))
         return ports
 
     def start_background(self) -> None:
@@ -275,7 +276,7 @@
         if self.persistence is not None:
             self.loop.spawn(self.persistence.run)
         if self.solver_service is not None:
-            self.loop.spawn(self.solver_service.run)
+            self.jobs.append(self.loop.spawn(self.solver_service.run))
 
     def run(self) -> None:
         """Decide until `stop`."""
@@ -297,6 +298,7 @@
         if self.curve is not None:
             self.curve.stop()
         self.metrics_server.stop()
+        gevent.killall(self.jobs, block=False)
 
     def reload(self, terms: ServiceConfig) -> None:
         """Take new keys and access rights without dropping a stream of a principal that keeps its own.
