--- a/hollyridge/resp/__init__.py
+++ b/hollyridge/resp/__init__.py
@@ -1,14 +1,14 @@
-"""The platform's protocol: RESP2 messages from collectors and proxies in, tables out.
+"""The platform's protocol: a RESP2 server that receives reports from collectors and proxies and sends them tables.
 
 Without I/O:
 
-- `codec`: bytes to messages and back.
-- `messages`: the messages as types; `message_reader` reads those that come in, `assign_message` writes `assign`.
-- `proxy_view`, `update_encoder`: what each proxy was sent, and the messages that bring it up to date.
+- `codec`: converts bytes to messages and back.
+- `messages`: defines the types of messages; `message_reader` reads inbound messages, `assign_message` writes `assign`.
+- `proxy_view`, `update_encoder`: track what each proxy was sent and encode the messages that bring it up to date.
 
 On gevent:
 
-- `connection`, `update_sender`: one connection, and orders that never block.
-- `report_handler`, `rejection_log`: reports as events, and the log of what was refused.
-- `server`, `config`: connections, joining, what is done with each message.
+- `connection`, `update_sender`: the state of one connection, and non-blocking writes to it.
+- `report_handler`, `rejection_log`: submit reports to the engine, and log rejected messages.
+- `server`, `config`: accepts connections, handles joining and dispatches messages.
 """
--- a/hollyridge/resp/assign_message.py
+++ b/hollyridge/resp/assign_message.py
@@ -1,4 +1,4 @@
-"""The message `assign`, the only one that changes what a proxy holds, and how it is written. No I/O."""
+"""Encoding of the message `assign`, the only one that changes the state of a proxy. No I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class TableUpdate(NamedTuple):
-    """One part of an order.
+    """One part of an update, sent as one `assign` message.
 
     Attributes:
-        methods: Names of the methods that it is for; empty for all.
-        complete: Whether the lines are the whole table, in place of the one that the proxy holds.
-        lines: Weights by name of the task; weight 0 takes a task out.
+        methods: Names of the methods to which the part applies; empty for all.
+        complete: Whether `lines` replace the proxy's table instead of changing it.
+        lines: Pairs of task name and weight; weight 0 removes a task.
         admission: Admitted amount and retry mode; None for no change.
-        ejected: Names of tasks to shut out, whatever the table says.
-        restored: Names of tasks to let back in.
+        ejected: Names of tasks to eject, whether or not they are in the table.
+        restored: Names of tasks whose ejection ends.
     """
 
     methods: tuple[str, ...] = ()
@@ -29,16 +29,16 @@
 
     @property
     def size(self) -> int:
-        """Lines that the channel counts for it, the mark and the message's head left out."""
+        """Number of lines that count against the channel, without the mark and the overhead of the message."""
         return self.complete + len(self.lines) + (self.admission is not None) + len(self.ejected) + len(self.restored)
 
 
-def fields_of(update: TableUpdate) -> list[bytes]:
-    """Names and values of the message, by turns.
+def encode_fields(update: TableUpdate) -> list[bytes]:
+    """Return the alternating names and values of the message.
 
-    >>> fields_of(TableUpdate(("lookup", "order"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.9, 1)))
+    >>> encode_fields(TableUpdate(("lookup", "order"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.9, 1)))
     [b'classes', b'lookup+order', b'whole', b'1', b'lines', b's-1:1.5,s-2:0', b'level', b'0.9', b'retry', b'1']
-    >>> fields_of(TableUpdate(ejected=("s-1", "s-2"), restored=("s-3",)))
+    >>> encode_fields(TableUpdate(ejected=("s-1", "s-2"), restored=("s-3",)))
     [b'out', b's-1,s-2', b'back', b's-3']
     """
     fields: list[str] = []
@@ -59,16 +59,16 @@
 
 
 def assign_messages(updates: Iterable[TableUpdate], mark: int) -> list[list[bytes]]:
-    """One message of the channel as messages of the protocol, all but the last tied to the next by `more`.
+    """Return the protocol messages of one update; in all but the last, `more` says that another one follows.
 
     Args:
-        updates: The parts of the order; without any, the message carries the mark alone.
-        mark: What the proxy acknowledges, written on the last message; `NO_MARK` for none.
+        updates: Parts of the update; if empty, the only message carries just the mark.
+        mark: Number that the proxy acknowledges, written on the last message; `NO_MARK` for none.
 
     >>> assign_messages([TableUpdate(lines=(("s-1", 2.0),)), TableUpdate(("lookup",), admission=(0.5, 0))], 7)[1]
     [b'assign', b'classes', b'lookup', b'level', b'0.5', b'retry', b'0', b'ticket', b'7']
     """
-    messages = [[b"assign", *fields_of(update)] for update in updates] or [[b"assign"]]
+    messages = [[b"assign", *encode_fields(update)] for update in updates] or [[b"assign"]]
     if mark > NO_MARK:
         messages[-1] += [b"ticket", b"%d" % mark]
     for message in messages[:-1]:
--- a/hollyridge/resp/codec.py
+++ b/hollyridge/resp/codec.py
@@ -1,8 +1,8 @@
-"""RESP2 arrays of bulk strings, both ways: without I/O, incremental, and bounded from the first byte.
+"""Incremental decoder and encoder for RESP2 arrays of bulk strings, with bounded memory. No I/O.
 
-Only what the platform sends is read: one array of bulk strings a message. Everything else (inline commands, HTTP,
-null or nested values, an impossible length) is refused as soon as it is known; a message over the limit is refused
-by the length that it announces, never by collecting it first.
+Each message of the platform is one array of bulk strings. Everything else (inline commands, HTTP, null or nested
+values, invalid lengths) is rejected as soon as it can be recognized. A message over the size limit is rejected by the
+length that it announces, before its content is buffered.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 from hollyridge.errors import HollyridgeError
 
-MAX_MESSAGE_BYTES = 1 << 20  # heads included, as the platform states it
-MAX_PARTS = 65  # a kind, and names and values by turns: three times as many as any message has
-MAX_LENGTH_DIGITS = 8  # of an announced length: more than the limit of a message needs
+MAX_MESSAGE_BYTES = 1 << 20  # limit of the platform's protocol, which includes the length headers
+MAX_PARTS = 65  # kind plus alternating names and values; three times as many as any message has
+MAX_LENGTH_DIGITS = 8  # digits of an announced length; MAX_MESSAGE_BYTES needs fewer
 LINE_END = b"\r\n"
 LINE_END_BYTES = 2
 MAX_LENGTH_LINE_BYTES = MAX_LENGTH_DIGITS + LINE_END_BYTES
-ARRAY_SIGN = ord("*")
-BULK_STRING_SIGN = ord("$")
+ARRAY_PREFIX = ord("*")
+BULK_STRING_PREFIX = ord("$")
 UNKNOWN = -1
 
 
 class RespError(HollyridgeError):
-    """Input that is not this protocol; nothing behind it can be read."""
+    """The input is not valid RESP2, so that nothing after it can be decoded."""
 
 
 class FrameReader:
-    r"""Turns bytes, in any pieces, into messages.
+    r"""Incremental decoder of messages from chunks of bytes.
 
     >>> reader = FrameReader()
     >>> reader.feed(b"*2\r\n$4\r\ndone\r\n$1"), reader.feed(b"\r\nx\r\n")
@@ -37,33 +37,33 @@
     hollyridge.resp.codec.RespError: no array of bulk strings
 
     Attributes:
-        max_bytes: Bytes that one message may have, its heads included; may be changed between two messages.
-        fault: Why nothing more can be read; None while it can.
+        max_bytes: Maximum size of a message in bytes, with its length headers; may be changed between two messages.
+        fault: Error after which nothing more can be decoded; None before one.
     """
 
     __slots__ = ("buffer", "fault", "max_bytes", "message_bytes", "part_bytes", "parts", "parts_left")
 
     def __init__(self, max_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self.max_bytes = max_bytes
-        self.buffer = bytearray()  # received and not read yet
-        self.parts: list[bytes] = []  # of the message that is being read
-        self.parts_left = 0  # still to come of it; 0 between messages
-        self.message_bytes = 0  # of it, as far as announced
-        self.part_bytes = UNKNOWN  # of the part that comes next; unknown before its head
+        self.buffer = bytearray()  # bytes received but not decoded yet
+        self.parts: list[bytes] = []  # decoded parts of the current message
+        self.parts_left = 0  # parts that the current message still lacks; 0 between messages
+        self.message_bytes = 0  # size of the current message as announced so far
+        self.part_bytes = UNKNOWN  # size of the next part; UNKNOWN before its header is decoded
         self.fault: RespError | None = None
 
     @property
     def partial(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Return whether a message has been received in part."""
         return bool(self.buffer or self.parts_left)
 
     def feed(self, chunk: bytes) -> list[list[bytes]]:
-        """The messages that end in this piece, up to where nothing more can be read.
+        """Return the messages that this chunk completes.
 
-        Messages before a fault are returned, the fault is in `fault` then.
+        If the chunk holds messages before invalid input, they are returned and the error is stored in `fault`.
 
         Raises:
-            RespError: Nothing more can be read, and no message comes before the fault.
+            RespError: The input is invalid and no message precedes the invalid part.
         """
         messages: list[list[bytes]] = []
         if self.fault is None:
@@ -83,7 +83,7 @@
         end = len(buffer)
         while position < end:
             if self.part_bytes < 0:
-                next_position = self._read_head(position)
+                next_position = self._read_header(position)
             else:
                 next_position = self._read_part(position, end, messages)
             if next_position < 0:
@@ -92,7 +92,7 @@
         del buffer[:position]
 
     def _read_part(self, position: int, end: int, messages: list[list[bytes]]) -> int:
-        """Read a part whose length is known; the position behind it, or `UNKNOWN` while bytes are missing."""
+        """Decode a part of known length; return the position after it, or `UNKNOWN` if it is incomplete."""
         buffer = self.buffer
         part_end = position + self.part_bytes
         if end < part_end + LINE_END_BYTES:
@@ -108,10 +108,10 @@
             self.message_bytes = 0
         return part_end + LINE_END_BYTES
 
-    def _read_head(self, position: int) -> int:
-        """Read the head of a message or a part; the position behind it, or `UNKNOWN` while bytes are missing."""
+    def _read_header(self, position: int) -> int:
+        """Decode the header of a message or part; return the position after it, or `UNKNOWN` if it is incomplete."""
         buffer = self.buffer
-        if buffer[position] != (BULK_STRING_SIGN if self.parts_left else ARRAY_SIGN):
+        if buffer[position] != (BULK_STRING_PREFIX if self.parts_left else ARRAY_PREFIX):
             raise RespError("no array of bulk strings")
         first_digit = position + 1
         line_end = buffer.find(LINE_END, first_digit, first_digit + MAX_LENGTH_LINE_BYTES)
@@ -137,14 +137,14 @@
 
 
 def _check_unfinished_length(digits: bytes) -> None:
-    """Refuse an announced length that can't become one, however it goes on."""
+    """Raise RespError if no further bytes can make the start of a length valid."""
     digits = digits.removesuffix(b"\r")
     if len(digits) > MAX_LENGTH_DIGITS or (digits and not digits.isdigit()):
         raise RespError("a length that cannot be")
 
 
 def encode(parts: Iterable[bytes]) -> bytes:
-    r"""One message.
+    r"""Return the bytes of one message.
 
     >>> encode([b"hb_ok"])
     b'*1\r\n$5\r\nhb_ok\r\n'
--- a/hollyridge/resp/config.py
+++ b/hollyridge/resp/config.py
@@ -1,4 +1,4 @@
-"""What a server of the platform's protocol runs by."""
+"""Configuration of the platform's protocol server."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class RespConfig(NamedTuple):
-    """What a server runs by.
+    """Configuration of a `RespServer`.
 
     Attributes:
-        host: The address to listen on.
-        port: The port to listen on; 0 for any that is free.
-        max_descriptors: Descriptors that the process may hold.
-        reserved_descriptors: How many of these are for everything but connections of this server.
-        join_timeout_us: How long a connection may take to join.
-        names: The names that messages use.
+        host: Address to listen on.
+        port: Port to listen on; 0 for any free port.
+        max_descriptors: Maximum number of open file descriptors of the process.
+        reserved_descriptors: Descriptors out of these that are not available to connections of this server.
+        join_timeout_us: Time that a connection may take to join, in microseconds.
+        names: Names that messages use.
     """
 
     host: str
--- a/hollyridge/resp/connection.py
+++ b/hollyridge/resp/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the platform's protocol, whoever is at its other end."""
+"""Connection of a proxy or collector to the platform's protocol server."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class Connection:
-    """The state of one connection.
+    """State of one connection.
 
     Attributes:
-        number: Of the connection, never used twice.
-        sock: Its socket, gevent's.
-        address: Of the other end.
-        zone: The zone that it joined for; -1 before joining.
-        node: The number that the proxy gives itself; -1 for a collector.
-        proxy: The proxy's index; -1 for a collector.
-        view: What the proxy holds by what was written.
-        planned_view: What it will hold once all that waits in the channel was written.
-        unsent: Bytes that the other side has not taken yet.
-        pending_update: What follows behind `unsent`, merged into one; None for nothing.
-        unacknowledged_marks: Marks written here and not acknowledged, oldest first.
-        closed: Why it was closed; empty while it is open.
-        last_received_us: When bytes came last.
+        number: Number of the connection, never reused.
+        sock: The gevent socket.
+        address: Address of the peer.
+        zone: Index of the zone of the proxy or collector; -1 before it has joined.
+        node: Number by which the proxy identifies itself; -1 for a collector.
+        proxy: Index of the proxy; -1 for a collector.
+        view: State of the proxy after all updates written so far.
+        planned_view: State of the proxy after the updates that are still queued in the channel.
+        unsent: Bytes that the socket has not accepted yet.
+        pending_update: Merged updates to send after `unsent`; None if there are none.
+        unacknowledged_marks: Marks sent on this connection and not acknowledged yet, oldest first.
+        closed: Reason for closing the connection; empty while it is open.
+        last_received_us: Time at which bytes were last received, in microseconds.
     """
 
     __slots__ = (
@@ -62,5 +62,5 @@
 
     @property
     def joined(self) -> bool:
-        """Whether a proxy or a collector has joined on it."""
+        """Return whether a proxy or collector has joined on this connection."""
         return self.zone > NOT_JOINED
--- a/hollyridge/resp/message_reader.py
+++ b/hollyridge/resp/message_reader.py
@@ -1,7 +1,7 @@
-"""Reads the parts of messages into types, by the names and limits of one deployment. No I/O.
+"""Parser of inbound messages, which checks them against the names and limits of one deployment. No I/O.
 
-A message that names something unknown, lacks a field or has one out of range is a `MalformedMessageError`. Times come
-in milliseconds and leave in whole microseconds.
+A message that names something unknown, lacks a field or has a value out of range raises `MalformedMessageError`. Times
+are milliseconds in messages and are converted to whole microseconds.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 Fields = dict[bytes, bytes]
 
-MAX_RATE_PER_S = 1e6  # RPCs a second that one figure can stand for
+MAX_RATE_PER_S = 1e6  # RPCs per second in one field
 MIN_INTERVAL_MS = 0.001
-MAX_INTERVAL_MS = 600_000.0  # that a report may cover
+MAX_INTERVAL_MS = 600_000.0  # interval that a report may cover
 MS_PER_S = 1000
 US_PER_MS = 1000
-LATENCY_DEADLINES = 4  # the mean latency of good answers is below so many of the longest deadlines, noise included
-UTILIZATION_METRIC = b"util"  # the platform's name of the utilised fraction
+LATENCY_DEADLINES = 4  # upper bound of the mean latency of successful RPCs, noise included, in longest deadlines
+UTILIZATION_METRIC = b"util"  # the platform's name of the utilization as a fraction
 MAX_UTILIZATION = 16.0
 MAX_LOAD_METRIC = 1e9
 MISSING_LOAD_METRIC = -1.0
-MAX_NUMBER_BYTES = 32  # of a figure as text
+MAX_NUMBER_BYTES = 32  # length of a number as text
 MAX_ENDPOINT_BYTES = 256
-MAX_MARK = 65535  # as the platform states it
+MAX_MARK = 65535  # limit of the platform's protocol
 
 
 class MessageReader:
-    """Reads messages by the names of one deployment and the terms of its assigner."""
+    """Parser of messages for the names and the assigner configuration of one deployment."""
 
     def __init__(self, names: ProtocolNames, config: AssignerConfig) -> None:
         self.zones = {name.encode(): zone for zone, name in enumerate(names.zones)}
@@ -57,10 +57,10 @@
         }
 
     def read(self, parts: Sequence[bytes]) -> InboundMessage:
-        """One message from its parts: its kind, then names and values by turns.
+        """Return the message of these parts: its kind, then alternating names and values.
 
         Raises:
-            MalformedMessageError: It can't be used; the text says why.
+            MalformedMessageError: The message is not valid; the text of the error names the fault.
         """
         reader = self.readers_by_kind.get(parts[0])
         if reader is None:
@@ -88,7 +88,7 @@
         interval_ms = _read_number(fields, b"interval", MAX_INTERVAL_MS, MIN_INTERVAL_MS)
         attempts = _read_count(fields, b"total", _max_rpcs(interval_ms))
         failed = _read_count(fields, b"errors", attempts)
-        # Where every attempt failed there is no mean latency, and the field may be missing.
+        # If every attempt failed, there is no mean latency and the field may be missing.
         has_latency = attempts > failed or b"rtt" in fields
         latency_ms = _read_number(fields, b"rtt", self.max_latency_ms) if has_latency else 0.0
         endpoint = fields.get(b"endpoint", b"")
@@ -105,7 +105,7 @@
         )
 
     def _read_load(self, raw: bytes | None) -> tuple[float, ...]:
-        """A load report in the order of the settings; empty without one, -1 for a figure that it lacks."""
+        """Return the load metrics in the order of the settings, -1 for a missing one; empty without a load report."""
         if not raw:
             return ()
         load: dict[str, float] = {}
@@ -121,7 +121,7 @@
     def _read_offered_load(self, fields: Fields) -> OfferedLoadSample:
         interval_ms = _read_number(fields, b"interval", MAX_INTERVAL_MS, MIN_INTERVAL_MS)
         max_rpcs = _max_rpcs(interval_ms)
-        # An RPC left unanswered may have reached the proxy in an earlier interval: there can be more of them than RPCs.
+        # Unanswered RPCs may have reached the proxy in an earlier interval, so that they can outnumber the RPCs.
         return OfferedLoadSample(
             self._read_node(fields),
             _read_name(fields, b"route", self.methods),
@@ -159,7 +159,7 @@
 
 
 def _read_name(fields: Fields, name: bytes, index_by_name: Mapping[bytes, int]) -> int:
-    """The index of the zone or method that a field names."""
+    """Return the index of the zone or method that a field names."""
     index = index_by_name.get(fields.get(name, b""))
     if index is None:
         raise MalformedMessageError(
@@ -176,7 +176,7 @@
 
 
 def _number_within(text: bytes, min_value: float, max_value: float) -> float | None:
-    """A number between two bounds; None for anything else.
+    """Return a number that lies within two bounds; None for anything else.
 
     >>> _number_within(b"nan", 0, 10), _number_within(b"3", 0, 10)
     (None, 3.0)
@@ -189,7 +189,7 @@
 
 
 def _max_rpcs(interval_ms: float) -> float:
-    """RPCs that a report of an interval may stand for; one of less than a second as many as of one."""
+    """Return the maximum number of RPCs in a report; intervals below one second count as one second."""
     return MAX_RATE_PER_S * max(interval_ms, MS_PER_S) / MS_PER_S
 
 
--- a/hollyridge/resp/messages.py
+++ b/hollyridge/resp/messages.py
@@ -1,4 +1,4 @@
-"""The messages that come in as types, with the names that one deployment uses in them."""
+"""Types of inbound messages, and the names that they use in one deployment."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class MalformedMessageError(HollyridgeError):
-    """A message that can be read but not used; the text says why.
+    """A message is valid RESP2 but its content is not valid; the text of the error names the fault.
 
-    Only this message is passed over: what comes before and behind it counts.
+    Only this message is skipped. The messages before and after it are handled.
     """
 
 
 class Heartbeat(NamedTuple):
-    """`hb`: the peer asks for a sign of life."""
+    """`hb`: a heartbeat, to which the server replies."""
 
 
 class CollectorHello(NamedTuple):
-    """`telemetry`: the connection is a collector's, for the proxies of a zone."""
+    """`telemetry`: the collector of a zone's proxies joins."""
 
     zone: int
 
 
 class JoinRequest(NamedTuple):
-    """`attach`: a proxy joins. `has_no_table`: it holds no table that was ever ordered."""
+    """`attach`: a proxy joins; `has_no_table` if it has never received a table."""
 
     node: int
     zone: int
@@ -34,7 +34,7 @@
 
 
 class TrafficSample(NamedTuple):
-    """`upstream_stats`: what the proxies of a zone saw at a task; the fields of `interface.TrafficReport`."""
+    """`upstream_stats`: attempts of a zone's proxies at a task, with the fields of `interface.TrafficReport`."""
 
     zone: int
     endpoint: str
@@ -46,7 +46,7 @@
 
 
 class OfferedLoadSample(NamedTuple):
-    """`client_stats`: RPCs of a method that reached a proxy; the fields of `interface.OfferedLoad`."""
+    """`client_stats`: RPCs of a method that reached a proxy, with the fields of `interface.OfferedLoad`."""
 
     node: int
     method: int
@@ -67,12 +67,12 @@
 
 
 class ProtocolNames(NamedTuple):
-    """The names that a deployment's messages use.
+    """Names that the messages of a deployment use.
 
     Attributes:
         zones: Names of the zones, in the order of their indices.
         methods: Names of the methods, in the order of their indices.
-        proxy_count: How many proxies there are; they name themselves by a number below it.
+        proxy_count: Number of proxies; each identifies itself by a number below it.
     """
 
     zones: tuple[str, ...]
--- a/hollyridge/resp/rejection_log.py
+++ b/hollyridge/resp/rejection_log.py
@@ -1,4 +1,7 @@
-"""The log of what was refused: each reason at its 1st, 2nd, 4th, 8th ... time, so that no flood fills the log."""
+"""Sampled log of rejected messages: each reason is logged at its 1st, 2nd, 4th, 8th ... occurrence.
+
+The sampling keeps a flood of bad messages from filling the log.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,19 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_REASONS = 256  # reasons hold text of the peers: past these they are counted together
+MAX_REASONS = 256  # reasons contain text from peers, so further ones are counted together to bound the memory
 OTHER_REASONS = "other"
 
 
 class RejectionLog:
-    """Counts refused messages and connections by reason and logs a sample of them."""
+    """Counter of rejected messages and connections by reason, which logs a sample of them."""
 
     def __init__(self, log: FilteringBoundLogger) -> None:
         self.log = log
         self.times_by_reason: dict[str, int] = {}
 
     def add(self, reason: str, connection: Connection) -> None:
-        """Count one, and log it if its turn has come."""
+        """Count one rejection, and log it if it is part of the sample."""
         times_by_reason = self.times_by_reason
         if len(times_by_reason) >= MAX_REASONS and reason not in times_by_reason:
             reason = OTHER_REASONS
--- a/hollyridge/resp/report_handler.py
+++ b/hollyridge/resp/report_handler.py
@@ -1,4 +1,4 @@
-"""Reports of collectors and proxies as events of the engine. No I/O."""
+"""Conversion of reports from collectors and proxies to events of the engine. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ReportHandler:
-    """Checks that a report is for its sender to make, and submits it.
+    """Handler that checks whether a sender may make a report, and submits the report to the engine.
 
     Args:
-        engine: Takes the events.
-        connections_by_proxy: The connections that proxies have joined on; read only.
-        counts: Of the server; `stray_receipts` is counted here.
+        engine: Engine that receives the events.
+        connections_by_proxy: Connections of joined proxies by index; read only.
+        counts: Counters of the server, of which this class increments `stray_receipts`.
     """
 
     def __init__(self, engine: Engine, connections_by_proxy: Mapping[int, Connection], counts: dict[str, int]) -> None:
@@ -30,17 +30,17 @@
         """Submit one report.
 
         Returns:
-            Whether it was taken; one of a proxy that has left meanwhile is passed over.
+            Whether the report was handled. Reports of a proxy that has left are ignored.
 
         Raises:
-            MalformedMessageError: The sender may not make it, or it names a task that was never listed.
+            MalformedMessageError: The sender may not make this report, or it names a task that was never listed.
         """
         if type(message) is TrafficSample:
             self._submit_traffic(now_us, connection, message)
             return True
         proxy = self.engine.proxy_indices.index.get(message.node)
         if connection.proxy >= 0 and connection.node != message.node:
-            raise MalformedMessageError("speaks for another proxy")
+            raise MalformedMessageError("node is not the proxy that joined on this connection")
         if proxy is None or proxy not in self.connections_by_proxy:
             return False
         if type(message) is OfferedLoadSample:
@@ -52,11 +52,11 @@
 
     def _submit_traffic(self, now_us: int, connection: Connection, message: TrafficSample) -> None:
         if connection.proxy >= 0:
-            raise MalformedMessageError("not for a proxy to say")
-        # A task that was removed a moment ago still has an index: its last attempts are reported after that.
+            raise MalformedMessageError("only a collector may send this message")
+        # A task that was removed recently still has an index, since its last attempts are reported after the removal.
         task = self.engine.task_indices.lookup(message.endpoint)
         if task is None:
-            raise MalformedMessageError("names no task that was listed")
+            raise MalformedMessageError("endpoint names a task that was never listed")
         event = api.TrafficReport(
             message.zone,
             task,
@@ -70,9 +70,9 @@
 
     def _acknowledge(self, now_us: int, connection: Connection, proxy: int, message: AckMessage) -> None:
         if connection.proxy < 0:
-            raise MalformedMessageError("not for a collector to say")
+            raise MalformedMessageError("only a proxy may send this message")
         if message.mark not in connection.unacknowledged_marks:
-            # Of an earlier connection, perhaps to an earlier process whose marks had the same numbers.
+            # The mark is from an earlier connection, perhaps to an earlier process whose marks had the same numbers.
             self.counts["stray_receipts"] += 1
             return
         del connection.unacknowledged_marks[message.mark]
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -1,7 +1,7 @@
-"""The service side of the platform's protocol, on gevent: connections, joining and reports.
+"""Server of the platform's protocol, on gevent: connections, joining and reports.
 
-A connection is a stranger's until it joins as a proxy or a collector: it has little time, small messages and the
-descriptors that nobody else uses.
+Until a connection has joined as a proxy or collector, it is limited: it must join before a timeout, its messages must
+be small, and it may only use file descriptors that joined connections do not need.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
     from structlog.typing import FilteringBoundLogger
 
 HEARTBEAT_REPLY = encode([b"hb_ok"])
-MAX_STRANGER_MESSAGE_BYTES = 4096  # of a connection that has not joined
-MAX_UNSENT_BYTES = 65536  # of answers to heartbeats that a peer may leave unread; past them it gets none
-RECEIVE_BYTES = 32768  # read at once, so that one that sends much does not keep others waiting
-SEND_BUFFER_BYTES = 32768  # of the system, for each connection: more would only hide that a reader is slow
-MIN_PENDING_CONNECTIONS = 8  # that may wait to join, however many have: the reserved descriptors leave room for them
-MIN_CONNECTIONS = 16  # however few descriptors there are
-MAX_COLLECTORS_PER_ZONE = 2  # a new connection of a collector may come before the old one is seen to end
-MAX_REASON_BYTES = 200  # of the reason in a `reject`
+MAX_UNJOINED_MESSAGE_BYTES = 4096  # limit for connections that have not joined
+MAX_UNSENT_BYTES = 65536  # heartbeats get no reply while a peer leaves this many bytes unread
+RECEIVE_BYTES = 32768  # bytes per read; bounds how long a busy connection delays the others
+SEND_BUFFER_BYTES = 32768  # SO_SNDBUF of a connection; a larger buffer would only hide that a reader is slow
+MIN_PENDING_CONNECTIONS = 8  # allowed however many have joined; the reserved descriptors leave room for them
+MIN_CONNECTIONS = 16  # allowed however few descriptors are available
+MAX_COLLECTORS_PER_ZONE = 2  # a collector may reconnect before the end of its old connection is noticed
+MAX_REASON_BYTES = 200  # length of the reason in a `reject` message
 MIN_SWEEP_PAUSE_S = 0.01
 US_PER_S = 1e6
 
@@ -59,12 +59,12 @@
 
 
 class RespServer(ProtocolStreamServer):
-    """Serves proxies and collectors for the engine of an event loop.
+    """Server of proxies and collectors for the engine of an event loop.
 
     Args:
-        loop: The event loop; it is woken after each event that was submitted.
-        config: What the server runs by.
-        assigner_config: What the assigner runs by; bounds of reports follow from it.
+        loop: Event loop, woken after each submitted event.
+        config: Configuration of the server.
+        assigner_config: Configuration of the assigner, from which the bounds of reports are derived.
         log: A structlog logger.
     """
 
@@ -85,30 +85,30 @@
         self.collectors: dict[int, list[Connection]] = {}
         self.message_reader = MessageReader(config.names, assigner_config)
         self.report_handler = ReportHandler(self.engine, self.by_proxy, self.counts)
-        self.encoder = UpdateEncoder(config.names.methods, self._name_of)
+        self.encoder = UpdateEncoder(config.names.methods, self._task_name)
         self.sender = UpdateSender(self.encoder, self.by_proxy, self.counts, self.close)
         self.rejection_log = RejectionLog(log)
 
-    # What the engine and the application call.
+    # Interface to the engine and the application.
 
     def start(self) -> int:
-        """Listen; returns the port.
+        """Start to listen and return the port.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address cannot be listened on.
         """
         self.server.start()
         self.sweeper = gevent.spawn(self._close_overdue)
         return self.server.server_port
 
     def stop(self) -> None:
-        """Accept no more connections and close those that are open."""
+        """Stop accepting connections and close the open ones."""
         super().stop()
         if self.sweeper is not None:
             self.sweeper.kill(block=False)
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """Lines that this message comes to at the proxy, its head left out; and of all its tables in full."""
+        """Return the number of lines of this update without its overhead, and that of all tables of the proxy."""
         view = self.by_proxy[proxy].planned_view
         lines = self.encoder.count_lines(view, update)
         return lines, view.line_count()
@@ -120,21 +120,21 @@
             self.sender.send_update(connection, update)
 
     def is_task_sent(self, task: int) -> bool:
-        """Whether some proxy may still hold the task: its index must not be given to another one."""
+        """Return whether a proxy may still hold the task, so that its index must not be reused."""
         return self.sender.is_task_sent(task)
 
-    def detach(self, proxy: int, why: str) -> None:
-        """Close a proxy's connection."""
+    def detach(self, proxy: int, reason: str) -> None:
+        """Close the connection of a proxy."""
         connection = self.by_proxy.pop(proxy, None)
         if connection is not None:
-            self.close(connection, why)
+            self.close(connection, reason)
 
-    def redirect(self, proxy: int, to: str, why: str) -> None:
-        """Close a proxy's connection; the protocol has no way to name another assigner."""
-        self.detach(proxy, why)
+    def redirect(self, proxy: int, to: str, reason: str) -> None:
+        """Close the connection of a proxy; the protocol has no message that names another assigner."""
+        self.detach(proxy, reason)
 
     def status(self) -> dict[str, int]:
-        """Counts since the start, and what is there now."""
+        """Return the counters since the start, and the current numbers of connections and proxies."""
         return {
             **self.counts,
             "streams": len(self.streams),
@@ -142,10 +142,10 @@
             "waiting": len(self.pending.waiting),
         }
 
-    def _name_of(self, task: int) -> str:
+    def _task_name(self, task: int) -> str:
         return self.engine.task_indices.names[task]
 
-    # The life of a connection.
+    # Connections.
 
     def serve(self, sock: socket.socket, address: tuple) -> None:
         """Serve one connection until it ends."""
@@ -165,12 +165,12 @@
         finally:
             connection.closed = connection.closed or "closed by the other side"
             self._remove(connection)
-            with contextlib.suppress(OSError):  # the other side was faster
+            with contextlib.suppress(OSError):  # the peer may have closed the connection first
                 sock.shutdown(socket.SHUT_WR)
             sock.close()
 
     def _add(self, sock: socket.socket, address: tuple) -> Connection:
-        """Enter a new connection; where there is no room for it, others that have not joined are closed."""
+        """Add a new connection; if there is no room for it, close others that have not joined."""
         now_us = self.clock()
         self.number += 1
         self.counts["connections"] += 1
@@ -183,7 +183,7 @@
         return connection
 
     def _remove(self, connection: Connection) -> None:
-        """Take out a connection that has ended; where its proxy has a newer one, the proxy stays."""
+        """Remove a closed connection; its proxy stays if it has a newer connection."""
         self.pending.remove(connection.number)
         self.sender.discard(connection)
         collectors = self.collectors.get(connection.zone, [])
@@ -193,7 +193,7 @@
             self.loop.wake()
 
     def _close_overdue(self) -> None:
-        """Close connections that do not join in time, for as long as the server runs."""
+        """Close connections that do not join in time; runs until it is killed."""
         while True:
             deadline_us = self.pending.next_deadline
             if deadline_us is None:
@@ -204,18 +204,18 @@
             for number in self.pending.overdue(self.clock()):
                 self._evict(number, "did not join in time")
 
-    def _evict(self, number: int, why: str) -> None:
+    def _evict(self, number: int, reason: str) -> None:
         connection = self.streams.get(number)
         if connection is not None:
             self.counts["overdue"] += 1
-            self._reject(connection, why)
+            self._reject(connection, reason)
 
-    def _reject(self, connection: Connection, why: str) -> None:
-        """Tell a connection why it is not served, and close it."""
+    def _reject(self, connection: Connection, reason: str) -> None:
+        """Send a `reject` message with the reason, and close the connection."""
         if connection.closed:
             return
-        self.sender.send(connection, encode([b"reject", b"why", why.encode()[:MAX_REASON_BYTES]]))
-        self.close(connection, why)
+        self.sender.send(connection, encode([b"reject", b"why", reason.encode()[:MAX_REASON_BYTES]]))
+        self.close(connection, reason)
 
     # Messages.
 
@@ -224,9 +224,9 @@
 
         Raises:
             OSError: The connection was lost.
-            RespError: The peer speaks something else.
+            RespError: The peer sent invalid RESP2.
         """
-        reader = FrameReader(MAX_STRANGER_MESSAGE_BYTES)
+        reader = FrameReader(MAX_UNJOINED_MESSAGE_BYTES)
         while not connection.closed:
             chunk = connection.sock.recv(RECEIVE_BYTES)
             if not chunk or connection.closed:
@@ -242,10 +242,10 @@
                 raise reader.fault
             if connection.joined:
                 reader.max_bytes = MAX_MESSAGE_BYTES
-            gevent.sleep(0)  # however much one sends, others have their turn
+            gevent.sleep(0)  # lets other greenlets run, however much this peer sends
 
     def _handle(self, connection: Connection, parts: list[bytes]) -> None:
-        """Handle one message; a malformed one is passed over, or refused where nobody has joined."""
+        """Handle one message; skip a malformed one, and reject the connection if it has not joined."""
         try:
             self._dispatch(connection, self.message_reader.read(parts))
         except MalformedMessageError as error:
@@ -271,10 +271,10 @@
 
     def _join(self, connection: Connection, message: JoinRequest) -> None:
         if connection.joined:
-            raise MalformedMessageError("joined already")
+            raise MalformedMessageError("this connection has already joined")
         now_us = self.clock()
         if len(self.streams) - len(self.pending.waiting) >= self.max_connections:
-            # It would take the last descriptors from those that have not joined yet.
+            # One more would use the last descriptors of the connections that have not joined yet.
             raise MalformedMessageError("no room for another stream")
         self.pending.remove(connection.number)
         proxy = self.engine.join(
@@ -290,11 +290,11 @@
 
     def _add_collector(self, connection: Connection, message: CollectorHello) -> None:
         if connection.joined:
-            raise MalformedMessageError("joined already")
+            raise MalformedMessageError("this connection has already joined")
         self.pending.remove(connection.number)
         connection.zone = message.zone
         collectors = self.collectors.setdefault(message.zone, [])
         collectors.append(connection)
         if len(collectors) > MAX_COLLECTORS_PER_ZONE:
             longest_silent = min(collectors, key=lambda collector: collector.last_received_us)
-            self.close(longest_silent, "a newer collector of its zone came")
+            self.close(longest_silent, "replaced by a newer collector of its zone")
--- a/hollyridge/resp/update_encoder.py
+++ b/hollyridge/resp/update_encoder.py
@@ -1,4 +1,4 @@
-"""The messages that bring proxies up to date, from what each holds to what it should hold. No I/O."""
+"""Encoder of the messages that change the state of a proxy from what it was sent to what it should have. No I/O."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 
 MAX_MEMO_ENTRIES = 64  # proxies are mostly at one of a few versions of a table
 NO_VERSION = -1
-ALL_METHODS_RANK = 99  # more methods than any mask holds: the mask for all is the widest
+ALL_METHODS_RANK = 99  # above the number of methods in any mask, so that the mask for all methods counts as the widest
 
 Admission = tuple[float, int]  # admitted amount, retry mode
 
 
 class UpdateEncoder:
-    """Encodes messages for all connections.
+    """Encoder of updates for all connections.
 
-    A change of the same table from the same version to the same version is made once, however many proxies get it.
+    A change of a table from one version to another is computed once, however many proxies get it.
 
     Args:
         methods: Names of the methods, in the order of their indices.
-        name_of: The platform's name of a task.
+        task_name: Returns the platform's name of a task.
     """
 
-    def __init__(self, methods: Sequence[str], name_of: Callable[[int], str]) -> None:
+    def __init__(self, methods: Sequence[str], task_name: Callable[[int], str]) -> None:
         self.methods = tuple(methods)
-        self.name_of = name_of
+        self.task_name = task_name
         self.memo: OrderedDict[tuple, tuple[TableUpdate, ...]] = OrderedDict()
-        # The message that was encoded last, and what it was made of: the next proxy mostly gets the same.
+        # The last encoded message and its input, kept because the next proxy mostly gets the same message.
         self.last_updates: tuple[TableUpdate, ...] = ()
         self.last_mark = NO_MARK
         self.last_message = b""
 
     def count_lines(self, view: ProxyView, update: ProxyUpdate) -> int:
-        """Lines that the channel counts for this message if it left now.
+        """Return the number of lines that count against the channel if this update is sent now.
 
-        The view is brought up to date: it is one that runs ahead of what is written.
+        The update is applied to the view, which must be one that includes updates not written yet.
         """
         return sum(part.size for part in self._advance(view, update))
 
     def encode(self, view: ProxyView, update: ProxyUpdate) -> bytes:
-        """The message that brings a proxy up to date; the view is brought up to date with it."""
+        """Return the message that applies an update to a proxy, and apply the update to its view."""
         updates = self._advance(view, update)
         if self.last_mark != update.mark or self.last_updates != updates or not self.last_message:
             self.last_updates = updates
@@ -54,7 +54,7 @@
         return self.last_message
 
     def _advance(self, view: ProxyView, update: ProxyUpdate) -> tuple[TableUpdate, ...]:
-        """Bring a view up to date; returns the parts of the order that do the same at the proxy."""
+        """Apply an update to a view; return the parts that apply it to the proxy."""
         rebound: set[int] = set()
         for table, method_mask in update.bindings:
             rebound.update(view.bind(table, method_mask, len(self.methods)))
@@ -65,15 +65,15 @@
         if ejected_by_task:
             updates += (
                 TableUpdate(
-                    ejected=tuple(self.name_of(task) for task, ejected in ejected_by_task.items() if ejected),
-                    restored=tuple(self.name_of(task) for task, ejected in ejected_by_task.items() if not ejected),
+                    ejected=tuple(self.task_name(task) for task, ejected in ejected_by_task.items() if ejected),
+                    restored=tuple(self.task_name(task) for task, ejected in ejected_by_task.items() if not ejected),
                 ),
             )
         return updates
 
     def _advance_table(self, view: ProxyView, table: int, value: Table, rebound: set[int]) -> tuple[TableUpdate, ...]:
-        """Bring one table of a view up to date: complete for methods that did not use it, else by what changed."""
-        methods = view.methods_of(table)
+        """Apply one table to a view; return complete parts for methods new to the table, changes for the others."""
+        methods = view.methods_using(table)
         if not methods:
             return ()
         sent = view.sent_tables.get(table)
@@ -93,7 +93,7 @@
     def _table_updates(
         self, table: int, old: Table | None, new: Table, methods: tuple[int, ...]
     ) -> tuple[TableUpdate, ...]:
-        """`_make_updates` by way of the memo, the oldest entry of which makes room."""
+        """Return the result of `_make_updates` from the memo, which drops its oldest entry when full."""
         key = (table, NO_VERSION if old is None else old.version, new.version, methods)
         updates = self.memo.get(key)
         if updates is None:
@@ -103,25 +103,27 @@
         return updates
 
     def _make_updates(self, old: Table | None, new: Table, methods: tuple[int, ...]) -> list[TableUpdate]:
-        """Parts that turn one value of a table into another for these methods; from None, the complete table."""
-        old_admission = {method: None if old is None else admission_of(old, method) for method in methods}
-        new_admission = {method: admission_of(new, method) for method in methods}
+        """Return the parts that change a table from `old`, None for no table, to `new` for these methods."""
+        old_admission = {method: None if old is None else find_admission(old, method) for method in methods}
+        new_admission = {method: find_admission(new, method) for method in methods}
         if any(old_admission[method] is not None and new_admission[method] is None for method in methods):
-            # The protocol has no word for taking an admission back: it leaves with the complete table only.
+            # The protocol has no field that removes an admission; only a complete table does so.
             old = None
             old_admission = dict.fromkeys(methods)
         complete = old is None
         weights = sorted(new.lines.items()) if complete else difference(old, new).lines
-        lines = tuple((self.name_of(task), weight) for task, weight in weights)
+        lines = tuple((self.task_name(task), weight) for task, weight in weights)
         names = () if len(methods) == len(self.methods) else self._names(methods)
-        changed: dict[Admission, list[int]] = {}  # methods by their new admission
+        changed: dict[Admission, list[int]] = {}  # methods by new admission
         for method in methods:
             admission = new_admission[method]
             if admission is not None and admission != old_admission[method]:
                 changed.setdefault(admission, []).append(method)
         if len(changed) == 1:
             (admission,) = changed
-            if len(changed[admission]) == len(methods):  # the same for all: it shares the part of the lines
+            if len(changed[admission]) == len(
+                methods
+            ):  # all methods have the same admission, which fits into the part with the lines
                 return [TableUpdate(names, complete, lines, admission)]
         updates = [TableUpdate(names, complete, lines)] if lines or complete else []
         updates += [TableUpdate(self._names(group), admission=admission) for admission, group in changed.items()]
@@ -131,8 +133,8 @@
         return tuple(self.methods[method] for method in methods)
 
 
-def admission_of(table: Table, method: int) -> Admission | None:
-    """The admission of one method: that of the narrowest mask of methods that holds it."""
+def find_admission(table: Table, method: int) -> Admission | None:
+    """Return the admission of a method: that of the narrowest method mask that includes it."""
     masks = [mask for mask in table.levels if mask == 0 or mask >> method & 1]
     narrowest = min(masks, key=lambda mask: mask.bit_count() or ALL_METHODS_RANK, default=None)
     return None if narrowest is None else table.levels[narrowest]
--- a/hollyridge/resp/update_sender.py
+++ b/hollyridge/resp/update_sender.py
@@ -1,6 +1,6 @@
-"""Writes to connections without ever waiting: what the other side does not take is sent by a greenlet of its own.
+"""Non-blocking writes to connections; a separate greenlet sends what the socket does not accept at once.
 
-A reader that leaves its messages unread has one in flight at most: what follows merges into the newest state.
+At most one update is in flight to a slow reader. The updates that follow are merged into one with the newest state.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from hollyridge.resp.connection import Connection
 from hollyridge.resp.update_encoder import UpdateEncoder
 
-MAX_UNACKNOWLEDGED_MARKS = 4096  # of one connection; a proxy that never answers drops its oldest
+MAX_UNACKNOWLEDGED_MARKS = 4096  # per connection; the oldest is dropped if a proxy never acknowledges
 
 
 class UpdateSender:
-    """Sends bytes and updates to connections.
+    """Sender of bytes and updates to connections.
 
     Args:
-        encoder: Makes the messages.
-        connections_by_proxy: The connections that proxies have joined on; read only.
-        counts: Of the server; `merged`, `slow` and `bytes_out` are counted here.
-        close: Closes a connection for a reason.
+        encoder: Encoder of the messages.
+        connections_by_proxy: Connections of joined proxies by index; read only.
+        counts: Counters of the server, of which this class increments `merged`, `slow` and `bytes_out`.
+        close: Function that closes a connection for a given reason.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         self.connections_by_proxy = connections_by_proxy
         self.counts = counts
         self.close = close
-        self.sent_tasks: set[int] | None = None  # tasks in the tables that proxies hold; None once it may have changed
+        self.sent_tasks: set[int] | None = None  # tasks in the last sent tables; None once outdated
 
     def send_update(self, connection: Connection, update: ProxyUpdate) -> None:
-        """Send an update, or merge it into the one that waits for a slow reader."""
+        """Send an update, or merge it into the pending update of a slow reader."""
         if connection.unsent:
             pending = connection.pending_update
             connection.pending_update = update if pending is None else merge_updates(pending, update)
@@ -51,7 +51,7 @@
         self.send(connection, self._encode(connection, update))
 
     def send(self, connection: Connection, data: bytes) -> None:
-        """Send bytes behind what waits already."""
+        """Send bytes after those that are still unsent."""
         if connection.unsent:
             connection.unsent += data
             return
@@ -59,7 +59,7 @@
             sent_bytes = os.write(connection.sock.fileno(), data)
         except BlockingIOError:
             sent_bytes = 0
-        except OSError:  # the greenlet that reads the connection sees it too
+        except OSError:  # the greenlet that reads from the connection gets this error as well
             self.close(connection, "connection lost")
             return
         self.counts["bytes_out"] += sent_bytes
@@ -69,14 +69,14 @@
             gevent.spawn(self._flush, connection)  # ends with the connection: sending on a closed socket fails
 
     def discard(self, connection: Connection) -> None:
-        """Drop what waits for a connection that has ended."""
+        """Drop the unsent bytes and the pending update of a closed connection."""
         self.sent_tasks = None
         connection.pending_update = None
         connection.unsent = b""
 
     def is_task_sent(self, task: int) -> bool:
-        """Whether a table that was sent last on some connection names a task, however long ago that was."""
-        if self.sent_tasks is None:  # made once for all tasks of a list, however many indices are asked about
+        """Return whether the last sent table of any connection includes a task, however long ago it was sent."""
+        if self.sent_tasks is None:  # computed once, since it is called for many tasks in a row
             tables = {
                 id(table): table
                 for connection in self.connections_by_proxy.values()
@@ -95,7 +95,7 @@
         return self.encoder.encode(connection.view, update)
 
     def _flush(self, connection: Connection) -> None:
-        """Send what waits, waiting for the other side; then what has been merged meanwhile."""
+        """Send the unsent bytes, blocking as needed, and then the update that was merged meanwhile."""
         try:
             while connection.unsent and not connection.closed:
                 sent_bytes = connection.sock.send(connection.unsent)
--- a/tests/resp/test_resp_codec.py
+++ b/tests/resp/test_resp_codec.py
@@ -1,4 +1,4 @@
-"""Frames of the platform's protocol: any split, bad input, limits."""
+"""RESP2 decoding: chunks of any size, invalid input, limits."""
 
 from itertools import cycle
 
@@ -14,7 +14,7 @@
     some.lists(some.lists(some.binary(max_size=40), min_size=1, max_size=8), max_size=5),
     some.lists(some.integers(1, 9), min_size=1, max_size=30),
 )
-def test_any_split_of_the_bytes_is_read_alike(messages, sizes):
+def test_messages_are_decoded_alike_however_the_bytes_are_split(messages, sizes):
     raw = b"".join(map(encode, messages))
     reader, found, position = FrameReader(), [], 0
     for size in cycle(sizes):
@@ -27,46 +27,46 @@
 
 
 @given(some.binary(max_size=300), some.integers(1, 64))
-def test_any_bytes_are_read_or_refused_and_never_buffered_past_the_limit(raw, step):
+def test_arbitrary_bytes_are_never_buffered_past_the_limit(raw, step):
     reader = FrameReader(max_bytes=128)
     try:
-        for at in range(0, len(raw), step):
-            reader.feed(raw[at : at + step])
+        for start in range(0, len(raw), step):
+            reader.feed(raw[start : start + step])
             assert len(reader.buffer) + sum(map(len, reader.parts)) <= 128 + step + 32
     except RespError:
         pass
 
 
-UNREADABLE = {
+INVALID_INPUT = {
     "http": b"GET / HTTP/1.1\r\n\r\n",
     "inline": b"PING\r\n",
-    "a length below 0": b"*-1\r\n",
-    "none at all": b"*0\r\n",
+    "negative length": b"*-1\r\n",
+    "no parts": b"*0\r\n",
     "too many parts": b"*66\r\n",
     "no digits": b"*\r\n",
-    "words": b"*x\r\n",
+    "letters as length": b"*x\r\n",
     "endless digits": b"*1111111111111",
-    "spaced": b"* 1\r\n",
+    "space before length": b"* 1\r\n",
     "null part": b"*1\r\n$-1\r\n",
     "nested": b"*1\r\n*1\r\n",
     "integer": b"*1\r\n:5\r\n",
-    "announced too long": b"*1\r\n$1048577\r\n",
-    "too long together": b"*3\r\n$524288\r\n" + b"x" * 524288 + b"\r\n$524288\r\n",
-    "a part that does not end": b"*1\r\n$2\r\nabcd",
+    "announced length too long": b"*1\r\n$1048577\r\n",
+    "sum of lengths too long": b"*3\r\n$524288\r\n" + b"x" * 524288 + b"\r\n$524288\r\n",
+    "part without line end": b"*1\r\n$2\r\nabcd",
 }
 
 
-@pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE)
-def test_unreadable_input_is_refused_as_soon_as_it_is_known(raw):
+@pytest.mark.parametrize("raw", INVALID_INPUT.values(), ids=INVALID_INPUT)
+def test_invalid_input_is_rejected_as_soon_as_it_is_recognized(raw):
     with pytest.raises(RespError):
         FrameReader().feed(raw)
     reader = FrameReader()
     with pytest.raises(RespError):
-        for at in range(len(raw)):
-            reader.feed(raw[at : at + 1])
+        for start in range(len(raw)):
+            reader.feed(raw[start : start + 1])
 
 
-def test_messages_before_an_unreadable_one_count():
+def test_messages_before_invalid_input_are_returned():
     reader = FrameReader()
     assert reader.feed(encode([b"hb"]) + encode([b"done", b"x"]) + b"rubbish") == [[b"hb"], [b"done", b"x"]]
     assert reader.fault is not None
--- a/tests/resp/test_resp_message_reader.py
+++ b/tests/resp/test_resp_message_reader.py
@@ -1,4 +1,4 @@
-"""Messages read into types, and the malformed ones among them."""
+"""Parsing of inbound messages, and rejection of malformed ones."""
 
 import pytest
 from helpers import SECOND, bootstrap
@@ -20,7 +20,7 @@
 
 TRAFFIC = dict(locality="khalda", endpoint="s-1", total=212, errors=3, rtt=41.7, interval=1000.0)
 OFFERED = dict(node=17, route="redeem-code", total=19, errors=0, interval=1000.0)
-GOOD = [
+VALID = [
     (read_message("hb"), messages.Heartbeat()),
     (read_message("telemetry", locality="sahab"), messages.CollectorHello(1)),
     (read_message("attach", node=17, locality="khalda", w=21.5, cold=1), messages.JoinRequest(17, 0, 21.5, True)),
@@ -39,7 +39,7 @@
         messages.TrafficSample(0, "s-1", 3, 3, 0, SECOND, ()),
     ),
     (read_message("client_stats", **OFFERED), messages.OfferedLoadSample(17, 1, 19, 0, SECOND)),
-    # Admitted during an earlier interval and left unanswered in this one: more than RPCs.
+    # RPCs admitted in an earlier interval can fail in this one, so that there are more errors than RPCs.
     (
         read_message("client_stats", **{**OFFERED, "total": 2, "errors": 9}),
         messages.OfferedLoadSample(17, 1, 2, 9, SECOND),
@@ -47,8 +47,8 @@
 ]
 
 
-@pytest.mark.parametrize(("found", "expected"), GOOD)
-def test_messages_mean_what_the_simulators_events_mean(found, expected):
+@pytest.mark.parametrize(("found", "expected"), VALID)
+def test_messages_are_read_with_units_and_indices_of_the_engine(found, expected):
     assert found == expected
 
 
@@ -104,12 +104,12 @@
 
 
 @pytest.mark.parametrize(("kind", "fields"), MALFORMED)
-def test_a_malformed_message_is_refused(kind, fields):
+def test_a_malformed_message_is_rejected(kind, fields):
     with pytest.raises(messages.MalformedMessageError):
         read_message(kind, **fields)
 
 
 @pytest.mark.parametrize("parts", [[b"done", b"node"], [b"done", b"node", b"1", b"node", b"2"]])
-def test_names_and_values_must_pair(parts):
+def test_names_and_values_must_form_pairs_without_repeats(parts):
     with pytest.raises(messages.MalformedMessageError):
         READER.read(parts)
--- a/tests/resp/test_resp_rejection_log.py
+++ b/tests/resp/test_resp_rejection_log.py
@@ -1,4 +1,4 @@
-"""The log of refused messages: a sample of each reason."""
+"""The log of rejected messages logs a sample of each reason."""
 
 from types import SimpleNamespace
 
@@ -9,14 +9,14 @@
     def __init__(self):
         self.lines = []
 
-    def warning(self, event, **facts):
-        self.lines.append((event, facts["reason"], facts["times"]))
+    def warning(self, event, **values):
+        self.lines.append((event, values["reason"], values["times"]))
 
 
 CONNECTION = SimpleNamespace(address=("127.0.0.1", 9), node=-1)
 
 
-def test_a_reason_is_logged_at_its_1st_2nd_4th_and_8th_time():
+def test_a_reason_is_logged_at_its_1st_2nd_4th_and_8th_occurrence():
     log = RecordingLog()
     rejections = RejectionLog(log)
     for _ in range(9):
--- a/tests/resp/test_resp_server.py
+++ b/tests/resp/test_resp_server.py
@@ -1,4 +1,4 @@
-"""Connections of the platform's protocol on loopback."""
+"""The platform's protocol server with real connections on loopback."""
 
 import gevent
 from gevent import socket as green
@@ -22,19 +22,19 @@
         rig.server.write(proxy, ProxyUpdate(proxy, version, START, bindings, ((0, value),), (), version))
         assert len(connection.unsent) < 64 << 10
     assert rig.server.counts["merged"] > 300
-    reader, held, mark = FrameReader(), {}, 0
+    reader, weights, mark = FrameReader(), {}, 0
     with gevent.Timeout(5):
         while mark != 399:
             for parts in reader.feed(sock.recv(65536)):
                 fields = dict(zip(parts[1::2], parts[2::2]))
-                held.update(pair.split(b":") for pair in fields[b"lines"].split(b","))
+                weights.update(pair.split(b":") for pair in fields[b"lines"].split(b","))
                 mark = int(fields[b"ticket"])
-    assert len(held) == 900
-    assert set(held.values()) == {b"1.399"}
+    assert len(weights) == 900
+    assert set(weights.values()) == {b"1.399"}
     rig.server.stop()
 
 
-def test_the_late_end_of_an_older_connection_ends_nothing():
+def test_a_proxy_stays_joined_when_its_replaced_connection_ends_late():
     rig = ServerRig()
     first = rig.proxy(3)
     second = rig.proxy(3)
@@ -46,7 +46,7 @@
     rig.server.stop()
 
 
-def test_reports_of_a_task_that_was_just_removed_still_count():
+def test_reports_of_a_recently_removed_task_are_accepted():
     rig = ServerRig()
     rig.update_list(2, ["s-0"])
     collector = green.create_connection(("127.0.0.1", rig.port))
@@ -61,7 +61,7 @@
     rig.server.stop()
 
 
-def test_a_server_that_was_stopped_leaves_nothing_running():
+def test_a_stopped_server_leaves_no_greenlets_or_connections():
     rig = ServerRig()
     sweeper = rig.server.sweeper
     rig.proxy(3)
--- a/tests/resp/test_resp_update_encoder.py
+++ b/tests/resp/test_resp_update_encoder.py
@@ -1,4 +1,4 @@
-"""What proxies are sent, from what they hold to what they should hold."""
+"""Encoding of updates from the state that a proxy has to the state that it should have."""
 
 from immutables import Map
 from in_process import NAMES
@@ -11,7 +11,7 @@
 
 
 class EncoderRig:
-    """Tables by version, and the views of one proxy."""
+    """A table store, an encoder, and the views of one proxy."""
 
     def __init__(self):
         self.store = TableStore(8)
@@ -30,21 +30,21 @@
 ALL_METHODS = ((0, 0b11),)
 
 
-def test_a_table_is_sent_completely_once_and_then_by_what_changed():
+def test_a_table_is_sent_in_full_once_and_as_changes_after_that():
     rig = EncoderRig()
     first = rig.put(1, lines={1: 1.5, 2: 0.2}, levels={1: (1.0, 1), 2: (1.0, 1)})
     assert rig.send((0, first), bindings=ALL_METHODS, mark=9) == (
         [["assign", "whole", "1", "lines", "s-1:1.5,s-2:0.2", "level", "1", "retry", "1", "ticket", "9"]],
         4,
     )
-    then = rig.put(2, lines={2: 0.0, 4: 1 / 3})
-    assert rig.send((0, then)) == ([["assign", "lines", "s-2:0,s-4:0.333333"]], 2)
+    second = rig.put(2, lines={2: 0.0, 4: 1 / 3})
+    assert rig.send((0, second)) == ([["assign", "lines", "s-2:0,s-4:0.333333"]], 2)
     last = rig.put(3, levels={1: (0.4, 0), 2: (0.4, 0)})
     assert rig.send((0, last), mark=10) == ([["assign", "level", "0.4", "retry", "0", "ticket", "10"]], 1)
     assert rig.send((0, last), mark=11) == ([["assign", "ticket", "11"]], 0)
 
 
-def test_admissions_that_differ_are_parts_of_one_message():
+def test_different_admissions_are_parts_of_one_update():
     rig = EncoderRig()
     first = rig.put(1, lines={1: 1.0}, levels={1: (1.0, 1), 2: (0.5, 0)})
     assert rig.send((0, first), bindings=ALL_METHODS, mark=1) == (
@@ -57,14 +57,14 @@
     )
 
 
-def test_an_admission_is_removed_by_the_complete_table_only():
+def test_an_admission_is_removed_only_with_a_complete_table():
     rig = EncoderRig()
     rig.send((0, rig.put(1, lines={1: 1.0}, levels={0: (0.5, 0)})), bindings=ALL_METHODS)
     value = Table(2, Map({1: 1.0}), Map())
     assert rig.send((0, value)) == ([["assign", "whole", "1", "lines", "s-1:1"]], 2)
 
 
-def test_methods_may_use_tables_of_their_own():
+def test_methods_can_use_separate_tables():
     rig = EncoderRig()
     main, other = rig.put(1, lines={1: 1.0, 2: 1.0}), rig.put(1, table=5, lines={2: 1.0})
     rig.send((0, main), bindings=ALL_METHODS)
@@ -86,12 +86,12 @@
     )
 
 
-def test_a_change_is_made_once_for_all_proxies_that_get_it():
+def test_a_change_is_computed_once_for_all_proxies():
     rig = EncoderRig()
     value = rig.put(1, lines={1: 1.0})
     rig.send((0, value), bindings=ALL_METHODS)
-    made = rig.encoder.memo.copy()
+    memo = rig.encoder.memo.copy()
     rig.view, rig.planned_view = ProxyView(), ProxyView()
     rig.send((0, value), bindings=ALL_METHODS)
-    assert rig.encoder.memo == made
-    assert len(made) == 1
+    assert rig.encoder.memo == memo
+    assert len(memo) == 1
