--- a/hollyridge/discovery/__init__.py
+++ b/hollyridge/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the endpoint list, kept up to date by one HTTP watch of the discovery service."""
+"""Service discovery: keeps the endpoint list up to date through one HTTP watch of the discovery service."""
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -1,13 +1,13 @@
-"""Tracks which endpoints are listed, from the events of discovery. No I/O.
+"""Tracker of the listed endpoints, fed with the events of discovery. No I/O.
 
 Implements `core.engine.EndpointSource`. Versions only grow: an event that is older than the current list changes
-nothing. Start times are converted to the monotonic clock once for each start, so that an endpoint listed twice has
-started once.
+nothing. Each start time is converted to the monotonic clock only once, so that an endpoint that is listed again does
+not appear to have restarted.
 
-A complete list with a lower version is ambiguous. It may come from a replica that lags, and would bring back endpoints
-that have left; or discovery has lost its versions, and nothing it sends would be accepted again. So it is kept up to
-date beside the current list and replaces it after `MAX_PROPAGATION_US` unless an event at least as new as the current
-list arrives first. A replica that lags by more than that is taken for the truth.
+A complete list with a lower version is ambiguous. Either it comes from a lagging replica and would bring back removed
+endpoints, or discovery has lost its versions and no event of it would ever be accepted again. Such a list is therefore
+kept up to date beside the current list, and replaces it after `MAX_PROPAGATION_US` unless an event at least as new as
+the current list arrives first. The list of a replica that lags by more than that is accepted as current.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 class EndpointListReceived(NamedTuple):
-    """Discovery sent this event; `stale` if it was known before this process started."""
+    """An event received from discovery; `stale` if it dates from before this process started."""
 
     event: WatchEvent
     stale: bool = False
 
 
 class WatchFailed(NamedTuple):
-    """Discovery could not be reached, or a watch of it ended."""
+    """Notification that discovery could not be reached or that a watch has ended."""
 
 
 class TrackedEndpoint(NamedTuple):
-    """An endpoint as discovery listed it last, and as it was handed on."""
+    """The last entry of an endpoint from discovery, and the endpoint reported to the engine."""
 
     entry: ListedEndpoint
     endpoint: Endpoint
@@ -51,11 +51,11 @@
 
     @property
     def settled_at_us(self) -> int:
-        """When this list replaces the current one."""
+        """Return the time at which this list replaces the current one, in microseconds."""
         return self.since_us + MAX_PROPAGATION_US
 
     def apply(self, event: WatchEvent) -> None:
-        """Take a complete list, or a change that is no older than this list."""
+        """Apply a complete list, or a change that is not older than this list."""
         if event.full:
             self.entries = {}
         elif event.version < self.version:
@@ -68,19 +68,19 @@
                 self.entries[entry.name] = entry
 
     def as_event(self) -> WatchEvent:
-        """This list as discovery would send it now."""
+        """Return this list as an event with the complete list."""
         return WatchEvent(self.version, True, tuple(self.entries.values()))
 
 
 class EndpointListTracker:
-    """The current endpoint list.
+    """Tracker of the current endpoint list.
 
     Args:
-        allocate_index: Gives an endpoint's index by name, None when no more are accepted.
+        allocate_index: Function that returns the index for the name of an endpoint, None if no more are accepted.
         monotonic_offset_us: Monotonic clock minus Unix clock (usually negative).
     """
 
-    settled = True  # the engine need not wait for registrations to pause, as it does with members
+    settled = True  # unlike with registered members, the engine need not wait until registrations pause
 
     def __init__(self, allocate_index: Callable[[str], int | None], monotonic_offset_us: int) -> None:
         self.allocate_index = allocate_index
@@ -95,7 +95,7 @@
         self.version_resets = 0
 
     def handle(self, now_us: int, message: object) -> RegistrationOutcome:
-        """Take one message of discovery, or a tick of the engine's timer."""
+        """Handle one message about discovery, or a tick of the engine's timer."""
         if type(message) is EndpointListReceived:
             return self.receive(now_us, message)
         if type(message) is WatchFailed:
@@ -103,17 +103,17 @@
             return RegistrationOutcome(EndpointListUpdate(max(self.version, 0), UpdateKind.FAILED, ()))
         if type(message) is Tick and self.older_list is not None and now_us >= self.older_list.settled_at_us:
             return self.accept_older_list(now_us)
-        # A refresh needs no action: a watch is open, or is being opened already.
+        # A refresh needs no action, because a watch is open or being opened.
         return RegistrationOutcome()
 
     def receive(self, now_us: int, message: EndpointListReceived) -> RegistrationOutcome:
-        """Apply an event to the current list, or to the older one beside it."""
+        """Apply an event to the current list, or to the older list if the event is older than the current one."""
         event = message.event
         no_list_yet = self.version < 0
         if event.version < self.version or (no_list_yet and not event.full):
             return self.keep_older_event(now_us, event)
         if self.older_list is not None and not event.full:
-            # The change continues the older list and has caught up with ours: versions were reset for certain.
+            # The change continues the older list and has caught up with the current version: versions were reset.
             self.keep_older_event(now_us, event)
             return self.accept_older_list(now_us)
         self.older_list = None
@@ -122,7 +122,7 @@
         return self.apply(now_us, message)
 
     def keep_older_event(self, now_us: int, event: WatchEvent) -> RegistrationOutcome:
-        """Apply an event that is older than the current list to the older list."""
+        """Apply an event to the older list, which is created from the first complete one."""
         self.older_events += 1
         if event.full and self.older_list is None:
             self.older_list = OlderList(now_us)
@@ -131,7 +131,7 @@
         return RegistrationOutcome()
 
     def accept_older_list(self, now_us: int) -> RegistrationOutcome:
-        """Make the older list the current one: discovery has reset its versions."""
+        """Make the older list the current one, because discovery has reset its versions."""
         event = self.older_list.as_event()
         self.older_list = None
         self.version = -1
@@ -155,11 +155,11 @@
                 changed.append(endpoint)
         if event.full:
             removed += self.remove_unlisted(event.entries)
-        update = EndpointListUpdate(max(self.version, 0), kind_of(message), tuple(changed))
+        update = EndpointListUpdate(max(self.version, 0), update_kind(message), tuple(changed))
         return RegistrationOutcome(update, left=tuple(removed))
 
     def add_or_update(self, now_us: int, entry: ListedEndpoint) -> Endpoint | None:
-        """Put an entry into the list; None if no more endpoints are accepted."""
+        """Add or update an entry and return its endpoint; None if no more endpoints are accepted."""
         tracked = self.entries.get(entry.name)
         index = self.allocate_index(entry.name) if tracked is None else tracked.endpoint.task
         if index is None:
@@ -175,12 +175,12 @@
         return endpoint
 
     def remove(self, name: str) -> Endpoint | None:
-        """Take an endpoint out; returns it in its last state, None if it was not listed."""
+        """Remove an endpoint and return it with the state GONE; None if it was not listed."""
         tracked = self.entries.pop(name, None)
         return None if tracked is None else tracked.endpoint._replace(state=TaskState.GONE)
 
     def remove_unlisted(self, entries: Iterable[ListedEndpoint]) -> list[str]:
-        """Take out what a complete list no longer names; returns their names."""
+        """Remove the endpoints that a complete list no longer includes, and return their names."""
         listed = {entry.name for entry in entries}
         unlisted = [name for name in self.entries if name not in listed]
         for name in unlisted:
@@ -188,22 +188,22 @@
         return unlisted
 
     def started_at_us(self, now_us: int, started_ms: float) -> int:
-        """Convert a start to the monotonic clock: 0 if unknown, `now_us` if it lies in the future."""
+        """Convert a start time to the monotonic clock: 0 if unknown, `now_us` if it lies in the future."""
         if started_ms <= 0:
             return 0
         return min(now_us, max(1, round(started_ms * 1000) + self.monotonic_offset_us))
 
     def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
-        """The current list as an update of the given kind."""
+        """Return the current list as an update of the given kind."""
         endpoints = tuple(tracked.endpoint for tracked in self.entries.values())
         return EndpointListUpdate(max(self.version, 0), kind, endpoints)
 
     def next_deadline(self, now_us: int) -> int | None:
-        """When a tick is due, in microseconds; None if there is nothing to wait for."""
+        """Return the time at which a tick is due, in microseconds; None if there is no deadline."""
         return None if self.older_list is None else self.older_list.settled_at_us
 
     def counters(self) -> dict[str, int]:
-        """Counters for the status page; the keys are the page's."""
+        """Return counters by their keys on the status page."""
         return {
             "list_version": self.version,
             "list_calls_failed": self.failed_watches,
@@ -214,8 +214,8 @@
         }
 
 
-def kind_of(message: EndpointListReceived) -> UpdateKind:
-    """How a received event is handed on."""
+def update_kind(message: EndpointListReceived) -> UpdateKind:
+    """Return the kind of update as which a received event is reported to the engine."""
     if message.stale:
         return UpdateKind.CACHED
     return UpdateKind.FULL if message.event.full else UpdateKind.DELTA
--- a/hollyridge/discovery/schema.py
+++ b/hollyridge/discovery/schema.py
@@ -1,4 +1,4 @@
-"""Decodes discovery's JSON into typed watch events and names each fault. No I/O."""
+"""Decoder of discovery's JSON into typed watch events, with an error message for each fault. No I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from hollyridge.interface import TaskState
 
 STATES = {"in_service": TaskState.READY, "terminating": TaskState.DRAINING, "terminated": TaskState.GONE}
-MAX_ENDPOINTS = 20_000  # entries of one event; bounds the memory that one line can claim
-MAX_ERROR_CHARS = 200  # of the decoder's message, which may quote the input
-MAX_QUOTED_CHARS = 40  # of a faulty value in an error message
+MAX_ENDPOINTS = 20_000  # entries of one event; bounds the memory that one line can take up
+MAX_ERROR_CHARS = 200  # length of the decoder's message, which may quote the input
+MAX_QUOTED_CHARS = 40  # length of an invalid value in an error message
 
 
 class EndpointListError(HollyridgeError):
-    """The input is not a valid event of the endpoint list; the message names the fault."""
+    """The input is not a valid event of the endpoint list; the text of the error names the fault."""
 
 
 class EndpointEntry(msgspec.Struct):
-    """One endpoint on the wire; the field names are the wire's."""
+    """One endpoint in the wire format, which has the same field names."""
 
     id: Annotated[str, Meta(min_length=1, max_length=200, pattern=r"\A[^,:+\s]+\Z")]
     zone: str
@@ -33,7 +33,7 @@
 
 
 class EndpointPage(msgspec.Struct):
-    """One event on the wire, the complete list or a change to it; the field names are the wire's."""
+    """One event in the wire format: the complete list or a change to it. The wire format has the same field names."""
 
     version: Annotated[int, Meta(ge=0, le=1 << 60)]
     full: bool
@@ -47,7 +47,7 @@
         name: Discovery's identifier of the task.
         zone: Index of the zone.
         cell: Index of the cell within the zone.
-        state: Whether it may be used, drains, or has left.
+        state: State of the task: in use, draining or gone.
         weight: Relative capacity as listed.
         started_ms: Last start in Unix milliseconds; 0 if unknown.
     """
@@ -61,7 +61,7 @@
 
 
 class WatchEvent(NamedTuple):
-    """A complete endpoint list (`full`) or a change to one, with the version that it leads to."""
+    """A complete endpoint list (`full`) or a change to one, with the version of the resulting list."""
 
     version: int
     full: bool
@@ -73,14 +73,14 @@
 
     >>> read(b'{"version":2,"full":false,"servers":[{"id":"s-1","zone":"a","state":"gone"}]}', {"a": 0})
     Traceback (most recent call last):
-    hollyridge.discovery.schema.EndpointListError: s-1 has no known state: gone
+    hollyridge.discovery.schema.EndpointListError: endpoint s-1 has an unknown state: gone
 
     Args:
-        raw: JSON, or a page that is decoded already.
+        raw: JSON, or an already decoded page.
         zones: Zone indices by name.
 
     Raises:
-        EndpointListError: The JSON, a state or a zone is not valid.
+        EndpointListError: The JSON is invalid, or a state or zone is unknown.
     """
     page = raw if isinstance(raw, EndpointPage) else decode_page(raw)
     entries = tuple(resolve_entry(entry, zones) for entry in page.servers)
@@ -88,7 +88,7 @@
 
 
 def decode_page(raw: bytes) -> EndpointPage:
-    """Decode JSON; raises EndpointListError with the decoder's message."""
+    """Decode JSON; raise EndpointListError with the decoder's message if it is invalid."""
     try:
         return msgspec.json.decode(raw, type=EndpointPage)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
@@ -96,11 +96,11 @@
 
 
 def resolve_entry(entry: EndpointEntry, zones: dict[str, int]) -> ListedEndpoint:
-    """Replace the names of state and zone by what they stand for; raises EndpointListError for unknown ones."""
+    """Resolve the names of state and zone; raise EndpointListError for unknown ones."""
     state = STATES.get(entry.state)
     if state is None:
-        raise EndpointListError(f"{entry.id} has no known state: {entry.state[:MAX_QUOTED_CHARS]}")
+        raise EndpointListError(f"endpoint {entry.id} has an unknown state: {entry.state[:MAX_QUOTED_CHARS]}")
     zone = zones.get(entry.zone)
     if zone is None:
-        raise EndpointListError(f"{entry.id} has no known zone: {entry.zone[:MAX_QUOTED_CHARS]}")
+        raise EndpointListError(f"endpoint {entry.id} has an unknown zone: {entry.zone[:MAX_QUOTED_CHARS]}")
     return ListedEndpoint(entry.id, zone, entry.cell, state, entry.weight, entry.started_ms)
--- a/hollyridge/discovery/timing.py
+++ b/hollyridge/discovery/timing.py
@@ -1,5 +1,5 @@
-"""Times that the platform's protocol states for discovery (its page of figures)."""
+"""Timing constants of discovery that the platform's protocol states on its page of figures."""
 
-HEARTBEAT_INTERVAL_US = 2_000_000  # a watch without changes carries an empty line as often as this
-MAX_PROPAGATION_HEARTBEATS = 3.0  # 6 s: every change has reached every watcher by then
+HEARTBEAT_INTERVAL_US = 2_000_000  # interval between the empty lines that discovery sends on a watch without changes
+MAX_PROPAGATION_HEARTBEATS = 3.0  # 6 s, within which every change reaches every watcher
 MAX_PROPAGATION_US = round(MAX_PROPAGATION_HEARTBEATS * HEARTBEAT_INTERVAL_US)
--- a/hollyridge/discovery/watch_client.py
+++ b/hollyridge/discovery/watch_client.py
@@ -1,4 +1,4 @@
-"""The watch of discovery over HTTP/1.1: opens and closes it as `watch_state` decides and hands on what it brings."""
+"""HTTP/1.1 client that watches discovery: connects as `watch_state` decides, and passes events to the engine."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_LINE_BYTES = 8 << 20  # bounds the memory of a line that does not end
+MAX_LINE_BYTES = 8 << 20  # bounds the memory of a line without an end
 MAX_HEAD_BYTES = 16384  # status line and header of the response
-RECEIVE_BYTES = 65536  # read from the socket at once
-MIN_WAIT_S = 0.005  # between two looks at the state, however near its deadline
+RECEIVE_BYTES = 65536  # bytes per read from the socket
+MIN_WAIT_S = 0.005  # interval between two ticks of the state machine, however close its deadline
 HTTP_OK = 200
 
 
 class DiscoveryCallError(HollyridgeError):
-    """A watch could not be opened or has ended; the message says why."""
+    """A watch could not be opened or has ended; the text of the error gives the reason."""
 
 
 class WatchConfig(NamedTuple):
-    """Where discovery listens, and the zone indices by name."""
+    """Address of discovery, and the zone indices by name."""
 
     address: tuple[str, int]
     zones: dict[str, int]
 
 
 class WatchClient:
-    """Keeps an endpoint list up to date from discovery.
+    """Client that keeps an endpoint list up to date through a watch of discovery.
 
     Args:
-        loop: Its engine receives the events; its clock is used.
-        endpoint_list: The engine's endpoint source; read for the version to continue from.
-        state: Decides when to connect and when a connection is lost.
-        config: Discovery's address and the zones.
+        loop: Event loop, whose engine receives the events and whose clock is used.
+        endpoint_list: Endpoint source of the engine, read for the version from which a watch continues.
+        state: State machine that decides when to connect and when a connection is lost.
+        config: Address of discovery and the zones.
         log: A structlog logger.
     """
 
@@ -70,7 +70,7 @@
         self.counts = dict.fromkeys(("calls", "lists", "beats", "bad_lines", "ended"), 0)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Watch discovery at another address at once, continuing from the current version."""
+        """Switch to another address of discovery at once, continuing from the current version."""
         self.address = address
         if self.state.handle(self.clock(), WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT:
             self.disconnect("the address of discovery has changed")
@@ -86,7 +86,7 @@
             self.on_connection_closed(connection)
 
     def run(self) -> None:
-        """Keep a watch open; blocks for ever."""
+        """Keep a watch open; runs until it is killed."""
         while True:
             self.state_changed.clear()
             action = self.state.handle(self.clock(), WatchInput.TICK)
@@ -95,11 +95,11 @@
                 self.counts["calls"] += 1
                 self.connection = gevent.spawn(self.run_connection)
             elif action is WatchAction.DISCONNECT:
-                self.disconnect("no heartbeat in time")
+                self.disconnect("discovery sent no event or heartbeat in time")
             self.state_changed.wait(max(MIN_WAIT_S, (self.state.next_at_us - self.clock()) / 1e6))
 
     def run_connection(self) -> None:
-        """One connection, from connecting to its end."""
+        """Open one connection and receive events until it ends."""
         sock = None
         self.close_reason = ""
         connect_timeout_s = CONNECT_TIMEOUT * self.state.heartbeat_interval_us / 1e6
@@ -115,7 +115,7 @@
             self.on_connection_closed(gevent.getcurrent())
 
     def on_connection_closed(self, connection: gevent.Greenlet) -> None:
-        """Report the end of a connection, once: a newer one may stand by the time its end is noticed."""
+        """Report the end of a connection, unless it was reported before: a newer connection may already be open."""
         if self.connection is not connection:
             return
         now_us = self.clock()
@@ -135,7 +135,7 @@
         self.state_changed.set()
 
     def receive_events(self, sock: socket.socket) -> None:
-        """Request a watch and hand on its events until it ends, which raises."""
+        """Request a watch and pass its events to the engine; raise an exception when it ends."""
         http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         sock.sendall(http.send(self.watch_request()) + http.send(h11.EndOfMessage()))
         line = bytearray()
@@ -145,12 +145,12 @@
                 data = sock.recv(RECEIVE_BYTES)
                 self.state.handle(self.clock(), WatchInput.DATA_RECEIVED)
                 http.receive_data(data)
-                gevent.sleep(0)  # a long list must not hold up the other greenlets
+                gevent.sleep(0)  # a long list must not block the other greenlets
             else:
                 self.handle_http_event(event, line)
 
     def watch_request(self) -> h11.Request:
-        """The request of a watch from the current version on."""
+        """Return the request for a watch that starts at the current version."""
         host, port = self.address
         version = self.endpoint_list.version
         since = f"&index={version}" if version >= 0 else ""
@@ -164,12 +164,12 @@
         """Handle a part of the response; `line` holds the unfinished line and is updated."""
         if type(event) is h11.Response:
             if event.status_code != HTTP_OK:
-                raise DiscoveryCallError(f"discovery answered {event.status_code}")
+                raise DiscoveryCallError(f"discovery responded with status {event.status_code}, expected {HTTP_OK}")
         elif type(event) is h11.Data:
             line += event.data
             self.handle_complete_lines(line)
             if len(line) > MAX_LINE_BYTES:
-                raise DiscoveryCallError(f"a line of over {MAX_LINE_BYTES} bytes")
+                raise DiscoveryCallError(f"a line of the response is longer than {MAX_LINE_BYTES} bytes")
         elif type(event) is h11.EndOfMessage:
             if line.strip():
                 self.handle_line(bytes(line).strip())
@@ -178,13 +178,13 @@
             raise DiscoveryCallError("discovery closed the connection")
 
     def handle_complete_lines(self, line: bytearray) -> None:
-        """Handle and remove each line that has ended."""
+        """Handle each complete line and remove it from `line`."""
         while (end := line.find(b"\n")) >= 0:
             self.handle_line(bytes(line[:end]).strip())
             del line[: end + 1]
 
     def handle_line(self, line: bytes) -> None:
-        """Hand on one event; an empty line is a heartbeat."""
+        """Pass one event to the engine; an empty line is a heartbeat."""
         now_us = self.clock()
         if not line:
             self.counts["beats"] += 1
@@ -202,5 +202,5 @@
         self.loop.wake()
 
     def status(self) -> dict[str, int | bool]:
-        """Counters for the status page; the keys are the page's."""
+        """Return counters by their keys on the status page."""
         return {**self.counts, "watching": self.state.watching}
--- a/hollyridge/discovery/watch_state.py
+++ b/hollyridge/discovery/watch_state.py
@@ -1,10 +1,10 @@
-"""Decides when discovery is connected to and when a watch counts as lost. No I/O, no clock.
+"""State machine that decides when to connect to discovery and when a watch counts as lost. No I/O, no clock.
 
-Exactly one watch should be open at any time. Discovery sends a heartbeat on it whether or not anything changed, so a
-watch that has been silent for longer is dead, whatever the state of its TCP connection. A watch is also dead if its
-current line does not end, or its first list does not arrive, within `MAX_PROPAGATION_HEARTBEATS`: by then every change
-has been announced to those who listen. Failed attempts are retried with exponential backoff and jitter, because
-discovery is shared and handles requests in turn: clients that all reconnect at once would keep it overloaded.
+Exactly one watch should be open at any time. Discovery sends heartbeats on it even if nothing changes, so a watch
+without data for `SILENCE_TIMEOUT` is lost, whatever the state of its TCP connection. A watch is also lost if its
+current line does not end, or its first list does not arrive, within `MAX_PROPAGATION_HEARTBEATS`, because by then every
+change has been announced to all watchers. Failed attempts are retried with exponential backoff and jitter, because
+discovery is shared and handles requests one by one: clients that all reconnect at once would keep it overloaded.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 # All times below are in heartbeat intervals.
 SILENCE_TIMEOUT = 1.5  # without any data on an open watch
-RESPONSE_TIMEOUT = 1.5  # for a response, with the requests that discovery handles before this one
+RESPONSE_TIMEOUT = 1.5  # for a response, including the requests that discovery handles before this one
 CONNECT_TIMEOUT = 0.5  # for the TCP connection
-MIN_BACKOFF = 0.1  # before the first retry, doubled by each further one
+MIN_BACKOFF = 0.1  # before the first retry, doubled for each further one
 MAX_BACKOFF = 1.0
-MAX_BACKOFF_DOUBLINGS = 16  # keeps the power finite; the backoff is at its maximum long before
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power finite; the backoff reaches its maximum long before
 MIN_JITTER = 0.5  # a backoff is multiplied by a factor drawn from [MIN_JITTER, MIN_JITTER + 1)
 
 
 class ConnectionPhase(Enum):
-    """What stands between this client and discovery."""
+    """State of the connection to discovery."""
 
-    IDLE = 0  # nothing; waits for the next attempt
-    CONNECTING = 1  # a request is on its way or its first list is outstanding
+    IDLE = 0  # no connection until the next attempt
+    CONNECTING = 1  # being opened, or the first list has not arrived
     WATCHING = 2  # the first list has arrived
 
 
 class WatchInput(Enum):
-    """What can happen to a watch."""
+    """Input events of the state machine."""
 
     TICK = 0  # time has passed
     CONNECT_STARTED = 1
@@ -44,7 +44,7 @@
 
 
 class WatchAction(Enum):
-    """What the caller has to do about an input."""
+    """Action that the caller has to take after an input event."""
 
     NONE = 0
     CONNECT = 1
@@ -52,7 +52,7 @@
 
 
 class WatchState:
-    """State machine of one watch.
+    """State machine of the watch.
 
     >>> state = WatchState(2_000_000, Random(1))
     >>> state.handle(0, WatchInput.TICK), state.handle(0, WatchInput.CONNECT_STARTED), state.next_at_us
@@ -63,18 +63,18 @@
     (<WatchAction.NONE: 0>, True)
 
     Attributes:
-        failures: Attempts that failed in a row.
-        next_at_us: When to connect (IDLE), or when the connection counts as lost.
+        failures: Number of attempts that failed in a row.
+        next_at_us: Time to connect (IDLE) or time at which the connection counts as lost, in microseconds.
     """
 
     def __init__(self, heartbeat_interval_us: int, rng: Random) -> None:
         self.heartbeat_interval_us = heartbeat_interval_us
         self.rng = rng
         self.phase = ConnectionPhase.IDLE
-        self.address_changed = False  # until the connection to the old address has ended
+        self.address_changed = False  # True until the connection to the old address has ended
         self.failures = 0
         self.next_at_us = 0
-        self.event_due_us = 0  # the connection counts as lost then, even if bytes keep arriving
+        self.event_due_us = 0  # time at which the connection counts as lost even if bytes keep arriving
         self.handlers = {
             WatchInput.TICK: self.on_tick,
             WatchInput.CONNECT_STARTED: self.on_connect_started,
@@ -86,38 +86,38 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a connection stands or is being made."""
+        """Return whether a connection is open or being opened."""
         return self.phase is not ConnectionPhase.IDLE
 
     @property
     def watching(self) -> bool:
-        """Whether the first list has arrived on the connection."""
+        """Return whether the first list has arrived on the connection."""
         return self.phase is ConnectionPhase.WATCHING
 
     def handle(self, now_us: int, watch_input: WatchInput) -> WatchAction:
-        """Take one input; returns what is to be done about it."""
+        """Handle one input event and return the action to take."""
         return self.handlers[watch_input](now_us)
 
     def on_tick(self, now_us: int) -> WatchAction:
-        """A deadline may have passed."""
+        """Return the next action if a deadline has passed."""
         return self.reconnect_action() if now_us >= self.next_at_us else WatchAction.NONE
 
     def on_connect_started(self, now_us: int) -> WatchAction:
-        """An attempt has begun."""
+        """Start the timeouts of a connection attempt."""
         self.phase = ConnectionPhase.CONNECTING
         self.next_at_us = self.after(now_us, RESPONSE_TIMEOUT)
         self.event_due_us = self.after(now_us, MAX_PROPAGATION_HEARTBEATS)
         return WatchAction.NONE
 
     def on_data_received(self, now_us: int) -> WatchAction:
-        """Bytes defer the silence timeout, but not past the time by which an event is due."""
+        """Extend the silence timeout, but not past the time at which an event is due."""
         if self.connected:
             alive_until_us = max(self.next_at_us, self.after(now_us, SILENCE_TIMEOUT))
             self.next_at_us = min(alive_until_us, self.event_due_us)
         return WatchAction.NONE
 
     def on_event_received(self, now_us: int) -> WatchAction:
-        """The watch works."""
+        """Enter WATCHING, reset the failures and restart the timeouts."""
         if self.connected:
             self.phase = ConnectionPhase.WATCHING
         self.failures = 0
@@ -129,7 +129,7 @@
         """Schedule the next attempt: at once after a change of address, else after the backoff."""
         self.phase = ConnectionPhase.IDLE
         backoff_us = self.draw_backoff_us()
-        if self.address_changed:  # closed by this side: not a failure
+        if self.address_changed:  # closed by this client, so it does not count as a failure
             self.address_changed = False
             self.failures = 0
             self.next_at_us = now_us
@@ -139,22 +139,22 @@
         return WatchAction.NONE
 
     def on_address_changed(self, now_us: int) -> WatchAction:
-        """Connect to the new address without delay."""
+        """Schedule a connection to the new address at once."""
         self.failures = 0
         self.next_at_us = now_us
         self.address_changed = self.connected
         return self.reconnect_action()
 
     def reconnect_action(self) -> WatchAction:
-        """The next step towards a new connection."""
+        """Return the next action towards a new connection."""
         return WatchAction.DISCONNECT if self.connected else WatchAction.CONNECT
 
     def draw_backoff_us(self) -> int:
-        """Exponential backoff with jitter. One draw for each connection that ends, so that seeded runs repeat."""
+        """Return an exponential backoff with jitter; draws once per closed connection, so that seeded runs repeat."""
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
         backoff_us = min(MAX_BACKOFF, MIN_BACKOFF * 2**doublings) * self.heartbeat_interval_us
         return round(backoff_us * (MIN_JITTER + self.rng.random()))
 
     def after(self, now_us: int, heartbeats: float) -> int:
-        """The time that is so many heartbeat intervals from now."""
+        """Return the time that lies this many heartbeat intervals after now."""
         return now_us + round(heartbeats * self.heartbeat_interval_us)
--- a/hollyridge/resp/update_encoder.py
+++ b/hollyridge/resp/update_encoder.py
@@ -25,7 +25,7 @@
 
     Args:
         methods: Names of the methods, in the order of their indices.
-        task_name: Returns the platform's name of a task.
+        task_name: Function that returns the platform's name of a task.
     """
 
     def __init__(self, methods: Sequence[str], task_name: Callable[[int], str]) -> None:
--- a/tests/discovery/test_discovery_schema.py
+++ b/tests/discovery/test_discovery_schema.py
@@ -1,4 +1,4 @@
-"""Events of the endpoint list as discovery writes them: each fault is named."""
+"""Decoding of discovery's events: each fault raises an error that names it."""
 
 import pytest
 from in_process import ZONES
@@ -24,6 +24,6 @@
 
 
 @pytest.mark.parametrize("raw", FAULTS)
-def test_an_invalid_event_is_rejected_with_its_fault(raw):
+def test_an_invalid_event_is_rejected_with_a_message(raw):
     with pytest.raises(schema.EndpointListError, match=r"."):
         schema.read(raw, ZONES)
--- a/tests/discovery/test_discovery_watch_state.py
+++ b/tests/discovery/test_discovery_watch_state.py
@@ -1,4 +1,4 @@
-"""When discovery is connected to, and when a watch counts as lost."""
+"""The state machine of the watch: when it connects to discovery and when a watch counts as lost."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
     assert len(set(pauses)) == len(pauses)
 
 
-def test_a_silent_watch_is_closed_and_a_new_address_connected_to_at_once():
+def test_a_silent_watch_is_closed_and_a_new_address_is_tried_at_once():
     state = WatchState(2 * SECOND, Random(5))
     state.handle(0, WatchInput.CONNECT_STARTED)
     for second in range(1, 20):
@@ -34,7 +34,7 @@
     assert state.handle(22 * SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
 
 
-def test_a_connection_closed_for_a_change_of_address_is_no_failure():
+def test_a_connection_closed_after_a_change_of_address_is_not_a_failure():
     state = WatchState(2 * SECOND, Random(5))
     state.handle(0, WatchInput.CONNECT_STARTED)
     assert state.handle(SECOND, WatchInput.ADDRESS_CHANGED) is WatchAction.DISCONNECT
@@ -63,7 +63,7 @@
     assert not state.connected
 
 
-def test_bytes_without_an_event_keep_a_connection_only_for_the_propagation_time():
+def test_bytes_without_an_event_keep_a_connection_open_only_for_the_propagation_time():
     state, now = WatchState(2 * SECOND, Random(5)), 0
     state.handle(now, WatchInput.CONNECT_STARTED)
     while state.handle(now, WatchInput.TICK) is WatchAction.NONE:
--- a/tests/node/test_node_config.py
+++ b/tests/node/test_node_config.py
@@ -16,7 +16,7 @@
     ({"discovery": 5}, "discovery"),
     ({"seed": "xyz"}, "seed is not"),
     ({"limits": {"sockets": 3}}, "sockets"),
-    ({"known": page(1, [server("a", state="up")])}, "known: a has no known"),
+    ({"known": page(1, [server("a", state="up")])}, "known: endpoint a has an unknown state: up"),
     ({"settings": {}}, "profiles.count"),
     ({"settings": {**SETTINGS, "rules": {}}}, "the settings lack rules.drain_grace\nthe settings lack rules.cold_from"),
     ({"settings": {**SETTINGS, "zones": []}}, "no sensible zones"),
