--- a/tests/crossing_helpers.py
+++ b/tests/crossing_helpers.py
@@ -1,7 +1,7 @@
-"""What the tests of crossing events share.
+"""Helpers for the tests of crossing events, which are events on real connections that race with each other.
 
-Two events that cross, in the bad order every time, over real connections: a stand-in holds back, cuts or sends in
-pieces at a chosen byte and waits for a stated event; nothing rests on luck.
+The tests produce the unfavorable order every time instead of relying on chance: a stand-in delays, cuts or splits its
+data at a chosen byte and waits for a stated event.
 """
 
 from stand_ins import message, page, server
@@ -17,15 +17,15 @@
     return message("attach", node=node, **ATTACH_FIELDS)
 
 
-def received_orders(sock):
-    """Messages of a connection until it is quiet, as fields; None where it was closed."""
-    reader, found = FrameReader(), []
+def received_updates(sock):
+    """Return the fields of each message until the connection is quiet; None if it was closed."""
+    reader, updates = FrameReader(), []
     sock.settimeout(0.05)
     try:
         while chunk := sock.recv(65536):
-            found += [dict(zip(one[1::2], one[2::2])) for one in reader.feed(chunk)]
+            updates += [dict(zip(parts[1::2], parts[2::2])) for parts in reader.feed(chunk)]
     except TimeoutError:
-        return found
+        return updates
     except ConnectionError:
         pass
     return None
--- a/tests/crossings/conftest.py
+++ b/tests/crossings/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of crossing events start, and end again."""
+"""Fixtures that start the servers and processes of the tests, and stop them afterwards."""
 
 import pytest
 from crossing_helpers import LIST
@@ -15,12 +15,12 @@
 
 @pytest.fixture
 def start_node(tmp_path):
-    """Starts an assigner; whatever was started is ended."""
+    """Return a function that starts discovery and an assigner; both are stopped after the test."""
     started = []
 
-    def start(**more):
+    def start(**options):
         discovery = Discovery(LIST)
-        assigner = NodeProcess(tmp_path, discovery.address, **more)
+        assigner = NodeProcess(tmp_path, discovery.address, **options)
         started.append((assigner, discovery))
         return assigner, discovery
 
--- a/tests/crossings/test_crossings_joining.py
+++ b/tests/crossings/test_crossings_joining.py
@@ -1,17 +1,17 @@
-"""Connections that have not joined, bad input and room for connections, in the order that hurts."""
+"""Crossings of joins with floods of connections, invalid input and a shortage of file descriptors."""
 
 import gc
 import os
 
 import gevent
-from crossing_helpers import ATTACH_FIELDS, attach_message, received_orders
+from crossing_helpers import ATTACH_FIELDS, attach_message, received_updates
 from gevent import socket as green
 from in_process import ServerRig
 from stand_ins import message
 
 from hollyridge import interface as api
 
-BAD_INPUT = [
+INVALID_INPUT = [
     b"GET / HTTP/1.1\r\n\r\n",
     b"*1\r\n$99999999\r\n",
     b"*2\r\n$2\r\nhb\r\n",
@@ -23,26 +23,29 @@
 ]
 
 
-def test_a_proxy_whose_first_message_arrives_in_pieces_survives_a_flood_of_connections():
+def test_a_proxy_that_sends_its_first_message_slowly_can_join_during_a_flood_of_connections():
     rig = ServerRig(descriptors=24 + 20)
     slow = green.create_connection(("127.0.0.1", rig.port))
     slow.sendall(attach_message(9)[:11])
     rig.until(lambda: rig.server.pending.waiting and not rig.server.pending.silent)
-    crowd = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(60)]
+    flood = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(60)]
     rig.until(lambda: rig.server.counts["connections"] == 61)
     slow.sendall(attach_message(9)[11:])
     rig.until(lambda: 9 in rig.engine.proxy_indices.index)
     rig.until(lambda: len(rig.server.streams) <= 20)
     assert rig.server.counts["overdue"] >= 40
     assert len(rig.server.by_proxy) == 1
-    for sock in crowd:
+    for sock in flood:
         sock.close()
     rig.until(lambda: len(rig.server.streams) == 1)
     rig.server.stop()
 
 
 def test_unused_descriptors_are_available_to_connections_that_are_joining():
-    """Once, room was what all 150 proxies of the fleet would leave: 8 places, in which 20 evict each other."""
+    """Reserving descriptors for all 150 proxies of the fleet would leave room for 8 pending connections.
+
+    The 20 connections of this test would then evict each other.
+    """
     rig = ServerRig(descriptors=24 + 60)
     slow = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
     for node, sock in enumerate(slow):
@@ -55,7 +58,7 @@
     rig.server.stop()
 
 
-def test_proxies_beyond_the_descriptors_are_rejected_and_take_nothing_from_the_rest():
+def test_proxies_beyond_the_descriptor_limit_are_rejected_without_harm_to_others():
     rig = ServerRig(descriptors=24 + 16)
     socks = []
     for node in range(16):
@@ -72,28 +75,30 @@
     rig.server.stop()
 
 
-def test_bad_input_in_any_pieces_leaves_no_descriptor_greenlet_or_index_behind():
+def test_invalid_input_in_any_pieces_leaks_no_descriptor_greenlet_or_index():
     rig = ServerRig()
     good = rig.proxy(1)
 
-    def held():
-        """Descriptors by number and what they are, and greenlets that are not over. What earlier tests left to be
-        collected may go meanwhile: only what is new was left behind here."""
+    def open_resources():
+        """Return the descriptors, each as number and target, and the unfinished greenlets.
+
+        Resources of earlier tests may be collected meanwhile, so only additions are leaks of this test.
+        """
         gc.collect()
-        found = set()
+        descriptors = set()
         for number in os.listdir("/proc/self/fd"):
             try:
-                found.add((number, os.readlink(f"/proc/self/fd/{number}")))
-            except OSError:  # the one that lists them
+                descriptors.add((number, os.readlink(f"/proc/self/fd/{number}")))
+            except OSError:  # the descriptor of the listing itself is closed already
                 pass
-        return found, {item for item in gc.get_objects() if isinstance(item, gevent.Greenlet) and not item.dead}
+        return descriptors, {item for item in gc.get_objects() if isinstance(item, gevent.Greenlet) and not item.dead}
 
     before = None
     for _ in range(3):
-        for raw in BAD_INPUT:
-            for cut in (1, 5, len(raw)):
+        for raw in INVALID_INPUT:
+            for split in (1, 5, len(raw)):
                 sock = green.create_connection(("127.0.0.1", rig.port))
-                for piece in filter(None, (raw[:cut], raw[cut:])):
+                for piece in filter(None, (raw[:split], raw[split:])):
                     try:
                         sock.sendall(piece)
                     except OSError:
@@ -101,17 +106,19 @@
                     gevent.sleep(0)
                 sock.close()
         rig.until(lambda: len(rig.server.streams) == 1)
-        before = before or held()
-    rig.until(lambda: not any(now - then for now, then in zip(held(), before)))  # the last ones are just ending
+        before = before or open_resources()
+    rig.until(
+        lambda: not any(new - old for new, old in zip(open_resources(), before))
+    )  # the last ones may still be closing
     assert not rig.server.pending.waiting
     assert not rig.server.pending.silent
     assert len(rig.engine.proxy_indices) == 1
     rig.advance(1)
-    assert received_orders(good)
+    assert received_updates(good)
     rig.server.stop()
 
 
-def test_the_end_of_a_collectors_older_connection_ends_nothing(rig):
+def test_a_collector_keeps_its_newer_connections_when_an_older_one_ends(rig):
     def collector():
         sock = green.create_connection(("127.0.0.1", rig.port))
         before = rig.server.counts["messages_in"]
@@ -121,7 +128,7 @@
         return sock
 
     socks = [collector() for _ in range(3)]
-    assert socks[0].recv(10) == b""  # the one that was silent longest made room
+    assert socks[0].recv(10) == b""  # closed as the one that was silent longest
     rig.until(lambda: len(rig.server.streams) == 2)
     report = message("upstream_stats", locality="khalda", endpoint="s-1", total=4, errors=0, rtt=9, interval=1000)
     for sock in socks[1:]:
--- a/tests/crossings/test_crossings_process.py
+++ b/tests/crossings/test_crossings_process.py
@@ -1,4 +1,4 @@
-"""Signals, the configuration and the log of a started process, crossed with what it is doing."""
+"""Crossings of signals, configuration changes and an unread log with the work of a running process."""
 
 import fcntl
 import json
@@ -14,8 +14,8 @@
 from hollyridge.core.logs import NonBlockingLogSink
 
 
-def test_a_reload_during_the_start_is_made_once_the_assigner_serves(start_node, tmp_path):
-    """The configuration is a pipe at first: the program stands still in the reading of it until it is told."""
+def test_a_reload_signal_during_startup_is_handled_once_the_assigner_serves(start_node, tmp_path):
+    """The first configuration file is a pipe, so that the process blocks in reading it until the test writes."""
     assigner, _discovery = start_node()
     assigner.process.kill()
     assigner.process.wait(10)
@@ -25,7 +25,7 @@
     assigner.path.symlink_to(path)
     newer.write_text(json.dumps({**assigner.document, "discovery": other.address}))
     started = assigner.start()
-    with path.open("w") as pipe:  # comes back once the program reads
+    with path.open("w") as pipe:  # returns once the process has opened the pipe for reading
         (tmp_path / "next").symlink_to(newer)
         (tmp_path / "next").replace(assigner.path)
         assigner.signal(signal.SIGHUP)
@@ -53,7 +53,7 @@
     other.stop()
 
 
-def test_two_reloads_at_once_end_at_the_last_address(start_node):
+def test_after_two_reloads_at_once_the_last_address_is_used(start_node):
     assigner, _discovery = start_node()
     assigner.wait_until_ready()
     others = [Discovery(page(8 + k, [server(f"s-{k}")])) for k in (1, 2)]
@@ -67,7 +67,7 @@
         other.stop()
 
 
-def test_sigterm_with_an_update_half_written_and_unread_connections_ends_at_once(start_node):
+def test_sigterm_during_a_half_written_update_and_unread_connections_stops_the_process_at_once(start_node):
     assigner, discovery = start_node(known=page(7, [server(f"s-{'x' * 150}{k}", k % 2) for k in range(2000)]))
     discovery.mode = "refuse"
     assigner.wait_until_ready()
@@ -76,16 +76,16 @@
     sock.connect(("127.0.0.1", assigner.port))
     sock.sendall(attach_message(1))
     sock.settimeout(8)
-    assert sock.recv(1)  # an order of hundreds of kilobytes has begun, and stands
+    assert sock.recv(1)  # an update of hundreds of kilobytes has been sent in part and is stalled
     os.kill(assigner.process.pid, signal.SIGSTOP)
     waiting = [socket.create_connection(("127.0.0.1", assigner.port)) for _ in range(5)]
     for client in waiting:
         client.sendall(attach_message(2))
     assigner.signal(signal.SIGTERM)
     os.kill(assigner.process.pid, signal.SIGCONT)
-    begun = time.monotonic()
+    start = time.monotonic()
     assert assigner.process.wait(10) == 0
-    assert time.monotonic() - begun < 0.7
+    assert time.monotonic() - start < 0.7
     for client in (sock, *waiting):
         client.settimeout(5)
         try:
@@ -94,31 +94,31 @@
         except ConnectionError:
             pass
         client.close()
-    again = assigner.start()  # under its name and address, at once
+    restarted = assigner.start()  # at once, with the same name and address
     assigner.wait_until_ready()
-    assert again.poll() is None
+    assert restarted.poll() is None
 
 
-def test_a_killed_process_restarts_at_once_under_its_former_connections(start_node):
+def test_a_killed_process_can_restart_while_its_former_connections_remain(start_node):
     assigner, _discovery = start_node()
     assigner.wait_until_ready()
     proxies = [Peer(assigner.port, node) for node in range(6)]
     for proxy in proxies:
         proxy.wait_for_table(TASKS)
     late = socket.create_connection(("127.0.0.1", assigner.port))
-    assigner.process.kill()  # behind the accept of `late`, or before it
+    assigner.process.kill()  # before or after `late` is accepted
     assigner.process.wait(10)
     assigner.start()
     assigner.wait_until_ready()
     late.close()
     for proxy in proxies:
         assert proxy.closed(2)
-    again = Peer(assigner.port, 3)
-    again.send("done", node=3, nonce=1, latency=1)  # of the earlier process
-    again.wait_for_table(TASKS)
+    rejoined = Peer(assigner.port, 3)
+    rejoined.send("done", node=3, nonce=1, latency=1)  # an ack for a mark of the earlier process
+    rejoined.wait_for_table(TASKS)
 
 
-def test_a_log_that_nobody_reads_stops_nothing():
+def test_writes_to_an_unread_log_do_not_block():
     reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     sink = NonBlockingLogSink(writer)
@@ -133,29 +133,31 @@
         "and on",
     ]
     assert sink.dropped == 0
-    print("y" * 9000, file=sink, flush=True)  # longer than there is room: torn, and the next one on a line of its own
+    print(
+        "y" * 9000, file=sink, flush=True
+    )  # longer than the room in the pipe: it is cut, and the next one starts on a new line
     os.read(reader, 65536)
     print("whole", file=sink, flush=True)
     assert os.read(reader, 65536).decode().splitlines()[-1] == "whole"
     os.close(reader)
     for _ in range(3):
-        print("its reader has gone", file=sink, flush=True)
+        print("the reader is closed", file=sink, flush=True)
     assert sink.dropped == 3
     os.close(writer)
 
 
-def test_an_assigner_whose_log_nobody_reads_goes_on_serving(start_node):
+def test_an_assigner_with_an_unread_log_continues_to_serve(start_node):
     reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     assigner, discovery = start_node(log=writer)
     assigner.wait_until_ready()
     proxy = Peer(assigner.port, 1)
     proxy.wait_for_table(TASKS)
-    for version in range(8, 60):  # each is a line in the log
+    for version in range(8, 60):  # each writes a line to the log
         discovery.publish(page(version, [server("s-1", 1, "terminating" if version % 2 else "in_service")], full=False))
     discovery.publish(page(90, [server("s-2", 0, "terminating"), server("s-1", 1)], full=False))
     proxy.wait_for_table(set(TASKS) - {"s-2"})
-    assert not select.select([], [writer], [], 0)[1]  # it was full, and is
+    assert not select.select([], [writer], [], 0)[1]  # the pipe is full
     assert assigner.stop()[0] == 0
     os.close(reader)
     os.close(writer)
--- a/tests/crossings/test_crossings_tasks.py
+++ b/tests/crossings/test_crossings_tasks.py
@@ -1,6 +1,6 @@
-"""Tasks, their indices and a decision module that fails, crossed with connections that stand still."""
+"""Crossings of stalled connections with changes of tasks, reuse of their indices and decision module failures."""
 
-from crossing_helpers import TASKS, received_orders
+from crossing_helpers import TASKS, received_updates
 from in_process import ServerRig
 from stand_ins import apply_lines
 
@@ -9,13 +9,13 @@
 
 
 def test_an_index_is_not_reused_while_a_stalled_connection_was_sent_its_former_task(rig):
-    """The proxy would see no change between the two tasks and keep sending to the one that was removed."""
+    """With a reused index the proxy would get no change for the two tasks and keep sending to the removed one."""
     rig.proxy(3)
     rig.advance(2)
     table = rig.engine.update_builder.store.latest(0)
     connection = rig.server.by_proxy[0]
     assert 5 in connection.view.sent_tables[0].lines
-    connection.unsent = b"x"  # the reader stalls from here: what follows is pending
+    connection.unsent = b"x"  # simulates a stalled reader, so that further updates stay pending
     rig.update_list(2, TASKS[:5])
     rig.advance(100)
     assert 5 in connection.view.sent_tables[0].lines
@@ -23,15 +23,15 @@
     rig.update_list(3, [*TASKS[:5], "s-new"])
     assert rig.engine.task_indices.index["s-new"] == 6
     assert table is not rig.engine.update_builder.store.latest(0)
-    rig.server.close(connection, "it ended")
+    rig.server.close(connection, "closed by the test")
     rig.until(lambda: not rig.server.by_proxy)
     rig.update_list(4, TASKS[:5])
     rig.advance(100)
     rig.update_list(5, [*TASKS[:5], "s-newer"])
-    assert rig.engine.task_indices.index["s-newer"] == 5  # no connection names the old one any more
+    assert rig.engine.task_indices.index["s-newer"] == 5  # no open connection was sent the old task
 
 
-def test_a_task_missing_from_a_complete_list_leaves_nothing_behind(rig):
+def test_a_task_missing_from_a_complete_list_leaves_no_state_behind(rig):
     for week in range(2, 30):
         rig.update_list(week, [f"week-{week}-{k}" for k in range(6)])
         rig.advance(40)
@@ -41,34 +41,34 @@
 
 
 class FailingAssigner(DecisionModule):
-    def decide(self, now, told):
-        if any(type(event) is api.ProxyLeft for event in told):
-            raise RuntimeError("a fault of the module")
-        return super().decide(now, told)
+    def decide(self, now, events):
+        if any(type(event) is api.ProxyLeft for event in events):
+            raise RuntimeError("simulated failure of the decision module")
+        return super().decide(now, events)
 
 
 def test_after_a_decision_module_failure_no_proxy_keeps_old_lines_though_updates_were_lost():
     rig = ServerRig(make=FailingAssigner)
     socks = {node: rig.proxy(node) for node in (1, 2, 3)}
     rig.advance(2)
-    held = {node: {} for node in socks}
+    tables = {node: {} for node in socks}
 
-    def obey():
+    def apply_updates():
         for node, sock in socks.items():
-            for fields in received_orders(sock) or ():
-                apply_lines(held[node], fields)
+            for fields in received_updates(sock) or ():
+                apply_lines(tables[node], fields)
 
-    obey()
-    assert all(len(rows) == 6 for rows in held.values())
+    apply_updates()
+    assert all(len(lines) == 6 for lines in tables.values())
     rig.update_list(2, TASKS[:4])
     rig.engine.run(rig.now)
-    assert rig.engine.queue.queue  # removals wait, and are lost with the channel
+    assert rig.engine.queue.queue  # the removals are queued, and will be lost with the channel
     socks.pop(3).close()
-    held.pop(3)
+    tables.pop(3)
     rig.until(lambda: len(rig.server.by_proxy) == 2)
     rig.engine.run(rig.now)
     assert rig.engine.counts["module_failures"] == 1
     rig.advance(3)
-    obey()
-    assert all(set(rows) == set(TASKS[:4]) for rows in held.values())
+    apply_updates()
+    assert all(set(lines) == set(TASKS[:4]) for lines in tables.values())
     rig.server.stop()
