--- a/hollyridge/node/__init__.py
+++ b/hollyridge/node/__init__.py
@@ -1,7 +1,7 @@
-"""The assigner as the platform starts it: configuration, wiring, signals.
+"""Node process of the platform, which runs one assigner: configuration, wiring and signals.
 
-- `config`: the platform's JSON configuration, checked.
-- `config_reload`: the same file read again while the assigner serves.
-- `application`: the parts of the assigner wired together.
-- `process`: the process from its start to its exit code; `__main__` starts it.
+- `config`: reads and validates the platform's JSON configuration.
+- `config_reload`: reloads that file while the assigner serves.
+- `application`: creates and connects the components of the assigner.
+- `process`: runs the process from its start to its exit code; `__main__` starts it.
 """
--- a/hollyridge/node/__main__.py
+++ b/hollyridge/node/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m hollyridge.node`: the assigner as the platform starts it.
+"""Entry point of the node process: `python -m hollyridge.node`.
 
-The handler for SIGHUP stands before anything large is imported: a SIGHUP that comes meanwhile must neither end the
-process nor be lost.
+The handler for SIGHUP is installed before any large module is imported, because a SIGHUP that arrives during the import
+must neither end the process nor be lost.
 """
 
 import os
@@ -9,11 +9,11 @@
 import sys
 from types import FrameType
 
-early_reloads: list[int] = []  # signals that came before the assigner could handle them
+early_reloads: list[int] = []  # numbers of the signals received before the assigner could handle them
 
 
 def note_reload(number: int, frame: FrameType | None) -> None:
-    """Remember a SIGHUP until the assigner can read its configuration again."""
+    """Record a SIGHUP until the assigner can reload its configuration."""
     early_reloads.append(number)
 
 
@@ -25,4 +25,4 @@
     code = run(early_reloads)
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(code)  # at once: connections end with the process, and nothing is left to be saved
+    os._exit(code)  # skips all cleanup: the system closes the connections, and there is no state to save
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -1,4 +1,4 @@
-"""A whole assigner of the platform: engine, event loop, protocol server and discovery. Wiring only."""
+"""Wiring of an assigner of the platform: engine, event loop, protocol server and discovery."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-RESERVED_DESCRIPTORS = 24  # for what is not a proxy's or collector's connection: logs, gevent, discovery, the listener
-MAX_PENDING_EVENTS = 20_000  # waiting for the decisions; past them reports are dropped
-DISCOVERY_HEARTBEAT_US = 2_000_000  # the platform's discovery writes an empty line as often as that
-JOIN_TIMEOUT_US = 2_000_000  # the platform grants a second to join, and wants others closed within three
+RESERVED_DESCRIPTORS = 24  # for other uses than connections of proxies and collectors: log, gevent, discovery, listener
+MAX_PENDING_EVENTS = 20_000  # events queued for the decision module; further reports are dropped
+DISCOVERY_HEARTBEAT_US = 2_000_000  # interval between the empty lines that the platform's discovery sends
+JOIN_TIMEOUT_US = 2_000_000  # the platform allows 1 s for joining and wants others closed within 3 s
 STATUS_PERIOD_S = 5.0
-WATCH_SEED_MASK = 1  # the watch gets random numbers of its own, so that its pauses do not depend on the decisions
+WATCH_SEED_MASK = 1  # gives the watch a separate random sequence, so that its backoff is independent of the decisions
 PAGE_BYTES = 4096
 BYTES_PER_MB = 1e6
 NS_PER_US = 1000
 
 
 class Application:
-    """One assigner.
+    """Assigner with all its components.
 
     Args:
-        config: What it runs by.
+        config: Configuration of the node process.
         log: A structlog logger.
-        read_config: Reads the configuration again, ConfigError if it can't be used.
-        clock: Monotonic microseconds.
+        read_config: Function that reads the configuration again; raises ConfigError if it is invalid.
+        clock: Monotonic clock in microseconds.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         self.reloader = ConfigReloader(config, read_config, self.watch.change_address, log)
 
     def start(self) -> int:
-        """Listen and watch the endpoint list; returns the port.
+        """Start to listen and to watch the endpoint list; return the port.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address cannot be listened on.
         """
         port = self.server.start()
         gevent.spawn(self.watch.run)
@@ -84,7 +84,7 @@
         return port
 
     def run(self) -> None:
-        """Block until `stop`.
+        """Run the assigner until `stop` is called.
 
         Raises:
             DecisionModuleError: The decision module has failed too often.
@@ -92,15 +92,15 @@
         self.loop.run()
 
     def stop(self) -> None:
-        """Have `run` return."""
+        """Make `run` return."""
         self.loop.stop()
 
     def reload(self) -> None:
-        """Take a replaced configuration as far as that is possible without a restart."""
+        """Apply a changed configuration as far as that is possible without a restart."""
         self.reloader.reload()
 
     def status(self) -> dict:
-        """Counts and states of all parts, as the log has them."""
+        """Return the counters and states of all components, as they are logged."""
         return {
             "core": self.engine.status(),
             "front": self.server.status(),
@@ -119,7 +119,7 @@
         return WatchClient(self.loop, endpoint_list, state, WatchConfig(config.discovery, zones), self.log)
 
     def _log_status(self) -> None:
-        """Log the status for as long as the process runs."""
+        """Log the status periodically; runs until the process ends."""
         while True:
             gevent.sleep(STATUS_PERIOD_S)
             self.log.info("status_reported", **self.status())
@@ -133,7 +133,7 @@
         max_waiting_lines=assigner_config.max_waiting_lines,
         max_tasks=MAX_ENDPOINTS,
         max_proxies=config.protocol_names.proxy_count,
-        # Load reports as series of metrics do not exist on the platform.
+        # The platform has no load reports in the form of metric series.
         max_series=0,
         max_series_per_source=0,
         max_rate_per_s=0.0,
@@ -156,7 +156,7 @@
 
 
 def resident_mb() -> float:
-    """Resident megabytes of this process, from the system; 0 where it does not tell."""
+    """Return the resident set size of this process in megabytes; 0 if the system does not provide it."""
     try:
         resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, ValueError, IndexError):
--- a/hollyridge/node/config.py
+++ b/hollyridge/node/config.py
@@ -1,4 +1,4 @@
-"""The platform's JSON configuration, read and checked; every fault is named."""
+"""Reader of the platform's JSON configuration, which reports every fault that it finds."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from hollyridge.platform_settings.settings_reader import SettingsError
 from hollyridge.platform_settings.settings_text import flatten_settings
 from hollyridge.resp.messages import ProtocolNames
-from hollyridge.settings.address import split
+from hollyridge.settings.address import split_address
 
-MAX_CONFIG_BYTES = 16 << 20  # of the file: a wrong path must not fill the memory
+MAX_CONFIG_BYTES = 16 << 20  # bounds the memory if the path names another, larger file
 MAX_DECODE_FAULT_CHARACTERS = 300
-MAX_PROXIES = 65535  # the protocol's bound of a proxy's number
+MAX_PROXIES = 65535  # limit of the protocol on the number of a proxy
 HEXADECIMAL = 16
-NO_LIST_VERSION = -1  # of a cached list that was never told
+NO_LIST_VERSION = -1  # version of the cached list if the configuration has none
 
-# Least time between two decisions: the setting, its default where it is no number, and its bounds.
+# Minimum time between two decisions: the default if the setting is missing or not a number, and the bounds.
 DEFAULT_DECISION_INTERVAL_S = 0.005
 MIN_DECISION_INTERVAL_S = 0.0005
 MAX_DECISION_INTERVAL_S = 0.1
 
 
 class ConfigError(HollyridgeError):
-    """A configuration that can't be used; its text has a line for each fault."""
+    """The configuration is invalid; the text of the error has one line per fault."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -40,7 +40,7 @@
 
 
 class ResourceLimits(msgspec.Struct):
-    """What the platform lets the process have."""
+    """Resource limits that the platform sets for the process."""
 
     cores: Annotated[float, Meta(gt=0, le=1024)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
@@ -48,7 +48,7 @@
 
 
 class ConfigDocument(msgspec.Struct):
-    """The file as the platform writes it."""
+    """Content of the configuration file."""
 
     name: Annotated[str, Meta(min_length=1, max_length=200)]
     listen: str
@@ -60,19 +60,19 @@
 
 
 class NodeConfig(NamedTuple):
-    """What the assigner runs by.
+    """Configuration of the node process.
 
     Attributes:
-        name: Of this assigner, for its log.
-        listen: The address to listen on.
-        discovery: The address of discovery.
-        seed: Of the assigner's random numbers.
-        limits: What the platform lets the process have.
-        assigner_config: What the decisions read.
-        protocol_names: The names that messages use.
-        cached_list: The endpoint list to serve until discovery has answered.
-        min_decision_interval_s: The least time between two decisions.
-        settings: The settings as texts by path.
+        name: Name of this assigner in its log.
+        listen: IP address and port to listen on.
+        discovery: IP address and port of discovery.
+        seed: Seed of the assigner's random numbers.
+        limits: Resource limits that the platform sets for the process.
+        assigner_config: Configuration of the decision module.
+        protocol_names: Names that messages use.
+        cached_list: Endpoint list to use until discovery has responded.
+        min_decision_interval_s: Minimum time between two decisions, in seconds.
+        settings: Settings as texts by path.
     """
 
     name: str
@@ -91,7 +91,7 @@
     """Read a configuration file.
 
     Raises:
-        ConfigError: It can't be read or used; every fault found is named.
+        ConfigError: The file cannot be read or is invalid; the error names every fault found.
     """
     try:
         with Path(path).open("rb") as file:
@@ -102,10 +102,10 @@
 
 
 def parse_config(raw: bytes) -> NodeConfig:
-    """Check a configuration.
+    """Decode and validate a configuration.
 
     Raises:
-        ConfigError: It can't be used; every fault found is named.
+        ConfigError: The configuration is invalid; the error names every fault found.
     """
     document = _decode(raw)
     faults: list[str] = []
@@ -133,7 +133,7 @@
 
 
 def parse_address(text: str, field: str, faults: list[str]) -> tuple[str, int]:
-    """An IP address and a port; what is wrong is added to the faults.
+    """Return an IP address and a port; add to `faults` if the text is invalid.
 
     >>> faults = []
     >>> parse_address("127.0.0.1:80", "listen", faults), parse_address("x:1", "listen", faults)
@@ -142,8 +142,8 @@
     ['listen is not an IP address with a port: x:1']
     """
     try:
-        host, port = split(text)
-        return str(ipaddress.ip_address(host)), port  # spelt one way: a reload compares addresses
+        host, port = split_address(text)
+        return str(ipaddress.ip_address(host)), port  # normalized, because a reload compares addresses
     except ValueError:
         faults.append(f"{field} is not an IP address with a port: {text[:60]}")
         return "", 0
@@ -176,12 +176,12 @@
 
 
 def _read_protocol_names(tree: Mapping[str, Any], settings: Mapping[str, str], faults: list[str]) -> ProtocolNames:
-    """The names as messages write them, which the settings as texts do not keep.
+    """Return the names that messages use, which are read from the nested settings because texts by path lose them.
 
     Args:
-        tree: The settings as the file nests them.
-        settings: The same as texts by path.
-        faults: What is wrong is added to them.
+        tree: Settings as nested in the file.
+        settings: The same settings as texts by path.
+        faults: List to which faults are added.
     """
     profiles = tree.get("profiles")
     methods = (
@@ -190,7 +190,7 @@
     zones = tree.get("zones")
     for path, names in (("zones", zones), ("profiles[].name", methods)):
         if not _are_distinct_names(names):
-            faults.append(f"the settings have no sensible {path}")
+            faults.append(f"the settings need one or more distinct names in {path}")
             return ProtocolNames(("",), ("",), 1)
     return ProtocolNames(tuple(zones), tuple(methods), _read_proxy_count(settings, faults))
 
@@ -207,7 +207,7 @@
     except ValueError:
         proxy_count = 0
     if not 1 <= proxy_count <= MAX_PROXIES:
-        faults.append("the settings have no sensible family_info.agents")
+        faults.append(f"the settings need a number from 1 to {MAX_PROXIES} in family_info.agents")
         return 1
     return proxy_count
 
--- a/hollyridge/node/config_reload.py
+++ b/hollyridge/node/config_reload.py
@@ -1,4 +1,4 @@
-"""The configuration read again while the assigner serves."""
+"""Reload of the configuration while the assigner serves."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-# Pauses between readings of a file that can't be used: it may have been half replaced when the signal came.
+# Pauses between attempts to read an invalid file, which may have been only partly replaced when the signal came.
 RETRY_PAUSES_S = (0.1, 0.2, 0.4, 0.8)
 
 
 class ConfigReloader:
-    """Takes a replaced configuration; one that can't be used changes nothing.
+    """Reloader that applies a changed configuration; an invalid one changes nothing.
 
-    Only the address of discovery is taken while the assigner serves. What else differs needs a restart and is named in
-    the log.
+    Only a new address of discovery is applied while the assigner serves. All other changes need a restart and are
+    named in the log.
 
     Args:
-        config: What the assigner was started with.
-        read: Reads the configuration again, ConfigError if it can't be used.
-        change_discovery_address: Called with the new address of discovery.
+        config: Configuration with which the assigner was started.
+        read: Function that reads the configuration again; raises ConfigError if it is invalid.
+        change_discovery_address: Function to call with the new IP address and port of discovery.
         log: A structlog logger.
     """
 
@@ -40,17 +40,17 @@
         self.read = read
         self.change_discovery_address = change_discovery_address
         self.log = log
-        self.last_call = 0
+        self.reload_count = 0
 
     def reload(self) -> None:
-        """Read the configuration again and take what can be taken."""
-        self.last_call += 1
-        config = self._read_with_retries(self.last_call)
+        """Read the configuration again and apply what can be applied without a restart."""
+        self.reload_count += 1
+        config = self._read_with_retries(self.reload_count)
         if config is not None:
-            self._take(config)
+            self._apply(config)
 
-    def _read_with_retries(self, call: int) -> NodeConfig | None:
-        """The configuration; None if it can't be used, or a newer call reads it."""
+    def _read_with_retries(self, reload_number: int) -> NodeConfig | None:
+        """Return the configuration; None if it is invalid or a newer reload has begun."""
         logged = ""
         for pause_s in (*RETRY_PAUSES_S, 0):
             try:
@@ -59,19 +59,19 @@
                 if str(error) != logged:
                     logged = str(error)
                     faults = logged.splitlines()
-                    self.log.error("configuration_rejected", faults=faults)  # noqa: TRY400 -- the faults say it all
+                    self.log.error("configuration_rejected", faults=faults)  # noqa: TRY400 -- a traceback adds nothing to the faults
             gevent.sleep(pause_s)
-            if call != self.last_call:
+            if reload_number != self.reload_count:
                 return None
         return None
 
-    def _take(self, config: NodeConfig) -> None:
+    def _apply(self, config: NodeConfig) -> None:
         current = self.config
         restart_fields = [
             ("name", current.name, config.name),
             ("listen", current.listen, config.listen),
             ("limits", current.limits, config.limits),
-            ("values", current.settings, config.settings),  # the file's `settings`, under this name in the log
+            ("values", current.settings, config.settings),  # logged under this name
         ]
         if config.discovery != current.discovery:
             self.change_discovery_address(config.discovery)
--- a/hollyridge/node/process.py
+++ b/hollyridge/node/process.py
@@ -1,4 +1,4 @@
-"""The process of the assigner from its start to its exit code."""
+"""Main function of the node process."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def run(early_reloads: Collection[int]) -> int:
-    """Run the assigner that the environment names a configuration for.
+    """Run the assigner with the configuration file that the environment variable BALANCER_CONFIG names.
 
     Args:
-        early_reloads: Signals to reload that come before the assigner handles them itself; read once it listens.
+        early_reloads: Reload signals received before the assigner handles them itself; read once it listens.
 
     Returns:
-        The exit code: 0 after SIGTERM or SIGINT, 2 for a configuration that can't be used, 3 for an address that can't
-        be listened on, 4 once the decision module has failed too often.
+        The exit code: 0 after SIGTERM or SIGINT, 2 for an invalid configuration, 3 if the address cannot be listened
+        on, 4 if the decision module has failed too often.
     """
     path = os.environ.get(CONFIG_VARIABLE, "")
     log = logs.start("json", "info")
@@ -57,19 +57,19 @@
     if early_reloads:
         application.reload()
     gc.collect()
-    gc.freeze()  # what lives as long as the process is never looked at again
+    gc.freeze()  # excludes objects that live as long as the process from later collections
     _log_start(application.log, config)
     try:
         application.run()
     except DecisionModuleError as error:
-        application.log.error("service_failed", reason=str(error))  # noqa: TRY400 -- its failures are logged already
+        application.log.error("service_failed", reason=str(error))  # noqa: TRY400 -- the failures are logged already
         return EXIT_DECISION_MODULE_FAILED
     return EXIT_STOPPED
 
 
 def _load(path: str) -> NodeConfig:
     if not path:
-        raise ConfigError([f"{CONFIG_VARIABLE} names no configuration file"])
+        raise ConfigError([f"{CONFIG_VARIABLE} is not set, expected the path of a configuration file"])
     return load_config(path)
 
 
--- a/hollyridge/settings/address.py
+++ b/hollyridge/settings/address.py
@@ -10,10 +10,10 @@
 MAX_PORT = 65535
 
 
-def split(listen: str) -> tuple[str, int]:
+def split_address(listen: str) -> tuple[str, int]:
     """Host and port; ValueError if it is not `address:port`.
 
-    >>> split("127.0.0.1:3860"), split("[::1]:0")
+    >>> split_address("127.0.0.1:3860"), split_address("[::1]:0")
     (('127.0.0.1', 3860), ('::1', 0))
     """
     host, _, port = listen.rpartition(":")
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from hollyridge.sessions.access import Principal
-from hollyridge.settings.address import split
+from hollyridge.settings.address import split_address
 from hollyridge.settings.ini import FaultsError, check, read_file, words
 from hollyridge.settings.sections import SECTIONS, AccessSection, MethodSection, PeersSection
 from hollyridge.settings.service_config import PROBE_INTERVAL_ROUND_TRIPS, Network, ServiceConfig, fleet_key
@@ -182,7 +182,7 @@
     ):
         for address in addresses:
             try:
-                split(address)
+                split_address(address)
             except ValueError as error:
                 faults.append(f"[peers] {key}: {error} (is {address!r:.60})")
 
@@ -204,5 +204,5 @@
     """Servers have room for a whole table and do not share an address."""
     if config.clone.listen and config.clone.waiting_most <= config.proxies.tasks_most:
         faults.append("[clone] waiting_most: not above [proxies] tasks_most; a whole table could never wait")
-    if split(config.sasp.listen)[1] and config.sasp.listen == config.otlp.listen:
+    if split_address(config.sasp.listen)[1] and config.sasp.listen == config.otlp.listen:
         faults.append("[otlp] listen: the same as [sasp] listen")
--- a/hollyridge/settings/sections.py
+++ b/hollyridge/settings/sections.py
@@ -10,7 +10,7 @@
 from pydantic import AfterValidator, Field, PositiveFloat, PositiveInt, field_validator
 
 from hollyridge.interface import BalancingPolicy, Idempotency, IdempotencyScope
-from hollyridge.settings.address import split
+from hollyridge.settings.address import split_address
 from hollyridge.settings.ini import WORD_LIST, Section
 
 MAX_FIRST_PORT = 65533  # the pub-sub server listens on this port and the two above it
@@ -18,7 +18,7 @@
 
 def checked_address(value: str) -> str:
     """The value itself; ValueError if it is not `address:port`."""
-    split(value)
+    split_address(value)
     return value
 
 
@@ -129,7 +129,7 @@
     @classmethod
     def three_ports(cls, value: str) -> str:
         """The address, if the two ports above it exist as well."""
-        if value and split(value)[1] > MAX_FIRST_PORT:
+        if value and split_address(value)[1] > MAX_FIRST_PORT:
             raise ValueError("three ports are needed from here on")
         return value
 
--- a/hollyridge/settings/service_config.py
+++ b/hollyridge/settings/service_config.py
@@ -22,7 +22,7 @@
 from hollyridge.sasp.server import SaspConfig
 from hollyridge.sasp.weight_advice import shown_methods
 from hollyridge.sessions.access import Principal
-from hollyridge.settings.address import split
+from hollyridge.settings.address import split_address
 from hollyridge.settings.ini import Section
 from hollyridge.settings.sections import (
     BALANCING_POLICIES,
@@ -214,7 +214,7 @@
         return self.peer_config_for(
             PeerAddress(
                 peers.name or self.assigner.name,
-                split(peers.listen),
+                split_address(peers.listen),
                 tuple(peers.seeds),
                 fleet_key(self.folder / peers.key),
                 peers.zone,
@@ -258,7 +258,7 @@
         """For the SASP server."""
         sasp = self.sasp
         return SaspConfig(
-            *split(sasp.listen),
+            *split_address(sasp.listen),
             sasp.fleet,
             sasp.members_group,
             self.groups(),
@@ -274,7 +274,7 @@
     def chp_config(self) -> ChpConfig:
         """For the pub-sub server."""
         return ChpConfig(
-            *split(self.clone.listen),
+            *split_address(self.clone.listen),
             self.clone.waiting_most,
             self.clone.beat_ms,
             self.proxies.most,
@@ -286,7 +286,7 @@
         """For the receiver of load reports."""
         otlp = self.otlp
         return OtlpConfig(
-            *split(otlp.listen), otlp.body_most_bytes, otlp.body_s, otlp.connections_most, otlp.points_per_s
+            *split_address(otlp.listen), otlp.body_most_bytes, otlp.body_s, otlp.connections_most, otlp.points_per_s
         )
 
     def zone_finder(self) -> Callable[[str], int]:
--- a/tests/node/test_node_config.py
+++ b/tests/node/test_node_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what is read, and each fault by name."""
+"""Reading the platform's configuration: values, and the message for each fault."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 from hollyridge.node.config import ConfigError, parse_config
 
-FAULTY = [
+INVALID = [
     (b"", "cannot be read"),
     (b"{", "cannot be read"),
     (b"[]", "cannot be read"),
@@ -19,13 +19,16 @@
     ({"known": page(1, [server("a", state="up")])}, "known: endpoint a has an unknown state: up"),
     ({"settings": {}}, "profiles.count"),
     ({"settings": {**SETTINGS, "rules": {}}}, "the settings lack rules.drain_grace\nthe settings lack rules.cold_from"),
-    ({"settings": {**SETTINGS, "zones": []}}, "no sensible zones"),
-    ({"settings": {**SETTINGS, "family_info": {**SETTINGS["family_info"], "agents": 0}}}, "family_info.agents"),
+    ({"settings": {**SETTINGS, "zones": []}}, "the settings need one or more distinct names in zones"),
+    (
+        {"settings": {**SETTINGS, "family_info": {**SETTINGS["family_info"], "agents": 0}}},
+        "the settings need a number from 1 to 65535 in family_info.agents",
+    ),
     ({"settings": {**SETTINGS, "family_info": {**SETTINGS["family_info"], "pick": "best"}}}, "family_info.pick has no"),
 ]
 
 
-@pytest.mark.parametrize(("change", "fault"), FAULTY)
+@pytest.mark.parametrize(("change", "fault"), INVALID)
 def test_every_fault_of_a_configuration_is_named(change, fault):
     raw = change if isinstance(change, bytes) else json.dumps({**CONFIG_DOCUMENT, **change}).encode()
     with pytest.raises(ConfigError) as caught:
@@ -33,7 +36,7 @@
     assert fault in str(caught.value)
 
 
-def test_settings_are_read_as_the_wire_has_them():
+def test_settings_are_read_with_units_and_names_of_the_platform():
     config = parse_config(json.dumps(CONFIG_DOCUMENT).encode())
     assert config.assigner_config.drain_grace_us == 3_000_000
     assert config.assigner_config.load_metric_names == ("util", "queue")
@@ -42,7 +45,7 @@
     assert config.min_decision_interval_s == 0.005
 
 
-def test_one_error_holds_the_faults_of_all_parts():
+def test_one_error_holds_all_faults():
     raw = json.dumps({**CONFIG_DOCUMENT, "listen": "nowhere", "seed": "xyz"}).encode()
     with pytest.raises(ConfigError) as caught:
         parse_config(raw)
@@ -53,6 +56,6 @@
 @pytest.mark.parametrize(
     ("setting", "interval_s"), [(0.02, 0.02), (7, 0.1), (0, 0.0005), ("soon", 0.005), ("nan", 0.0005)]
 )
-def test_the_interval_between_decisions_is_held_within_bounds(setting, interval_s):
+def test_the_interval_between_decisions_is_limited_to_its_bounds(setting, interval_s):
     raw = json.dumps({**CONFIG_DOCUMENT, "settings": {**SETTINGS, "round": setting}}).encode()
     assert parse_config(raw).min_decision_interval_s == interval_s
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -1,4 +1,4 @@
-"""A started process with stand-ins of the platform around it: through its life, and against bad input."""
+"""The node process with stand-ins of the platform: normal operation, reloads, stopping and invalid input."""
 
 import json
 import signal
@@ -39,7 +39,7 @@
     )
 
 
-def test_a_node_serves_follows_its_list_reloads_and_stops(node):
+def test_a_node_serves_applies_list_changes_reloads_and_stops(node):
     assigner, discovery = node
     proxies = [Peer(assigner.port, node, node % 2) for node in range(4)]
     for proxy in proxies:
@@ -48,7 +48,7 @@
     collector = Peer(assigner.port)
     collector.send("telemetry", locality=ZONES[0])
     before = dict(proxies[0].table)
-    for _ in range(12):  # one task answers three times as slowly as the rest
+    for _ in range(12):  # s-0 has ten times the latency of the others
         for name in TASKS:
             report(collector, name, rtt=900.0 if name == "s-0" else 90.0, util=0.9 if name == "s-0" else 0.4)
         for proxy in proxies:
@@ -62,7 +62,7 @@
         proxy.wait_for_table(set(TASKS) - {"s-3"}, 2.5)
     late = Peer(assigner.port, 9)
     late.wait_for_table(set(TASKS) - {"s-3"})
-    # A newer connection of a proxy replaces the older, whose late end changes nothing.
+    # A newer connection of a proxy replaces the older one, whose late end changes nothing.
     newer = Peer(assigner.port, 9)
     newer.wait_for_table(set(TASKS) - {"s-3"})
     late.sock.close()
@@ -75,9 +75,9 @@
     for proxy in (*proxies, newer):
         proxy.wait_for_table(set(TASKS) - {"s-3", "s-4"}, 2.5)
     assert other.requests[0][1].endswith("index=8")
-    code, took = assigner.stop()
+    code, duration_s = assigner.stop()
     assert code == 0
-    assert took < 0.7
+    assert duration_s < 0.7
     other.stop()
 
 
@@ -91,7 +91,7 @@
     proxy.wait_for_table({"s-0", "s-old"})
     time.sleep(2)
     calls = [at for at, _ in discovery.requests]
-    assert 2 <= len(calls) <= 8  # asked again, never in a storm
+    assert 2 <= len(calls) <= 8  # retried, but with backoff
     discovery.mode = "ok"
     proxy.wait_for_table(TASKS)
     discovery.invalid_page = b'{"version":99,"full":true,"servers":7}'
@@ -105,40 +105,40 @@
     discovery.stop()
 
 
-REFUSED = {
+REJECTED = {
     "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-    "bytes": b"\x16\x03\x01\x02\x00",
-    "announced too long": b"*1\r\n$99999999\r\n",
+    "binary data": b"\x16\x03\x01\x02\x00",
+    "announced length too long": b"*1\r\n$99999999\r\n",
     "over 1 MiB": b"*1\r\n$1048600\r\n",
-    "an unknown kind": message("hello", x=1),
-    "an order": message("assign", lines="s-1:1"),
-    "a report first": message(
+    "unknown kind": message("hello", x=1),
+    "outbound kind": message("assign", lines="s-1:1"),
+    "report before joining": message(
         "upstream_stats", locality=ZONES[0], endpoint="s-1", total=1, errors=0, rtt=1, interval=1000
     ),
-    "no such proxy": message("attach", node=400, locality=ZONES[0], w=1, cold=1),
-    "no such zone": message("attach", node=4, locality="mars", w=1, cold=1),
-    "no such collector": message("telemetry", locality="mars"),
-    "nothing": b"",
-    "half a message": b"*3\r\n$2\r\nhb",
-    "hb": message("hb"),
+    "unknown proxy": message("attach", node=400, locality=ZONES[0], w=1, cold=1),
+    "unknown zone": message("attach", node=4, locality="mars", w=1, cold=1),
+    "unknown zone of a collector": message("telemetry", locality="mars"),
+    "no data": b"",
+    "incomplete message": b"*3\r\n$2\r\nhb",
+    "heartbeat only": message("hb"),
 }
 
 
-def test_strangers_are_disconnected_and_take_nothing_from_others(node):
+def test_connections_that_do_not_join_are_closed_without_harm_to_others(node):
     assigner, _ = node
     proxy = Peer(assigner.port, 1)
     proxy.wait_for_table(TASKS)
-    strangers = {}
-    for why, raw in REFUSED.items():
-        strangers[why] = Peer(assigner.port)
-        strangers[why].sock.sendall(raw)
-    crowd = [socket.create_connection(("127.0.0.1", assigner.port)) for _ in range(300)]
+    unjoined = {}
+    for case, raw in REJECTED.items():
+        unjoined[case] = Peer(assigner.port)
+        unjoined[case].sock.sendall(raw)
+    flood = [socket.create_connection(("127.0.0.1", assigner.port)) for _ in range(300)]
     endless = Peer(assigner.port)
-    begun = time.monotonic()
-    late = Peer(assigner.port, 2)  # has room and is served
+    start = time.monotonic()
+    late = Peer(assigner.port, 2)  # can still join
     late.wait_for_table(TASKS)
-    for why, stranger in strangers.items():
-        assert stranger.closed(3 - (time.monotonic() - begun)), why
+    for case, peer in unjoined.items():
+        assert peer.closed(3 - (time.monotonic() - start)), case
     try:
         for _ in range(200):
             endless.sock.sendall(b"*2\r\n$2\r\nhb\r\n$9\r\nx")
@@ -147,10 +147,10 @@
     assert endless.closed(1)
     assert proxy.receive() is not None
     assert late.receive() is not None
-    assert wait_for(lambda: all(not client.recv(1000).startswith(b"-") for client in crowd))
+    assert wait_for(lambda: all(not client.recv(1000).startswith(b"-") for client in flood))
 
 
-def test_a_malformed_message_is_skipped_and_an_unreadable_one_ends_its_connection_only(node):
+def test_a_malformed_message_is_skipped_and_invalid_resp_closes_only_its_connection(node):
     assigner, discovery = node
     good, bad = Peer(assigner.port, 1), Peer(assigner.port, 2)
     for proxy in (good, bad):
@@ -167,8 +167,8 @@
 
 
 @pytest.mark.parametrize("path", ["", "/nowhere/config.json"])
-def test_no_configuration_ends_with_2(path):
-    done = subprocess.run(
+def test_a_missing_configuration_exits_with_code_2(path):
+    process = subprocess.run(
         [sys.executable, "-m", "hollyridge.node"],
         cwd=ROOT,
         capture_output=True,
@@ -176,5 +176,5 @@
         env={"BALANCER_CONFIG": path, "PATH": ""},
         timeout=30,
     )
-    assert done.returncode == 2
-    assert "hollyridge: " in done.stderr
+    assert process.returncode == 2
+    assert "hollyridge: " in process.stderr
