--- a/hollyridge/keys/curve.py
+++ b/hollyridge/keys/curve.py
@@ -1,4 +1,4 @@
-"""CURVE for CHP: the service's key on its sockets, and the ZAP handler that admits clients (pyzmq's authenticator)."""
+"""CURVE security for CHP: the server key on its sockets, and the ZAP handler that authenticates clients with pyzmq."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 
 from hollyridge.errors import HollyridgeError
 
-DOMAIN = "hollyridge"  # the ZAP domain of the service's sockets
+DOMAIN = "hollyridge"  # ZAP domain of the service's sockets
 ZAP_ENDPOINT = "inproc://zeromq.zap.01"  # fixed by RFC 27
 
 
 class CurveKeyError(HollyridgeError, ValueError):
-    """A key file holds no secret key."""
+    """A key file contains no secret key."""
 
 
 class GreenAuthenticator(Authenticator):
-    """pyzmq's authenticator on a socket that does not block the event loop.
+    """Authenticator of pyzmq with a socket that does not block the event loop.
 
     Attributes:
-        name_of: Name of the principal by public key (Z85); it becomes the user id of the client's messages.
+        principal_name: Function that returns the name of the principal with a public key (Z85). The name becomes the
+            user id of the client's messages.
     """
 
-    name_of: Callable[[str], str] = staticmethod(lambda key: key)
+    principal_name: Callable[[str], str] = staticmethod(lambda key: key)
 
     def start(self) -> None:
         """Bind the ZAP socket."""
@@ -37,71 +38,71 @@
         self.zap_socket.bind(ZAP_ENDPOINT)
 
     def curve_user_id(self, client_public_key: bytes) -> str:
-        """The user id of a client; called by pyzmq."""
-        return self.name_of(z85.encode(client_public_key).decode())
+        """Return the user id of a client; called by pyzmq."""
+        return self.principal_name(z85.encode(client_public_key).decode())
 
 
 class Curve:
-    """The service's CURVE key and the greenlet that answers ZAP requests.
+    """CURVE key of the service, and the greenlet that handles ZAP requests.
 
     Args:
-        context: Of the sockets that are to be secured.
+        context: Context of the sockets to secure.
         path: File with the service's key pair.
-        known: Whether a client's public key (Z85) is admitted.
-        name_of: Name of the principal by public key (Z85).
+        is_known: Function that returns whether a client with a public key (Z85) is admitted.
+        principal_name: Function that returns the name of the principal with a public key (Z85).
 
     Raises:
         OSError: The key file cannot be read.
-        ValueError: It is not a key file, or holds no secret key.
+        ValueError: The file is not a key file, or contains no secret key.
     """
 
     def __init__(
-        self, context: zmq.Context, path: str, known: Callable[[str], bool], name_of: Callable[[str], str]
+        self, context: zmq.Context, path: str, is_known: Callable[[str], bool], principal_name: Callable[[str], str]
     ) -> None:
-        self.known = known
+        self.is_known = is_known
         self.load(path)
         self.authenticator = GreenAuthenticator(context=context)
-        self.authenticator.name_of = name_of
+        self.authenticator.principal_name = principal_name
         self.authenticator.start()
         self.authenticator.configure_curve_callback(domain=DOMAIN, credentials_provider=self)
-        self.greenlet = gevent.spawn(self.answer_requests)
+        self.greenlet = gevent.spawn(self.handle_requests)
 
     def load(self, path: str) -> None:
-        """Read the service's own key; sockets bound from now on use it."""
+        """Load the service's key, which sockets secured from now on use."""
         public, secret = auth.load_certificate(path)
         if secret is None:
-            raise CurveKeyError(f"{path} holds no secret key")
+            raise CurveKeyError(f"key file {path} contains no secret key")
         self.public = public
         self.secret = secret
 
     def secure(self, sock: zmq.Socket) -> None:
-        """Set the key on a server socket; to be called before it is bound."""
+        """Set the key on a server socket; must be called before the socket is bound."""
         sock.zap_domain = DOMAIN.encode()
         sock.curve_server = True
         sock.curve_publickey = self.public
         sock.curve_secretkey = self.secret
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Whether a client is admitted; called by pyzmq as its credentials provider."""
-        return self.known(key.decode())
+        """Return whether a client is admitted; called by pyzmq as its credentials provider."""
+        return self.is_known(key.decode())
 
-    def answer_requests(self) -> None:
-        """Answer ZAP requests; blocks for ever."""
+    def handle_requests(self) -> None:
+        """Handle ZAP requests; runs until it is killed."""
         sock = self.authenticator.zap_socket
         while True:
             handling = self.authenticator.handle_zap_message(sock.recv_multipart())
-            # pyzmq's handler is a coroutine, but awaits nothing here: one step completes it.
+            # The handler of pyzmq is a coroutine that awaits nothing here, so that one step completes it.
             with contextlib.suppress(StopIteration):
                 handling.send(None)
 
     def stop(self) -> None:
-        """End the greenlet and close the ZAP socket."""
+        """Stop the greenlet and close the ZAP socket."""
         self.greenlet.kill(block=False)
         self.authenticator.stop()
 
 
 def client_keys(public: bytes, secret: bytes, server: bytes) -> Callable[[zmq.Socket], None]:
-    """A function that sets a client's key pair and the server's public key on a socket, as `Subscriber` takes it."""
+    """Return a function for `Subscriber` that sets a client's key pair and the server's public key on a socket."""
 
     def secure(sock: zmq.Socket) -> None:
         sock.curve_publickey = public
--- a/hollyridge/keys/tls.py
+++ b/hollyridge/keys/tls.py
@@ -1,4 +1,4 @@
-"""TLS for SASP and OTLP."""
+"""TLS contexts and handshakes for SASP and OTLP."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TlsFiles(NamedTuple):
-    """PEM files: the service's certificate chain and key, and the authority that signs clients."""
+    """Paths of PEM files: the service's certificate chain and key, and the authority that signs client certificates."""
 
     certificate: str
     key: str
@@ -17,10 +17,10 @@
 
 
 def server_context(files: TlsFiles) -> ssl.SSLContext:
-    """A context that requires client certificates.
+    """Return a context that requires client certificates.
 
     Raises:
-        OSError: A file is missing or not valid (ssl.SSLError is an OSError).
+        OSError: A file is missing or invalid (ssl.SSLError is an OSError).
     """
     context = ssl.SSLContext(standard_ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = standard_ssl.TLSVersion.TLSv1_2
@@ -32,10 +32,10 @@
 def load_keys(context: ssl.SSLContext, files: TlsFiles) -> None:
     """Load keys into a context that may be in use.
 
-    They are loaded into another context first, so that files that are not valid change nothing.
+    The files are first loaded into another context, so that invalid files leave this one unchanged.
 
     Raises:
-        OSError: A file is missing or not valid.
+        OSError: A file is missing or invalid (ssl.SSLError is an OSError).
     """
     trial = standard_ssl.SSLContext(standard_ssl.PROTOCOL_TLS_SERVER)
     trial.load_cert_chain(files.certificate, files.key)
@@ -45,7 +45,7 @@
 
 
 def peer_common_name(sock: socket.socket) -> str:
-    """The common name of the client's certificate; empty if the connection is not TLS."""
+    """Return the common name of the client's certificate; empty if the connection does not use TLS."""
     certificate = sock.getpeercert() if hasattr(sock, "getpeercert") else None
     for relative_name in (certificate or {}).get("subject", ()):
         for attribute, value in relative_name:
@@ -55,7 +55,7 @@
 
 
 def server_handshake(sock: socket.socket, context: ssl.SSLContext, timeout_s: float) -> ssl.SSLSocket:
-    """Wrap an accepted connection.
+    """Perform the handshake on an accepted connection and return the TLS socket.
 
     Raises:
         OSError: The handshake failed or took longer than `timeout_s` (ssl.SSLError is an OSError).
--- a/hollyridge/node/config_reload.py
+++ b/hollyridge/node/config_reload.py
@@ -59,7 +59,7 @@
                 if str(error) != logged:
                     logged = str(error)
                     faults = logged.splitlines()
-                    self.log.error("configuration_rejected", faults=faults)  # noqa: TRY400 -- a traceback adds nothing to the faults
+                    self.log.error("configuration_rejected", faults=faults)  # noqa: TRY400 -- no traceback needed
             gevent.sleep(pause_s)
             if reload_number != self.reload_count:
                 return None
@@ -71,7 +71,7 @@
             ("name", current.name, config.name),
             ("listen", current.listen, config.listen),
             ("limits", current.limits, config.limits),
-            ("values", current.settings, config.settings),  # logged under this name
+            ("values", current.settings, config.settings),  # the file's `settings`, logged under this name
         ]
         if config.discovery != current.discovery:
             self.change_discovery_address(config.discovery)
--- a/tests/keys/test_keys_tls.py
+++ b/tests/keys/test_keys_tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts: what is loaded, and what faulty files leave as it was."""
+"""TLS contexts: their requirements, and loading of valid and invalid files."""
 
 import ssl
 
@@ -25,13 +25,13 @@
     assert len(context.get_ca_certs()) == 1
 
 
-@pytest.mark.parametrize("faulty", ["certificate", "key", "clients"])
-def test_a_missing_file_is_an_os_error(files, faulty):
+@pytest.mark.parametrize("missing", ["certificate", "key", "clients"])
+def test_a_missing_file_is_an_os_error(files, missing):
     with pytest.raises(OSError, match="No such file"):
-        server_context(files._replace(**{faulty: "no-file"}))
+        server_context(files._replace(**{missing: "no-file"}))
 
 
-def test_a_key_of_another_certificate_leaves_a_context_in_use_as_it_was(files, tmp_path):
+def test_a_key_of_another_certificate_leaves_a_context_in_use_unchanged(files, tmp_path):
     context = server_context(files)
     other = trustme.CA()
     other.issue_cert("localhost").private_key_pem.write_to_path(tmp_path / "other.key")
