--- a/hollyridge/settings/__init__.py
+++ b/hollyridge/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: INI files, read, checked, and turned into the terms that each part is started with."""
+"""Settings: reads and validates INI files, and builds the configuration of each component from them."""
--- a/hollyridge/settings/address.py
+++ b/hollyridge/settings/address.py
@@ -1,6 +1,6 @@
-"""Addresses as settings write them.
+"""Parsing of addresses in settings.
 
-The platform's node imports this module too: standard library only.
+The node process imports this module too, so it depends only on the standard library.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def split_address(listen: str) -> tuple[str, int]:
-    """Host and port; ValueError if it is not `address:port`.
+    """Return host and port; raise ValueError if the text is not `address:port`.
 
     >>> split_address("127.0.0.1:3860"), split_address("[::1]:0")
     (('127.0.0.1', 3860), ('::1', 0))
@@ -24,5 +24,5 @@
     except ValueError:
         number = -1
     if not 0 <= number <= MAX_PORT:
-        raise ValueError("address:port is wanted")
+        raise ValueError("address:port expected")
     return host, number
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -1,4 +1,4 @@
-"""Reads and checks the settings file of an assigner (`hollyridge serve`)."""
+"""Reader and validator of the settings file of an assigner (`hollyridge serve`)."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from hollyridge.sessions.access import Principal
 from hollyridge.settings.address import split_address
-from hollyridge.settings.ini import FaultsError, check, read_file, words
+from hollyridge.settings.ini import FaultsError, check, read_file, split_words
 from hollyridge.settings.sections import SECTIONS, AccessSection, MethodSection, PeersSection
 from hollyridge.settings.service_config import PROBE_INTERVAL_ROUND_TRIPS, Network, ServiceConfig, fleet_key
 
-MAX_METHODS = 16  # bits of the mask that commands name methods by
+MAX_METHODS = 16  # bits of the method mask in commands
 MAX_ZONES = 255
 PROBES_PER_LEASE = 3
-MIN_WAITING_MESSAGES = 4  # of one line, that the channel has to hold
+MIN_WAITING_MESSAGES = 4  # number of one-line messages that the channel must be able to queue
 
 
 def load(path: Path | str, overrides: dict[tuple[str, str], str] | None = None) -> ServiceConfig:
-    """Read and check a file.
+    """Read and validate a file.
 
     Args:
-        path: The file.
-        overrides: Values by section and key that stand in for the file's.
+        path: Path of the file.
+        overrides: Values that replace those of the file, by pairs of section and key.
 
     Raises:
-        FaultsError: With all that is wrong, not only the first fault.
+        FaultsError: The file is invalid; the error has all faults, not only the first one.
     """
     parser = read_file(path)
     for (section, key), value in (overrides or {}).items():
@@ -44,7 +44,7 @@
 
 
 def parse(parser: ConfigParser, folder: Path, faults: list[str]) -> ServiceConfig:
-    """The sections as their models; what does not fit is added to `faults` and left out."""
+    """Validate all sections; add to `faults` and leave out invalid ones."""
     methods: dict[str, MethodSection] = {}
     zones: dict[str, list[Network]] = {}
     principals: list[Principal] = []
@@ -61,7 +61,7 @@
                 principals.append(principal)
         elif name == "zones":
             for zone, networks in values.items():
-                zones[zone] = networks_of(f"[zones] {zone}", networks, faults)
+                zones[zone] = parse_networks(f"[zones] {zone}", networks, faults)
         elif name not in SECTIONS:
             faults.append(f"[{name}]: no such section")
     sections = {
@@ -73,51 +73,51 @@
 
 
 def check_method(section: str, values: dict[str, str], faults: list[str]) -> MethodSection | None:
-    """One [method NAME]; None if it does not fit its model."""
+    """Validate one [method NAME]; return None if it is invalid."""
     method = check(section, MethodSection, values, faults)
     if method is None:
         return None
     if method.soft_deadline_ms > method.deadline_ms:
         faults.append(f"[{section}] soft_deadline_ms: above deadline_ms")
     if method.repeats == "tokened" and not method.window_ms:
-        faults.append(f"[{section}] window_ms: tokened methods need the time within which repeats drop")
+        faults.append(f"[{section}] window_ms: 0, but tokened methods need the time within which repeats are dropped")
     return method
 
 
 def check_access(section: str, name: str, values: dict[str, str], faults: list[str]) -> Principal | None:
-    """One [access NAME]; None if it does not fit its model."""
+    """Validate one [access NAME] and return its principal; return None if it is invalid."""
     access = check(section, AccessSection, values, faults)
     if access is None:
         return None
-    networks = networks_of(f"[{section}] members", access.members, faults)
-    return Principal(name, access.curve, words(access.proxies), tuple(networks), words(access.reports))
+    networks = parse_networks(f"[{section}] members", access.members, faults)
+    return Principal(name, access.curve, split_words(access.proxies), tuple(networks), split_words(access.reports))
 
 
 def check_counts(methods: dict[str, MethodSection], zones: dict[str, list[Network]], faults: list[str]) -> None:
-    """There is at least one method and one zone, and no more of them than commands can name."""
+    """Check that there are methods and zones, and not more of them than commands support."""
     if not methods and not any(fault.startswith("[method") for fault in faults):
         faults.append("[method NAME]: at least one is needed")
     if len(methods) > MAX_METHODS:
-        faults.append("[method NAME]: 16 at most")
+        faults.append(f"[method NAME]: {len(methods)} methods, expected at most {MAX_METHODS}")
     if not zones:
         faults.append("[zones]: at least one zone with its networks is needed")
     elif len(zones) > MAX_ZONES:
-        faults.append("[zones]: 255 at most")
+        faults.append(f"[zones]: {len(zones)} zones, expected at most {MAX_ZONES}")
 
 
-def networks_of(where: str, text: str, faults: list[str]) -> list[Network]:
-    """The networks that a text names; what is none is added to `faults`."""
-    found = []
-    for word in words(text):
+def parse_networks(key: str, text: str, faults: list[str]) -> list[Network]:
+    """Return the networks in the text of a key; add to `faults` for each invalid one."""
+    networks = []
+    for word in split_words(text):
         try:
-            found.append(ipaddress.ip_network(word))
+            networks.append(ipaddress.ip_network(word))
         except ValueError as error:
-            faults.append(f"{where}: {error}")
-    return found
+            faults.append(f"{key}: {error}")
+    return networks
 
 
 def check_across_sections(config: ServiceConfig, faults: list[str]) -> None:
-    """Faults that only show between sections, in the order in which users have always been told of them."""
+    """Check that sections fit each other, keeping the order of faults that users know."""
     check_keys(config, faults)
     check_state_file(config, faults)
     check_peers(config, faults)
@@ -126,33 +126,35 @@
 
 
 def check_keys(config: ServiceConfig, faults: list[str]) -> None:
-    """Keys are complete, their files exist, and principals have keys to be told apart by."""
+    """Check that keys are complete, their files exist, and principals can be authenticated by them."""
     keys = config.keys
     tls = [bool(name) for name in (keys.tls_certificate, keys.tls_key, keys.tls_clients)]
     if any(tls) and not all(tls):
-        faults.append("[keys] tls_certificate, tls_key, tls_clients: all three or none")
+        faults.append("[keys] tls_certificate, tls_key, tls_clients: set all three or none")
     if config.clone.listen and any(tls) != bool(keys.curve):
-        faults.append("[keys] curve: with the pub-sub front on, either all fronts are closed to strangers or none")
+        faults.append("[keys] curve: with [clone] listen set, set both curve and the TLS keys or neither")
     for name in (keys.tls_certificate, keys.tls_key, keys.tls_clients, keys.curve):
         if name and not (config.folder / name).is_file():
-            faults.append(f"[keys]: no file {name}")
+            faults.append(f"[keys]: file {name} does not exist")
     for principal in config.principals:
         if not any(tls) and not keys.curve:
-            faults.append(f"[access {principal.name}]: needs [keys]; without them nobody can be told apart")
+            faults.append(f"[access {principal.name}]: needs [keys], because principals are authenticated by keys")
         faults.extend(
-            f"[access {principal.name}] reports: no zone {zone}" for zone in principal.zones if zone not in config.zones
+            f"[access {principal.name}] reports: no such zone {zone}"
+            for zone in principal.zones
+            if zone not in config.zones
         )
 
 
 def check_state_file(config: ServiceConfig, faults: list[str]) -> None:
-    """The folder of the state file exists."""
+    """Check that the folder of the state file exists."""
     folder = (config.folder / config.kept.file).parent
     if config.kept.file and not folder.is_dir():
-        faults.append(f"[kept] file: no folder {folder}")
+        faults.append(f"[kept] file: folder {folder} does not exist")
 
 
 def check_peers(config: ServiceConfig, faults: list[str]) -> None:
-    """Addresses can be read, and the paces of probes and leases fit each other."""
+    """Check addresses, zone and key of the peers, and that intervals of probes and leases fit each other."""
     peers = config.peers
     check_peer_addresses(peers, faults)
     if not peers.listen:
@@ -162,19 +164,19 @@
     if peers.zone and peers.zone not in config.zones:
         faults.append("[peers] zone: no such zone")
     if peers.lease_s > config.promises.bare_s:
-        faults.append("[peers] lease_s: above [promises] bare_s; a proxy could be without orders for longer")
+        faults.append("[peers] lease_s: above [promises] bare_s, so that a proxy could be without updates for longer")
     if PROBES_PER_LEASE * PROBE_INTERVAL_ROUND_TRIPS * peers.round_trip_ms > 1e3 * peers.lease_s:
         faults.append("[peers] round_trip_ms: three probes of ten round trips do not fit into lease_s")
     try:
         fleet_key(config.folder / peers.key)
     except OSError as error:
-        faults.append(f"[peers] key: {error.strerror} ({peers.key or 'none named'})")
+        faults.append(f"[peers] key: {error.strerror} ({peers.key or 'not set'})")
     except ValueError as error:
         faults.append(f"[peers] key: {error}")
 
 
 def check_peer_addresses(peers: PeersSection, faults: list[str]) -> None:
-    """Each address that is named can be read."""
+    """Check that each configured address is valid."""
     for key, addresses in (
         ("listen", [peers.listen] if peers.listen else []),
         ("seeds", peers.seeds),
@@ -184,25 +186,29 @@
             try:
                 split_address(address)
             except ValueError as error:
-                faults.append(f"[peers] {key}: {error} (is {address!r:.60})")
+                faults.append(f"[peers] {key}: {error}, found {address!r:.60}")
 
 
 def check_channel(config: ServiceConfig, faults: list[str]) -> None:
-    """The channel is quick and wide enough for the promises to be kept."""
+    """Check that the channel is fast and wide enough to keep the limits in [promises]."""
     channel, promises = config.channel, config.promises
     if channel.worst_transit_s >= promises.drain_grace_s:
-        faults.append("[channel] worst_transit_s: not under [promises] drain_grace_s; no drain could be kept")
+        faults.append(
+            "[channel] worst_transit_s: not below [promises] drain_grace_s, so that no drain could complete in time"
+        )
     if channel.transit_s > channel.worst_transit_s:
         faults.append("[channel] transit_s: above worst_transit_s")
     if channel.most_waiting < MIN_WAITING_MESSAGES * (channel.head_lines + 1):
-        faults.append("[channel] most_waiting: less than four messages of one line")
+        faults.append("[channel] most_waiting: below the size of four messages of one line")
     if promises.warm_up_s < promises.fall_s:
-        faults.append("[promises] warm_up_s: under fall_s")
+        faults.append("[promises] warm_up_s: below fall_s")
 
 
 def check_listeners(config: ServiceConfig, faults: list[str]) -> None:
-    """Servers have room for a whole table and do not share an address."""
+    """Check that servers can queue a complete table and do not share an address."""
     if config.clone.listen and config.clone.waiting_most <= config.proxies.tasks_most:
-        faults.append("[clone] waiting_most: not above [proxies] tasks_most; a whole table could never wait")
+        faults.append(
+            "[clone] waiting_most: not above [proxies] tasks_most, so that a complete table could not be queued"
+        )
     if split_address(config.sasp.listen)[1] and config.sasp.listen == config.otlp.listen:
         faults.append("[otlp] listen: the same as [sasp] listen")
--- a/hollyridge/settings/fleet_file.py
+++ b/hollyridge/settings/fleet_file.py
@@ -1,6 +1,6 @@
-"""Reads and writes the description of a fleet, for `hollyridge solve` and the page `/fleet`.
+"""Reader and writer of fleet descriptions, for `hollyridge solve` and the page `/fleet`.
 
-Field names of the sections are the keys of the file: they are a format and stay.
+Field names of the sections are the keys of the file format and must not change.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SolveSection(Section):
-    """[solve]: costs, limits on tables, and how long a plan may take."""
+    """[solve]: costs, limits on tables, and the time limit of a plan."""
 
     crossing: NonNegativeFloat = 0.1
     handshake: NonNegativeFloat = 0.05
@@ -33,14 +33,14 @@
 
 
 class MethodSection(Section):
-    """[method NAME]: its priority weight, and the work of an RPC in average RPCs."""
+    """[method NAME]: the criticality of a method, and the work of an RPC in average RPCs."""
 
     criticality: NonNegativeFloat = 1
     work: PositiveFloat = 1
 
 
 class ZoneSection(Section):
-    """[zone NAME]: proxies and their demand, in RPCs a second by method in the order of the methods."""
+    """[zone NAME]: the proxies of a zone and their demand, in RPCs per second for each method in order."""
 
     proxies: Annotated[int, Field(ge=0)] = 1
     demand: Annotated[list[NonNegativeFloat], WORD_LIST]
@@ -48,7 +48,7 @@
 
 
 class TasksSection(Section):
-    """[tasks NAME]: a number of tasks that are alike."""
+    """[tasks NAME]: a group of identical tasks."""
 
     zone: str
     count: Annotated[int, Field(ge=1, le=20000)] = 1
@@ -60,12 +60,12 @@
 
 
 class FleetDescription(NamedTuple):
-    """What a file describes.
+    """Content of a fleet description.
 
     Attributes:
-        fleet: The fleet, its tasks numbered through all groups.
-        deadline_s: How long a plan may take.
-        groups: The tasks of each [tasks NAME], by name.
+        fleet: Fleet, with its tasks numbered across all groups.
+        deadline_s: Time limit of a plan, in seconds.
+        groups: Indices of the tasks of each [tasks NAME], by name.
     """
 
     fleet: Fleet
@@ -77,7 +77,7 @@
 
 
 def write(fleet: Fleet) -> str:
-    """A fleet as `load` reads it, a section for each task.
+    """Return a fleet in the format that `load` reads, with one section per task.
 
     >>> one = Fleet((Method("read", 3.0),), (Zone("khalda", 2, (9.0,)),), (Task("127.1.0.1:80", 0, 30.0),), ({0: 1.0},))
     >>> read_text(write(one).encode(), "here")[0] == one._replace(tasks=(Task("127.1.0.1-80-1", 0, 30.0),))
@@ -97,12 +97,12 @@
 
 
 def section_text(name: str, values: dict[str, object]) -> str:
-    """One section with its keys."""
+    """Return the text of a section."""
     return f"[{name}]\n" + "".join(f"{key} = {value}\n" for key, value in values.items())
 
 
 def solve_values(fleet: Fleet) -> dict[str, object]:
-    """The keys of [solve], without the deadline."""
+    """Return the values of [solve], without the deadline."""
     return {
         "crossing": fleet.cross_zone_cost,
         "handshake": fleet.handshake_cost,
@@ -115,12 +115,12 @@
 
 
 def zone_values(zone: Zone) -> dict[str, object]:
-    """The keys of a [zone NAME]."""
+    """Return the values of a [zone NAME]."""
     return {"proxies": zone.proxy_count, "demand": ", ".join(map(str, zone.demand_rps)), "out": zone.in_flight}
 
 
 def task_values(fleet: Fleet, task: Task) -> dict[str, object]:
-    """The keys of a [tasks NAME] that stands for one task."""
+    """Return the values of a [tasks NAME] with one task."""
     return {
         "zone": fleet.zones[task.zone].name,
         "rate": task.capacity_rps,
@@ -132,17 +132,17 @@
 
 
 def load(path: Path | str) -> FleetDescription:
-    """Read a file; FaultsError with all that is wrong."""
+    """Read a file; raise FaultsError with all faults."""
     return describe(read_file(path))
 
 
 def read_text(raw: bytes, source: str) -> FleetDescription:
-    """Read text that came from elsewhere, named by its source in faults; FaultsError with all that is wrong."""
+    """Read a text, which faults refer to as `source`; raise FaultsError with all faults."""
     return describe(read_bytes(raw, source))
 
 
 def describe(parser: ConfigParser) -> FleetDescription:
-    """Check all sections and build the fleet; FaultsError with all that is wrong."""
+    """Validate all sections and build the fleet; raise FaultsError with all faults."""
     faults: list[str] = []
     solve = check("solve", SolveSection, dict(parser["solve"]) if parser.has_section("solve") else {}, faults)
     sections = NamedSections(parser, faults)
@@ -168,14 +168,14 @@
 
 
 class NamedSections:
-    """The sections of a file that have a name, by kind; what does not fit is added to `faults` and left out.
+    """Named sections of a file by kind. Invalid sections are added to `faults` and left out.
 
     Attributes:
-        methods: [method NAME], in the order of the file.
-        zones: [zone NAME], in the order of the file.
-        tasks: [tasks NAME], in the order of the file.
-        held: [held ZONE]: weight by group of tasks, as written.
-        faults: What is wrong so far.
+        methods: Sections [method NAME] by name, in the order of the file.
+        zones: Sections [zone NAME] by name, in the order of the file.
+        tasks: Sections [tasks NAME] by name, in the order of the file.
+        held: Sections [held ZONE] by zone: texts of weights by group of tasks.
+        faults: Faults found so far.
     """
 
     def __init__(self, parser: ConfigParser, faults: list[str]) -> None:
@@ -206,24 +206,26 @@
         section: str,
         name: str,
         model: type[SectionModel],
-        found: dict[str, SectionModel],
+        models: dict[str, SectionModel],
         values: dict[str, str],
     ) -> None:
         checked = check(section, model, values, self.faults)
         if checked is not None:
-            found[name] = checked
+            models[name] = checked
 
     def check_counts(self) -> None:
-        """There are methods and zones, and each zone has a demand for each method."""
+        """Check that there are methods and zones, and that each zone has a demand for each method."""
         if not self.methods or not self.zones:
-            self.faults.append("[method NAME] and [zone NAME]: one of each at least")
+            self.faults.append("[method NAME] and [zone NAME]: at least one of each is needed")
         for name, zone in self.zones.items():
             if len(zone.demand) != len(self.methods):
-                self.faults.append(f"[zone {name}] demand: {len(self.methods)} figures wanted, one a method")
+                self.faults.append(
+                    f"[zone {name}] demand: {len(zone.demand)} values, expected {len(self.methods)}, one per method"
+                )
 
 
 def build_tasks(sections: NamedSections) -> tuple[list[Task], dict[str, range]]:
-    """The tasks of all groups, and which of them each group has."""
+    """Return the tasks of all groups, and the indices of the tasks by group."""
     zone_names = list(sections.zones)
     tasks: list[Task] = []
     groups: dict[str, range] = {}
@@ -237,7 +239,7 @@
 
 
 def group_tasks(name: str, group: TasksSection, zone: int) -> Iterable[Task]:
-    """The tasks of one group, numbered from 1."""
+    """Yield the tasks of one group, numbered from 1."""
     for number in range(1, group.count + 1):
         yield Task(
             f"{name}-{number}",
@@ -251,7 +253,7 @@
 
 
 def build_tables(sections: NamedSections, groups: dict[str, range]) -> list[dict[int, float]]:
-    """The table of each zone that is in force, weight by task."""
+    """Return the current table of each zone: weight by task."""
     zone_names = list(sections.zones)
     tables: list[dict[int, float]] = [{} for _ in zone_names]
     for name, weights in sections.held.items():
@@ -259,16 +261,18 @@
             sections.faults.append(f"[held {name}]: no such zone")
             continue
         for group, text in weights.items():
-            weight = weight_of(text)
+            weight = parse_weight(text)
             if group not in groups or not 0 <= weight < MAX_WEIGHT:
-                sections.faults.append(f"[held {name}] {group}: a weight for each task of a group that there is")
+                sections.faults.append(
+                    f"[held {name}] {group}: expected an existing group and a weight >= 0 and < {MAX_WEIGHT:g}"
+                )
             elif weight > 0:
                 tables[zone_names.index(name)].update(dict.fromkeys(groups[group], weight))
     return tables
 
 
-def weight_of(text: str) -> float:
-    """A number; -1 for anything else."""
+def parse_weight(text: str) -> float:
+    """Return a number; -1 for anything else."""
     try:
         return float(text)
     except ValueError:
--- a/hollyridge/settings/ini.py
+++ b/hollyridge/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI files and checks their sections; every fault is named by section and key."""
+"""Reader and validator of INI files, which names every fault by section and key."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Section(BaseModel):
-    """A section with its keys; unknown keys are faults, since a mistyped key would silently do nothing."""
+    """Base class of section models. Unknown keys are faults, because a mistyped key would silently have no effect."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class FaultsError(HollyridgeError):
-    """A file can't be used; `faults` holds a line for each fault, as `[section] key: what is wrong`."""
+    """The file is invalid; `faults` has one line per fault, as `[section] key: description`."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -30,21 +30,21 @@
 Model = TypeVar("Model", bound=Section)
 
 
-def words(text: str) -> tuple[str, ...]:
-    """The words of a list that is separated by commas or spaces.
+def split_words(text: str) -> tuple[str, ...]:
+    """Return the words of a list that is separated by commas or spaces.
 
-    >>> words("a, b  c")
+    >>> split_words("a, b  c")
     ('a', 'b', 'c')
     """
     return tuple(text.replace(",", " ").split())
 
 
-# Marks a key whose value is a list of words.
-WORD_LIST = BeforeValidator(lambda value: list(words(value)) if isinstance(value, str) else value)
+# Annotation of a key whose value is a list of words.
+WORD_LIST = BeforeValidator(lambda value: list(split_words(value)) if isinstance(value, str) else value)
 
 
 def read_file(path: Path | str) -> configparser.ConfigParser:
-    """The parsed file; FaultsError for one that can't be read as INI."""
+    """Parse a file; raise FaultsError if it cannot be read or is not INI."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -53,12 +53,12 @@
 
 
 def read_bytes(raw: bytes, source: str) -> configparser.ConfigParser:
-    """The parsed text, named by its source in faults; FaultsError for what is no INI."""
+    """Parse a text, which faults refer to as `source`; raise FaultsError if it is not INI."""
     parser = configparser.ConfigParser(
         interpolation=None, inline_comment_prefixes=(";",), strict=True, default_section="\0"
     )
     if len(raw) > MAX_FILE_BYTES:
-        raise FaultsError([f"{source}: {len(raw)} bytes, {MAX_FILE_BYTES} at most"])
+        raise FaultsError([f"{source}: file of {len(raw)} bytes, expected at most {MAX_FILE_BYTES}"])
     try:
         parser.read_string(raw.decode("utf-8"), source=source)
     except UnicodeDecodeError:
@@ -69,15 +69,15 @@
 
 
 def check(section: str, model: type[Model], values: dict[str, str], faults: list[str]) -> Model | None:
-    r"""The section as its model; None, and what is wrong added to `faults`, if it does not fit.
+    r"""Validate a section and return its model; if it is invalid, add to `faults` and return None.
 
     >>> class Door(Section):
     ...     width: int
     >>> faults = []
-    >>> check("door", Door, {"width": "wide", "colour": "red"}, faults)
+    >>> check("door", Door, {"width": "wide", "color": "red"}, faults)
     >>> print("\n".join(faults))
-    [door] width: Input should be a valid integer, unable to parse string as an integer (is 'wide')
-    [door] colour: no such key
+    [door] width: Input should be a valid integer, unable to parse string as an integer, found 'wide'
+    [door] color: no such key
     """
     try:
         return model.model_validate(values)
@@ -89,6 +89,6 @@
             elif fault["type"] == "missing":
                 faults.append(f"[{section}] {key}: missing")
             else:
-                given = f" (is {fault['input']!r:.60})" if isinstance(fault["input"], str) else ""
+                given = f", found {fault['input']!r:.60}" if isinstance(fault["input"], str) else ""
                 faults.append(f"[{section}] {key}: {fault['msg']}{given}")
         return None
--- a/hollyridge/settings/sections.py
+++ b/hollyridge/settings/sections.py
@@ -1,6 +1,6 @@
-"""The sections of an assigner's settings file, one model each.
+"""Models of the sections of an assigner's settings file.
 
-Field names are the keys of the file: they are a format and stay. Defaults are those of `docs/operators.md`.
+Field names are the keys of the file format and must not change. The defaults are documented in `docs/operators.md`.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from hollyridge.settings.address import split_address
 from hollyridge.settings.ini import WORD_LIST, Section
 
-MAX_FIRST_PORT = 65533  # the pub-sub server listens on this port and the two above it
+MAX_FIRST_PORT = 65533  # the pub-sub server also listens on the two ports above the configured one
 
 
-def checked_address(value: str) -> str:
-    """The value itself; ValueError if it is not `address:port`."""
+def validate_address(value: str) -> str:
+    """Return the value; raise ValueError if it is not `address:port`."""
     split_address(value)
     return value
 
 
-ListenAddress = Annotated[str, AfterValidator(checked_address)]
+ListenAddress = Annotated[str, AfterValidator(validate_address)]
 Fraction = Annotated[float, Field(gt=0, le=1)]
 NonNegative = Annotated[float, Field(ge=0)]
 
 
 class AssignerSection(Section):
-    """[assigner]: this process, and how often it decides."""
+    """[assigner]: the process, and the length of its report period."""
 
     name: str = "assigner"
     seed: int = 0
@@ -39,7 +39,7 @@
 class ChannelSection(Section):
     """[channel]: the paced channel to the proxies, in table lines as sent.
 
-    A message costs `head_lines` beyond the lines it holds.
+    Each message costs `head_lines` in addition to its lines.
     """
 
     lines_per_s: PositiveFloat = 3000
@@ -52,7 +52,7 @@
 
 
 class PromisesSection(Section):
-    """[promises]: the limits that the operators' rules state."""
+    """[promises]: the limits that the operators' rules require."""
 
     bare_s: Annotated[float, Field(ge=1)] = 5
     drain_grace_s: Annotated[float, Field(ge=1)] = 3
@@ -63,7 +63,7 @@
 
 
 class ProxiesSection(Section):
-    """[proxies]: how proxies behave, and how many proxies and tasks are taken."""
+    """[proxies]: the behavior of proxies, and the maximum numbers of proxies and tasks."""
 
     pick: Literal["p2c", "rotate", "random"] = "p2c"
     outlier_after: Annotated[int, Field(ge=0)] = 0
@@ -119,7 +119,7 @@
 
 
 class CloneSection(Section):
-    """[clone]: the pub-sub server (CHP); `listen` is the first of its three ports, empty for none."""
+    """[clone]: the pub-sub server (CHP); `listen` has the first of its three ports, empty for no server."""
 
     listen: str = ""
     waiting_most: Annotated[int, Field(ge=100, le=1_000_000)] = 20000
@@ -127,17 +127,17 @@
 
     @field_validator("listen")
     @classmethod
-    def three_ports(cls, value: str) -> str:
-        """The address, if the two ports above it exist as well."""
+    def validate_ports(cls, value: str) -> str:
+        """Return the address; raise ValueError if the two ports above it do not exist."""
         if value and split_address(value)[1] > MAX_FIRST_PORT:
-            raise ValueError("three ports are needed from here on")
+            raise ValueError(f"port of at most {MAX_FIRST_PORT} expected, because the next two ports are used as well")
         return value
 
 
 class KeysSection(Section):
-    """[keys]: key files, relative to the settings.
+    """[keys]: key files, with paths relative to the settings file.
 
-    `tls_*` are for SASP and OTLP (all three or none), `curve` for pub-sub.
+    `tls_*` are for SASP and OTLP (all three or none), `curve` is for the pub-sub server.
     """
 
     tls_certificate: str = ""
@@ -147,9 +147,10 @@
 
 
 class AccessSection(Section):
-    """[access NAME]: what a principal may do.
+    """[access NAME]: the permissions of a principal.
 
-    The proxies it may connect as (patterns), the networks of members it may register, the zones it may report for.
+    `proxies` are patterns of the proxies as which it may connect, `members` the networks of members that it may
+    register, and `reports` the zones for which it may report.
     """
 
     curve: Annotated[str, Field(pattern=r"^(.{40})?$")] = ""
@@ -159,7 +160,7 @@
 
 
 class RosterSection(Section):
-    """[roster]: how long members outlive a broken stream, and how long a start waits for registrations."""
+    """[roster]: how long members are kept after their stream breaks, and how long a start waits for registrations."""
 
     hold_own_s: PositiveFloat = 1
     hold_agent_s: PositiveFloat = 30
@@ -168,7 +169,7 @@
 
 
 class LogSection(Section):
-    """[log]: format and level of the log, and how often the status is logged (0: never)."""
+    """[log]: the format and level of the log, and the interval between log lines with the status (0: never)."""
 
     format: Literal["console", "json"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -176,16 +177,16 @@
 
 
 class KeptSection(Section):
-    """[kept]: the file, relative to the settings, that keeps learned estimates across restarts; empty for none."""
+    """[kept]: the file that keeps learned estimates across restarts, relative to the settings file; empty for none."""
 
     file: str = ""
     every_s: Annotated[float, Field(ge=0.2, le=3600)] = 10
 
 
 class SolverSection(Section):
-    """[solver]: the weight solver beside the feedback loop.
+    """[solver]: the weight solver that complements the feedback loop.
 
-    `handshake` is the work of a new connection in average RPCs, `connections` how many a task takes (0: not known).
+    `handshake` is the work of a new connection in average RPCs, `connections` the maximum per task (0: unknown).
     """
 
     on: bool = False
@@ -195,11 +196,11 @@
 
 
 class PeersSection(Section):
-    """[peers]: assigners that share a fleet; with `listen` empty this one shares nothing.
+    """[peers]: the assigners that share a fleet; if `listen` is empty, this one does not share any.
 
-    `known_as` is the address at which the others reach it, if that is another one; `key` a file with 32 bytes as hex;
-    `round_trip_ms` the longest usual one between peers; `settle_s` how long a member has to be there before proxies
-    move to it.
+    `known_as` is the address at which the others reach this one if it is not `listen`. `key` is a file with 32 bytes as
+    hex. `round_trip_ms` is the longest usual round trip between peers. `settle_s` is how long an assigner must have
+    been a member before proxies move to it.
     """
 
     listen: str = ""
@@ -215,7 +216,7 @@
     members_most: Annotated[int, Field(ge=1, le=64)] = 64
 
 
-# Every section that a file may hold once; [method NAME], [access NAME] and [zones] are read by name.
+# Sections that occur at most once in a file. [method NAME], [access NAME] and [zones] are read separately.
 SECTIONS: dict[str, type[Section]] = {
     "assigner": AssignerSection,
     "channel": ChannelSection,
--- a/hollyridge/settings/service_config.py
+++ b/hollyridge/settings/service_config.py
@@ -1,4 +1,4 @@
-"""What a checked settings file means for each part of the service."""
+"""Configuration of each component of the service, built from a validated settings file."""
 
 from __future__ import annotations
 
@@ -48,28 +48,28 @@
 Network = Union[ipaddress.IPv4Network, ipaddress.IPv6Network]
 
 MIN_KEY_BYTES = 32
-MAX_CACHED_HOSTS = 100_000  # addresses whose zone is remembered
-REFRESH_WITHIN_S = 10  # registrations come unasked; the decisions ask for the list at least this often
-REPORT_QUEUE_PERIODS = 8  # periods of reports that may wait for the decisions before reports are dropped
+MAX_CACHED_HOSTS = 100_000  # addresses whose zone is cached
+REFRESH_WITHIN_S = 10  # maximum time between refreshes of the list; registrations arrive without a refresh
+REPORT_QUEUE_PERIODS = 8  # report periods whose reports may be queued for decisions; further reports are dropped
 PROBE_INTERVAL_ROUND_TRIPS = 10
 PROBE_TIMEOUT_ROUND_TRIPS = 3
 
 
 def fleet_key(path: Path) -> bytes:
-    """The key that peers share; OSError or ValueError where the file holds none."""
+    """Return the key that peers share; raise OSError or ValueError if the file has no valid key."""
     secret = bytes.fromhex(path.read_text())
     if len(secret) < MIN_KEY_BYTES:
-        raise ValueError("32 bytes as hex are wanted")
+        raise ValueError(f"{MIN_KEY_BYTES} bytes or more expected as hex, found {len(secret)}")
     return secret
 
 
-def micros(seconds: float) -> int:
-    """Whole microseconds."""
+def to_microseconds(seconds: float) -> int:
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1_000_000)
 
 
 class PeerAddress(NamedTuple):
-    """How one member of a shared fleet appears to the others; `known_as` is empty if it is reached at `listen`."""
+    """Identity and addresses of one member of a shared fleet; `known_as` is empty if others reach it at `listen`."""
 
     name: str
     listen: tuple[str, int]
@@ -80,13 +80,13 @@
 
 
 class ServiceConfig:
-    """A checked settings file by section, and the configuration that each part of the service gets from it.
+    """Sections of a validated settings file, and the configuration of each component built from them.
 
     Attributes:
-        methods: Name to section, in the order of the file.
-        zones: Name to networks, in the order of the file.
-        principals: Who may do what.
-        folder: Where the file lies; key and state files are relative to it.
+        methods: Sections by method name, in the order of the file.
+        zones: Networks by zone name, in the order of the file.
+        principals: Principals with their permissions.
+        folder: Folder of the settings file, to which the paths of key and state files are relative.
     """
 
     assigner: AssignerSection
@@ -118,14 +118,14 @@
         self.method_names = list(methods)
 
     def groups(self) -> dict[str, int]:
-        """Group name to the method whose table it shows."""
+        """Return, by group name, the index of the method whose table the group shows."""
         return shown_methods([(m.group or name, m.criticality) for name, m in self.methods.items()])
 
     def assigner_config(self) -> AssignerConfig:
-        """What the decisions are configured with.
+        """Return the configuration of the decision module.
 
-        A line of a table goes to a proxy once for each group, so the decisions are told of a channel that is so many
-        times narrower. Admission levels and retry modes are sent where the pub-sub server is on; SASP has neither.
+        Each table line is sent to a proxy once per group, so the capacity of the channel is divided by the number of
+        groups. Admission levels and retry modes are sent if the pub-sub server is on; SASP has neither.
         """
         copies = len(self.groups())
         channel, promises, proxies = self.channel, self.promises, self.proxies
@@ -134,21 +134,21 @@
             zones=len(self.zones),
             assigners=self.assigner.assigners,
             subscribe=False,
-            refresh_within_us=micros(REFRESH_WITHIN_S),
-            report_period_us=micros(self.assigner.report_period_s),
+            refresh_within_us=to_microseconds(REFRESH_WITHIN_S),
+            report_period_us=to_microseconds(self.assigner.report_period_s),
             lines_per_s=channel.lines_per_s / copies,
             message_overhead_lines=channel.head_lines / copies,
             max_waiting_lines=channel.most_waiting / copies,
             max_messages_per_proxy=channel.messages_most,
-            message_count_window_us=micros(channel.messages_over_s),
-            transit_us=micros(channel.transit_s),
-            max_transit_us=micros(channel.worst_transit_s),
-            empty_table_limit_us=micros(promises.bare_s),
-            drain_grace_us=micros(promises.drain_grace_s),
+            message_count_window_us=to_microseconds(channel.messages_over_s),
+            transit_us=to_microseconds(channel.transit_s),
+            max_transit_us=to_microseconds(channel.worst_transit_s),
+            empty_table_limit_us=to_microseconds(promises.bare_s),
+            drain_grace_us=to_microseconds(promises.drain_grace_s),
             removal_is_advisory=False,
             cold_capacity_fraction=promises.cold_from,
-            warm_up_us=micros(promises.warm_up_s),
-            overload_window_us=micros(promises.fall_s),
+            warm_up_us=to_microseconds(promises.warm_up_s),
+            overload_window_us=to_microseconds(promises.fall_s),
             overload_multiple=promises.fall_multiple,
             balancing_policy=BALANCING_POLICIES[proxies.pick],
             proxy_ejection_failures=proxies.outlier_after,
@@ -163,19 +163,19 @@
         )
 
     def registration_config(self) -> RegistrationConfig:
-        """For the registry of members that SASP registers."""
+        """Return the configuration of the registry of members registered through SASP."""
         roster = self.roster
         return RegistrationConfig(
-            micros(self.promises.warm_up_s),
-            micros(roster.hold_own_s),
-            micros(roster.hold_agent_s),
-            micros(roster.settle_s),
-            micros(roster.settle_most_s),
+            to_microseconds(self.promises.warm_up_s),
+            to_microseconds(roster.hold_own_s),
+            to_microseconds(roster.hold_agent_s),
+            to_microseconds(roster.settle_s),
+            to_microseconds(roster.settle_most_s),
             self.proxies.tasks_most,
         )
 
     def engine_limits(self) -> EngineLimits:
-        """For the engine; an index of a task rests after its use, so there are twice as many as tasks."""
+        """Return the limits of the engine: twice as many indices as tasks, because reuse of an index is delayed."""
         channel, otlp = self.channel, self.otlp
         return EngineLimits(
             channel.lines_per_s,
@@ -191,14 +191,14 @@
         )
 
     def solver_config(self) -> SolverConfig | None:
-        """For the weight solver; None where it is off."""
+        """Return the configuration of the weight solver; None if it is off."""
         solver = self.solver
         if not solver.on:
             return None
         return SolverConfig(solver.handshake, solver.connections or math.inf, solver.deadline_s)
 
     def persistence_config(self) -> PersistenceConfig | None:
-        """For the file of learned estimates; None where there is none."""
+        """Return the configuration of the file of learned estimates; None if there is no file."""
         kept = self.kept
         if not kept.file:
             return None
@@ -207,7 +207,7 @@
         )
 
     def peer_config(self) -> PeerConfig | None:
-        """For the exchange with other assigners; None where this one shares nothing."""
+        """Return the configuration of the exchange with other assigners; None if this one does not share a fleet."""
         peers = self.peers
         if not peers.listen:
             return None
@@ -223,16 +223,20 @@
         )
 
     def peer_config_for(self, address: PeerAddress) -> PeerConfig:
-        """The paces of the settings for this member.
+        """Return the peer configuration of a member with the intervals of these settings.
 
-        Probes and suspicion are ratios to the stated round trip: an answer within three, a probe every ten.
+        The probe timeout is three times the configured round trip, and the probe interval is ten times.
         """
         peers = self.peers
-        round_trip_us = micros(peers.round_trip_ms / 1e3)
+        round_trip_us = to_microseconds(peers.round_trip_ms / 1e3)
         pace = SwimConfig(
             PROBE_INTERVAL_ROUND_TRIPS * round_trip_us, PROBE_TIMEOUT_ROUND_TRIPS * round_trip_us, peers.members_most
         )
-        lease = LeaseConfig(micros(peers.lease_s), micros(peers.settle_s), micros(self.assigner.report_period_s))
+        lease = LeaseConfig(
+            to_microseconds(peers.lease_s),
+            to_microseconds(peers.settle_s),
+            to_microseconds(self.assigner.report_period_s),
+        )
         return PeerConfig(
             address.name,
             address.listen,
@@ -246,16 +250,16 @@
         )
 
     def tls_files(self) -> TlsFiles | None:
-        """Certificate, key and client authorities; None where connections are open."""
+        """Return the files with certificate, key and client authorities; None if TLS is off."""
         names = self.keys.tls_certificate, self.keys.tls_key, self.keys.tls_clients
         return TlsFiles(*(str(self.folder / name) for name in names)) if all(names) else None
 
     def curve_file(self) -> str:
-        """The CURVE key of the pub-sub server; empty where it is open."""
+        """Return the path of the pub-sub server's CURVE key; empty if CURVE is off."""
         return str(self.folder / self.keys.curve) if self.keys.curve else ""
 
     def sasp_config(self) -> SaspConfig:
-        """For the SASP server."""
+        """Return the configuration of the SASP server."""
         sasp = self.sasp
         return SaspConfig(
             *split_address(sasp.listen),
@@ -272,7 +276,7 @@
         )
 
     def chp_config(self) -> ChpConfig:
-        """For the pub-sub server."""
+        """Return the configuration of the pub-sub server."""
         return ChpConfig(
             *split_address(self.clone.listen),
             self.clone.waiting_most,
@@ -283,16 +287,16 @@
         )
 
     def otlp_config(self) -> OtlpConfig:
-        """For the receiver of load reports."""
+        """Return the configuration of the receiver of load reports."""
         otlp = self.otlp
         return OtlpConfig(
             *split_address(otlp.listen), otlp.body_most_bytes, otlp.body_s, otlp.connections_most, otlp.points_per_s
         )
 
     def zone_finder(self) -> Callable[[str], int]:
-        """A call that gives the zone of an address by the most specific network that holds it; -1 for none."""
+        """Return a function from an address to the zone with the most specific network containing it; -1 for none."""
         networks = sorted(
-            ((network, zone) for zone, some in enumerate(self.zones.values()) for network in some),
+            ((network, zone) for zone, zone_networks in enumerate(self.zones.values()) for network in zone_networks),
             key=lambda entry: -entry[0].prefixlen,
         )
         zone_by_host: dict[str, int] = {}
@@ -300,7 +304,7 @@
         def find(host: str) -> int:
             zone = zone_by_host.get(host)
             if zone is None:
-                zone = zone_of(host, networks)
+                zone = find_zone(host, networks)
                 if len(zone_by_host) < MAX_CACHED_HOSTS:
                     zone_by_host[host] = zone
             return zone
@@ -309,21 +313,21 @@
 
 
 def method_config(method: MethodSection) -> MethodConfig:
-    """What the decisions are told of one method."""
+    """Return the decision module's configuration of one method."""
     return MethodConfig(
-        soft_deadline_us=micros(method.soft_deadline_ms / 1e3),
-        deadline_us=micros(method.deadline_ms / 1e3),
+        soft_deadline_us=to_microseconds(method.soft_deadline_ms / 1e3),
+        deadline_us=to_microseconds(method.deadline_ms / 1e3),
         criticality=method.criticality,
         idempotency=IDEMPOTENCY[method.repeats],
         idempotency_scope=IDEMPOTENCY_SCOPES[method.dropped_by],
-        idempotency_window_us=micros(method.window_ms / 1e3),
+        idempotency_window_us=to_microseconds(method.window_ms / 1e3),
         same_zone_only=False,
     )
 
 
-def zone_of(host: str, networks: list[tuple[Network, int]]) -> int:
-    """The zone of the first network that holds the address, IPv4-mapped ones by their IPv4 address; -1 for none."""
+def find_zone(host: str, networks: list[tuple[Network, int]]) -> int:
+    """Return the zone of the first network that contains the address, -1 for none; unmap IPv4-mapped addresses."""
     address = ipaddress.ip_address(host)
     address = getattr(address, "ipv4_mapped", None) or address
-    holding = (zone for network, zone in networks if address.version == network.version and address in network)
-    return next(holding, -1)
+    zones = (zone for network, zone in networks if address.version == network.version and address in network)
+    return next(zones, -1)
