--- a/hollyridge/keys/curve.py
+++ b/hollyridge/keys/curve.py
@@ -68,7 +68,7 @@
         self.greenlet = gevent.spawn(self.handle_requests)
 
     def load(self, path: str) -> None:
-        """Load the service's key, which sockets secured from now on use."""
+        """Load the service's key, which is set on sockets that are secured from now on."""
         public, secret = auth.load_certificate(path)
         if secret is None:
             raise CurveKeyError(f"key file {path} contains no secret key")
--- a/tests/crossings/test_crossings_joining.py
+++ b/tests/crossings/test_crossings_joining.py
@@ -107,9 +107,8 @@
                 sock.close()
         rig.until(lambda: len(rig.server.streams) == 1)
         before = before or open_resources()
-    rig.until(
-        lambda: not any(new - old for new, old in zip(open_resources(), before))
-    )  # the last ones may still be closing
+    # The last connections may still be closing.
+    rig.until(lambda: not any(new - old for new, old in zip(open_resources(), before)))
     assert not rig.server.pending.waiting
     assert not rig.server.pending.silent
     assert len(rig.engine.proxy_indices) == 1
--- a/tests/crossings/test_crossings_process.py
+++ b/tests/crossings/test_crossings_process.py
@@ -133,9 +133,8 @@
         "and on",
     ]
     assert sink.dropped == 0
-    print(
-        "y" * 9000, file=sink, flush=True
-    )  # longer than the room in the pipe: it is cut, and the next one starts on a new line
+    # This line is longer than the room in the pipe: it is cut, and the next one starts on a new line.
+    print("y" * 9000, file=sink, flush=True)
     os.read(reader, 65536)
     print("whole", file=sink, flush=True)
     assert os.read(reader, 65536).decode().splitlines()[-1] == "whole"
