--- a/hollyridge/decisions/__init__.py
+++ b/hollyridge/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The routing decisions: one decision a module, without I/O or clock."""
+"""The routing decisions, one module for each kind of decision, without I/O and without a clock."""
--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -1,8 +1,9 @@
-"""The assigner: all decisions about which tasks its proxies send to, and how much to each.
+"""The assigner: all decisions about the tasks that its proxies send to, and the share of each task.
 
-Called as `Assigner(config, seed).decide(now_us, events) -> commands`, once for all events of one moment; nothing else
-goes in or out. Events, commands and `AssignerConfig` are in `hollyridge.interface`. Each other module of this package
-takes one decision; this one passes events to them and works through the steps of a report period.
+It is called as `Assigner(config, seed).decide(now_us, events) -> commands`, once for all events of one moment, and has
+no other input or output. Events, commands and `AssignerConfig` are in `hollyridge.interface`. Each other module of
+this package makes one kind of decision; this module passes events to them and runs the steps at the end of a report
+period.
 """
 
 from __future__ import annotations
@@ -40,22 +41,22 @@
     WeightProposal,
 )
 
-PROPOSAL_PERIODS = 3  # report periods that a proposal of weights stands without another
-FRESH_PERIODS = 3  # report periods after which the newest report is old
+PROPOSAL_VALID_PERIODS = 3  # report periods for which a proposal of weights is valid
+RECENT_PERIODS = 3  # report periods after which the newest report is no longer recent
 MIN_WARM_DIVISOR = 4  # methods are separated only while over a quarter of the tasks are warm
-DEFERRED_RETRY_DIVISOR = 8  # what found no room is tried again after an eighth of a report period
-TIMER_SLACK_DIVISOR = 2  # the timer stands in half a report period after reports were due
+DEFERRED_RETRY_DIVISOR = 8  # deferred changes are retried after an eighth of a report period
+TIMER_SLACK_DIVISOR = 2  # the timer ends a period half a report period after reports were due
 MIN_TIMER_US = 1000  # one millisecond
-PRIOR_LATENCY_DIVISOR = 2  # where nothing was reported, latency counts as half its objective
+PRIOR_LATENCY_DIVISOR = 2  # without reports, latency is assumed to be half its objective
 TIMER_TOKEN = 0
 
 
 class Assigner:
-    """Events in, commands out.
+    """The decision module: it takes events and returns commands.
 
     Attributes:
-        config: The deployment.
-        next_period_at_us: When the next report period is worked through if no reports come earlier.
+        config: Configuration of the deployment.
+        next_period_at_us: End of the current report period if no reports arrive earlier.
     """
 
     def __init__(self, config: AssignerConfig, seed: int) -> None:
@@ -79,35 +80,35 @@
             Ack: self.backlog.acknowledge,
             QueueDepth: self._on_queue_depth,
             WeightProposal: self._on_proposal,
-            EstimatesRestored: self._on_restored,
+            EstimatesRestored: self._on_estimates_restored,
             ProxyJoined: self._on_proxy_joined,
             ProxyLeft: self._on_proxy_left,
         }
 
     def decide(self, now_us: int, events: list[Event]) -> list[Command]:
-        """Takes all events of one moment and returns what is to be done."""
+        """Process all events of one moment and return the commands that follow from them."""
         self.backlog.advance(now_us)
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(now_us, event)
-        if self.config.slices:  # key slices are not decided yet
+        if self.config.slices:  # decisions for key slices are not implemented
             return []
-        kinds = {type(event) for event in events}
-        # Reports end a period early; the timer stands in where none come.
-        early_us = self.config.report_period_us * (TrafficReport in kinds)
-        period_ends = now_us >= self.next_period_at_us - early_us
-        push = period_ends and self._improve(now_us)
-        list_changed = EndpointListUpdate in kinds
+        event_types = {type(event) for event in events}
+        # Reports end a period early; without reports, the timer ends it.
+        early_allowance_us = self.config.report_period_us * (TrafficReport in event_types)
+        period_ends = now_us >= self.next_period_at_us - early_allowance_us
+        push = period_ends and self._end_report_period(now_us)
+        list_changed = EndpointListUpdate in event_types
         commands = self.endpoints.refresh_commands(now_us)
-        if period_ends or list_changed or self._has_unfinished():
+        if period_ends or list_changed or self._has_pending_work():
             commands += self.publisher.publish(now_us, push)
-        if period_ends or list_changed or TimerFired in kinds or self.publisher.has_deferred:
+        if period_ends or list_changed or TimerFired in event_types or self.publisher.has_deferred:
             commands.append(self._next_timer(now_us))
         return commands
 
     def learned_estimates(self) -> tuple[list[LearnedEstimate], float]:
-        """What `EstimatesRestored` takes: of ready tasks that were reported, and the push gate's price."""
+        """Return the estimates of ready tasks that were reported, and the push price, as for `EstimatesRestored`."""
         estimates = self.estimates
         learned = [
             LearnedEstimate(
@@ -123,19 +124,19 @@
         return learned, self.push_gate.push_price
 
     def counters(self) -> dict[str, object]:
-        """For watchers: push price U and last gain of the gate, admitted fractions by zone. They decide nothing."""
+        """Return figures for monitoring: push price U and last gain of the gate, and admitted fractions by zone."""
         return {
             "price": self.push_gate.push_price,
             "gain": self.push_gate.gain,
             "levels": list(self.admission.fraction),
         }
 
-    def _has_unfinished(self) -> bool:
+    def _has_pending_work(self) -> bool:
         return bool(self.tables.pending) or self.publisher.has_deferred
 
     def _next_timer(self, now_us: int) -> SetTimer:
         next_deadline_us = min(self.next_period_at_us, self.endpoints.refresh_at_us or self.next_period_at_us)
-        if self._has_unfinished():
+        if self._has_pending_work():
             retry_us = now_us + self.config.report_period_us // DEFERRED_RETRY_DIVISOR
             next_deadline_us = min(next_deadline_us, retry_us)
         return SetTimer(TIMER_TOKEN, max(next_deadline_us - now_us, MIN_TIMER_US))
@@ -156,23 +157,23 @@
 
     def _on_proposal(self, now_us: int, event: WeightProposal) -> None:
         if event.zone < self.config.zones:
-            valid_until_us = now_us + PROPOSAL_PERIODS * self.config.report_period_us
+            valid_until_us = now_us + PROPOSAL_VALID_PERIODS * self.config.report_period_us
             self.weights.proposed[event.zone] = Proposal(valid_until_us, dict(event.weights))
 
     def _on_proxy_left(self, _now_us: int, event: ProxyLeft | ProxyJoined) -> None:
-        self.tables.leave(event.proxy)
+        self.tables.remove_proxy(event.proxy)
         self.estimates.offered_load.pop(event.proxy, None)
 
     def _on_proxy_joined(self, now_us: int, event: ProxyJoined) -> None:
-        self._on_proxy_left(now_us, event)  # a new stream ends an old one of the same proxy
+        self._on_proxy_left(now_us, event)  # a new stream replaces an old one of the same proxy
         if event.zone < self.config.zones:
-            self.tables.join(event, self.admission.sheddable_methods)
+            self.tables.add_proxy(event, self.admission.sheddable_methods)
             self.estimates.joined_at_us[event.proxy] = now_us
 
-    def _on_restored(self, now_us: int, event: EstimatesRestored) -> None:
-        """Takes estimates where they outweigh what is known, less the older they are.
+    def _on_estimates_restored(self, now_us: int, event: EstimatesRestored) -> None:
+        """Restore the estimates that rest on more reports than the present ones; older estimates count less.
 
-        An old price can only hold pushes back.
+        The restored push price replaces a lower one only, so it can only hold pushes back.
         """
         estimates = self.estimates
         trust = self.config.warm_up_us / (self.config.warm_up_us + max(event.age_us, 0))
@@ -186,20 +187,20 @@
                 self.weights.weight[task] = self.endpoints.listed_weight[task] * (1 + (weight_ratio - 1) * trust)
         self.push_gate.push_price = max(self.push_gate.push_price, event.push_price)
 
-    def _improve(self, now_us: int) -> bool:
-        """Works through the end of a report period; returns whether better weights are to be pushed."""
+    def _end_report_period(self, now_us: int) -> bool:
+        """Run the steps at the end of a report period, and return whether weights are to be pushed."""
         self.weights.expire_proposals(now_us)
         period_us = self.config.report_period_us
         self.next_period_at_us = now_us + period_us + period_us // TIMER_SLACK_DIVISOR
         tasks = self.endpoints.ready_tasks()
         if not tasks:
             return self.push_gate.decide(0.0, 0.0, True)
-        home = self.endpoints.zone
-        self.outliers.update(self.estimates, tasks, home)
+        task_zone = self.endpoints.zone
+        self.outliers.update(self.estimates, tasks, task_zone)
         prior_us = self.estimates.latency_objective_us / PRIOR_LATENCY_DIVISOR
-        latency_us = per_attempt(self.estimates.latency_sum_us, self.estimates.attempts, prior_us, tasks, home)
+        latency_us = per_attempt(self.estimates.latency_sum_us, self.estimates.attempts, prior_us, tasks, task_zone)
         snapshot = self.planner.snapshot(now_us)
-        self._judge_load(snapshot, tasks)
+        self._update_load_limits(snapshot, tasks)
         warm = [task for task in tasks if snapshot.factors[task] >= WARM]
         self._separate_methods(tasks, warm)
         size = self.estimates.update_sizes(self.endpoints.listed_weight, tasks, warm)
@@ -210,13 +211,13 @@
         self.weights.update_spillover(
             latency_us, snapshot.zone_tasks, snapshot.factors, self.outliers.factor, self._demand()
         )
-        # The slow start has been judged anew since the snapshot was taken.
+        # Slow start has been updated since the snapshot was taken.
         snapshot = snapshot._replace(factors=self.planner.slow_start_factors(now_us))
         published, current = self._table_costs(snapshot, costs)
         return self.push_gate.decide(published, current, self.backlog.is_full())
 
-    def _judge_load(self, snapshot: Snapshot, tasks: list[int]) -> None:
-        """Updates slow start and admission by what the fleet can do and what fails."""
+    def _update_load_limits(self, snapshot: Snapshot, tasks: list[int]) -> None:
+        """Update slow start and admission from the fleet's capacity and failures."""
         estimates = self.estimates
         factors = snapshot.factors
         usable = {
@@ -226,31 +227,31 @@
         cold_capacity = sum(factor * estimates.capacity[task] for task, factor in factors.items() if factor < WARM)
         attempts, failed = estimates.attempts_and_failures(tasks)
         age_us = snapshot.now_us - estimates.covered_until_us()
-        fresh = age_us < FRESH_PERIODS * self.config.report_period_us
-        self.slow_start.update(attempts, failed, cold_capacity, fresh)
+        reports_are_recent = age_us < RECENT_PERIODS * self.config.report_period_us
+        self.slow_start.update(attempts, failed, cold_capacity, reports_are_recent)
         for zone in estimates.zones:
             score = estimates.overload_score(zone)
             busy = not estimates.has_idle_capacity(self.tables[zone].weights)
             self.admission.update(snapshot.now_us, zone, score, capacity_fraction, busy)
 
     def _separate_methods(self, tasks: list[int], warm: list[int]) -> None:
-        others = set(tasks) - set(self.tables[self.tables.overflow].weights)
-        attempts, failed = self.estimates.attempts_and_failures(others)
+        other_tasks = set(tasks) - set(self.tables[self.tables.overflow].weights)
+        attempts, failed = self.estimates.attempts_and_failures(other_tasks)
         overloaded = MIN_WARM_DIVISOR * len(warm) > len(tasks) and self.estimates.all_overloaded(warm)
         self.tables.update_separation(overloaded, self.admission.sheddable_methods, attempts, failed)
 
     def _marginal_costs(self, latency_us: list[list[float]], tasks: list[int]) -> list[dict[int, float]]:
-        """By zone of proxies and task."""
-        home = self.endpoints.zone
+        """Return the marginal cost by zone of proxies and task."""
+        task_zone = self.endpoints.zone
         utilization = self.estimates.mean_utilization
         cost_us = self.weights.marginal_cost_us
         return [
-            {task: cost_us(by_task[task], utilization[task], home[task] != zone) for task in tasks}
+            {task: cost_us(by_task[task], utilization[task], task_zone[task] != zone) for task in tasks}
             for zone, by_task in enumerate(latency_us)
         ]
 
     def _demand(self) -> list[float]:
-        """RPCs in a report period by zone of proxies, as reported, or else as expected when they joined."""
+        """Return the RPCs in a report period by zone of proxies, as reported or else as expected at the join."""
         period_us = self.config.report_period_us
         demand = [0.0] * self.config.zones
         for proxy, zone in self.tables.proxy_zone.items():
@@ -259,15 +260,19 @@
         return demand
 
     def _table_costs(self, snapshot: Snapshot, costs: list[dict[int, float]]) -> tuple[float, float]:
-        """The cost of the published weights and of those that a push would send, by the zones' demand."""
+        """Return the cost of the published weights and of those a push would send, weighted by the zones' demand."""
         published = 0.0
         current = 0.0
         for zone, cost in enumerate(costs):
             table = self.tables[zone]
             weights = self.planner.contents(zone, snapshot).weights
-            before = {task: weight for task, weight in table.weights.items() if task in cost}
-            if table.proxies and before:
+            published_weights = {task: weight for task, weight in table.weights.items() if task in cost}
+            if table.proxies and published_weights:
                 demand = sum(self.tables.proxy_rate[proxy] for proxy in table.proxies)
-                published += demand * sum(w * cost[task] for task, w in before.items()) / sum(before.values())
+                published += (
+                    demand
+                    * sum(w * cost[task] for task, w in published_weights.items())
+                    / sum(published_weights.values())
+                )
                 current += demand * sum(w * cost[task] for task, w in weights.items()) / sum(weights.values())
         return published, current
--- a/hollyridge/decisions/endpoints.py
+++ b/hollyridge/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint directory: which tasks are listed and ready, and when the endpoint list is asked for again."""
+"""The endpoint directory: the tasks that are listed and ready, and the time of the next request for the list."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     WatchEndpoints,
 )
 
-MAX_RETRY_PERIODS = 8  # report periods; the longest backoff after failed calls, before jitter
-MIN_RETRY_JITTER = 0.5  # part of the backoff that is waited at least; up to as much again is drawn at random
-DEFAULT_LISTED_WEIGHT = 1.0  # for entries whose weight can't be one
-MAX_LISTED_WEIGHT = 1e9  # from here a listed weight counts as an error of the list
+MAX_RETRY_PERIODS = 8  # longest backoff after failed calls, in report periods, before jitter
+MIN_RETRY_JITTER = 0.5  # smallest factor on the backoff; the largest is 1 more
+DEFAULT_LISTED_WEIGHT = 1.0  # weight of entries whose listed weight is invalid
+MAX_LISTED_WEIGHT = 1e9  # listed weights from here on count as errors of the list
 UNRANKED = -1
 
 
 class EndpointDirectory:
-    """What the endpoint list says of each task.
+    """Directory of the tasks in the endpoint list.
 
     Attributes:
         state: `TaskState` by task.
         zone: Zone by task.
-        listed_weight: Size by task, as listed.
-        started_at_us: Latest known start by task; 0 for one long past.
-        rank: Order of first mention in its zone, by task. It deals a zone's tasks out evenly, and for good.
-        refresh_at_us: When the list is asked for again; None where it comes unasked.
+        listed_weight: Listed size by task.
+        started_at_us: Latest known start time by task; 0 for a start long ago.
+        rank: Position by first mention within its zone, by task; spreads a zone's tasks evenly and never changes.
+        refresh_at_us: Time of the next request for the list; None where it is delivered without a request.
     """
 
     def __init__(self, config: AssignerConfig, rng: Random) -> None:
@@ -41,12 +41,12 @@
         self.listed_weight: list[float] = []
         self.started_at_us: list[int] = []
         self.rank: list[int] = []
-        self.ranked = [0] * config.zones  # tasks that have a rank, by zone
+        self.ranked_count = [0] * config.zones  # number of tasks with a rank, by zone
         self.refresh_at_us = 0 if config.subscribe else None
-        self.failures = 0  # failed calls in a row
+        self.consecutive_failures = 0  # failed requests for the list
 
     def apply_update(self, now_us: int, update: EndpointListUpdate) -> list[int]:
-        """Takes a list event; returns the tasks that are new or have started again."""
+        """Apply an update of the list and return the tasks that are new or have restarted."""
         if update.kind == UpdateKind.FAILED:
             self._schedule_retry(now_us)
             return []
@@ -63,33 +63,33 @@
         return started
 
     def ready_tasks(self) -> list[int]:
-        """The tasks that may be sent to, in order of their index."""
+        """Return the tasks that accept requests, in order of their index."""
         return [task for task, state in enumerate(self.state) if state == TaskState.READY]
 
     def ready_by_zone(self) -> list[list[int]]:
-        """The same, for each zone."""
+        """Return the ready tasks of each zone."""
         tasks = self.ready_tasks()
         return [[task for task in tasks if self.zone[task] == zone] for zone in range(self.config.zones)]
 
     def refresh_commands(self, now_us: int) -> list[Command]:
-        """Asks for the list where that is due."""
+        """Return the command that requests the list, if a request is due."""
         if self.refresh_at_us is None or now_us < self.refresh_at_us:
             return []
-        # Set ahead, because an answer that never comes must not end the asking.
+        # The next request is scheduled now, so that a missing answer does not end the requests.
         self.refresh_at_us = now_us + self.config.refresh_within_us
         return [WatchEndpoints(True)]
 
     def _schedule_retry(self, now_us: int) -> None:
-        """After a failed call: with exponential backoff and jitter, unless a call is due already."""
+        """Schedule a retry with exponential backoff and jitter, unless a request is already due."""
         if self.refresh_at_us is not None and self.refresh_at_us <= now_us:
             return
-        self.failures += 1
-        backoff_us = self.config.report_period_us * min(2 ** (self.failures - 1), MAX_RETRY_PERIODS)
+        self.consecutive_failures += 1
+        backoff_us = self.config.report_period_us * min(2 ** (self.consecutive_failures - 1), MAX_RETRY_PERIODS)
         self.refresh_at_us = now_us + round(backoff_us * (MIN_RETRY_JITTER + self.random()))
 
     def _schedule_refresh(self, now_us: int) -> None:
-        """After an answer: the watch is renewed before silence could mean that it was lost."""
-        self.failures = 0
+        """Schedule the next renewal of the watch, before a lack of updates could mean that the watch was lost."""
+        self.consecutive_failures = 0
         self.refresh_at_us = now_us + self.config.refresh_within_us if self.config.subscribe else None
 
     def _ensure_tasks(self, count: int) -> None:
@@ -112,14 +112,14 @@
             return
         self.zone[task] = entry.zone
         if self.rank[task] == UNRANKED:
-            self.rank[task] = self.ranked[entry.zone]
-            self.ranked[entry.zone] += 1
+            self.rank[task] = self.ranked_count[entry.zone]
+            self.ranked_count[entry.zone] += 1
         usable = 0 < entry.listed_weight < MAX_LISTED_WEIGHT
         self.listed_weight[task] = entry.listed_weight if usable else DEFAULT_LISTED_WEIGHT
         self.started_at_us[task] = max(entry.started_at_us, self.started_at_us[task])
 
     def _remove_all_but(self, listed: set[int]) -> None:
-        """A full list removes what it does not mention."""
+        """Mark the tasks that a full list does not mention as gone."""
         for task in range(len(self.state)):
             if task not in listed:
                 self.state[task] = TaskState.GONE
--- a/hollyridge/decisions/estimates.py
+++ b/hollyridge/decisions/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates: what load reports tell of tasks and proxies, smoothed over report periods."""
+"""Estimates of tasks and proxies, derived from load reports and smoothed over report periods."""
 
 from __future__ import annotations
 
@@ -6,27 +6,33 @@
 
 from hollyridge.interface import AssignerConfig, OfferedLoad, TrafficReport
 
-BUSY_UTILIZATION = 0.85  # utilisation from which tasks count as busy, and which admission aims at
-OVERLOAD_FAILURE_RATIO = 0.25  # part of all attempts that fail while the fleet is overloaded
-MIN_ATTEMPTS = 6.0  # a period, from a zone's proxies; below that they show nothing of an overload
-HISTORY_DECAY = 0.75  # part of what was reported that still counts a period later
-CAPACITY_DECAY = 0.9  # the same for what a task can do, which changes less
-UTILIZATION_METRIC = "util"  # the platform's name for a task's utilisation among its load metrics
-UNKNOWN_UTILIZATION = -1.0  # not reported since it was last used
-MAX_REPORTED_UTILIZATION = 1.5  # anything above is an error of the report
-MAX_SMOOTHED_UTILIZATION = 0.95  # keeps 1 / (1 - utilisation) bounded
-UTILIZATION_SMOOTHING = 2  # the smoothed figure goes half of the way to the reported one
-VALID_INTERVALS = 2  # report intervals for which a report counts: it would have come again by then
-OBJECTIVE_AT_OVERLOAD = 0.6  # mean latency, in latency objectives, that scores as overload by itself
-BEST_TASKS_DIVISOR = 4  # the best quarter of the tasks shows whether all fail
-MIN_ANSWERED = 1.0  # RPCs a period; keeps a mean over answers finite where nearly all fail
-PRIOR_BUSY_PERIODS = 1.0  # busy periods' worth of trust in the listed weight
-MIN_LOAD = 1e-9  # RPCs a period; keeps a ratio to what comes finite
+BUSY_UTILIZATION = 0.85  # utilization from which tasks count as busy; also the target of admission control
+OVERLOAD_FAILURE_RATIO = 0.25  # failed part of all attempts above which the fleet counts as overloaded
+MIN_ATTEMPTS = 6.0  # attempts per period of a zone's proxies; fewer say nothing about an overload
+HISTORY_DECAY = 0.75  # part of the reported figures that still counts one period later
+CAPACITY_DECAY = 0.9  # the same for the figures behind capacities, which change less
+UTILIZATION_METRIC = "util"  # the platform's name for a task's utilization among its load metrics
+UNKNOWN_UTILIZATION = -1.0  # not reported since its last use
+MAX_REPORTED_UTILIZATION = 1.5  # higher figures are errors of the report
+MAX_SMOOTHED_UTILIZATION = 0.95  # keeps 1 / (1 - utilization) bounded
+UTILIZATION_SMOOTHING = 2  # the smoothed figure moves half of the distance to the reported one
+VALID_INTERVALS = 2  # report intervals for which a report counts; a newer one should have arrived by then
+OBJECTIVE_AT_OVERLOAD = 0.6  # mean latency, in latency objectives, that alone scores as an overload
+BEST_TASKS_DIVISOR = 4  # the best quarter of the tasks shows whether all of them fail
+MIN_ANSWERED = 1.0  # RPCs per period; keeps the mean latency finite where nearly all attempts fail
+PRIOR_BUSY_PERIODS = 1.0  # weight of the listed weight as a prior, in busy periods
+MIN_LOAD = 1e-9  # RPCs per period; keeps the ratio of capacity to load finite
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class PeriodTraffic(NamedTuple):
-    """What proxies of a zone saw at a task in a report period: attempts, failed ones, latency sum of the others."""
+    """Traffic from the proxies of one zone to one task, scaled to a report period.
+
+    Attributes:
+        attempts: All attempts.
+        failed: The failed attempts among them.
+        latency_sum_us: Sum of the latencies of the other attempts.
+    """
 
     attempts: float
     failed: float
@@ -37,30 +43,37 @@
 
 
 class PeriodLoad(NamedTuple):
-    """RPCs of a method that reach a proxy in a report period, and until when its reports cover time."""
+    """RPCs of one method at one proxy, scaled to a report period.
+
+    Attributes:
+        rpcs: Number of RPCs.
+        covered_until_us: End of the time that the proxy's reports cover.
+    """
 
     rpcs: float
     covered_until_us: int
 
 
 class Estimates:
-    """Figures by task, by zone of proxies and task, and by proxy and method.
+    """Estimates by task, by zone of proxies and task, and by proxy and method.
 
     Attributes:
-        latency_objective_us: Soft deadline, the mean over methods by criticality.
-        failure_cost_us: Hard deadline, the same mean: what a failed attempt counts as.
-        attempts: Attempts by zone of proxies and task, decayed each period, as the next two are.
-        failed: The failed ones among them.
-        latency_sum_us: Their summed latency, failures at `failure_cost_us`.
-        utilization: As just reported, by task; `UNKNOWN_UTILIZATION` once used.
-        mean_utilization: The same, smoothed.
+        latency_objective_us: Mean soft deadline of the methods, weighted by criticality.
+        failure_cost_us: Mean hard deadline of the methods, weighted likewise; the latency that a failed attempt
+            counts as.
+        attempts: Attempts by zone of proxies and task, decayed each period.
+        failed: Failed attempts by zone of proxies and task, decayed each period.
+        latency_sum_us: Sum of latencies by zone of proxies and task, decayed each period; a failed attempt counts as
+            `failure_cost_us`.
+        utilization: Utilization last reported, by task; `UNKNOWN_UTILIZATION` after its use.
+        mean_utilization: Smoothed utilization by task.
         answered: RPCs answered while warm, by task, decayed.
-        busy_periods: Periods' worth of full utilisation in which they were answered.
-        capacity: RPCs that a task answers in a busy period.
-        traffic: By zone of proxies and task, as last reported; reports come in parts and hold for a while.
-        valid_until_us: Until when that holds.
-        offered_load: By proxy and method, as last reported.
-        joined_at_us: When each proxy joined.
+        busy_periods: Time in which they were answered, by task, in periods of full utilization, decayed.
+        capacity: RPCs that a task answers in a busy period, by task.
+        traffic: Traffic last reported, by zone of proxies and task; kept for a while, since reports come in parts.
+        valid_until_us: Expiry time of that traffic, by zone of proxies and task.
+        offered_load: Load last reported, by proxy and method.
+        joined_at_us: Join time by proxy.
     """
 
     def __init__(self, config: AssignerConfig) -> None:
@@ -83,7 +96,7 @@
         self.joined_at_us: dict[int, int] = {}
 
     def ensure_tasks(self, count: int) -> None:
-        """Makes room for tasks up to this count."""
+        """Extend all columns to this number of tasks."""
         missing = count - len(self.utilization)
         self.utilization.extend([UNKNOWN_UTILIZATION] * missing)
         for traffic in self.traffic:
@@ -92,12 +105,12 @@
             column.extend([0] * missing)
 
     def forget(self, task: int) -> None:
-        """Starts a task over: what was learned of its earlier run says nothing of this one."""
+        """Reset the estimates of a restarted task, which say nothing about its new run."""
         for column in self._learned_columns():
             column[task] = 0.0
 
     def record_traffic(self, now_us: int, report: TrafficReport) -> None:
-        """Takes in a report; one that can't be is ignored."""
+        """Record a load report; ignore one with an unknown zone or task, no attempts or no interval."""
         zone, task = report.zone, report.task
         if zone >= self.config.zones or task >= len(self.utilization):
             return
@@ -121,7 +134,7 @@
         self.valid_until_us[zone][task] = now_us + VALID_INTERVALS * span_us
 
     def record_offered_load(self, event: OfferedLoad) -> None:
-        """Takes in what reached a proxy; a report of no time is ignored."""
+        """Record the load offered to a proxy; ignore a report without an interval."""
         if event.interval_us <= 0:
             return
         by_method = self.offered_load.setdefault(event.proxy, {})
@@ -132,55 +145,59 @@
         by_method[event.method] = PeriodLoad(event.rpcs * per_period, covered_us + event.interval_us)
 
     def offered_rates(self, proxy_zone: dict[int, int], zone: int, method: int) -> list[float]:
-        """RPCs of a method that come to each of a zone's proxies a second, ascending, as far as reported."""
-        loads = (by.get(method) for proxy, by in self.offered_load.items() if proxy_zone.get(proxy) == zone)
+        """Return the RPCs per second of a method at each of a zone's proxies that reported, ascending."""
+        loads = (
+            by_method.get(method) for proxy, by_method in self.offered_load.items() if proxy_zone.get(proxy) == zone
+        )
         return sorted(load.rpcs * MICROSECONDS_PER_SECOND / self.config.report_period_us for load in loads if load)
 
     def offered(self, proxy: int) -> float:
-        """RPCs of all methods that reach a proxy in a report period."""
+        """Return the RPCs of all methods that reach a proxy in a report period."""
         return sum(load.rpcs for load in self.offered_load.get(proxy, {}).values())
 
     def covered_until_us(self) -> int:
-        """Up to when the newest report covers time."""
+        """Return the end of the time that the reports of offered load cover; 0 without any report."""
         loads = (load for by_method in self.offered_load.values() for load in by_method.values())
         return max((load.covered_until_us for load in loads), default=0)
 
     def decay(self, now_us: int) -> None:
-        """Ages all that was reported by one period, and drops what would have come again by now."""
+        """Decay the reported figures by one period, and drop traffic that has expired."""
         for column in (*self.attempts, *self.failed, *self.latency_sum_us):
-            column[:] = [figure * HISTORY_DECAY for figure in column]
+            column[:] = [value * HISTORY_DECAY for value in column]
         for traffic, valid_until_us in zip(self.traffic, self.valid_until_us):
-            traffic[:] = [seen if now_us <= until_us else NO_TRAFFIC for seen, until_us in zip(traffic, valid_until_us)]
+            traffic[:] = [
+                reported if now_us <= until_us else NO_TRAFFIC for reported, until_us in zip(traffic, valid_until_us)
+            ]
 
     def capacity_fraction(self, usable: dict[int, float]) -> float:
-        """Part of the RPCs that come which the tasks can answer without being too busy; 1 if not known.
+        """Return the part of the offered RPCs that the tasks can answer at `BUSY_UTILIZATION`; 1 if unknown.
 
         Args:
-            usable: Part of its capacity that each task can be used for.
+            usable: Usable part of its capacity, by task.
         """
         capacity = sum(self.capacity[task] * part for task, part in usable.items())
         load = sum(map(self.offered, self.offered_load))
         return min(1.0, BUSY_UTILIZATION * capacity / max(load, MIN_LOAD)) if capacity > 0 else 1.0
 
     def attempts_and_failures(self, tasks: list[int] | set[int]) -> tuple[float, float]:
-        """Attempts at these tasks in a period, from all zones, and the failed ones."""
+        """Return the attempts per period at these tasks from all zones, and the number of failed ones."""
         attempts = sum(traffic[task].attempts for traffic in self.traffic for task in tasks)
         failed = sum(traffic[task].failed for traffic in self.traffic for task in tasks)
         return attempts, failed
 
     def all_overloaded(self, tasks: list[int]) -> bool:
-        """Whether even the best quarter of these tasks fail as in an overload: more than some faulty tasks."""
-        seen = (self.attempts_and_failures([task]) for task in tasks)
-        ratios = sorted(failed / attempts for attempts, failed in seen if attempts > 0)
+        """Return whether even the best quarter of these tasks fail as in an overload, not only some faulty tasks."""
+        reported = (self.attempts_and_failures([task]) for task in tasks)
+        ratios = sorted(failed / attempts for attempts, failed in reported if attempts > 0)
         return bool(ratios) and ratios[len(ratios) // BEST_TASKS_DIVISOR] > OVERLOAD_FAILURE_RATIO
 
     def update_sizes(self, listed_weight: list[float], tasks: list[int], warm: list[int]) -> list[float]:
-        """Learns capacities from the last period; returns each task's size, on the scale of listed weights.
+        """Learn capacities from the last period, and return the size of each task on the scale of listed weights.
 
         Args:
-            listed_weight: By task; it stands in where little was reported.
+            listed_weight: Listed weight by task, used as a prior where little was reported.
             tasks: The ready tasks.
-            warm: Those that are past their slow start; others show nothing of their capacity.
+            warm: The ready tasks that are past their slow start; only these show their capacity.
         """
         warm_tasks = set(warm)
         for task in tasks:
@@ -200,9 +217,9 @@
         return [capacity * scale for capacity in self.capacity]
 
     def overload_score(self, zone: int) -> float:
-        """Above 1 where a zone's attempts fail or are late; 0 while there are few.
+        """Return a score above 1 where a zone's attempts fail or are late; 0 while there are few attempts.
 
-        Where cores are idle it is for weights and outlier detection to mend that, not for admission.
+        Where tasks have idle capacity, failures are a matter for weights and outlier detection, not for admission.
         """
         attempts, failed, latency_sum_us = (sum(column) for column in zip(*self.traffic[zone]))
         if attempts < MIN_ATTEMPTS:
@@ -212,7 +229,7 @@
         return lateness + failed / attempts / OVERLOAD_FAILURE_RATIO
 
     def has_idle_capacity(self, weights: dict[int, float]) -> bool:
-        """Whether a table's tasks are less than busy on average, by weight, as far as just reported."""
+        """Return whether the tasks of a table that just reported are less than busy on average, by weight."""
         return (
             sum(
                 weight * (BUSY_UTILIZATION - self.utilization[task])
@@ -238,7 +255,7 @@
         target = min(utilization, MAX_SMOOTHED_UTILIZATION)
         self.mean_utilization[task] += (target - self.mean_utilization[task]) / UTILIZATION_SMOOTHING
         attempts, failed = self.attempts_and_failures([task])
-        # An overload shows nothing of capacity.
+        # Traffic during an overload says nothing about capacity.
         if warm and failed < OVERLOAD_FAILURE_RATIO * attempts:
             self.answered[task] = self.answered[task] * CAPACITY_DECAY + attempts - failed
             self.busy_periods[task] = self.busy_periods[task] * CAPACITY_DECAY + utilization
--- a/hollyridge/decisions/table_planner.py
+++ b/hollyridge/decisions/table_planner.py
@@ -1,4 +1,4 @@
-"""The table planner: what each table should hold now, before it is asked whether that is worth sending."""
+"""The table planner: the contents that each table should have now, whether or not they are worth sending."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from hollyridge.decisions.tables import SLICES, TableSet
 from hollyridge.decisions.weights import WeightController
 
-OVERFLOW_FRACTION = 1 / 9  # of the warm tasks, left to separated methods
-OVERFLOW_TASK_FACTOR = 1 / 16  # part of its weight that such a task keeps for the other methods
-EVEN_WEIGHT = 1.0  # of each line in the overflow table
-OVERFLOW_CAP = 2  # added to the cap of such a task, so that its line is sent when it becomes one
+OVERFLOW_FRACTION = 1 / 9  # part of the warm tasks that serves the separated methods
+OVERFLOW_TASK_FACTOR = 1 / 16  # part of its weight that such a task keeps in the tables of the other methods
+OVERFLOW_LINE_WEIGHT = 1.0  # weight of each line in the overflow table
+OVERFLOW_CAP = 2  # added to the cap of such a task, so that its line is sent when it joins or leaves that table
 
 
 class Snapshot(NamedTuple):
     """The ready tasks at one moment.
 
     Attributes:
-        now_us: That moment.
+        now_us: Time of the snapshot.
         factors: Slow-start factor by ready task.
         zone_tasks: Ready tasks by zone.
     """
@@ -31,14 +31,19 @@
 
 
 class TableContents(NamedTuple):
-    """What a table should hold: weights by task, and by what each is limited."""
+    """Planned contents of a table.
+
+    Attributes:
+        weights: Weight by task.
+        caps: Factor that limits the weight, by task; a changed cap is sent without waiting for the push gate.
+    """
 
     weights: dict[int, float]
     caps: dict[int, float]
 
 
 class TablePlanner:
-    """Puts together what the other modules have decided of each task."""
+    """Planner that combines the decisions of the other modules into the contents of tables."""
 
     def __init__(
         self,
@@ -55,25 +60,25 @@
         self.tables = tables
 
     def slow_start_factors(self, now_us: int) -> dict[int, float]:
-        """Part of a warm task's work that each ready task may get."""
+        """Return the slow-start factor of each ready task."""
         started_at_us = self.endpoints.started_at_us
         return {task: self.slow_start.factor(now_us, started_at_us[task]) for task in self.endpoints.ready_tasks()}
 
     def snapshot(self, now_us: int) -> Snapshot:
-        """The ready tasks now."""
+        """Return the ready tasks now."""
         return Snapshot(now_us, self.slow_start_factors(now_us), self.endpoints.ready_by_zone())
 
     def contents(self, number: int, snapshot: Snapshot) -> TableContents:
-        """What a table should hold."""
+        """Return the contents that a table should have."""
         if number == self.tables.overflow:
             tasks = self._overflow_tasks(snapshot)
-            return TableContents(dict.fromkeys(tasks, EVEN_WEIGHT), dict.fromkeys(tasks, WARM))
+            return TableContents(dict.fromkeys(tasks, OVERFLOW_LINE_WEIGHT), dict.fromkeys(tasks, WARM))
         if self.tables.is_slice(number):
             return self._slice(number, snapshot)
         return self._zone_table(number, snapshot)
 
     def _overflow_tasks(self, snapshot: Snapshot) -> list[int]:
-        """The warm tasks of the least weight, while separated methods use them."""
+        """Return the warm tasks of least weight while separated methods use the overflow table, otherwise none."""
         if not self.tables.methods_separated and not self.tables[self.tables.overflow].proxies:
             return []
         warm = [(self.weights.weight[task], task) for task, factor in snapshot.factors.items() if factor >= WARM]
@@ -81,16 +86,21 @@
         return [task for _, task in sorted(warm)[:count]]
 
     def _slice(self, number: int, snapshot: Snapshot) -> TableContents:
-        """A share of the home table where there is one, and otherwise of the zone's; all of it if no share is warm."""
-        whole_number = self.tables.zone_of(number)
+        """Return the contents of a slice of the zone's table, or of the home table where there is one.
+
+        If the slice would hold no warm task, it holds the whole table.
+        """
+        whole_table_number = self.tables.zone_of(number)
         if self.tables.zone_local_methods:
-            whole_number += self.tables.first_home
-        whole = self.contents(whole_number, snapshot)
-        share = (number - self.tables.overflow - 1) % SLICES
-        tasks = [task for task in whole.weights if self.endpoints.rank[task] % SLICES == share]
+            whole_table_number += self.tables.first_home
+        whole_table = self.contents(whole_table_number, snapshot)
+        share_index = (number - self.tables.overflow - 1) % SLICES
+        tasks = [task for task in whole_table.weights if self.endpoints.rank[task] % SLICES == share_index]
         if not any(snapshot.factors[task] >= WARM for task in tasks):
-            tasks = list(whole.weights)
-        return TableContents({task: whole.weights[task] for task in tasks}, {task: whole.caps[task] for task in tasks})
+            tasks = list(whole_table.weights)
+        return TableContents(
+            {task: whole_table.weights[task] for task in tasks}, {task: whole_table.caps[task] for task in tasks}
+        )
 
     def _zone_table(self, number: int, snapshot: Snapshot) -> TableContents:
         zone = self.tables.zone_of(number)
@@ -99,8 +109,8 @@
         overflow_tasks = self._overflow_tasks(snapshot)
         weights = self.weights.table_weights(zone, snapshot.zone_tasks)
         if self.tables.all_zone_local or number >= self.tables.first_home:
-            home = self.endpoints.zone
-            weights = {task: weight for task, weight in weights.items() if home[task] == zone}
+            task_zone = self.endpoints.zone
+            weights = {task: weight for task, weight in weights.items() if task_zone[task] == zone}
         if self.weights.proposed[zone].weights:
             weights = self._limit_cold_lines(weights, factors)
         weights = {
@@ -114,9 +124,12 @@
 
     @staticmethod
     def _limit_cold_lines(weights: dict[int, float], factors: dict[int, float]) -> dict[int, float]:
-        """For a proposal of few lines: no cold task gets more than it would if the table held all tasks."""
-        even_weight = sum(weights.values()) / sum(factors.values())
+        """Return the weights with cold tasks limited to what they would get if the table held all tasks.
+
+        Without this limit a proposal of few lines would give them too much.
+        """
+        mean_weight = sum(weights.values()) / sum(factors.values())
         return {
-            task: weight if factors[task] >= WARM else min(weight / factors[task], even_weight)
+            task: weight if factors[task] >= WARM else min(weight / factors[task], mean_weight)
             for task, weight in weights.items()
         }
--- a/hollyridge/decisions/tables.py
+++ b/hollyridge/decisions/tables.py
@@ -1,7 +1,7 @@
-"""The tables: what each one holds as last ordered, which proxies use it, and which proxies wait for one.
+"""The tables: their contents as last sent, the proxies that use them, and the proxies that wait for one.
 
 Tables are numbered in this order: one for each zone of proxies; one overflow table; slices of the zones' tables, for
-waves of joins; and one home table for each zone where some methods may not leave the proxy's zone.
+waves of joins; and one home table for each zone if some methods may not leave the proxy's zone.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from hollyridge.decisions.estimates import OVERLOAD_FAILURE_RATIO
 from hollyridge.interface import AssignerConfig, BindTable, Command, ProxyJoined
 
-SLICES = 4  # tables that share out a zone's among many proxies that join at once
-MIN_SLICE_LINES = 2  # lines of a slice, below which slices are not worth having
-START_WAVE_FACTOR = 2  # slices cost a second table each, so where nobody has a table the threshold is twice as high
-WAVE_OVER_DIVISOR = 2  # a wave is over below half of the threshold at which it began
-MAX_OVERLOAD_SCORE = 4  # periods; bounds how long a past overload is remembered
+SLICES = 4  # slices of a zone's table, dealt out to proxies that join in a wave
+MIN_SLICE_LINES = 2  # smallest number of lines for which a slice is worthwhile
+START_WAVE_FACTOR = 2  # each slice costs a second table later, so the threshold doubles where few proxies have a table
+WAVE_END_DIVISOR = 2  # a wave ends when its lines fall below half of the soft limit
+MAX_OVERLOAD_SCORE = 4  # maximum score, in periods; bounds the time for which a past overload counts
 SEPARATE_AT_SCORE = 2  # overloaded periods from which methods are separated
-RECOVERED_FAILURE_RATIO = OVERLOAD_FAILURE_RATIO / 5  # part of attempts that fail, below which methods return
-ALL_METHODS = 0  # the mask in a binding that stands for all
-LATE_JOIN_DIVISOR = 4  # after a quarter of the grace a proxy that waits for a table may go past the soft limit
-LATE_JOIN_LIMITS = 2  # and up to twice of it
-HEADER_LINES = 1  # lines that a binding costs beside the table's own
+RECOVERED_FAILURE_RATIO = OVERLOAD_FAILURE_RATIO / 5  # failure ratio below which separated methods return
+ALL_METHODS = 0  # mask of a binding for all methods
+LATE_JOIN_DIVISOR = 4  # after a quarter of the grace, a proxy that waits for a table may exceed the soft limit
+LATE_JOIN_LIMIT_FACTOR = 2  # such a proxy may use up to twice the soft limit
+HEADER_LINES = 1  # lines that a binding costs in addition to those of the table
 
 
 class PendingBinding(NamedTuple):
-    """A proxy that is to use a table for the methods in a mask, once there is room to send it."""
+    """A binding of a proxy to a table for the methods in a mask, to be sent once it fits into the channel."""
 
     proxy: int
     table: int
@@ -35,13 +35,13 @@
 
 
 class Table:
-    """One table as last ordered.
+    """One table as last sent.
 
     Attributes:
-        weights: By task.
-        caps: What each line's weight was limited by when it went out.
-        levels: Admission by method.
-        proxies: Those that use it.
+        weights: Weight by task.
+        caps: Factor that limited the weight when its line was sent, by task.
+        levels: Admission level by method.
+        proxies: Proxies that use the table.
     """
 
     __slots__ = ("caps", "levels", "proxies", "weights")
@@ -53,7 +53,7 @@
         self.proxies: list[int] = []
 
     def lines(self) -> int:
-        """Lines that it costs to send the table to one proxy."""
+        """Return the number of lines that it costs to send the table to one proxy."""
         return len(self.weights) + HEADER_LINES + len(self.levels)
 
 
@@ -61,14 +61,14 @@
     """All tables, by number.
 
     Attributes:
-        overflow: Number of the table to which sheddable methods go in an overload; also the number of zones.
-        first_home: Number of the first home table, or of tables where there is none.
-        zone_local_methods: Mask of the methods with home tables, 0 where there are none.
-        all_zone_local: All methods keep to their zone, so each zone's one table holds its own tasks only.
-        proxy_zone: Zone of each joined proxy.
-        proxy_rate: RPCs a second that each proxy expected when it joined.
-        pending: Bindings that wait for room.
-        join_wave: So many proxies wait that they get slices first.
+        overflow: Number of the table that sheddable methods use in an overload; equals the number of zones.
+        first_home: Number of the first home table; the number of tables if there are no home tables.
+        zone_local_methods: Mask of the methods with home tables; 0 if there are no home tables.
+        all_zone_local: All methods keep to their zone, so each zone needs only one table, with its own tasks.
+        proxy_zone: Zone by joined proxy.
+        proxy_rate: RPCs per second that each proxy expected when it joined.
+        pending: Bindings that are yet to be sent.
+        join_wave: So many proxies wait for a table that they get slices first.
         methods_separated: Sheddable methods use the overflow table.
     """
 
@@ -99,15 +99,15 @@
         return len(self.tables)
 
     def is_slice(self, number: int) -> bool:
-        """Whether this table is a slice of a zone's table."""
+        """Return whether this table is a slice of a zone's table."""
         return self.overflow < number < self.first_home
 
     def is_unused_slice(self, number: int) -> bool:
-        """Whether nobody uses this slice, or will use it soon."""
+        """Return whether this table is a slice that no proxy uses or is about to use."""
         return self.is_slice(number) and not self.join_wave and not self.tables[number].proxies
 
     def zone_of(self, number: int) -> int:
-        """Zone of the proxies that use a table; the overflow table counts as a zone of its own."""
+        """Return the zone of the proxies that use a table; the overflow table counts as a zone of its own."""
         if number <= self.overflow:
             return number
         if number < self.first_home:
@@ -115,12 +115,12 @@
         return number - self.first_home
 
     def serves(self, number: int, method: int) -> bool:
-        """Whether proxies use this table for this method."""
+        """Return whether proxies use this table for this method."""
         is_home = number >= self.first_home
         return self.is_slice(number) or (self.zone_local_methods >> method & 1) == is_home
 
-    def join(self, event: ProxyJoined, sheddable_methods: int) -> None:
-        """Notes a proxy that waits for its tables."""
+    def add_proxy(self, event: ProxyJoined, sheddable_methods: int) -> None:
+        """Add a joined proxy, which then waits for its tables."""
         proxy = event.proxy
         self.proxy_zone[proxy] = event.zone
         self.proxy_rate[proxy] = event.usual_rate_per_s if event.usual_rate_per_s > 0 else 0.0
@@ -130,8 +130,8 @@
         if self.methods_separated:
             self.pending.append(PendingBinding(proxy, self.overflow, sheddable_methods))
 
-    def leave(self, proxy: int) -> None:
-        """Forgets a proxy, joined or not."""
+    def remove_proxy(self, proxy: int) -> None:
+        """Remove a proxy; do nothing if it has not joined."""
         if self.proxy_zone.pop(proxy, None) is None:
             return
         for table in self.tables:
@@ -139,96 +139,98 @@
         self.pending = [binding for binding in self.pending if binding.proxy != proxy]
 
     def detect_join_wave(self, soft_backlog_limit: float) -> bool:
-        """Judges whether proxies come in a wave; returns whether any proxies wait for a table.
+        """Update whether proxies join in a wave, and return whether any proxies wait for a table.
 
-        They are a wave if, on top of as many that have a table, so many come that a removal behind them would be
-        late; where nobody has one, at twice that.
+        Joins form a wave if their tables exceed the soft backlog limit, so that a removal behind them would be late.
+        The threshold is twice the limit if more proxies wait than have a table.
         """
         zones = [binding.table for binding in self.pending if binding.methods == ALL_METHODS]
         min_lines = SLICES * max(MIN_SLICE_LINES, self.initial_table_size)
         sizes = [len(self.tables[zone].weights) for zone in zones]
         lines = sum(size for size in sizes if size >= min_lines)
         if len(zones) > self.waiting_proxies:
-            bound = sum(len(table.proxies) for table in self.tables)
-            factor = START_WAVE_FACTOR if len(zones) > bound else 1
+            bound_proxies = sum(len(table.proxies) for table in self.tables)
+            factor = START_WAVE_FACTOR if len(zones) > bound_proxies else 1
             self.join_wave = self.join_wave or lines > soft_backlog_limit * factor
-        self.join_wave = self.join_wave and lines > soft_backlog_limit / WAVE_OVER_DIVISOR
+        self.join_wave = self.join_wave and lines > soft_backlog_limit / WAVE_END_DIVISOR
         self.waiting_proxies = len(zones)
         return bool(zones)
 
     def update_separation(self, overloaded: bool, sheddable_methods: int, attempts: float, failed: float) -> None:
-        """Separates methods in a lasting overload that admission can't thin out, until the rest do well.
+        """Separate methods in a lasting overload that admission can't reduce, until the other methods recover.
 
         Args:
-            overloaded: The fleet is, in this period.
-            sheddable_methods: Mask of the methods that then are left a few tasks.
+            overloaded: The fleet is overloaded in this period.
+            sheddable_methods: Mask of the methods that are then limited to the few tasks of the overflow table.
             attempts: Attempts in a period at the tasks of the other methods.
-            failed: The failed ones.
+            failed: The failed attempts among them.
         """
         score = self.overload_score + (1 if overloaded else -1)
         self.overload_score = max(0, min(MAX_OVERLOAD_SCORE, score))
         recovered = not self.overload_score or failed < RECOVERED_FAILURE_RATIO * attempts
-        changes = recovered if self.methods_separated else self.overload_score >= SEPARATE_AT_SCORE
-        if not sheddable_methods or not changes:
+        switches = recovered if self.methods_separated else self.overload_score >= SEPARATE_AT_SCORE
+        if not sheddable_methods or not switches:
             return
         self.methods_separated = not self.methods_separated
         self.overload_score = 0
-        self.pending = [binding for binding in self.pending if self._is_first(binding)]
+        self.pending = [binding for binding in self.pending if self._is_first_binding(binding)]
         self.pending += [
             PendingBinding(proxy, self.overflow if self.methods_separated else zone, sheddable_methods)
             for proxy, zone in self.proxy_zone.items()
         ]
 
-    def bind_waiting(self, now_us: int, backlog: BacklogEstimator, joined_at_us: dict[int, int]) -> list[Command]:
-        """Binds proxies to the tables they wait for, as far as there is room for these in the channel.
+    def bind_pending(self, now_us: int, backlog: BacklogEstimator, joined_at_us: dict[int, int]) -> list[Command]:
+        """Return the commands that bind proxies to the tables they wait for, as far as these fit into the channel.
 
-        Proxies without a table go first, and past all that waits in time: the tables they hold may list removed tasks.
+        Proxies that wait for their first table go first and, after some time, may exceed the soft limit, because the
+        tables they hold may list removed tasks.
         """
         commands: list[Command] = []
-        for binding in sorted(self.pending, key=lambda binding: not self._is_first(binding)):
+        for binding in sorted(self.pending, key=lambda binding: not self._is_first_binding(binding)):
             number = binding.table if binding.methods else self._first_table(binding.table)
             table = self.tables[number]
             late_us = backlog.config.drain_grace_us / LATE_JOIN_DIVISOR
-            is_late = self._is_first(binding) and now_us - joined_at_us[binding.proxy] > late_us
-            if backlog.is_full(LATE_JOIN_LIMITS if is_late else 1) or not table.weights:
+            is_late = self._is_first_binding(binding) and now_us - joined_at_us[binding.proxy] > late_us
+            if backlog.is_full(LATE_JOIN_LIMIT_FACTOR if is_late else 1) or not table.weights:
                 continue
             if backlog.free_lines(now_us, [binding.proxy], urgent=True) >= table.lines() and binding in self.pending:
                 self._remove_pending(binding, number)
                 commands.append(self._bind(now_us, backlog, binding._replace(table=number)))
         return commands + self._replace_slices(now_us, backlog)
 
-    def _is_first(self, binding: PendingBinding) -> bool:
-        """Whether a binding gives its proxy the first table for its methods."""
+    def _is_first_binding(self, binding: PendingBinding) -> bool:
+        """Return whether a binding gives its proxy the first table for its methods."""
         return binding.methods in (ALL_METHODS, self.zone_local_methods)
 
     def _first_table(self, zone: int) -> int:
-        """In a wave of joins the zone's slice with the fewest users, otherwise its table."""
+        """Return the zone's slice with the fewest proxies in a wave of joins, otherwise the zone's table."""
         if not self.join_wave:
             return zone
         first = self.overflow + 1 + zone * SLICES
-        filled = [number for number in range(first, first + SLICES) if self.tables[number].weights]
-        return min(filled, key=lambda number: len(self.tables[number].proxies), default=zone)
+        nonempty = [number for number in range(first, first + SLICES) if self.tables[number].weights]
+        return min(nonempty, key=lambda number: len(self.tables[number].proxies), default=zone)
 
     def _remove_pending(self, binding: PendingBinding, number: int) -> None:
         self.pending.remove(binding)
-        if number != binding.table:  # a slice serves all methods, and is of the home table where there is one
-            home = PendingBinding(binding.proxy, self.first_home + binding.table, self.zone_local_methods)
-            self.pending = [other for other in self.pending if other != home]
+        if number != binding.table:  # a slice serves all methods, so it also replaces the home table
+            home_binding = PendingBinding(binding.proxy, self.first_home + binding.table, self.zone_local_methods)
+            self.pending = [other for other in self.pending if other != home_binding]
 
     def _replace_slices(self, now_us: int, backlog: BacklogEstimator) -> list[Command]:
-        """After a wave, whole tables in place of slices, as there is room beside all else."""
+        """Return the commands that replace slices with whole tables after a wave, once nothing else is pending."""
         commands: list[Command] = []
         for number in range(self.overflow + 1, self.first_home):
             zone = self.zone_of(number)
-            whole = [(zone, ALL_METHODS)]
+            whole_tables = [(zone, ALL_METHODS)]
             if self.zone_local_methods:
-                whole.append((self.first_home + zone, self.zone_local_methods))
-            lines = sum(self.tables[table].lines() for table, _ in whole)
+                whole_tables.append((self.first_home + zone, self.zone_local_methods))
+            lines = sum(self.tables[table].lines() for table, _ in whole_tables)
             for proxy in list(self.tables[number].proxies):
                 if self.pending or self.methods_separated or backlog.free_lines(now_us, [proxy], urgent=False) < lines:
                     return commands
                 commands += [
-                    self._bind(now_us, backlog, PendingBinding(proxy, table, methods)) for table, methods in whole
+                    self._bind(now_us, backlog, PendingBinding(proxy, table, methods))
+                    for table, methods in whole_tables
                 ]
         return commands
 
--- a/tests/decisions/test_decisions_assigner.py
+++ b/tests/decisions/test_decisions_assigner.py
@@ -1,4 +1,4 @@
-"""The assigner as a whole: any events, the same commands, limits kept."""
+"""The assigner as a whole: robustness against any events, deterministic commands, limits of the channel."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
         api.SliceCharge(True, 0),
     ],
 )
-def test_events_that_make_no_sense_are_harmless(event):
+def test_invalid_events_are_harmless(event):
     rig = Rig()
     for _ in range(3):
         rig.period(event, *[rig.report(z, i) for z in (0, 1) for i in range(8)])
@@ -36,19 +36,21 @@
 
 
 def test_the_same_events_give_the_same_commands():
-    def day(seed):
-        rig, out = Rig(seed=seed, subscribe=True), []
-        for k in range(20):
-            out += rig.period(*[rig.report(z, i, latency=0.1 + (i * k % 5) / 9) for z in (0, 1) for i in range(8)])
-            out += rig.feed(roster([], api.UpdateKind.FAILED), after=0.01)
-        return out
+    def run(seed):
+        rig, commands = Rig(seed=seed, subscribe=True), []
+        for step in range(20):
+            commands += rig.period(
+                *[rig.report(z, i, latency=0.1 + (i * step % 5) / 9) for z in (0, 1) for i in range(8)]
+            )
+            commands += rig.feed(roster([], api.UpdateKind.FAILED), after=0.01)
+        return commands
 
-    assert day(5) == day(5) != day(6)
+    assert run(5) == run(5) != run(6)
     assert Assigner(bootstrap(slices=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_any_order_of_events_is_decided_and_tables_stay_valid(seed):
+def test_tables_stay_valid_under_any_order_of_events(seed):
     rng = Random(seed)
     rig = Rig(
         tasks=rng.choice((0, 1, 6)),
@@ -59,9 +61,9 @@
         balancing_policy=list(api.BalancingPolicy)[seed % 3],
     )
 
-    def event():
+    def random_event():
         task, zone, proxy = rng.randrange(10), rng.randrange(2), rng.randrange(6)
-        many, over = rng.randrange(40), rng.choice((0, SECOND, 5 * SECOND))
+        attempts, interval_us = rng.randrange(40), rng.choice((0, SECOND, 5 * SECOND))
         return rng.choice(
             (
                 roster([entry(task, zone, rng.randrange(3), rig.now * rng.randrange(2))], api.UpdateKind.DELTA),
@@ -69,29 +71,29 @@
                 api.TrafficReport(
                     zone,
                     task,
-                    many,
+                    attempts,
                     rng.randrange(40),
                     rng.choice((-1, 0, SECOND)),
-                    over,
+                    interval_us,
                     rng.choice(((), (1.0, 9.0), (0.0, -1.0))),
                 ),
                 api.ProxyJoined(rng.choice((0.0, 5.0)), True, proxy, zone),
                 api.ProxyLeft(proxy),
                 api.TimerFired(1),
-                api.OfferedLoad(many, over, proxy, zone, 0),
-                api.Ack(proxy, many, over),
+                api.OfferedLoad(attempts, interval_us, proxy, zone, 0),
+                api.Ack(proxy, attempts, interval_us),
             )
         )
 
     for _ in range(250):
-        rig.feed(*[event() for _ in range(rng.randrange(6))], after=rng.choice((0, 0.01, 0.5, 3)))
+        rig.feed(*[random_event() for _ in range(rng.randrange(6))], after=rng.choice((0, 0.01, 0.5, 3)))
         ready = set(rig.assigner.endpoints.ready_tasks())
         assert all(w > 0 for table in rig.tables.values() for w in table.values())
         assert rig.assigner.publisher.has_deferred or all(set(table) <= ready for table in rig.tables.values())
 
 
 @pytest.mark.parametrize("admission", list(api.Admission))
-def test_a_large_fleet_keeps_within_its_limits_through_joins_restarts_and_odd_reports(admission):
+def test_a_large_fleet_stays_within_its_limits_through_joins_restarts_and_unusual_reports(admission):
     rig = Rig(
         tasks=0,
         proxies=0,
@@ -104,14 +106,14 @@
     backlog, tables = rig.assigner.backlog, rig.assigner.tables
     rig.feed(roster([entry(i) for i in range(100)]), after=0.1)
     joins = [api.ProxyJoined(5.0, False, p, p % 2) for p in range(160)]
-    for k in range(12):
+    for step in range(12):
         reports = [
-            rig.report(z, i, failed=i % 11)._replace(interval_us=(k % 4) * SECOND, load=(k / 6, float("inf")))
+            rig.report(z, i, failed=i % 11)._replace(interval_us=(step % 4) * SECOND, load=(step / 6, float("inf")))
             for z in (0, 1)
             for i in range(0, 300, 7)
         ]
-        rig.period(*joins[: 80 + 80 * (k > 3)], *reports, acks=k % 3 > 0)  # joined again and again
-        if k == 5:  # threefold at once, most of it cold, some of it started twice
+        rig.period(*joins[: 80 + 80 * (step > 3)], *reports, acks=step % 3 > 0)  # proxies join repeatedly
+        if step == 5:  # the fleet triples at once; most tasks are cold and some have started twice
             rig.feed(
                 *[
                     roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.UpdateKind.DELTA)
@@ -119,8 +121,8 @@
                 ],
                 after=0.2,
             )
-        if k == 8:
-            rig.feed(roster([entry(0)]), api.ProxyLeft(3), api.ProxyLeft(3), after=0.2)  # emptied to one
+        if step == 8:
+            rig.feed(roster([entry(0)]), api.ProxyLeft(3), api.ProxyLeft(3), after=0.2)  # only one task remains
         assert backlog.sent - backlog.delivered <= 3000
         assert all(len(times) <= 30 for times in backlog.message_times_us.values())
     assert all(tables[z].weights == {0: rig.tables[z][0]} for z in (0, 1))
--- a/tests/decisions/test_decisions_endpoints.py
+++ b/tests/decisions/test_decisions_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint directory: lists, and asking for them again."""
+"""The endpoint directory: endpoint lists and repeated requests for them."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from hollyridge.decisions.endpoints import EndpointDirectory
 
 
-def test_failed_calls_are_repeated_with_backoff_until_one_is_answered():
+def test_failed_requests_are_repeated_with_backoff_until_one_succeeds():
     rig = Rig(subscribe=True)
     assert api.WatchEndpoints(True) in rig.commands
     waits = []
@@ -21,7 +21,8 @@
     assert waits[3] > waits[0]
     rig.feed(roster([], api.UpdateKind.DELTA), after=0.1)
     assert api.WatchEndpoints(True) not in rig.feed(api.TimerFired(1), after=5)
-    assert api.WatchEndpoints(True) in rig.feed(api.TimerFired(1), after=6)  # renewed before silence could mean a loss
+    # The watch is renewed before a lack of updates could mean that it was lost.
+    assert api.WatchEndpoints(True) in rig.feed(api.TimerFired(1), after=6)
 
 
 def test_a_cached_list_is_replaced_by_the_full_one():
--- a/tests/decisions/test_decisions_estimates.py
+++ b/tests/decisions/test_decisions_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates: capacities, reports in parts, overload of all tasks."""
+"""Estimates: capacities, partial reports, and overload of all tasks."""
 
 from helpers import SECOND, START, bootstrap
 
@@ -15,14 +15,14 @@
         size = estimates.update_sizes([1.0, 1.0], [0, 1], [0, 1])
         estimates.decay(START)
     assert size[0] > 2 * size[1]
-    known = estimates.busy_periods[0]
+    busy_periods_before = estimates.busy_periods[0]
     estimates.record_traffic(START, api.TrafficReport(0, 0, 30, 0, 1000, SECOND, (0.5, 0.0)))
     estimates.update_sizes([1.0, 1.0], [0, 1], [1])
-    assert estimates.busy_periods[0] == known
+    assert estimates.busy_periods[0] == busy_periods_before
     assert estimates.utilization == [-1.0, -1.0]
 
 
-def test_reports_in_parts_count_as_complete_until_they_would_have_come_again():
+def test_partial_reports_add_up_until_they_expire():
     estimates = Estimates(bootstrap())
     estimates.ensure_tasks(2)
     for period in range(6):  # each period reports one task, over two periods
@@ -40,7 +40,7 @@
     assert estimates.attempts_and_failures([0, 1]) == (0.0, 0.0)
 
 
-def test_all_tasks_count_as_overloaded_only_if_more_than_some_fail():
+def test_all_tasks_count_as_overloaded_only_if_more_than_a_few_fail():
     estimates = Estimates(bootstrap())
     estimates.ensure_tasks(8)
     for task in range(8):
--- a/tests/decisions/test_decisions_outliers.py
+++ b/tests/decisions/test_decisions_outliers.py
@@ -1,19 +1,19 @@
-"""Outlier detection: who is cut, for whom, and how it comes back."""
+"""Outlier detection: cuts by zone of proxies, and recovery."""
 
 import pytest
 from helpers import Rig
 
 
 @pytest.mark.parametrize(
-    ("failed", "latency", "cut"),
+    ("failed", "latency", "is_cut"),
     [
-        (10, 0.0, True),  # hangs, vanished, cut off: no answers
-        (7, 0.01, True),  # fails most, fast
-        (3, 0.3, False),  # slow, some attempts time out: for the weight controller
+        (10, 0.0, True),  # a task that hangs, is gone or is cut off gives no answers
+        (7, 0.01, True),  # most attempts fail quickly
+        (3, 0.3, False),  # a slow task with some timeouts is left to the weight controller
         (0, 0.4, False),
     ],
 )
-def test_a_task_that_fails_more_than_the_rest_is_cut_and_comes_back_by_steps(failed, latency, cut):
+def test_a_task_that_fails_more_than_the_rest_is_cut_and_recovers_in_steps(failed, latency, is_cut):
     rig = Rig()
     for _ in range(5):
         rig.period(
@@ -24,13 +24,13 @@
             ]
         )
     factor = rig.assigner.outliers.factor[0]
-    assert (factor[2] < 0.1) is cut
+    assert (factor[2] < 0.1) is is_cut
     assert rig.tables[0][2] > 0
     assert factor[0] == 1.0
     for _ in range(12):
-        seen = factor[2]
+        previous_factor = factor[2]
         rig.period(*[rig.report(z, i) for z in (0, 1) for i in range(8)])
-        assert factor[2] <= 4 * seen
+        assert factor[2] <= 4 * previous_factor
     assert factor[2] == 1.0
 
 
@@ -42,7 +42,7 @@
     assert all((factor[z][i] < 0.2) is (i % 2 != z) for z in (0, 1) for i in range(8))
 
 
-def test_a_table_whose_proxies_report_nothing_is_left_as_it_was():
+def test_a_table_whose_proxies_report_nothing_is_unchanged():
     rig = Rig()
     for _ in range(8):
         rig.period(*[rig.report(0, i, failed=10 * (i % 2)) for i in range(8)])
--- a/tests/decisions/test_decisions_publisher.py
+++ b/tests/decisions/test_decisions_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher: removals at once, limits of the channel kept."""
+"""The publisher: immediate removals within the limits of the channel."""
 
 import pytest
 from helpers import SECOND, Rig, entry, lines, roster
@@ -49,31 +49,31 @@
 
 def test_backlog_and_messages_stay_within_limits_without_acknowledgements():
     rig = Rig(tasks=40, proxies=10, max_waiting_lines=900.0, max_messages_per_proxy=20, lines_per_s=200.0)
-    backlog, times = rig.assigner.backlog, []
-    for k in range(40):
-        rig.period(*[rig.report(z, i, latency=0.1 + (i * k % 7) / 5) for z in (0, 1) for i in range(40)], acks=False)
+    backlog, message_times = rig.assigner.backlog, []
+    for step in range(40):
+        rig.period(*[rig.report(z, i, latency=0.1 + (i * step % 7) / 5) for z in (0, 1) for i in range(40)], acks=False)
         assert backlog.sent - backlog.delivered <= 900
-        times += [rig.now] * bool(lines(rig.commands))
-        assert sum(t > rig.now - 10 * SECOND for t in times) <= 20
-    assert rig.assigner.tables.pending == []  # joins that waited for room were served
+        message_times += [rig.now] * bool(lines(rig.commands))
+        assert sum(time > rig.now - 10 * SECOND for time in message_times) <= 20
+    assert rig.assigner.tables.pending == []  # joins that were deferred have got their tables
 
 
 def test_a_task_that_restarts_under_its_index_gets_its_cold_line_though_the_channel_is_full():
     rig = Rig(proxy_ejection_failures=0)
-    usual, backlog = rig.share(0, 2), rig.assigner.backlog
-    backlog.reserve(rig.now, [0], int(backlog.soft_backlog_limit))  # what can wait is held
+    usual_share, backlog = rig.share(0, 2), rig.assigner.backlog
+    backlog.reserve(rig.now, [0], int(backlog.soft_backlog_limit))  # non-urgent changes are held back
     rig.feed(roster([entry(2, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
     rig.feed(api.TimerFired(0), after=1)
-    assert rig.share(0, 2) <= rig.config.overload_multiple / 2 * rig.config.cold_capacity_fraction * usual
+    assert rig.share(0, 2) <= rig.config.overload_multiple / 2 * rig.config.cold_capacity_fraction * usual_share
 
 
-def test_what_can_wait_delays_a_removal_by_half_its_grace_at_most_and_joins_by_all_of_it():
+def test_nonurgent_changes_delay_a_removal_by_at_most_half_its_grace_and_joins_by_at_most_all_of_it():
     rig = Rig(tasks=60, proxies=20, lines_per_s=200.0, max_waiting_lines=2000.0)
     backlog = rig.assigner.backlog
-    in_time = 200 * (rig.config.drain_grace_us - rig.config.max_transit_us) / SECOND
-    assert backlog.soft_backlog_limit == in_time / 2
-    assert backlog.sent - backlog.delivered <= in_time / 2 + 80
+    usable_grace_lines = 200 * (rig.config.drain_grace_us - rig.config.max_transit_us) / SECOND
+    assert backlog.soft_backlog_limit == usable_grace_lines / 2
+    assert backlog.sent - backlog.delivered <= usable_grace_lines / 2 + 80
     for _ in range(8):
         rig.feed(api.TimerFired(0), after=0.2)
-        assert backlog.sent - backlog.delivered <= in_time + 80
+        assert backlog.sent - backlog.delivered <= usable_grace_lines + 80
     assert 0 < len(rig.assigner.tables.pending) < 20
--- a/tests/decisions/test_decisions_table_planner.py
+++ b/tests/decisions/test_decisions_table_planner.py
@@ -1,4 +1,4 @@
-"""The table planner: what tables of zone-local methods hold."""
+"""The table planner: the contents of tables with zone-local methods."""
 
 import pytest
 from helpers import Rig, entry, method, roster
@@ -15,33 +15,38 @@
     "methods", [(method(), ZONE_LOCAL), (ZONE_LOCAL, ZONE_LOCAL), (ZONE_LOCAL, method(criticality=3.0), method())]
 )
 def test_a_zone_local_method_never_gets_a_task_of_another_zone(methods, admission):
-    """Every table held tasks of all zones, whatever the method, on every day of such a deployment."""
+    """Guards against tables that hold tasks of all zones whatever the method."""
     rig = Rig(methods=methods, admission=admission, tasks=12, proxies=6)
-    held: dict[int, dict[int, int]] = {}  # by proxy: table of each method
+    tables_by_proxy: dict[int, dict[int, int]] = {}  # table by proxy and method
     tables: dict[int, set[int]] = {}
 
-    def look():
-        for order in rig.commands:
-            if isinstance(order, api.SetWeight):
-                lines = tables.setdefault(order.table, set())
-                (lines.add if order.weight > 0 else lines.discard)(order.task)
-            elif isinstance(order, api.BindTable):
-                held.setdefault(order.proxy, {}).update(
-                    (k, order.table) for k in range(len(methods)) if not order.methods or order.methods >> k & 1
+    def check_tables():
+        for command in rig.commands:
+            if isinstance(command, api.SetWeight):
+                lines = tables.setdefault(command.table, set())
+                (lines.add if command.weight > 0 else lines.discard)(command.task)
+            elif isinstance(command, api.BindTable):
+                tables_by_proxy.setdefault(command.proxy, {}).update(
+                    (method_index, command.table)
+                    for method_index in range(len(methods))
+                    if not command.methods or command.methods >> method_index & 1
                 )
-        for proxy, by_method in held.items():
-            for k, table in by_method.items():
+        for proxy, by_method in tables_by_proxy.items():
+            for method_index, table in by_method.items():
                 ready = set(rig.assigner.endpoints.ready_tasks())
-                assert not methods[k].same_zone_only or all(i % 2 == proxy % 2 for i in tables[table]), (
+                assert not methods[method_index].same_zone_only or all(i % 2 == proxy % 2 for i in tables[table]), (
                     proxy,
-                    k,
+                    method_index,
                     table,
                 )
                 assert not any(i % 2 == proxy % 2 for i in ready) or tables[table]
 
-    look()
-    every = set(range(len(methods)))
-    assert {proxy: set(by_method) for proxy, by_method in held.items()} == dict.fromkeys(range(6), every)
+    check_tables()
+    all_methods = set(range(len(methods)))
+    assert {proxy: set(by_method) for proxy, by_method in tables_by_proxy.items()} == dict.fromkeys(
+        range(6), all_methods
+    )
+    # The failures cause an overload, in which sheddable methods are separated.
     for failed in (
         0,
         0,
@@ -56,25 +61,26 @@
         0,
         0,
         0,
-    ):  # through an overload, in which sheddable methods are separated
+    ):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(12)])
-        look()
+        check_tables()
     changed = [entry(0, state=DRAINING), entry(3, state=GONE), entry(13, started_at=rig.now)]
     rig.feed(
         roster(changed, api.UpdateKind.DELTA), *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1
     )
     for _ in range(12):
-        look()
+        check_tables()
         rig.period(*[rig.report(z, i) for z in (0, 1) for i in range(14) if i not in (0, 3, 12)])
-    assert set(held) == set(range(40))
-    assert all(set(by_method) == every for by_method in held.values())
-    assert not any({0, 3} & tables[table] for by_method in held.values() for table in by_method.values())
-    elsewhere = {
+    assert set(tables_by_proxy) == set(range(40))
+    assert all(set(by_method) == all_methods for by_method in tables_by_proxy.values())
+    assert not any({0, 3} & tables[table] for by_method in tables_by_proxy.values() for table in by_method.values())
+    other_zone_tasks = {
         i
-        for by_method in held.values()
-        for k, table in by_method.items()
-        if not methods[k].same_zone_only
+        for by_method in tables_by_proxy.values()
+        for method_index, table in by_method.items()
+        if not methods[method_index].same_zone_only
         for i in tables[table]
         if table == 0 and i % 2
     }
-    assert bool(elsewhere) is any(not m.same_zone_only for m in methods)  # the others go on using other zones
+    # The other methods still use other zones.
+    assert bool(other_zone_tasks) is any(not m.same_zone_only for m in methods)
--- a/tests/decisions/test_decisions_tables.py
+++ b/tests/decisions/test_decisions_tables.py
@@ -1,4 +1,4 @@
-"""Tables: who uses which, separated methods, and waves of joining proxies."""
+"""Tables: bindings of proxies, separated methods, and waves of joining proxies."""
 
 from helpers import SECOND, Rig, entry, lines, method, roster
 
@@ -19,76 +19,87 @@
     assert not lines(commands)
 
 
-def test_in_a_lasting_overload_without_levels_lesser_methods_are_left_few_tasks_until_it_is_over():
+def test_in_a_lasting_overload_without_levels_less_critical_methods_are_limited_to_few_tasks_until_it_ends():
     rig = Rig(admission=api.Admission.OFF)
 
-    def step(failed):
+    def run_period(failed):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(8)])
-        return [o for o in rig.commands if isinstance(o, api.BindTable)]
-
-    attached = [step(8) for _ in range(4)]
-    assert [o for some in attached for o in some] == [api.BindTable(p, 2, 1) for p in range(4)]  # method 0
-    (sink,) = rig.tables[2]
-    assert rig.share(0, sink) < 0.02
-    back = [o for _ in range(12) for o in step(0)]
-    assert sorted(back) == [api.BindTable(p, p % 2, 1) for p in range(4)]
-    step(0)
+        return [command for command in rig.commands if isinstance(command, api.BindTable)]
+
+    bindings_by_period = [run_period(8) for _ in range(4)]
+    # Mask 1 selects method 0, the less critical one.
+    assert [command for bindings in bindings_by_period for command in bindings] == [
+        api.BindTable(p, 2, 1) for p in range(4)
+    ]
+    (overflow_task,) = rig.tables[2]
+    assert rig.share(0, overflow_task) < 0.02
+    returned = [command for _ in range(12) for command in run_period(0)]
+    assert sorted(returned) == [api.BindTable(p, p % 2, 1) for p in range(4)]
+    run_period(0)
     assert not rig.tables[2]
     rig.feed(api.ProxyJoined(5.0, False, 9, 0), after=0.1)
     assert rig.bound[9] == 0
 
 
 def test_a_wave_of_joins_gets_slices_at_once_and_whole_tables_later():
-    """Found on a recorded day of the bench (a zone and an assigner lost within a second): whole tables for 83 joins
-    held up the removals behind them past the grace."""
+    """Guards against late removals: on a recorded day of the bench, on which a zone and an assigner were lost within a
+    second, whole tables for 83 joins delayed the removals behind them beyond the grace."""
     rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
     for _ in range(12):
         rig.period()
     assert not rig.assigner.tables.pending
-    tables, whole = rig.assigner.tables, len(rig.tables[0])
-    before = rig.assigner.backlog.sent
-    commands = rig.feed(*[api.ProxyJoined(10.0, False, 100 + k, k % 2) for k in range(24)])
+    tables, whole_lines = rig.assigner.tables, len(rig.tables[0])
+    sent_before = rig.assigner.backlog.sent
+    commands = rig.feed(*[api.ProxyJoined(10.0, False, 100 + index, index % 2) for index in range(24)])
     for _ in range(4):
         commands += rig.feed(api.TimerFired(0), after=0.1)
-    given = {o.proxy: o.table for o in reversed(commands) if isinstance(o, api.BindTable)}  # its first table
-    assert len(given) == 24
-    assert all(table > tables.overflow for table in given.values())
-    assert {tables.zone_of(table) for proxy, table in given.items() if proxy % 2} == {1}
-    assert rig.assigner.backlog.sent - before < 24 * whole * 0.6  # some have their whole table already
-    shares = {table: set(tables[table].weights) for table in set(given.values())}
-    assert set().union(*shares.values()) == set(rig.tables[0]) | set(rig.tables[1])
-    assert max(map(len, shares.values())) <= whole / 4 + 2
-    closed = 2
-    rig.feed(roster([entry(closed, state=api.TaskState.DRAINING)], api.UpdateKind.DELTA))
-    for _ in range(10):  # behind a long queue removals wait a quarter of the grace for more of them
+    first_table_by_proxy = {
+        command.proxy: command.table for command in reversed(commands) if isinstance(command, api.BindTable)
+    }
+    assert len(first_table_by_proxy) == 24
+    assert all(table > tables.overflow for table in first_table_by_proxy.values())
+    assert {tables.zone_of(table) for proxy, table in first_table_by_proxy.items() if proxy % 2} == {1}
+    # Some proxies already have their whole table.
+    assert rig.assigner.backlog.sent - sent_before < 24 * whole_lines * 0.6
+    tasks_by_slice = {table: set(tables[table].weights) for table in set(first_table_by_proxy.values())}
+    assert set().union(*tasks_by_slice.values()) == set(rig.tables[0]) | set(rig.tables[1])
+    assert max(map(len, tasks_by_slice.values())) <= whole_lines / 4 + 2
+    draining_task = 2
+    rig.feed(roster([entry(draining_task, state=api.TaskState.DRAINING)], api.UpdateKind.DELTA))
+    for _ in range(10):  # behind a long queue, removals wait for further removals for a quarter of the grace
         rig.feed(api.TimerFired(0), after=0.1)
-    assert all(closed not in table.weights for table in tables.tables if table.proxies)
+    assert all(draining_task not in table.weights for table in tables.tables if table.proxies)
     for _ in range(12):
         rig.period()
-    assert all(sum(proxy in table.proxies for table in tables.tables) == 1 for proxy in given)
-    assert all(any(proxy in tables[zone].proxies for zone in (0, 1)) for proxy in given)
+    assert all(sum(proxy in table.proxies for table in tables.tables) == 1 for proxy in first_table_by_proxy)
+    assert all(any(proxy in tables[zone].proxies for zone in (0, 1)) for proxy in first_table_by_proxy)
 
 
 def test_in_a_wave_of_joins_zone_local_methods_cost_no_second_table():
-    """Slices of all zones and whole home tables for 187 joins held up the removals behind them past the grace."""
+    """Guards against late removals: slices of all zones and whole home tables for 187 joins delayed the removals
+    behind them beyond the grace."""
     rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0, methods=(method(), ZONE_LOCAL))
     for _ in range(12):
         rig.period()
     tables = rig.assigner.tables
-    commands = rig.feed(*[api.ProxyJoined(10.0, False, 100 + k, k % 2) for k in range(24)])
+    commands = rig.feed(*[api.ProxyJoined(10.0, False, 100 + index, index % 2) for index in range(24)])
     for _ in range(4):
         commands += rig.feed(api.TimerFired(0), after=0.1)
-    first: dict[int, api.BindTable] = {}
-    for order in commands:
-        if isinstance(order, api.BindTable):
-            first.setdefault(order.proxy, order)
-    assert len(first) == 24
-    assert all(tables.overflow < o.table < tables.first_home and o.methods == 0 for o in first.values())
-    assert all(i % 2 == proxy % 2 for proxy, o in first.items() for i in tables[o.table].weights)
-    assert max(len(tables[o.table].weights) for o in first.values()) <= 48 / 4 + 1  # of 48 tasks a zone
+    first_binding: dict[int, api.BindTable] = {}
+    for command in commands:
+        if isinstance(command, api.BindTable):
+            first_binding.setdefault(command.proxy, command)
+    assert len(first_binding) == 24
+    assert all(
+        tables.overflow < command.table < tables.first_home and command.methods == 0
+        for command in first_binding.values()
+    )
+    assert all(i % 2 == proxy % 2 for proxy, command in first_binding.items() for i in tables[command.table].weights)
+    # A zone has 48 tasks.
+    assert max(len(tables[command.table].weights) for command in first_binding.values()) <= 48 / 4 + 1
     for _ in range(16):
         rig.period()
-    for proxy in first:
+    for proxy in first_binding:
         assert [number for number, table in enumerate(tables.tables) if proxy in table.proxies] == [
             proxy % 2,
             tables.first_home + proxy % 2,
@@ -103,9 +114,9 @@
     assert not any(tables[zone].proxies for zone in (0, 1))
     for _ in range(30):
         rig.period()
-    bound = [len(table.proxies) for table in tables.tables]
+    proxies_by_table = [len(table.proxies) for table in tables.tables]
     assert not tables.join_wave
-    assert sum(bound[:2]) == 80 == sum(bound)
+    assert sum(proxies_by_table[:2]) == 80 == sum(proxies_by_table)
 
 
 def test_a_start_that_fits_the_channel_is_no_wave():
--- a/tests/decisions/test_decisions_weights.py
+++ b/tests/decisions/test_decisions_weights.py
@@ -1,4 +1,4 @@
-"""The weight controller: weights and spillover follow what is reported."""
+"""The weight controller: weights and spillover follow the load reports."""
 
 from helpers import SECOND, Rig, lines
 
@@ -12,32 +12,32 @@
     for _ in range(12):
         rig.period(*[rig.report(z, i, latency=0.4 if i == 2 else 0.1) for z in (0, 1) for i in range(8)])
         after = rig.assigner.weights.weight
-        assert all(abs(x - y) <= MAX_STEP + 1e-9 for x, y in zip(after, before))
+        assert all(abs(new - old) <= MAX_STEP + 1e-9 for new, old in zip(after, before))
         before = list(after)
-        for o in lines(rig.commands):
-            assert o.weight > 0
+        for command in lines(rig.commands):
+            assert command.weight > 0
     assert rig.share(0, 2) < 0.8 * rig.share(0, 0)
     assert rig.share(1, 2) < 0.8 * rig.share(1, 0)
-    sent = [len(lines(rig.period(*[rig.report(z, i) for z in (0, 1) for i in range(8)]))) for _ in range(3)]
-    assert min(sent) == 0  # nothing worth a push, nothing repeated
+    line_counts = [len(lines(rig.period(*[rig.report(z, i) for z in (0, 1) for i in range(8)]))) for _ in range(3)]
+    assert min(line_counts) == 0  # some period has nothing worth a push, and nothing is repeated
 
 
-def test_spillover_follows_demand_and_avoids_a_way_that_costs():
+def test_spillover_follows_demand_and_avoids_zones_that_add_delay():
     rig = Rig(tasks=24, proxies=2)
-    reach = rig.assigner.weights.spillover
+    spillover = rig.assigner.weights.spillover
 
-    def step(way_s):
+    def run_period(cross_zone_delay_s):
         rig.period(
-            *[rig.report(z, i, latency=0.1 + way_s * (i % 2 != z)) for z in (0, 1) for i in range(24)],
+            *[rig.report(z, i, latency=0.1 + cross_zone_delay_s * (i % 2 != z)) for z in (0, 1) for i in range(24)],
             *[api.OfferedLoad(90 if p == 0 else 10, SECOND, p, 0, 0) for p in (0, 1)],
         )
 
     for _ in range(8):
-        step(0.0)
-    assert reach[0][1] > 0.5
-    assert reach[1][0] < 0.05
+        run_period(0.0)
+    assert spillover[0][1] > 0.5
+    assert spillover[1][0] < 0.05
     for _ in range(10):
-        step(0.6)
-    assert reach[0][1] < 0.05
-    far = [i for i in rig.tables[0] if i % 2]
-    assert len(far) == rig.config.initial_table_size  # probed by an initial table's worth of lines
+        run_period(0.6)
+    assert spillover[0][1] < 0.05
+    other_zone_tasks = [i for i in rig.tables[0] if i % 2]
+    assert len(other_zone_tasks) == rig.config.initial_table_size  # an initial table's worth of lines probes the zone
