--- a/hollyridge/decisions/estimates.py
+++ b/hollyridge/decisions/estimates.py
@@ -8,7 +8,7 @@
 
 BUSY_UTILIZATION = 0.85  # utilization from which tasks count as busy; also the target of admission control
 OVERLOAD_FAILURE_RATIO = 0.25  # failed part of all attempts above which the fleet counts as overloaded
-MIN_ATTEMPTS = 6.0  # attempts per period of a zone's proxies; fewer say nothing about an overload
+MIN_ATTEMPTS = 6.0  # attempts per period of a zone's proxies; fewer do not indicate an overload
 HISTORY_DECAY = 0.75  # part of the reported figures that still counts one period later
 CAPACITY_DECAY = 0.9  # the same for the figures behind capacities, which change less
 UTILIZATION_METRIC = "util"  # the platform's name for a task's utilization among its load metrics
@@ -105,7 +105,7 @@
             column.extend([0] * missing)
 
     def forget(self, task: int) -> None:
-        """Reset the estimates of a restarted task, which say nothing about its new run."""
+        """Reset the estimates of a restarted task, which do not apply to its new run."""
         for column in self._learned_columns():
             column[task] = 0.0
 
@@ -255,7 +255,7 @@
         target = min(utilization, MAX_SMOOTHED_UTILIZATION)
         self.mean_utilization[task] += (target - self.mean_utilization[task]) / UTILIZATION_SMOOTHING
         attempts, failed = self.attempts_and_failures([task])
-        # Traffic during an overload says nothing about capacity.
+        # Traffic during an overload does not show the capacity.
         if warm and failed < OVERLOAD_FAILURE_RATIO * attempts:
             self.answered[task] = self.answered[task] * CAPACITY_DECAY + attempts - failed
             self.busy_periods[task] = self.busy_periods[task] * CAPACITY_DECAY + utilization
--- a/hollyridge/interface/__init__.py
+++ b/hollyridge/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The types between the decisions and everything else: configuration, events in, commands out.
+"""The interface of the decisions: types of the configuration, of the events they take and the commands they return.
 
-Whoever feeds an assigner translates its own protocol to these types and back.
+A caller of an assigner translates its own protocol to these types and back.
 """
 
 from hollyridge.interface.commands import (
--- a/hollyridge/interface/commands.py
+++ b/hollyridge/interface/commands.py
@@ -1,4 +1,4 @@
-"""What an assigner commands: table lines, bindings, admission, acknowledgements, timers.
+"""Commands of an assigner: table lines, bindings, admission levels, requests for acknowledgements, timers.
 
 A table is a numbered set of weighted tasks that any number of proxies can share.
 """
@@ -9,11 +9,11 @@
 
 
 class RefreshEndpoints(NamedTuple):
-    """Ask discovery for the whole endpoint list."""
+    """Request for the whole endpoint list from discovery."""
 
 
 class SetEjected(NamedTuple):
-    """Shut a task out at all proxies, or let it back in, whatever their tables say."""
+    """Ejection of a task at all proxies, or the end of its ejection, independent of their tables."""
 
     task: int
     ejected: bool
@@ -26,26 +26,26 @@
 
 
 class Probe(NamedTuple):
-    """Ask for a health check of a task."""
+    """Request for a health check of a task."""
 
     task: int
 
 
 class SendToPeer(NamedTuple):
-    """Bytes to another assigner."""
+    """Message to another assigner."""
 
     peer: int
     payload: bytes
 
 
 class WatchEndpoints(NamedTuple):
-    """Watch the endpoint list, or stop watching it."""
+    """Start or end of a watch on the endpoint list."""
 
     on: bool
 
 
 class SetAdmission(NamedTuple):
-    """How much of the methods in a mask (0: all methods) a table admits, and how its proxies retry."""
+    """Admission level and retry mode of a table for the methods in a mask (0: all methods)."""
 
     table: int
     methods: int
@@ -54,14 +54,14 @@
 
 
 class RequestAck(NamedTuple):
-    """Ask the proxies that this batch of commands reaches, or all, to acknowledge a mark."""
+    """Request to acknowledge a mark, for the recipients of this batch of commands or for all proxies."""
 
     mark: int
     from_all: bool
 
 
 class BindTable(NamedTuple):
-    """Have a proxy use a table for the methods in a mask (0: all methods)."""
+    """Binding of a proxy to a table for the methods in a mask (0: all methods)."""
 
     proxy: int
     table: int
@@ -69,14 +69,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` with this token."""
+    """Request for a `TimerFired` event with this token after a delay."""
 
     token: int
     delay_us: int
 
 
 class SetWeight(NamedTuple):
-    """Set one line of a table; weight 0 takes the task out."""
+    """New weight of one line of a table; weight 0 removes the line."""
 
     weight: float
     task: int
@@ -84,7 +84,7 @@
 
 
 class DeleteTable(NamedTuple):
-    """Take all lines out of a table."""
+    """Removal of all lines of a table."""
 
     table: int
 
--- a/hollyridge/interface/config.py
+++ b/hollyridge/interface/config.py
@@ -1,6 +1,6 @@
-"""What the decisions are configured with: the deployment's methods, limits and promises.
+"""Configuration of the decisions: the methods, limits and guarantees of the deployment.
 
-Read once at start from the settings (`hollyridge.platform_settings`, `hollyridge.settings`); nothing here is decided.
+It is read once at start from the settings (`hollyridge.platform_settings`, `hollyridge.settings`).
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class Idempotency(IntEnum):
-    """Whether an RPC of a method may be sent again after an attempt that may have run."""
+    """Repeatability of a method's RPCs after an attempt that may have run."""
 
     IDEMPOTENT = 0
-    TOKENED = 1  # with an idempotency key, within its scope and window
+    TOKENED = 1  # repeatable with an idempotency key, within its scope and window
     NON_IDEMPOTENT = 2
 
 
 class IdempotencyScope(IntEnum):
-    """Which tasks recognise a repeated idempotency key: all, those of one zone, or those of one cell."""
+    """Set of tasks that recognize a repeated idempotency key: all, those of one zone, or those of one cell."""
 
     ALL = 0
     ZONE = 1
@@ -26,9 +26,9 @@
 
 
 class Admission(IntEnum):
-    """Which admission levels proxies obey.
+    """Kind of admission level that the proxies support.
 
-    With OFF they obey none, but the retry mode can be set; with SILENT neither can be set.
+    With OFF they support no level, but their retry mode can be set; with NOT_SUPPORTED neither can be set.
     """
 
     OFF = 0
@@ -38,7 +38,7 @@
 
 
 class BalancingPolicy(IntEnum):
-    """How a proxy picks a line of its table: at random by weight, in rotation, or the better of two drawn."""
+    """Policy by which a proxy picks a line of its table: at random by weight, in rotation, or the better of two."""
 
     RANDOM = 0
     ROTATE = 1
@@ -46,16 +46,16 @@
 
 
 class MethodConfig(NamedTuple):
-    """One RPC method.
+    """Configuration of one RPC method.
 
     Attributes:
-        soft_deadline_us: The latency objective; an answer within it earns its full worth.
-        deadline_us: After this an answer earns nothing.
+        soft_deadline_us: Latency objective, in microseconds; an answer within it has its full value.
+        deadline_us: Hard deadline, in microseconds; a later answer has no value.
         criticality: Priority weight among the methods.
-        idempotency: Whether an RPC may be repeated.
-        idempotency_scope: Where a repeated key is recognised.
-        idempotency_window_us: For how long a repeated key is recognised.
-        same_zone_only: The method may be sent to tasks of the proxy's own zone only.
+        idempotency: Repeatability of an RPC.
+        idempotency_scope: Set of tasks that recognize a repeated key.
+        idempotency_window_us: Time for which a repeated key is recognized, in microseconds.
+        same_zone_only: The method may be sent only to tasks of the proxy's own zone.
     """
 
     soft_deadline_us: int
@@ -68,38 +68,39 @@
 
 
 class AssignerConfig(NamedTuple):
-    """One assigner's deployment. Times in whole microseconds.
+    """Configuration of one assigner's deployment; times are in whole microseconds.
 
     Attributes:
         methods: The RPC methods, by index.
         zones: Number of zones.
         assigners: Number of assigners that share the tasks.
-        subscribe: The endpoint list is watched, not delivered unasked.
-        refresh_within_us: The list has to be watched or asked for at least this often.
-        report_period_us: Interval of load reports, and of decisions about weights.
-        lines_per_s: Pace of the channel to the proxies.
-        message_overhead_lines: Lines that each message costs beyond its own.
-        max_waiting_lines: Lines that may wait in the channel, overhead included.
-        max_messages_per_proxy: Messages one proxy may get within `message_count_window_us`; 0 for no limit.
+        subscribe: The endpoint list has to be watched; it is not delivered without a request.
+        refresh_within_us: Longest interval between watches of, or requests for, the endpoint list.
+        report_period_us: Interval of load reports and of decisions about weights.
+        lines_per_s: Pace of the channel to the proxies, in lines per second.
+        message_overhead_lines: Cost of each message in addition to its own lines, in lines.
+        max_waiting_lines: Maximum number of lines that wait in the channel, overhead included.
+        max_messages_per_proxy: Maximum number of messages to one proxy within `message_count_window_us`; 0 for no
+            limit.
         message_count_window_us: Window of that limit.
-        transit_us: Usual time of a message on its way to a proxy.
-        max_transit_us: The longest such time.
-        empty_table_limit_us: How long a proxy may be left without a line to pick.
-        drain_grace_us: How long a draining or removed task may still be sent to.
-        removal_is_advisory: Only draining tasks fall under that rule, not those that leave the list.
+        transit_us: Usual transit time of a message to a proxy.
+        max_transit_us: Longest transit time of a message to a proxy.
+        empty_table_limit_us: Longest time for which a proxy may have no line to pick.
+        drain_grace_us: Time for which a draining or removed task may still get requests.
+        removal_is_advisory: The grace applies to draining tasks only, not to those removed from the list.
         cold_capacity_fraction: Part of its capacity that a task has at its start.
-        warm_up_us: Time until a task has all of it.
-        overload_window_us: A cold task collapses when overloaded for this long ...
-        overload_multiple: ... with this many times its present capacity.
-        balancing_policy: How proxies pick a line.
-        proxy_ejection_failures: Failures in a row after which a proxy stops using a task; 0 for never.
-        initial_table_size: Tasks in the table that a proxy starts with, at the most.
-        admission: Which levels proxies obey.
-        default_retry_mode: How proxies retry until they are told otherwise.
-        attempt_timeout_factor: Soft deadlines after which an attempt that may be retried is given up.
+        warm_up_us: Time until a task has its full capacity.
+        overload_window_us: Duration of an overload after which a cold task collapses.
+        overload_multiple: Load that counts as such an overload, as a multiple of the task's present capacity.
+        balancing_policy: Policy by which proxies pick a line.
+        proxy_ejection_failures: Consecutive failures after which a proxy stops using a task; 0 for never.
+        initial_table_size: Maximum number of tasks in the table that a proxy starts with.
+        admission: Kind of admission level that the proxies support.
+        default_retry_mode: Retry mode of proxies until it is set.
+        attempt_timeout_factor: Timeout of an attempt that may be retried, in soft deadlines.
         slices: Number of key slices; 0 for none.
-        exclusive_slices: A slice has one owner.
-        load_metric_names: What the figures of a load report mean, in their order.
+        exclusive_slices: Each slice has one owner.
+        load_metric_names: Names of the figures in a load report, in their order.
         cross_zone_cost: Cost of an RPC to another zone.
     """
 
--- a/hollyridge/interface/events.py
+++ b/hollyridge/interface/events.py
@@ -1,7 +1,7 @@
-"""What an assigner is told: changes of the endpoint list, proxies, load reports, timers.
+"""Events for an assigner: changes of the endpoint list and of the proxies, load reports, timers.
 
-Times are whole microseconds; tasks, zones, proxies and methods are dense indices given by whoever feeds the assigner,
-in the order of first mention.
+Times are whole microseconds. Tasks, zones, proxies and methods are dense indices that the caller of the assigner
+allocates in the order of first mention.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class UpdateKind(IntEnum):
-    """What an endpoint list update holds: nothing (the call failed), changes, the whole list, or a cached one."""
+    """Content of an endpoint list update: none (the request failed), changes, the whole list, or a cached list."""
 
     FAILED = 0
     DELTA = 1
@@ -20,7 +20,7 @@
 
 
 class TaskState(IntEnum):
-    """Whether a task is to be sent to: it is gone, takes requests, or is draining."""
+    """State of a task: it is gone, accepts requests, or is draining."""
 
     GONE = 0
     READY = 1
@@ -28,7 +28,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A task's entry in the endpoint list. `started_at_us` is 0 for a start long past."""
+    """Entry of a task in the endpoint list; `started_at_us` is 0 for a start long ago."""
 
     task: int
     zone: int
@@ -40,7 +40,7 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The endpoint list, or what has changed in it, by `kind`."""
+    """The endpoint list or the changes in it, depending on `kind`."""
 
     version: int
     kind: int
@@ -48,13 +48,13 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer that `SetTimer` has set."""
+    """Expiry of a timer that `SetTimer` requested."""
 
     token: int
 
 
 class ProbeResult(NamedTuple):
-    """The outcome of a health check that `Probe` has asked for."""
+    """Outcome of a health check that `Probe` requested."""
 
     task: int
     status: int
@@ -63,14 +63,14 @@
 
 
 class PeerMessage(NamedTuple):
-    """Bytes from another assigner."""
+    """Message from another assigner."""
 
     peer: int
     payload: bytes
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy's stream stands. `has_no_table`: it holds no table that was ever ordered."""
+    """Start of a proxy's stream; `has_no_table` is set if it holds no table that was ever sent to it."""
 
     usual_rate_per_s: float
     has_no_table: bool
@@ -79,13 +79,13 @@
 
 
 class ProxyLeft(NamedTuple):
-    """A proxy's stream has ended."""
+    """End of a proxy's stream."""
 
     proxy: int
 
 
 class Ack(NamedTuple):
-    """A proxy has applied all messages up to this mark, the last one in `apply_time_us`."""
+    """Acknowledgement that a proxy has applied all messages up to this mark, the last one in `apply_time_us`."""
 
     proxy: int
     mark: int
@@ -93,17 +93,20 @@
 
 
 class QueueDepth(NamedTuple):
-    """Lines of earlier commands that still wait in the channel, overhead included.
+    """Number of lines of earlier commands that still wait in the channel, overhead included.
 
-    Told last of a batch by whoever merges an update into a message of the same proxy that already waits: there an
-    `Ack` comes earlier than the merged update's own message would have.
+    A caller that merges an update into a waiting message of the same proxy sends this as the last event of a batch,
+    because the `Ack` of a merged message arrives earlier than that of a separate message would.
     """
 
     waiting_lines: float
 
 
 class TrafficReport(NamedTuple):
-    """What the proxies of a zone saw at a task during an interval. `latency_us` is the mean of what did not fail."""
+    """Traffic from the proxies of a zone to a task during an interval.
+
+    `latency_us` is the mean latency of the attempts that did not fail.
+    """
 
     zone: int
     task: int
@@ -115,7 +118,7 @@
 
 
 class OfferedLoad(NamedTuple):
-    """RPCs of a method that reached a proxy during an interval, and how many of them were left unanswered."""
+    """RPCs of a method that reached a proxy during an interval, and the number of unanswered RPCs among them."""
 
     rpcs: int
     interval_us: int
@@ -125,7 +128,7 @@
 
 
 class SliceLoad(NamedTuple):
-    """RPCs of a method on one key slice during an interval."""
+    """RPCs of a method on one key slice during an interval, and the number of unanswered RPCs among them."""
 
     slice: int
     method: int
@@ -135,14 +138,14 @@
 
 
 class SliceCharge(NamedTuple):
-    """Whether this assigner is in charge of a key slice from now on."""
+    """Grant or withdrawal of this assigner's ownership of a key slice."""
 
     granted: bool
     slice: int
 
 
 class SliceLine(NamedTuple):
-    """A stored line of a key slice's table."""
+    """Stored line of a key slice's table."""
 
     task: int
     weight: float
@@ -152,8 +155,12 @@
 class WeightProposal(NamedTuple):
     """Weights by task that a solver proposes for the table of a zone's proxies.
 
-    The weight controller trims them and the push gate decides whether they are pushed; without a newer proposal they
+    The weight controller adjusts them and the push gate decides whether they are pushed. Without a newer proposal they
     expire after a few periods.
+
+    Attributes:
+        zone: Zone of the proxies.
+        weights: Pairs of a task and its weight.
     """
 
     zone: int
@@ -161,14 +168,14 @@
 
 
 class LearnedEstimate(NamedTuple):
-    """What is known of a task.
+    """Learned estimates of one task.
 
     Attributes:
-        task: Its index.
-        capacity: RPCs answered in a period of full utilisation.
-        busy_periods: Such periods' worth of reports that this rests on.
-        efficiency: Factor on its size that the weight controller has arrived at.
-        weight_ratio: Present weight as a multiple of its listed one.
+        task: Index of the task.
+        capacity: RPCs answered in a period of full utilization.
+        busy_periods: Reports that the capacity is based on, in periods of full utilization.
+        efficiency: Factor on the task's size that the weight controller has learned.
+        weight_ratio: Present weight as a multiple of the listed weight.
     """
 
     task: int
@@ -179,7 +186,7 @@
 
 
 class EstimatesRestored(NamedTuple):
-    """What was learned before a restart, or by another assigner, and the price of its push gate."""
+    """Estimates from before a restart or from another assigner, with the push price that belongs to them."""
 
     estimates: tuple[LearnedEstimate, ...]
     push_price: float
