--- a/hollyridge/platform_settings/__init__.py
+++ b/hollyridge/platform_settings/__init__.py
@@ -1,8 +1,9 @@
-"""The platform's settings read into an assigner's configuration.
+"""Conversion of the platform's settings to an assigner's configuration.
 
-Shared by the node, which gets them as JSON, and the bench adapter, which gets them as text. Standard library only.
+The package is shared by the node, which gets the settings as JSON, and the bench adapter, which gets them as text. It
+depends on the standard library only.
 
-- `settings_text`: either form to texts by path.
-- `settings_reader`: typed values by path, with the faults collected.
-- `assigner_config`: the configuration built from them.
+- `settings_text`: conversion of either form to texts by path.
+- `settings_reader`: typed values by path, with all faults collected.
+- `assigner_config`: the configuration built from these values.
 """
--- a/hollyridge/platform_settings/assigner_config.py
+++ b/hollyridge/platform_settings/assigner_config.py
@@ -1,4 +1,4 @@
-"""The assigner's configuration built from the platform's settings; keys that are not known are skipped."""
+"""Construction of the assigner's configuration from the platform's settings; unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hollyridge.platform_settings.settings_reader import SettingsError, SettingsReader, seconds_to_us
 from hollyridge.platform_settings.settings_text import parse_settings_text
 
-# What the texts of the settings stand for.
+# The values of settings that are enumerations, by their text.
 IDEMPOTENCY_BY_TEXT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.TOKENED,
@@ -18,29 +18,29 @@
 POLICY_BY_TEXT = {"random": BalancingPolicy.RANDOM, "rotate": BalancingPolicy.ROTATE, "p2c": BalancingPolicy.P2C}
 ADMISSION_BY_TEXT = {"off": Admission.OFF, "fraction": Admission.FRACTION, "per_second": Admission.PER_SECOND}
 
-MAX_METHODS = 256  # a bench that announces more is read up to here
-MAX_TRANSIT_FACTOR = 3  # longest transit as a multiple of the usual one, where the settings give the usual one only
+MAX_METHODS = 256  # further methods are ignored
+MAX_TRANSIT_FACTOR = 3  # longest transit time as a multiple of the usual one, if the settings give only the usual one
 
 
 def read_assigner_config(raw: bytes) -> AssignerConfig:
-    """The configuration from the settings text of the bench's wire.
+    """Return the configuration from the settings text of the bench's wire.
 
     Raises:
-        SettingsError: It names each setting that is missing or has no meaning.
+        SettingsError: Settings are missing or invalid; the error names each of them.
     """
     return build_assigner_config(parse_settings_text(raw))
 
 
 def build_assigner_config(values: Mapping[str, str]) -> AssignerConfig:
-    """The configuration from texts by path.
+    """Return the configuration from texts by path.
 
     Raises:
-        SettingsError: It names each setting that is missing or has no meaning.
+        SettingsError: Settings are missing or invalid; the error names each of them.
     """
     reader = SettingsReader(values)
     methods = _read_methods(reader)
     if not methods:
-        reader.faults.append("the settings name no method (profiles.count)")
+        reader.faults.append("the settings define no method: profiles.count must be at least 1")
     config = _read_config(reader, methods)
     if reader.faults:
         raise SettingsError(reader.faults)
@@ -57,7 +57,7 @@
 
 
 def _read_method(reader: SettingsReader, prefix: str, same_zone_only: bool) -> MethodConfig:
-    # The deadline is read first: faults are listed in the order of reading.
+    # The deadline is read first because faults are listed in the order of reading.
     deadline_us = reader.duration_us(prefix + "deadline")
     return MethodConfig(
         soft_deadline_us=reader.duration_us(prefix + "slo"),
--- a/hollyridge/platform_settings/settings_reader.py
+++ b/hollyridge/platform_settings/settings_reader.py
@@ -1,4 +1,4 @@
-"""Typed reading of settings by path: what is missing or has no meaning is collected, not raised at the first."""
+"""Typed reading of settings by path, which collects all faults instead of raising the first one."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 Choice = TypeVar("Choice")
 
-MAX_NUMBER = 1e15  # larger figures are no setting; as microseconds they would not be exact either
-MAX_SHOWN_CHARACTERS = 40  # of a faulty value, in a fault's text
+MAX_NUMBER = 1e15  # larger numbers are invalid; as microseconds they would not be exact
+MAX_SHOWN_CHARACTERS = 40  # maximum length of an invalid value in the text of a fault
 
 
 class SettingsError(HollyridgeError):
-    """Settings that can't be used.
+    """Error for missing or invalid settings.
 
     Attributes:
-        faults: What is wrong with them, a text for each fault that names the setting's path.
+        faults: Text of each fault, which names the setting's path.
     """
 
     def __init__(self, faults: list[str]) -> None:
@@ -26,7 +26,7 @@
 
 
 def seconds_to_us(seconds: float) -> int:
-    """Whole microseconds.
+    """Return the duration in whole microseconds.
 
     >>> seconds_to_us(0.25)
     250000
@@ -35,15 +35,15 @@
 
 
 class SettingsReader:
-    """Reads typed values from texts by path.
+    """Reader of typed values from texts by path.
 
-    A fault never ends the reading: it is added to `faults`, and a value of the right type is returned in place.
+    A fault does not end the reading. It is added to `faults`, and a placeholder of the right type is returned.
 
     >>> reader = SettingsReader({"period": "0.5", "pick": "best"})
     >>> reader.duration_us("period"), reader.choice("pick", {"random": 1}), reader.number("lines_per_s")
     (500000, 1, 0.0)
     >>> reader.faults
-    ['the setting pick has no meaning: best', 'the settings lack lines_per_s']
+    ['the setting pick is not one of random: best', 'the settings lack lines_per_s']
     """
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -51,7 +51,7 @@
         self.faults: list[str] = []
 
     def text(self, path: str, default: str | None = None) -> str:
-        """The value as it stands. Without a default, a missing one is a fault."""
+        """Return the unchanged text; without a default, a missing setting is a fault."""
         value = self.values.get(path, default)
         if value is None:
             self.faults.append(f"the settings lack {path}")
@@ -59,37 +59,37 @@
         return value
 
     def number(self, path: str, default: float | None = None) -> float:
-        """A finite number; 0 where it is at fault."""
+        """Return a finite number; 0 after a fault."""
         value = self.text(path, None if default is None else str(default))
         try:
             number = float(value)
         except ValueError:
             number = float("nan")
-        if not abs(number) < MAX_NUMBER:  # written so that NaN fails too
-            self._add_value_fault(path, "is not a number")
+        if not abs(number) < MAX_NUMBER:  # this form of the comparison rejects NaN as well
+            self._add_value_fault(path, f"is not a finite number below {MAX_NUMBER:g}")
             return 0.0
         return number
 
     def duration_us(self, path: str, default_s: float | None = None) -> int:
-        """A duration that the settings give in seconds, as microseconds."""
+        """Return a duration in microseconds; the settings give it in seconds."""
         return seconds_to_us(self.number(path, default_s))
 
     def flag(self, path: str) -> bool:
-        """Whether the value is `true`; a missing one is not."""
+        """Return whether the value is `true`; a missing setting counts as false."""
         return self.values.get(path, "false") == "true"
 
     def names(self, path: str) -> list[str]:
-        """Names separated by commas, empty ones left out; none where the setting is missing."""
+        """Return the non-empty names of a comma-separated list; a missing setting counts as an empty list."""
         return [name for name in self.values.get(path, "").split(",") if name]
 
     def choice(self, path: str, choices: Mapping[str, Choice], default: str | None = None) -> Choice:
-        """What the text stands for; the first of the choices where it is at fault."""
+        """Return the choice for the text; the first choice after a fault."""
         text = self.text(path, default)
         if text not in choices:
-            self._add_value_fault(path, "has no meaning")
+            self._add_value_fault(path, f"is not one of {', '.join(choices)}")
             return next(iter(choices.values()))
         return choices[text]
 
     def _add_value_fault(self, path: str, fault: str) -> None:
-        if path in self.values:  # a missing value has its own fault already
+        if path in self.values:  # a missing value is already recorded as a fault
             self.faults.append(f"the setting {path} {fault}: {self.values[path][:MAX_SHOWN_CHARACTERS]}")
--- a/hollyridge/platform_settings/settings_text.py
+++ b/hollyridge/platform_settings/settings_text.py
@@ -1,4 +1,4 @@
-"""Settings as a flat map of texts by path, from `path=value` lines or from nested JSON values."""
+"""Parsing of settings to a flat map of texts by path, from `path=value` lines or from nested JSON values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def parse_settings_text(raw: bytes) -> dict[str, str]:
-    r"""Values by path from the settings text of the bench's wire, one `path=value` a line.
+    r"""Return values by path from the settings text of the bench's wire, with one `path=value` per line.
 
     >>> parse_settings_text(b"zones = a,b\nrules.fall=2.0")
     {'zones': 'a,b', 'rules.fall': '2.0'}
@@ -16,7 +16,7 @@
 
 
 def format_value(value: object) -> str:
-    """One JSON value as the settings text writes it.
+    """Return one JSON value in the format of the settings text.
 
     >>> format_value(True), format_value(2.5), format_value("two words, or more")
     ('true', '2.5', 'two_words__or_more')
@@ -27,10 +27,10 @@
 
 
 def flatten_settings(tree: object, path: str = "") -> dict[str, str]:
-    """Values by path from nested JSON settings, as the settings text writes them.
+    """Return values by path from nested JSON settings, in the format of the settings text.
 
     A list of plain values becomes one text, separated by commas. A list that holds objects or lists becomes one path
-    for each item, by its position, and their number under `count`. Null is left out, as a setting that is missing.
+    for each item, by its position, and the number of items under `count`. Null counts as a missing setting.
 
     >>> flatten_settings({"a": {"b": [1, 2]}, "rows": [{"x": True}], "none": None})
     {'a.b': '1,2', 'rows.count': '1', 'rows.0.x': 'true'}
--- a/tests/platform_settings/test_platform_settings_assigner_config.py
+++ b/tests/platform_settings/test_platform_settings_assigner_config.py
@@ -1,4 +1,4 @@
-"""The assigner's configuration from the settings text of the bench's wire."""
+"""The assigner's configuration, read from the settings text of the bench's wire."""
 
 import pytest
 from bench_wire import SETTINGS_TEXT
@@ -29,12 +29,12 @@
         read_assigner_config(SETTINGS_TEXT.replace(b"rules.fall=2.0", b"rules.fall=nan"))
 
 
-def test_every_fault_is_in_one_error_in_the_order_of_reading():
+def test_one_error_lists_all_faults_in_the_order_of_reading():
     with pytest.raises(SettingsError) as caught:
         read_assigner_config(b"profiles.count=1\nprofiles.0.repeat=often\ndiscovery=subscribe\n")
     assert caught.value.faults[:3] == [
         "the settings lack profiles.0.deadline",
         "the settings lack profiles.0.slo",
-        "the setting profiles.0.repeat has no meaning: often",
+        "the setting profiles.0.repeat is not one of repeatable, by_key, once: often",
     ]
     assert str(caught.value) == "; ".join(caught.value.faults)
