--- a/hollyridge/benchlink/__init__.py
+++ b/hollyridge/benchlink/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter between the assigner's decisions and the bench's wire. It decides nothing.
+"""Adapter between the assigner's decisions and the wire protocol of the bench; it makes no decisions.
 
-- `wire`: frames and records as bytes.
-- `instance`: one assigner, its events and commands as fields of records.
-- `link`: all instances of the process, batch by batch.
+- `wire`: encoding of frames and records.
+- `instance`: one assigner, with conversion of records to events and of commands to records.
+- `link`: batch processing for all assigners of the process.
 """
--- a/hollyridge/benchlink/__main__.py
+++ b/hollyridge/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output."""
+"""Entry point of the adapter, which reads standard input and writes standard output."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Serve until the input ends; returns the exit code."""
+    """Serve until the input ends, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/hollyridge/benchlink/instance.py
+++ b/hollyridge/benchlink/instance.py
@@ -1,6 +1,6 @@
-"""One assigner of the bench: records of the wire as typed events, typed commands as records.
+"""One assigner of the bench, with conversion of wire records to events and of commands to wire records.
 
-The wire names tasks by ids of its own, the assigner by dense indices in the order of first mention.
+The wire identifies tasks by its own ids, the assigner by dense indices in the order of first mention.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 MAX_TASK_STATE = max(api.TaskState)
 MAX_UPDATE_KIND = max(api.UpdateKind)
-MAX_DURATION_S = 1e12  # beyond it a figure is no sensible time
-INVALID_DURATION_US = -1  # the assigner passes over a report that has it
+MAX_DURATION_S = 1e12  # longer durations are invalid
+INVALID_DURATION_US = -1  # the assigner ignores a report with this value
 MAX_NOTE_BYTES = 1000
 US_PER_S = 1e6
 _SET_WEIGHT_PREFIX = COMMAND_LAYOUTS[CommandCode.PUT_LINE].prefix
@@ -27,17 +27,17 @@
     """An assigner with its own table of task ids.
 
     Attributes:
-        event_decoders: By the code of a record, what turns its fields into a typed event. It raises WireError where a
-            zone, method, state or kind is out of range.
+        event_decoders: Functions that convert the fields of a record to an event, by record code. They raise WireError
+            if a zone, method, state or kind is out of range.
 
     Raises:
-        WireError: The settings can't be used.
+        WireError: The settings are invalid.
     """
 
     def __init__(self, seed: int, settings_text: bytes) -> None:
         try:
             config = read_assigner_config(settings_text)
-        except SettingsError as error:  # to the bench, settings are a part of the wire
+        except SettingsError as error:  # settings are part of the wire protocol
             raise WireError(str(error)) from None
         self.max_zone = config.zones - 1
         self.max_method = len(config.methods) - 1
@@ -47,7 +47,7 @@
         self.event_decoders = self._bind_event_decoders()
 
     def task_index(self, wire_id: int) -> int:
-        """The task's index, a new one at its first mention."""
+        """Return the task's index, allocated at its first mention."""
         index = self.index_by_id.get(wire_id)
         if index is None:
             index = self.index_by_id[wire_id] = len(self.ids)
@@ -55,14 +55,15 @@
         return index
 
     def encode_command(self, command: api.Command) -> bytes:
-        """One typed command as a record of the wire."""
+        """Return a command as a record of the wire."""
         encoder = _COMMAND_ENCODERS.get(type(command))
         if encoder is None:
-            raise TypeError(f"no such order: {type(command).__name__}")
+            raise TypeError(f"no wire record for command type {type(command).__name__}")
         return encoder(self, command)
 
     def _bind_event_decoders(self) -> dict[int, Callable[[tuple], api.Event]]:
-        # Bound once, and by plain integers (looking up a member of an enumeration is slower): used for each record.
+        # The table is used for each record, so the methods are bound once. Its keys are plain integers, because looking
+        # up enumeration members is slower.
         return {
             int(EventCode.ROSTER_CHANGE): self._decode_endpoint_list,
             int(EventCode.WAKE): self._decode_timer,
@@ -78,7 +79,7 @@
             int(EventCode.LEDGER_LINE): self._decode_slice_line,
         }
 
-    # Events.
+    # Decoders of events.
 
     def _decode_endpoint_list(self, fields: tuple) -> api.EndpointListUpdate:
         version, kind, entries = fields
@@ -148,10 +149,10 @@
         wire_id, weight, key_slice = fields
         return api.SliceLine(self.task_index(wire_id), weight, key_slice)
 
-    # Commands.
+    # Encoders of commands.
 
     def _encode_set_weight(self, command: api.SetWeight) -> bytes:
-        # Most commands are of this kind: packed without a step between.
+        # Most commands are of this kind, so it is packed directly.
         return _SET_WEIGHT_PREFIX + _SET_WEIGHT_FIELDS.pack(command.weight, self.ids[command.task], command.table)
 
     def _encode_bind_table(self, command: api.BindTable) -> bytes:
@@ -189,7 +190,7 @@
 
 
 def encode_record(code: CommandCode, *fields: object) -> bytes:
-    """One record that goes out."""
+    """Return one outgoing record as bytes."""
     return pack(code, fields, COMMAND_LAYOUTS)
 
 
@@ -199,7 +200,7 @@
 
 def _checked(value: int, max_value: int, field: str) -> int:
     if value > max_value:
-        raise WireError(f"{field} out of range: {value}")
+        raise WireError(f"{field} {value} is out of range, expected at most {max_value}")
     return value
 
 
--- a/hollyridge/benchlink/link.py
+++ b/hollyridge/benchlink/link.py
@@ -1,4 +1,4 @@
-"""Batches in, replies out: the assigners of this process, each with the events that are meant for it."""
+"""Batch processing: distribution of a batch's events to the assigners of this process, and the reply."""
 
 from __future__ import annotations
 
@@ -9,25 +9,30 @@
 from hollyridge.benchlink.instance import AssignerInstance, encode_record
 from hollyridge.platform_settings.settings_reader import seconds_to_us
 
-MAX_FAILURE_BYTES = 200  # of the text that tells the bench of a failure
+MAX_FAILURE_BYTES = 200  # maximum length of the text that reports a failure to the bench
 
-# As plain integers: they are compared with each record's code.
+# Plain integers, because they are compared with the code of each record.
 CONTEXT = int(wire.EventCode.CONTEXT)
 ENLIST = int(wire.EventCode.ENLIST)
 KILLED = int(wire.EventCode.KILLED)
 
 
 class Link:
-    """All assigners of this process by the bench's number. They share nothing."""
+    """All assigners of this process, by instance number of the bench; they share no state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, AssignerInstance] = {}
 
-    def answer(self, clock_s: float, number: int, body: bytes) -> bytes:
-        """The reply to one batch.
+    def process_batch(self, clock_s: float, number: int, body: bytes) -> bytes:
+        """Return the reply to one batch.
+
+        Args:
+            clock_s: Time of the batch, in seconds.
+            number: Number of the batch.
+            body: Records of the batch.
 
         Raises:
-            WireError: A record can't be read, or belongs to no assigner that has started.
+            WireError: A record is malformed, or belongs to no assigner that has started.
         """
         now_us = seconds_to_us(clock_s)
         records: list[bytes] = []
@@ -40,33 +45,35 @@
         return wire.REPLY_HEAD.pack(len(reply), len(records), number) + reply
 
     def _read_events(self, body: bytes) -> dict[int, list[api.Event]]:
-        """The events of a batch by assigner, in the order of first mention; starts and ends assigners on the way."""
+        """Start and end assigners as a batch requires, and return its events by assigner in order of first mention."""
         events_by_instance: dict[int, list[api.Event]] = {}
-        current: int | None = None
+        current_instance: int | None = None
         for code, fields in wire.unpack(body, wire.EVENT_LAYOUTS):
             if code == CONTEXT:
-                current = fields[0]
-            elif current is None:
-                raise wire.WireError("an event that belongs to no instance")
+                current_instance = fields[0]
+            elif current_instance is None:
+                raise wire.WireError(f"record with code {code} before the first CONTEXT record")
             elif code == KILLED:
-                self.instances.pop(current, None)
-                events_by_instance.pop(current, None)
+                self.instances.pop(current_instance, None)
+                events_by_instance.pop(current_instance, None)
             elif code == ENLIST:
-                self.instances[current] = AssignerInstance(*fields)
-                events_by_instance[current] = []
+                self.instances[current_instance] = AssignerInstance(*fields)
+                events_by_instance[current_instance] = []
             else:
-                instance = self.instances.get(current)
+                instance = self.instances.get(current_instance)
                 if instance is None:
-                    raise wire.WireError(f"an event for instance {current}, which has not started")
-                events_by_instance.setdefault(current, []).append(instance.event_decoders[code](fields))
+                    raise wire.WireError(
+                        f"record with code {code} for instance {current_instance}, which has not started"
+                    )
+                events_by_instance.setdefault(current_instance, []).append(instance.event_decoders[code](fields))
         return events_by_instance
 
     @staticmethod
     def _decide(instance: AssignerInstance, now_us: int, events: list[api.Event]) -> list[bytes]:
-        """The records of one assigner's commands."""
+        """Return the records of one assigner's commands."""
         try:
             return [instance.encode_command(command) for command in instance.assigner.decide(now_us, events)]
-        except Exception as error:  # boundary of the decisions: the wire wants any failure of theirs as a record
+        except Exception as error:  # the wire protocol reports any failure of the decisions as a record
             text = f"{type(error).__name__}: {error}"
             return [encode_record(wire.CommandCode.BAIL_OUT, text.encode()[:MAX_FAILURE_BYTES])]
 
@@ -75,9 +82,9 @@
     """Answer batches until the input ends.
 
     Raises:
-        WireError: The input is not this wire, or can't be used.
+        WireError: The input is malformed or invalid.
     """
     link = Link()
     while (frame := wire.read_frame(source)) is not None:
-        sink.write(link.answer(*frame))
+        sink.write(link.process_batch(*frame))
         sink.flush()
--- a/hollyridge/benchlink/wire.py
+++ b/hollyridge/benchlink/wire.py
@@ -1,7 +1,8 @@
-"""Frames and records of the bench's wire, both ways.
+"""Encoding and decoding of the frames and records of the bench's wire.
 
-A record is a byte for its code, fixed fields, and at most one counted tail. `EVENT_LAYOUTS` and `COMMAND_LAYOUTS`
-define the fields of each code; `unpack` and `pack` work from them, so that either side can be read and written.
+A record consists of one byte for its code, fixed fields, and at most one counted tail. `EVENT_LAYOUTS` and
+`COMMAND_LAYOUTS` define the fields of each code. `unpack` and `pack` work with either of them, so that both directions
+can be read and written.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 from hollyridge.errors import HollyridgeError
 
-BATCH_HEAD = struct.Struct("<IdI")  # bytes of the body, clock in seconds, number
-REPLY_HEAD = struct.Struct("<III")  # bytes of the body, records, number of the batch
+BATCH_HEAD = struct.Struct("<IdI")  # body length in bytes, clock in seconds, batch number
+REPLY_HEAD = struct.Struct("<III")  # body length in bytes, number of records, batch number
 ENTRY = struct.Struct("<IBBHBfd")  # one task of an endpoint list
-MAX_BATCH_BYTES = 1 << 28  # a longer batch is a fault of the bench: refused before it is read
+MAX_BATCH_BYTES = 1 << 28  # a longer batch is an error of the bench and is rejected before reading its body
 MAX_CLOCK_S = 1e12
 
-# What a counted tail consists of.
+# Types of the items in a counted tail.
 BYTES_TAIL = "b"
 FLOATS_TAIL = "f"
 ENTRIES_TAIL = "e"
@@ -27,11 +28,11 @@
 
 
 class WireError(HollyridgeError):
-    """Input that is not this wire."""
+    """Error for input that violates the wire protocol."""
 
 
 class EventCode(IntEnum):
-    """Codes of the records that come in, by the wire's own names."""
+    """Codes of incoming records, under the names of the wire protocol."""
 
     ENLIST = 0
     ROSTER_CHANGE = 1
@@ -51,7 +52,7 @@
 
 
 class CommandCode(IntEnum):
-    """Codes of the records that go out, by the wire's own names."""
+    """Codes of outgoing records, under the names of the wire protocol."""
 
     RELOAD = 64
     BENCH = 65
@@ -70,14 +71,14 @@
 
 
 class RecordLayout(NamedTuple):
-    """The layout of one record.
+    """Layout of one kind of record.
 
     Attributes:
-        name: The wire's name of it, for texts of errors.
-        prefix: Its code, as the byte that it begins with.
-        fixed: Its fixed fields, in the notation of `struct`.
-        tail: What its counted tail consists of; empty for a record without one.
-        count: The tail's counter.
+        name: Name of the record in the wire protocol, for error messages.
+        prefix: Code of the record, as its first byte.
+        fixed: Format of the fixed fields.
+        tail: Type of the items in the counted tail; empty for a record without a tail.
+        count: Format of the tail's item count.
     """
 
     name: str
@@ -89,7 +90,7 @@
 
 def _layout(code: IntEnum, fixed: str = "", tail: str = "", count: str = "B") -> tuple[int, RecordLayout]:
     layout = RecordLayout(code.name, bytes((code,)), struct.Struct("<" + fixed), tail, struct.Struct("<" + count))
-    return int(code), layout  # plain integers as keys: looking up a member of an enumeration is slower
+    return int(code), layout  # the keys are plain integers, because looking up enumeration members is slower
 
 
 EVENT_LAYOUTS = dict(
@@ -132,10 +133,10 @@
 
 
 def unpack(body: bytes, layouts: Mapping[int, RecordLayout]) -> Iterator[tuple[int, tuple]]:
-    """The records of a frame's body, each as its code and its fields; a tail is the last field.
+    """Yield the records of a frame's body, each as its code and its fields; a tail is the last field.
 
     Raises:
-        WireError: A code is unknown, or a record runs past the body's end.
+        WireError: A code is unknown, or a record extends beyond the end of the body.
     """
     offset = 0
     end = len(body)
@@ -143,7 +144,7 @@
         code = body[offset]
         layout = layouts.get(code)
         if layout is None:
-            raise WireError(f"unknown record code {code}")
+            raise WireError(f"unknown record code {code} at offset {offset}")
         try:
             fields = layout.fixed.unpack_from(body, offset + 1)
             offset += 1 + layout.fixed.size
@@ -151,17 +152,17 @@
                 tail, offset = _unpack_tail(body, offset, layout)
                 fields += (tail,)
         except struct.error:
-            raise WireError(f"a {layout.name} record runs past its frame") from None
+            raise WireError(f"{layout.name} record extends beyond its frame of {end} bytes") from None
         yield code, fields
 
 
 def _unpack_tail(body: bytes, offset: int, layout: RecordLayout) -> tuple[object, int]:
-    """The tail that begins at an offset, and the offset behind it."""
+    """Return the tail that begins at an offset, and the offset of its end."""
     (count,) = layout.count.unpack_from(body, offset)
     begin = offset + layout.count.size
     end = begin + count * TAIL_ITEM_BYTES[layout.tail]
     if end > len(body):
-        raise WireError(f"a {layout.name} record runs past its frame")
+        raise WireError(f"{layout.name} record ends at offset {end}, beyond its frame of {len(body)} bytes")
     if layout.tail == BYTES_TAIL:
         return body[begin:end], end
     if layout.tail == FLOATS_TAIL:
@@ -170,7 +171,7 @@
 
 
 def pack(code: int, fields: tuple, layouts: Mapping[int, RecordLayout]) -> bytes:
-    """One record as bytes.
+    """Return one record as bytes.
 
     >>> pack(EventCode.DISCONNECTED, (41,), EVENT_LAYOUTS).hex()
     '072900'
@@ -188,22 +189,22 @@
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock in seconds, number and body of the next batch; None once the input has ended.
+    """Return the clock in seconds, the number and the body of the next batch; None at the end of the input.
 
     Raises:
-        WireError: The batch is cut short, longer than `MAX_BATCH_BYTES`, or has no sensible clock.
+        WireError: The batch is truncated, longer than `MAX_BATCH_BYTES`, or its clock is out of range.
     """
     head = stream.read(BATCH_HEAD.size)
     if not head:
         return None
     if len(head) < BATCH_HEAD.size:
-        raise WireError("a truncated batch header")
+        raise WireError(f"truncated batch header: got {len(head)} bytes, expected {BATCH_HEAD.size}")
     size, clock_s, number = BATCH_HEAD.unpack(head)
     if size > MAX_BATCH_BYTES:
-        raise WireError(f"a batch of {size} bytes is over-long")
+        raise WireError(f"batch of {size} bytes exceeds the maximum of {MAX_BATCH_BYTES} bytes")
     if not 0 <= clock_s < MAX_CLOCK_S:
-        raise WireError("a clock out of range")
+        raise WireError(f"batch clock {clock_s} is out of range, expected 0 to {MAX_CLOCK_S:g} seconds")
     body = stream.read(size)
     if len(body) < size:
-        raise WireError("a truncated batch")
+        raise WireError(f"truncated batch: got {len(body)} bytes, expected {size}")
     return clock_s, number, body
--- a/tests/bench_wire.py
+++ b/tests/bench_wire.py
@@ -1,4 +1,4 @@
-"""Records of the bench's wire for tests: each kind as fields and as bytes, a start of one assigner, its settings."""
+"""Records of the bench's wire for tests: each kind as fields and as bytes, and the start of an assigner."""
 
 from hollyridge.benchlink import wire
 
