--- a/hollyridge/decisions/admission.py
+++ b/hollyridge/decisions/admission.py
@@ -51,8 +51,10 @@
         self.retry_mode_otherwise = config.default_retry_mode if not_supported else NO_RETRY
         self.fraction = [FULL_FRACTION] * (config.zones + 1)
         self.last_cut_at_us = [0] * (config.zones + 1)
-        longest_us = max(method.deadline_us for method in config.methods)
-        self.effect_delay_us = config.transit_us + config.report_period_us + longest_us  # until reports can show a cut
+        longest_deadline_us = max(method.deadline_us for method in config.methods)
+        self.effect_delay_us = (
+            config.transit_us + config.report_period_us + longest_deadline_us
+        )  # until reports can show a cut
         self.methods = range(len(config.methods))
         self.sheddable_methods = self._sheddable(config) if self.disabled else 0
 
--- a/hollyridge/decisions/backlog.py
+++ b/hollyridge/decisions/backlog.py
@@ -9,7 +9,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 SOFT_LIMIT_DIVISOR = 2  # non-urgent lines fill half of the maximum backlog and half of what leaves within the grace
 SOFT_LIMIT_PERIODS = 2  # report periods at the channel's pace; lines that wait longer answer outdated reports
-MAX_ACK_GAP = 4  # multiple of transit time plus report period without an ack after which the channel counts as lost
+MAX_ACK_GAP = 4  # multiple of (longest transit + report period) without an ack after which the channel counts as lost
 LOST_CHANNEL_PACE_DIVISOR = 8  # lines on a lost channel count as delivered at 1/8 of the channel's pace
 HARD_LIMIT_FRACTION = 0.9  # part of the maximum backlog that urgent lines may fill
 URGENT_MESSAGES_FRACTION = 0.95  # part of a proxy's message limit that is open to urgent changes
--- a/hollyridge/decisions/pooling.py
+++ b/hollyridge/decisions/pooling.py
@@ -10,8 +10,8 @@
 ) -> list[list[float]]:
     """Return the mean value per attempt, by zone of proxies and task.
 
-    With few attempts, it falls back on the value that all zones observed at the task, and on the ratio that this zone
-    observed in the task's zone. Tasks that are not ready get the overall mean.
+    With few attempts, it falls back on the value that all zones observed at the task, scaled by the ratio of observed
+    to expected values that this zone has in the task's zone. Without any attempts it is the overall mean.
 
     Args:
         sums: Sum of the values by zone of proxies and task.
--- a/hollyridge/decisions/slow_start.py
+++ b/hollyridge/decisions/slow_start.py
@@ -33,8 +33,8 @@
         self.failures_are_rare = False
         self.lists_cold = config.proxy_ejection_failures == 0
         self.failure_scale = 1.0
-        longest_us = max(method.deadline_us for method in config.methods)
-        self.stale_periods_after_gap = SETTLING_PERIODS + longest_us / config.report_period_us
+        longest_deadline_us = max(method.deadline_us for method in config.methods)
+        self.stale_periods_after_gap = SETTLING_PERIODS + longest_deadline_us / config.report_period_us
         self.stale_periods = self.stale_periods_after_gap
 
     def factor(self, now_us: int, started_at_us: int) -> float:
--- a/hollyridge/decisions/tables.py
+++ b/hollyridge/decisions/tables.py
@@ -217,7 +217,10 @@
             self.pending = [other for other in self.pending if other != home_binding]
 
     def _replace_slices(self, now_us: int, backlog: BacklogEstimator) -> list[Command]:
-        """Return the commands that replace slices with whole tables after a wave, once nothing else is pending."""
+        """Return the commands that replace slices with whole tables after a wave of joins.
+
+        They are sent only once no binding is pending, and as non-urgent changes.
+        """
         commands: list[Command] = []
         for number in range(self.overflow + 1, self.first_home):
             zone = self.zone_of(number)
--- a/hollyridge/limits/token_bucket.py
+++ b/hollyridge/limits/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: a sustained rate with room for bursts."""
+"""A token bucket: a sustained rate that allows bursts."""
 
 from __future__ import annotations
 
--- a/tests/limits/test_limits_token_bucket.py
+++ b/tests/limits/test_limits_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket: a sustained rate with room for bursts."""
+"""The token bucket: a sustained rate that allows bursts."""
 
 from hollyridge.limits.token_bucket import TokenBucket
 
