--- a/hollyridge/platform_settings/settings_reader.py
+++ b/hollyridge/platform_settings/settings_reader.py
@@ -43,7 +43,7 @@
     >>> reader.duration_us("period"), reader.choice("pick", {"random": 1}), reader.number("lines_per_s")
     (500000, 1, 0.0)
     >>> reader.faults
-    ['the setting pick is not one of random: best', 'the settings lack lines_per_s']
+    ['the setting pick has no valid value (expected one of random): best', 'the settings lack lines_per_s']
     """
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -86,7 +86,7 @@
         """Return the choice for the text; the first choice after a fault."""
         text = self.text(path, default)
         if text not in choices:
-            self._add_value_fault(path, f"is not one of {', '.join(choices)}")
+            self._add_value_fault(path, f"has no valid value (expected one of {', '.join(choices)})")
             return next(iter(choices.values()))
         return choices[text]
 
--- a/tests/platform_settings/test_platform_settings_assigner_config.py
+++ b/tests/platform_settings/test_platform_settings_assigner_config.py
@@ -35,6 +35,6 @@
     assert caught.value.faults[:3] == [
         "the settings lack profiles.0.deadline",
         "the settings lack profiles.0.slo",
-        "the setting profiles.0.repeat is not one of repeatable, by_key, once: often",
+        "the setting profiles.0.repeat has no valid value (expected one of repeatable, by_key, once): often",
     ]
     assert str(caught.value) == "; ".join(caught.value.faults)
