--- a/hollyridge/decisions/admission.py
+++ b/hollyridge/decisions/admission.py
@@ -43,10 +43,10 @@
     """
 
     def __init__(self, config: AssignerConfig) -> None:
-        self.disabled = config.admission in (Admission.OFF, Admission.SILENT)
+        self.disabled = config.admission in (Admission.OFF, Admission.NOT_SUPPORTED)
         self.uses_rates = config.admission == Admission.PER_SECOND
         self.unlimited = unlimited_amount(config)
-        not_supported = config.admission == Admission.SILENT  # no command sets the retry mode either
+        not_supported = config.admission == Admission.NOT_SUPPORTED  # no command sets the retry mode either
         self.retry_mode_if_failures_rare = config.default_retry_mode if not_supported else RETRY_IF_UNPROCESSED
         self.retry_mode_otherwise = config.default_retry_mode if not_supported else NO_RETRY
         self.fraction = [FULL_FRACTION] * (config.zones + 1)
--- a/hollyridge/interface/config.py
+++ b/hollyridge/interface/config.py
@@ -34,7 +34,7 @@
     OFF = 0
     FRACTION = 1
     PER_SECOND = 2
-    SILENT = 3
+    NOT_SUPPORTED = 3
 
 
 class BalancingPolicy(IntEnum):
--- a/hollyridge/lab/scenario.py
+++ b/hollyridge/lab/scenario.py
@@ -12,7 +12,7 @@
 from pydantic import Field, PositiveFloat, PositiveInt
 
 from hollyridge.settings import assigner
-from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check, read_file
+from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check_section, read_file
 
 FAULT_FORMS = {
     # kind: the forms it has, the first where none is named
@@ -237,13 +237,13 @@
             self._read_named(name, dict(parser[name]))
         for name, model in MODELS.items():
             values = dict(parser[name]) if parser.has_section(name) else {}
-            self.sections[name] = check(name, model, values, self.problems)
+            self.sections[name] = check_section(name, model, values, self.problems)
 
     def _read_named(self, section: str, values: dict[str, str]) -> None:
         """Read `[trouble NAME]` or `[set SECTION]`."""
         kind, _, name = section.partition(" ")
         if kind == "trouble" and name:
-            fault = check(section, FaultSection, values, self.problems)
+            fault = check_section(section, FaultSection, values, self.problems)
             if fault is not None:
                 self.faults[name.strip()] = fault
         elif kind == "set" and name:
--- a/hollyridge/limits/pending_connections.py
+++ b/hollyridge/limits/pending_connections.py
@@ -17,7 +17,7 @@
     >>> pending = PendingConnections(join_timeout_us=2_000_000)
     >>> [pending.add(at, at, 2) for at in (1, 2)]
     [[], []]
-    >>> pending.heard_from(1); pending.add(3, 3, 2), pending.next_deadline
+    >>> pending.mark_active(1); pending.add(3, 3, 2), pending.next_deadline
     ([2], 2000001)
     >>> pending.remove(1); pending.overdue(2_000_003), pending.next_deadline
     ([3], None)
@@ -44,7 +44,7 @@
             self.remove(evicted[-1])
         return evicted
 
-    def heard_from(self, number: int) -> None:
+    def mark_active(self, number: int) -> None:
         """Record that a connection has sent bytes that are valid so far."""
         self.silent.pop(number, None)
 
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -232,7 +232,7 @@
             if not chunk or connection.closed:
                 return
             connection.last_received_us = self.clock()
-            self.pending.heard_from(connection.number)
+            self.pending.mark_active(connection.number)
             for parts in reader.feed(chunk):
                 self.counts["messages_in"] += 1
                 self._handle(connection, parts)
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -8,7 +8,7 @@
 
 from hollyridge.sessions.access import Principal
 from hollyridge.settings.address import split_address
-from hollyridge.settings.ini import FaultsError, check, read_file, split_words
+from hollyridge.settings.ini import FaultsError, check_section, read_file, split_words
 from hollyridge.settings.sections import SECTIONS, AccessSection, MethodSection, PeersSection
 from hollyridge.settings.service_config import PROBE_INTERVAL_ROUND_TRIPS, Network, ServiceConfig, fleet_key
 
@@ -65,7 +65,7 @@
         elif name not in SECTIONS:
             faults.append(f"[{name}]: no such section")
     sections = {
-        name: check(name, model, dict(parser[name]) if parser.has_section(name) else {}, faults)
+        name: check_section(name, model, dict(parser[name]) if parser.has_section(name) else {}, faults)
         for name, model in SECTIONS.items()
     }
     check_counts(methods, zones, faults)
@@ -74,7 +74,7 @@
 
 def check_method(section: str, values: dict[str, str], faults: list[str]) -> MethodSection | None:
     """Validate one [method NAME]; return None if it is invalid."""
-    method = check(section, MethodSection, values, faults)
+    method = check_section(section, MethodSection, values, faults)
     if method is None:
         return None
     if method.soft_deadline_ms > method.deadline_ms:
@@ -86,7 +86,7 @@
 
 def check_access(section: str, name: str, values: dict[str, str], faults: list[str]) -> Principal | None:
     """Validate one [access NAME] and return its principal; return None if it is invalid."""
-    access = check(section, AccessSection, values, faults)
+    access = check_section(section, AccessSection, values, faults)
     if access is None:
         return None
     networks = parse_networks(f"[{section}] members", access.members, faults)
--- a/hollyridge/settings/fleet_file.py
+++ b/hollyridge/settings/fleet_file.py
@@ -13,7 +13,7 @@
 
 from pydantic import Field, NonNegativeFloat, PositiveFloat, PositiveInt
 
-from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check, read_bytes, read_file
+from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check_section, read_bytes, read_file
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 
 MAX_WEIGHT = 1e9
@@ -144,7 +144,7 @@
 def describe(parser: ConfigParser) -> FleetDescription:
     """Validate all sections and build the fleet; raise FaultsError with all faults."""
     faults: list[str] = []
-    solve = check("solve", SolveSection, dict(parser["solve"]) if parser.has_section("solve") else {}, faults)
+    solve = check_section("solve", SolveSection, dict(parser["solve"]) if parser.has_section("solve") else {}, faults)
     sections = NamedSections(parser, faults)
     sections.check_counts()
     tasks, groups = build_tasks(sections)
@@ -209,7 +209,7 @@
         models: dict[str, SectionModel],
         values: dict[str, str],
     ) -> None:
-        checked = check(section, model, values, self.faults)
+        checked = check_section(section, model, values, self.faults)
         if checked is not None:
             models[name] = checked
 
--- a/hollyridge/settings/ini.py
+++ b/hollyridge/settings/ini.py
@@ -68,13 +68,13 @@
     return parser
 
 
-def check(section: str, model: type[Model], values: dict[str, str], faults: list[str]) -> Model | None:
+def check_section(section: str, model: type[Model], values: dict[str, str], faults: list[str]) -> Model | None:
     r"""Validate a section and return its model; if it is invalid, add to `faults` and return None.
 
     >>> class Door(Section):
     ...     width: int
     >>> faults = []
-    >>> check("door", Door, {"width": "wide", "color": "red"}, faults)
+    >>> check_section("door", Door, {"width": "wide", "color": "red"}, faults)
     >>> print("\n".join(faults))
     [door] width: Input should be a valid integer, unable to parse string as an integer, found 'wide'
     [door] color: no such key
--- a/hollyridge/settings/service_config.py
+++ b/hollyridge/settings/service_config.py
@@ -153,7 +153,7 @@
             balancing_policy=BALANCING_POLICIES[proxies.pick],
             proxy_ejection_failures=proxies.outlier_after,
             initial_table_size=proxies.first_table,
-            admission=Admission.FRACTION if self.clone.listen else Admission.SILENT,
+            admission=Admission.FRACTION if self.clone.listen else Admission.NOT_SUPPORTED,
             default_retry_mode=0,
             attempt_timeout_factor=1.0,
             slices=0,
--- a/tests/decisions/test_decisions_admission.py
+++ b/tests/decisions/test_decisions_admission.py
@@ -84,7 +84,7 @@
 
 
 def test_no_levels_are_sent_where_levels_and_retry_modes_are_not_supported():
-    rig = Rig(admission=api.Admission.SILENT)
+    rig = Rig(admission=api.Admission.NOT_SUPPORTED)
     for period in range(12):
         failed = 18 if period < 8 else 0
         rig.period(*[rig.report(z, t, attempts=20, failed=failed) for z in (0, 1) for t in range(8)])
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -37,7 +37,7 @@
 
 class EngineRig:
     def __init__(self, make_assigner=Assigner, tasks=6, proxies=4, seed=7, **terms):
-        config = bootstrap(admission=api.Admission.SILENT, **terms)
+        config = bootstrap(admission=api.Admission.NOT_SUPPORTED, **terms)
         limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.server = START, RecordingServer()
         self.engine = Engine(
--- a/tests/limits/test_limits_pending_connections.py
+++ b/tests/limits/test_limits_pending_connections.py
@@ -20,10 +20,10 @@
 def test_a_connection_that_has_begun_to_join_survives_a_flood_of_silent_ones():
     pending = PendingConnections(join_timeout_us=2 * SECOND)
     pending.add(0, 0, 8)
-    pending.heard_from(0)
+    pending.mark_active(0)
     assert [number for now_us in range(1, 300) for number in pending.add(now_us, now_us, 8)] == list(range(1, 293))
     for now_us in range(300, 310):
-        pending.heard_from(now_us - 1)
+        pending.mark_active(now_us - 1)
         assert len(pending.add(now_us, now_us, 8)) == 1
     assert pending.add(400, 400, 0)
     assert len(pending.waiting) == 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -71,7 +71,7 @@
 def test_the_decision_module_is_configured_for_a_server_without_admission_levels():
     settings = assigner.load(EXAMPLES / "loopback.ini")
     config = settings.assigner_config()
-    assert config.admission == Admission.SILENT
+    assert config.admission == Admission.NOT_SUPPORTED
     assert config.zones == 3
     assert config.lines_per_s == 1000
     assert config.max_waiting_lines == 2000
