--- a/hollyridge/core/__init__.py
+++ b/hollyridge/core/__init__.py
@@ -1,1 +1,1 @@
-"""The engine around the decisions, without I/O, and the greenlets that drive it and work beside it."""
+"""The engine around the decision module, without I/O, and the greenlets that drive it and its side services."""
--- a/hollyridge/core/decision_log.py
+++ b/hollyridge/core/decision_log.py
@@ -1,4 +1,4 @@
-"""One log line a decision: the tables and tasks that changed, by the cause of each change."""
+"""The log line of a decision: the tables and tasks that changed, by the cause of each change."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_CHANGES_PER_CAUSE = 40  # in one log line, so that a large decision stays readable
-WEIGHT_DIGITS = 4
+MAX_CHANGES_PER_CAUSE = 40  # in one log line, so that the line of a large decision stays readable
+WEIGHT_DIGITS = 4  # decimal places of a logged weight
 
-# Causes are the keys of the log line (docs/operators.md).
+# Causes of a change. They are keys of the log line (docs/operators.md).
 DRAIN = "drain"
 SLOW_START = "slow_start"
 WEIGHT_CONTROL = "weight_control"
@@ -23,7 +23,14 @@
 
 
 class DecisionSummary(NamedTuple):
-    """What else a line says of a decision: its number, the updates it made, lines that wait, refused commands."""
+    """Facts about a decision that its log line states besides the changes.
+
+    Attributes:
+        decision: Number of the decision.
+        updates: Number of updates built for it.
+        waiting_lines: Lines that wait in the queue to the proxies.
+        refused: Number of refused commands, by reason.
+    """
 
     decision: int
     updates: int
@@ -32,14 +39,19 @@
 
 
 class DecisionLog:
-    """Writes the lines. `is_closed` and `is_warming_up` say of a task what explains a change of its weight."""
+    """Writer of these log lines.
+
+    Args:
+        is_closed: Returns whether a task must not be sent to.
+        is_warming_up: Returns whether a task, at a time in microseconds, started less than the warm-up time ago.
+    """
 
     def __init__(self, is_closed: Callable[[int], bool], is_warming_up: Callable[[int, int], bool]) -> None:
         self.is_closed = is_closed
         self.is_warming_up = is_warming_up
 
     def write(self, log: FilteringBoundLogger, now_us: int, commands: list[Command], summary: DecisionSummary) -> None:
-        """Log a decision, unless nothing was changed and nothing refused."""
+        """Log a decision, unless it changed nothing and none of its commands was refused."""
         changes = self._changes_by_cause(now_us, commands)
         if not changes and not summary.refused:
             return
--- a/hollyridge/core/endpoint_source.py
+++ b/hollyridge/core/endpoint_source.py
@@ -1,4 +1,4 @@
-"""The protocol between the engine and what maintains the endpoint list: the member registry or service discovery."""
+"""The interface between the engine and the endpoint list: the member registry or service discovery implements it."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class EndpointSource(Protocol):
-    """Maintains the endpoint list.
+    """Maintainer of the endpoint list.
 
     Attributes:
-        settled: There is a first list to hand on; until then nothing is decided.
-        entries: The listed tasks by the key that the source names them by.
+        settled: Whether the first list is complete. The engine decides nothing before.
+        entries: The listed tasks by the source's own key.
     """
 
     settled: bool
     entries: Mapping
 
     def handle(self, now_us: int, event: object) -> RegistrationOutcome:
-        """Take an event of the source's own kind, or `members.RefreshRequested` or `members.Tick`."""
+        """Process an event of the source's own kind, `members.RefreshRequested` or `members.Tick`."""
 
     def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
-        """The whole list as it stands."""
+        """Return the whole list."""
 
     def next_deadline(self, now_us: int) -> int | None:
-        """When the next `members.Tick` is due; None for not at all."""
+        """Return the time at which the next `members.Tick` is due, or None if none is."""
 
     def counters(self) -> dict[str, int]:
-        """Counts for the status page."""
+        """Return counts for the status page."""
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -1,9 +1,9 @@
-"""The engine of one assigner: what came in, what the decision module commanded, and which updates may leave now.
+"""The engine of one assigner: it collects events, runs the decision module and sends the updates that are due.
 
-It has no threads, no sockets and no clock of its own. `Engine.run` does all that is due and returns when it wants to be
-called next; whoever owns the engine brings the clock and the connections. A failure of the decision module is never
-silent: it is logged with the events that led to it, proxies keep the tables they hold, and a new module is given the
-endpoint list and the joined proxies as after a restart.
+It has no threads, no sockets and no clock of its own. `Engine.run` does all that is due and returns the time of its
+next call. The owner of the engine provides the clock and the connections. A failure of the decision module is always
+logged, with the events that led to it. Proxies then keep their tables, and a new module gets the endpoint list and the
+joined proxies as after a restart.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
 __all__ = ["DecisionModuleError", "Engine", "EngineLimits", "ProxyDetails", "spread"]
 
 MAX_PROXY_INDICES = 65_535  # the interface numbers proxies in 16 bits
-SERIES_EXPIRY_PERIODS = 60  # report periods after which a series that is not reported any more is forgotten
-LOGGED_ENDPOINTS = 20  # in the log line of an endpoint list update
+SERIES_EXPIRY_PERIODS = 60  # report periods without a data point after which a series is dropped
+LOGGED_ENDPOINTS = 20  # entries in the log line of an endpoint list update
 
 COUNTERS = (  # keys of the status page
     "decisions",
@@ -67,7 +67,13 @@
 
 
 class ProxyDetails(NamedTuple):
-    """What a proxy joined with."""
+    """Facts that a proxy stated when it joined.
+
+    Attributes:
+        name: The proxy's own name.
+        zone: Index of its zone.
+        usual_rate_per_s: The RPC rate that it usually receives.
+    """
 
     name: Hashable
     zone: int
@@ -79,25 +85,26 @@
 
 
 class Engine:
-    """Runs one decision module between an endpoint list, load reports and the proxies' protocol servers.
+    """Driver of one decision module between an endpoint list, load reports and the proxies' protocol servers.
 
     Args:
         config: The deployment, as the decision module reads it.
-        seed: Of the decision module's random numbers.
-        limits: What the engine bounds itself.
-        source: Maintains the endpoint list.
-        now: The time, in microseconds of the clock that every call brings.
+        seed: Seed of the decision module's random numbers.
+        limits: Limits that the engine itself enforces.
+        source: Maintainer of the endpoint list.
+        now: The time, in microseconds of the clock from which all later calls take theirs.
         log: The logger.
-        make_assigner: Builds the decision module from the configuration and the seed: `decisions.Assigner`, or a
-            baseline of the laboratory.
-        log_decisions: Write a log line for each decision.
+        make_assigner: Factory of the decision module, called with the configuration and the seed:
+            `decisions.Assigner` or a baseline of the laboratory.
+        log_decisions: Whether each decision is logged.
 
     Attributes:
         servers: The protocol server of each joined proxy.
         endpoints: The endpoint list entry of each task.
-        task_in_use: Whether a server may still send something about a task; set by the servers' owner.
-        may_command: Whether this assigner may command a proxy now, by its name; None where proxies are not shared.
-        decision_number: Of the last decision; versions of tables are numbered by it.
+        task_in_use: Returns whether a server may still send something about a task. The servers' owner sets it.
+        may_command: Returns whether this assigner may command a proxy, given the time and the proxy's name. None if
+            assigners do not share proxies.
+        decision_number: Number of the last decision. It is the version of the tables that the decision changed.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - callers in four packages pass these by position
@@ -150,33 +157,33 @@
 
     @property
     def update_builder(self) -> UpdateBuilder:
-        """The tables as commanded, and which proxies use them."""
+        """The builder of updates, which holds the commanded tables and the proxies that use each."""
         return self.update_dispatcher.update_builder
 
     @property
     def queue(self) -> PacedQueue:
-        """The updates that wait."""
+        """The queue of updates that wait to be sent."""
         return self.update_dispatcher.queue
 
     @property
     def pending_events(self) -> deque[tuple[int, Event]]:
-        """Events that wait for the next decision, each with the time it was submitted."""
+        """Events that wait for the next decision, as (time of submission, event)."""
         return self.event_queue.pending
 
     @property
     def timers(self) -> list[tuple[int, int]]:
-        """The timers that the decision module has set: a heap of (due time, token)."""
+        """Timers set by the decision module, as a heap of (due time, token)."""
         return self.event_queue.timers
 
     @property
     def recent_events(self) -> deque[tuple[int, Event]]:
-        """The events that were decided on last."""
+        """The latest events passed to the decision module, as (time of the decision, event)."""
         return self.event_queue.recent
 
-    # Events, from protocol servers, the endpoint list and load reports.
+    # Events from protocol servers, the endpoint list and load reports.
 
     def submit(self, now_us: int, event: Event) -> None:
-        """Queue an event for the next decision; load reports are dropped when too many events wait."""
+        """Queue an event for the next decision. Load reports are dropped while too many events wait."""
         if not self.event_queue.submit(now_us, event):
             self.counts["events_dropped"] += 1
 
@@ -189,18 +196,18 @@
         usual_rate_per_s: float,
         has_no_table: bool = False,
     ) -> int | None:
-        """Take in a proxy whose stream is established.
+        """Add a proxy whose stream is established.
 
         Args:
-            now_us: The time.
-            server: Where its updates are written to.
-            name: The proxy's own name; a newer stream of the same name replaces the older one.
-            zone: Its zone.
-            usual_rate_per_s: The RPC rate that it states for itself.
-            has_no_table: It holds no table that was ever commanded.
+            now_us: The time, in microseconds.
+            server: The protocol server that writes its updates.
+            name: The proxy's own name. A newer stream of the same name replaces the older one.
+            zone: Index of its zone.
+            usual_rate_per_s: The RPC rate that it usually receives, as stated by itself.
+            has_no_table: Whether it holds no table that was ever commanded.
 
         Returns:
-            The proxy's index, or None where no more proxies are taken.
+            The proxy's index, or None if the limit on proxies is reached.
         """
         proxy = self.proxy_indices.allocate(now_us, name)
         if proxy is None:
@@ -217,7 +224,7 @@
         return proxy
 
     def leave(self, now_us: int, proxy: int) -> None:
-        """Take out a proxy whose stream has ended, with all that waits for it."""
+        """Remove a proxy whose stream has ended, with the updates that wait for it."""
         if self.servers.pop(proxy, None) is None:
             return
         details = self.proxy_details.pop(proxy)
@@ -227,11 +234,11 @@
         self.submit(now_us, ProxyLeft(proxy))
 
     def acknowledge(self, now_us: int, proxy: int, mark: int, apply_time_us: int) -> None:
-        """Pass on that a proxy has applied all updates up to a mark."""
+        """Submit the acknowledgement that a proxy has applied all updates up to a mark."""
         self.submit(now_us, Ack(proxy, mark, apply_time_us))
 
     def report(self, now_us: int, point: DataPoint) -> str:
-        """Take a data point of a load report; empty if it counts, else why it does not."""
+        """Add a data point of a load report. Return an empty string if it counts, else the reason why it does not."""
         reason = self.reports.add(now_us, point)
         task = point.place[1]
         if not reason and task in self.endpoints and point.kind in TASK_TRAFFIC:
@@ -239,12 +246,12 @@
         return reason
 
     def update_endpoints(self, now_us: int, event: object) -> members.Refusal | None:
-        """Pass an event to the source of the endpoint list; why it was refused, or None."""
+        """Pass an event to the source of the endpoint list. Return the reason of its refusal, or None."""
         outcome = self.endpoint_source.handle(now_us, event)
         change = outcome.change
         if change is not None:
             self.task_states.apply(change)
-        for key in outcome.left:  # what is known of an index ends with its holder, even if the list never said so
+        for key in outcome.left:  # the state of an index ends with its holder, even if no update reports it
             self.task_states.forget(self.task_indices.index.get(key))
             self.task_indices.release(now_us, key)
         if change is not None:
@@ -257,22 +264,22 @@
             self.submit(now_us, change)
         return outcome.refusal
 
-    # What is known of a task, for the protocol servers.
+    # State of tasks, for the protocol servers.
 
     def is_warming_up(self, now_us: int, task: int) -> bool:
-        """Whether the task started less than the warm-up time ago."""
+        """Return whether the task started less than the warm-up time ago."""
         return self.task_states.is_warming_up(now_us, task)
 
     def is_closed(self, task: int) -> bool:
-        """Whether the task must not be sent to: it is not listed, not ready, or ejected."""
+        """Return whether the task must not be sent to: it is not listed, not ready or ejected."""
         return self.task_states.is_closed(task)
 
     def is_running(self, task: int) -> bool:
-        """Whether the task is listed, draining or not."""
+        """Return whether the task is listed, draining or not."""
         return self.task_states.is_running(task)
 
     def is_confident(self, now_us: int, task: int) -> bool:
-        """Whether the task's weight rests on recent load reports, not on its listed size."""
+        """Return whether the task's weight follows from recent load reports, not from its listed weight."""
         return self.task_states.is_confident(now_us, task)
 
     # The loop.
@@ -281,10 +288,10 @@
         """Do all that is due.
 
         Returns:
-            When to call again at the latest; sooner if an event comes in.
+            The latest time of the next call. It has to come sooner if an event is submitted.
 
         Raises:
-            DecisionModuleError: The decision module failed too often.
+            DecisionModuleError: The decision module has failed too often.
         """
         self.ran_at = now_us
         self._tick_endpoint_source(now_us)
@@ -308,7 +315,7 @@
         self.next_collect_at = max(self.next_collect_at + period_us, now_us + period_us // 2)
 
     def _may_send(self, now_us: int, proxy: int) -> bool:
-        """Whether a proxy is still this assigner's: its lease may have run out while an update waited."""
+        """Return whether this assigner still owns a proxy, whose lease may have run out while an update waited."""
         return self.may_command is None or self.may_command(now_us, self.proxy_details[proxy].name)
 
     def _next_run_at(self, now_us: int) -> int:
@@ -320,12 +327,14 @@
     def _decide(self, now_us: int) -> None:
         self.has_decided = True
         events, oldest_us = self.event_queue.take_due(now_us)
-        events.append(QueueDepth(self.queue.waiting_lines))  # last: acks of merged updates come early and prove less
+        events.append(
+            QueueDepth(self.queue.waiting_lines)
+        )  # last, since acks of merged updates arrive early and prove less
         self.decision_number += 1
         self.counts["events"] += len(events)
         try:
             commands = self.assigner.decide(now_us, events)
-        except Exception as error:  # the boundary of the decision module: no fault of it may end the program
+        except Exception as error:  # a fault of the decision module must not end the program
             self._recover(now_us, error)
             return
         self.counts["decisions"] += 1
@@ -333,12 +342,12 @@
         self.apply_commands(now_us, oldest_us, commands)
 
     def apply_commands(self, now_us: int, oldest_us: int, commands: list[Command]) -> None:
-        """Carry out commands: timers and the endpoint list at once, tables as updates that wait in the queue.
+        """Execute commands: set timers and refresh the endpoint list at once, queue changes of tables as updates.
 
         Args:
-            now_us: The time.
-            oldest_us: When the oldest event that led to them was submitted.
-            commands: What the decision module commanded, in its order.
+            now_us: The time, in microseconds.
+            oldest_us: Time at which the oldest event that led to the commands was submitted.
+            commands: The commands in the order of the decision module.
         """
         table_commands: list[Command] = []
         for command in commands:
@@ -363,7 +372,7 @@
             self.decision_log.write(self.log, now_us, commands, summary)
 
     def _recover(self, now_us: int, error: Exception) -> None:
-        """Start a new decision module, as after a restart of the process."""
+        """Replace the decision module by a new one and give it the state that it has after a restart of the process."""
         self.counts["module_failures"] += 1
         self.failure_recovery.record(self.log, now_us, self.decision_number, error, self.recent_events)
         self.assigner = self.make_assigner(self.config, self.seed)
@@ -376,5 +385,5 @@
             self.pending_events.append((now_us, event))
 
     def status(self) -> dict:
-        """Counts and levels for the status page and the log."""
+        """Return counts and levels for the status page and the log."""
         return engine_status(self)
--- a/hollyridge/core/engine_limits.py
+++ b/hollyridge/core/engine_limits.py
@@ -1,4 +1,4 @@
-"""The limits of one engine that the decisions do not read."""
+"""Limits of one engine that the decision module does not read."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
     """Limits of one engine.
 
     Attributes:
-        lines_per_s: Pace of the queue to the proxies.
-        message_overhead_lines: Lines that each update costs beyond its own.
-        max_waiting_lines: Lines that may wait in that queue, overhead included.
-        max_tasks: Task indices that are given out.
-        max_proxies: Proxy indices that are given out.
-        max_series: Series of load reports that are kept in all.
-        max_series_per_source: Series of load reports that are kept of one source.
-        max_rate_per_s: The highest rate that a load report can be believed to state.
-        max_reports_per_period: Traffic reports handed to the decisions in one report period.
-        max_pending_events: Events that may wait for a decision; past that, load reports are dropped.
+        lines_per_s: Pace of the queue to the proxies, in lines per second.
+        message_overhead_lines: Overhead of each update, in lines.
+        max_waiting_lines: Maximum of lines that wait in that queue, overhead included.
+        max_tasks: Maximum of allocated task indices.
+        max_proxies: Maximum of allocated proxy indices.
+        max_series: Maximum of load report series in all.
+        max_series_per_source: Maximum of load report series of one source.
+        max_rate_per_s: Highest rate that a load report may state; higher ones are rejected.
+        max_reports_per_period: Maximum of traffic reports passed to the decision module in one report period.
+        max_pending_events: Maximum of events that wait for a decision. Beyond it load reports are dropped.
     """
 
     lines_per_s: float
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -1,4 +1,4 @@
-"""The greenlet that runs the engine: it sleeps until the engine is due or an event has come in."""
+"""The greenlet that runs the engine. It sleeps until the engine is due or an event was submitted."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 from hollyridge.core.engine import Engine
 
-CLOCK_ABOVE = 1_000_000_000  # us above the system's monotonic clock: the interface reads 0 as long past
-MAX_RUN_US = 60_000_000  # the histogram's upper end
+CLOCK_ABOVE = 1_000_000_000  # us added to the monotonic clock, since the interface reads time 0 as long past
+MAX_RUN_US = 60_000_000  # upper end of the histogram
 RUN_DIGITS = 3  # significant digits of the histogram
 US_PER_S = 1e6
 
 
 def monotonic_us() -> int:
-    """Microseconds of a clock that never steps."""
+    """Return the time of a clock that never steps, in microseconds."""
     return time.monotonic_ns() // 1000 + CLOCK_ABOVE
 
 
 class EventLoop:
-    """Runs an engine until `stop`; everything else speaks to the engine between two runs, then calls `wake`.
+    """Loop that runs an engine until `stop`. Other greenlets call the engine between two runs, then `wake`.
 
     Attributes:
-        engine: The engine; its owner is the greenlet that calls `run`.
-        clock: The time in microseconds.
-        spawn, sleep: For what works beside the engine; a simulation puts its own in their place.
-        run_durations: Microseconds that each run of the engine took.
+        engine: The engine, owned by the greenlet that calls `run`.
+        clock: Returns the time, in microseconds.
+        spawn, sleep: Functions for greenlets beside the engine. A simulation replaces them by its own.
+        run_durations: Histogram of the duration of the engine's runs, in microseconds.
     """
 
     spawn = staticmethod(gevent.spawn)
     sleep = staticmethod(gevent.sleep)
-    MIN_INTERVAL_S = 0.0005  # between two runs, so that events that come together are decided on together
+    MIN_INTERVAL_S = 0.0005  # between two runs, so that one decision covers events that arrive together
 
     def __init__(
         self, engine: Engine, clock: Callable[[], int] = monotonic_us, min_interval_s: float = MIN_INTERVAL_S
@@ -47,14 +47,14 @@
         self.stopping = False
 
     def wake(self) -> None:
-        """Have the engine run soon: an event was submitted."""
+        """Run the engine soon, since an event was submitted."""
         self.work_available.set()
 
     def run(self) -> None:
-        """Block until `stop`.
+        """Run the engine until `stop`.
 
         Raises:
-            DecisionModuleError: The engine gave up.
+            DecisionModuleError: The decision module has failed too often.
         """
         while not self.stopping:
             self.work_available.clear()
@@ -65,6 +65,6 @@
             gevent.sleep(self.min_interval_s)
 
     def stop(self) -> None:
-        """Have `run` return after the present run."""
+        """Make `run` return after the current run of the engine."""
         self.stopping = True
         self.work_available.set()
--- a/hollyridge/core/event_queue.py
+++ b/hollyridge/core/event_queue.py
@@ -1,4 +1,4 @@
-"""Events and timers that wait for the next decision, and the trail of those that were decided on last."""
+"""Events and timers that wait for the next decision, and the latest events passed to the decision module."""
 
 from __future__ import annotations
 
@@ -8,24 +8,29 @@
 
 from hollyridge.interface import EndpointListUpdate, Event, OfferedLoad, TimerFired, TrafficReport
 
-MAX_TIMERS = 4096  # set at a time; far more than the decisions need, so that a fault of theirs stays bounded
-RECENT_EVENTS_KEPT = 64  # for the log line of a failure
+MAX_TIMERS = 4096  # set at a time; far more than needed, only bounds the effect of a faulty decision module
+RECENT_EVENTS_KEPT = 64  # for the log line of a failure of the decision module
 
 
 class EventBatch(NamedTuple):
-    """The events of one decision, and when the oldest of them was submitted."""
+    """The events of one decision.
+
+    Attributes:
+        events: The events in the order in which the decision module gets them.
+        oldest_us: Time at which the oldest of them was submitted, in microseconds.
+    """
 
     events: list[Event]
     oldest_us: int
 
 
 class EventQueue:
-    """Keeps events in the order they were submitted, and timers by the time they fire.
+    """Queue of events in order of submission, and of timers in order of their due times.
 
     Attributes:
-        pending: Each event that waits, with the time it was submitted.
-        timers: A heap of (due time, token).
-        recent: The events that were decided on last, each with the time of its decision.
+        pending: The events that wait, as (time of submission, event).
+        timers: Heap of (due time, token).
+        recent: The latest events passed to the decision module, as (time of the decision, event).
     """
 
     __slots__ = ("max_pending", "pending", "recent", "timers")
@@ -37,9 +42,9 @@
         self.recent: deque[tuple[int, Event]] = deque(maxlen=RECENT_EVENTS_KEPT)
 
     def submit(self, now_us: int, event: Event) -> bool:
-        """Queue an event; False if it was dropped.
+        """Queue an event. Return False if it was dropped.
 
-        Past the limit, load reports give way to whatever changes the fleet.
+        At the limit only load reports are dropped, so that changes of the fleet are never lost.
         """
         if len(self.pending) >= self.max_pending and isinstance(event, (TrafficReport, OfferedLoad)):
             return False
@@ -47,22 +52,22 @@
         return True
 
     def set_timer(self, now_us: int, delay_us: int, token: int) -> bool:
-        """Have a `TimerFired` with this token after the delay; False if no more timers are taken."""
+        """Schedule a `TimerFired` with this token after the delay. Return False if too many timers are set."""
         if len(self.timers) >= MAX_TIMERS:
             return False
         heapq.heappush(self.timers, (now_us + max(delay_us, 1), token))
         return True
 
     def has_due(self, now_us: int) -> bool:
-        """Whether an event waits or a timer has run out."""
+        """Return whether an event waits or a timer is due."""
         return bool(self.pending) or self._timer_due(now_us)
 
     def next_timer(self) -> int | None:
-        """When the next timer fires; None if none is set."""
+        """Return the time at which the next timer fires, or None if none is set."""
         return self.timers[0][0] if self.timers else None
 
     def take_due(self, now_us: int) -> EventBatch:
-        """Take out all that is due: endpoint lists first, then events as submitted, then timers by their time."""
+        """Remove and return all that is due: endpoint lists, then events as submitted, then timers by due time."""
         oldest_us = now_us
         events: list[Event] = []
         while self.pending:
@@ -77,7 +82,7 @@
         return EventBatch(events, oldest_us)
 
     def reset(self) -> None:
-        """Drop the timers and the trail: they belong to a decision module that has failed."""
+        """Drop the timers and the latest events, which belong to a decision module that has failed."""
         self.timers.clear()
         self.recent.clear()
 
--- a/hollyridge/core/failure_recovery.py
+++ b/hollyridge/core/failure_recovery.py
@@ -1,4 +1,4 @@
-"""What follows from a failure of the decision module: it is logged with the events that led to it, up to a limit."""
+"""Handling of failures of the decision module: each is logged, and too many of them end the engine."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_FAILURES = 3  # within the window; one more and the engine gives up
+MAX_FAILURES = 3  # tolerated within the window
 FAILURE_WINDOW_US = 60_000_000
-LOGGED_FRAMES = 3  # last parts of the traceback in the log line
+LOGGED_FRAMES = 3  # parts from the end of the traceback in the log line
 
 
 class DecisionModuleError(HollyridgeError):
-    """The decision module failed too often to go on."""
+    """The decision module has failed too often."""
 
 
 class FailureRecovery:
-    """Counts failures of the decision module within a window of time."""
+    """Counter of the decision module's failures within `FAILURE_WINDOW_US`."""
 
     def __init__(self) -> None:
         self.failed_at_us: deque[int] = deque()
@@ -39,7 +39,7 @@
         """Log a failure with the events that led to it.
 
         Raises:
-            DecisionModuleError: There were too many of them within the window.
+            DecisionModuleError: There were more than `MAX_FAILURES` within the window.
         """
         log.error(
             "decision_module_failed",
--- a/hollyridge/core/logs.py
+++ b/hollyridge/core/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error, for people or for machines."""
+"""Structured logs on standard error, as text or as JSON."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_WRITE_BYTES = select.PIPE_BUF  # what a pipe that is ready takes at once, without blocking
+MAX_WRITE_BYTES = select.PIPE_BUF  # a pipe that is ready accepts that many bytes without blocking
 
 
 class NonBlockingLogSink:
-    """A file descriptor as a file that never blocks its writer.
+    """File-like object over a file descriptor that never blocks its writer.
 
-    Where nobody reads the log, lines are dropped, and their number is logged once there is room again: a log must not
-    be able to stop the program. The price is that lines are missing where the reader is slow.
+    A log must not be able to stop the program. While nobody reads the log, lines are dropped, and their number is
+    logged once there is room again. The price is that lines are missing if the reader is slow.
 
     Attributes:
-        dropped: Lines dropped since one was written last.
+        dropped: Number of lines dropped since the last written one.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.buffer = ""
         self.dropped = 0
-        self.line_is_torn = False  # a line was cut off in its middle: the next one starts on a new line
+        self.line_is_cut_off = False  # the last line was cut off, so the next one starts on a new line
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
 
@@ -39,7 +39,7 @@
         self.buffer += text
 
     def flush(self) -> None:
-        """Write what is buffered, or drop it."""
+        """Write the buffered text, or drop it if the descriptor is not ready."""
         line = self.buffer
         self.buffer = ""
         notice = f"{self.dropped} lines of this log were dropped: nobody read them\n" if self.dropped else ""
@@ -49,33 +49,33 @@
             self.dropped += 1
 
     def _write_if_ready(self, text: str) -> bool:
-        raw = ("\n" * self.line_is_torn + text).encode("utf-8", "replace")
+        raw = ("\n" * self.line_is_cut_off + text).encode("utf-8", "replace")
         for start in range(0, len(raw), MAX_WRITE_BYTES):
             try:
                 if not self._is_ready():
                     raise BlockingIOError
                 write(self.descriptor, raw[start : start + MAX_WRITE_BYTES])
-            except OSError:  # full, or its reader has closed it
-                self.line_is_torn = self.line_is_torn or start > 0
+            except OSError:  # the pipe is full or was closed by its reader
+                self.line_is_cut_off = self.line_is_cut_off or start > 0
                 return False
-        self.line_is_torn = False
+        self.line_is_cut_off = False
         return True
 
     def _is_ready(self) -> bool:
         return any(events & select.POLLOUT for _, events in self.poll.poll(0))
 
 
-def start(form: str, level: str, **bound: object) -> FilteringBoundLogger:
+def start(output_format: str, level: str, **context: object) -> FilteringBoundLogger:
     """Configure the logs and return the logger.
 
     Args:
-        form: `console` or `json`.
-        level: The lowest level that is logged.
-        bound: Facts that stand in every line.
+        output_format: `console` or `json`.
+        level: Lowest level that is logged.
+        context: Key-value pairs that are added to every line.
     """
     renderer = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if output_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -88,4 +88,4 @@
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.PrintLoggerFactory(NonBlockingLogSink(sys.stderr.fileno())),
     )
-    return structlog.get_logger(**bound)
+    return structlog.get_logger(**context)
--- a/hollyridge/core/persistence.py
+++ b/hollyridge/core/persistence.py
@@ -1,7 +1,7 @@
-"""Keeps what the decision module has learned on disk, and restores it after a restart.
+"""Persistence of the decision module's learned estimates across restarts.
 
-Reads and writes are waited for off the hub's thread. Where the disk is slow, full or read-only, routing goes on and the
-log says so.
+Files are read and written on another thread, so that they do not block the event loop. If the disk is slow, full or
+read-only, routing continues, and failures are logged.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-FIRST_DECISION_POLL_S = 0.05  # between two looks whether the endpoint list has settled
+FIRST_DECISION_POLL_S = 0.05  # between two checks for the first decision
 NS_PER_MS = 1_000_000
 MS_PER_S = 1e3
 
 
 def wall_clock_ms() -> int:
-    """Milliseconds of the time of day."""
+    """Return the time of day, in milliseconds since the epoch."""
     return time.time_ns() // NS_PER_MS
 
 
 class PersistenceConfig(NamedTuple):
-    """Where and how often estimates are kept.
+    """Configuration of the persistence of estimates.
 
     Attributes:
-        path: The state file.
-        every_s: Seconds between two writes.
-        fleet: Which fleet it is, as `learned_estimates.fleet_identity` builds it.
+        path: Path of the state file.
+        every_s: Interval between two writes, in seconds.
+        fleet: Identity of the fleet, from `learned_estimates.fleet_identity`.
     """
 
     path: Path
@@ -44,25 +44,25 @@
 
 
 class EstimatePersistence:
-    """Restores the estimates once, then writes them again and again.
+    """Service that restores the estimates once and then writes them periodically.
 
     Args:
         loop: The loop of the engine.
-        terms: Where and how often.
+        config: The configuration.
         log: The logger.
-        name_of: The name of a task by its index.
-        index_of: The index of a task by its name; None for one that is not listed.
-        apply: `apply(call, arguments)` runs a call on another thread and waits for what it returns.
-        wall_ms: Milliseconds of the time of day.
+        name_of: Returns the name of a task, given its index.
+        index_of: Returns the index of a task, given its name, or None if it is not listed.
+        apply: `apply(call, arguments)` runs a call on another thread and waits for its result.
+        wall_ms: Returns the time of day, in milliseconds since the epoch.
 
     Attributes:
-        stopped: Set by the owner to end `run` after the present pause.
+        stopped: Set by the owner to end `run` after its current pause.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - the service passes its own functions by position
         self,
         loop: EventLoop,
-        terms: PersistenceConfig,
+        config: PersistenceConfig,
         log: FilteringBoundLogger,
         name_of: Callable[[int], str],
         index_of: Callable[[str], int | None],
@@ -71,7 +71,7 @@
     ) -> None:
         self.loop = loop
         self.engine = loop.engine
-        self.terms = terms
+        self.config = config
         self.log = log
         self.name_of = name_of
         self.index_of = index_of
@@ -83,19 +83,19 @@
         self.counts = {"written": 0, "failed": 0, "recalled": 0, "left_out": 0}  # keys of the status page
 
     def run(self) -> None:
-        """Restore the estimates once the endpoint list has settled, then save until stopped."""
+        """Restore the estimates once the endpoint list has settled, then save them periodically until stopped."""
         state = self.load()
         while state is not None and not self.engine.has_decided and not self.stopped:
             self.loop.sleep(FIRST_DECISION_POLL_S)
         if state is not None:
             self.restore(state)
         while not self.stopped:
-            self.loop.sleep(self.terms.every_s)
+            self.loop.sleep(self.config.every_s)
             self.save()
 
     def load(self) -> state_file.SavedState | None:
-        """The saved state; None where there is none that can be read."""
-        path = self.terms.path
+        """Return the saved state, or None if there is none or it can't be read."""
+        path = self.config.path
         try:
             return state_file.unpack(self.apply(self.read, (path,)))
         except FileNotFoundError:
@@ -105,8 +105,8 @@
         return None
 
     def restore(self, state: state_file.SavedState) -> None:
-        """Submit the estimates of a saved state that can be used."""
-        restored = learned_estimates.restore_own(state, self.terms.fleet, self.wall_ms(), self.index_of)
+        """Submit the usable estimates of a saved state."""
+        restored = learned_estimates.restore_own(state, self.config.fleet, self.wall_ms(), self.index_of)
         event = restored.event
         restored_tasks = len(event.estimates) if event is not None else 0
         self.counts["left_out"] += sum(restored.left_out.values())
@@ -122,22 +122,22 @@
         )
 
     def save(self) -> None:
-        """Write the present estimates, if the decision module has any."""
-        learned = getattr(self.engine.assigner, "learned_estimates", None)  # baselines of the laboratory learn nothing
+        """Write the current estimates, if the decision module has any."""
+        learned = getattr(self.engine.assigner, "learned_estimates", None)  # baselines lack it
         if learned is None:
             return
         estimates, push_price = learned()
         if not estimates:
-            return  # the state on disk holds more
-        state = learned_estimates.to_saved_state(self.terms.fleet, self.wall_ms(), estimates, push_price, self.name_of)
+            return  # keep the state on disk, which holds more
+        state = learned_estimates.to_saved_state(self.config.fleet, self.wall_ms(), estimates, push_price, self.name_of)
         try:
-            self.apply(self.write, (self.terms.path, state_file.pack(state)))
+            self.apply(self.write, (self.config.path, state_file.pack(state)))
         except OSError as error:
             self.counts["failed"] += 1
             if should_log(self.counts["failed"]):
                 self.log.warning(
                     "estimates_write_failed",
-                    file=str(self.terms.path),
+                    file=str(self.config.path),
                     error=str(error),
                     failures=self.counts["failed"],
                 )
@@ -145,5 +145,5 @@
             self.counts["written"] += 1
 
     def status(self) -> dict:
-        """Counts for the status page."""
+        """Return counts for the status page."""
         return dict(self.counts)
--- a/hollyridge/core/protocol_server.py
+++ b/hollyridge/core/protocol_server.py
@@ -1,4 +1,4 @@
-"""What the engine asks of a protocol server, the service side of one protocol; it never asks which protocol that is."""
+"""The interface between the engine and a protocol server, the server side of one protocol to the proxies."""
 
 from __future__ import annotations
 
@@ -8,29 +8,34 @@
 
 
 class UpdateSize(NamedTuple):
-    """Lines of an update at its proxy, message overhead left out; and as many if all its tables went out in full."""
+    """The size of an update, without message overhead.
+
+    Attributes:
+        lines: Lines that the update changes at its proxy.
+        full_lines: Lines that it would have if it contained its tables in full.
+    """
 
     lines: int
     full_lines: int
 
 
 class ProtocolServer(Protocol):
-    """Writes updates to the proxies that speak its protocol.
+    """Writer of updates to the proxies that use its protocol.
 
     Attributes:
-        capabilities: Which commands the protocol can carry.
+        capabilities: The kinds of commands that the protocol supports.
     """
 
     capabilities: ServerCapabilities
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> UpdateSize | tuple[int, int]:
-        """The size of an update that waits; a plain pair will do."""
+        """Return the size of an update that waits, as an `UpdateSize` or a pair of the same values."""
 
     def write(self, proxy: int, update: ProxyUpdate) -> None:
-        """Send an update without blocking; the server merges and bounds what a slow reader holds up."""
+        """Send an update without blocking. For a slow reader the server merges updates and bounds their number."""
 
-    def detach(self, proxy: int, why: str) -> None:
+    def detach(self, proxy: int, reason: str) -> None:
         """Close the proxy's stream."""
 
-    def redirect(self, proxy: int, to: str, why: str) -> None:
-        """Close the proxy's stream and name the assigner that it should join; empty for any that answers."""
+    def redirect(self, proxy: int, assigner: str, reason: str) -> None:
+        """Close the proxy's stream and redirect it to an assigner, or to any that responds if the name is empty."""
--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -1,6 +1,7 @@
-"""The weight solver beside the engine: it is asked for a plan once a report period, off the hub's thread.
+"""The service that runs the weight solver beside the engine.
 
-What it proposes is submitted as events. Proposals expire, so where no new plan comes the decisions go on alone.
+The solver runs once per report period, on another thread so that it does not block the event loop. Its proposals are
+submitted as events. Proposals expire, so if no new plan follows, the decision module continues without them.
 """
 
 from __future__ import annotations
@@ -19,17 +20,17 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-STDOUT = 1  # file descriptors
-STDERR = 2
+STDOUT = 1  # file descriptor
+STDERR = 2  # file descriptor
 
 
 class SolverConfig(NamedTuple):
-    """What the solver is told beside the fleet.
+    """Configuration of the solver.
 
     Attributes:
-        handshake: Work of opening a connection, in average RPCs.
-        connections: New connections that a task can take.
-        deadline_s: Seconds that a plan may take.
+        handshake: Cost of opening a connection, in average RPCs.
+        connections: Maximum of new connections per task.
+        deadline_s: Maximum time for a plan, in seconds.
     """
 
     handshake: float
@@ -38,9 +39,9 @@
 
 
 def load_solver_library() -> None:
-    """Load the solver's library, with what it prints on standard output sent to standard error.
+    """Load the solver's library with standard output redirected to standard error.
 
-    The library prints a banner past Python's own streams, which would spoil the output of commands.
+    The library prints a banner directly to the file descriptor, which would corrupt the output of commands.
     """
     sys.stdout.flush()
     saved_stdout = os.dup(STDOUT)
@@ -53,51 +54,51 @@
 
 
 class SolverService:
-    """Asks for plans and submits their proposals.
+    """Service that requests plans from the solver and submits their proposals.
 
     Args:
         loop: The loop of the engine.
-        terms: The solver's settings.
+        config: The solver's configuration.
         log: The logger.
-        apply: `apply(call, arguments)` runs a call on another thread and waits for what it returns.
+        apply: `apply(call, arguments)` runs a call on another thread and waits for its result.
     """
 
-    def __init__(self, loop: EventLoop, terms: SolverConfig, log: FilteringBoundLogger, apply: Callable) -> None:
+    def __init__(self, loop: EventLoop, config: SolverConfig, log: FilteringBoundLogger, apply: Callable) -> None:
         self.loop = loop
         self.engine = loop.engine
-        self.terms = terms
+        self.config = config
         self.log = log
         self.apply = apply
-        self.planner = Planner(terms.deadline_s)
+        self.planner = Planner(config.deadline_s)
         load_solver_library()
         self.counts = {"asked": 0, "proposed": 0, "unknown": 0, "too_little": 0}  # keys of the status page
         self.sheds_load = self.engine.config.admission not in (Admission.OFF, Admission.SILENT)
 
     def run(self) -> None:
-        """Ask once a report period, until the program ends."""
+        """Request a plan once per report period, until the program ends."""
         while True:
             self.loop.sleep(self.engine.config.report_period_us / US_PER_S)
-            self.ask(self.loop.clock())
+            self.request_plan(self.loop.clock())
 
-    def ask(self, now_us: int) -> None:
-        """Ask for a plan of the fleet as it is known, and submit what it proposes."""
+    def request_plan(self, now_us: int) -> None:
+        """Request a plan for the fleet as it is known, and submit its proposals."""
         self.counts["asked"] += 1
-        fleet = fleet_of(self.engine.assigner, now_us, self.terms.handshake, self.terms.connections)
+        fleet = fleet_of(self.engine.assigner, now_us, self.config.handshake, self.config.connections)
         if fleet is None:
             self.counts["unknown"] += 1
             return
         plan = self.apply(self.planner.take, (fleet,))
         if plan is None or plan.stale_reason:
-            reason = plan.stale_reason if plan is not None else "none ever was"
+            reason = plan.stale_reason if plan is not None else "there is no earlier plan"
             self.log.warning("solver_plan_failed", reason=reason)
             return
-        answered_us = self.loop.clock()
+        planned_at_us = self.loop.clock()
         weight_proposals = proposals(plan, self.sheds_load)
         for proposal in weight_proposals:
-            self.engine.submit(answered_us, proposal)
+            self.engine.submit(planned_at_us, proposal)
         self.counts["proposed" if weight_proposals else "too_little"] += 1
         self.loop.wake()
 
     def status(self) -> dict:
-        """Counts for the status page."""
+        """Return counts for the status page."""
         return {**self.counts, **self.planner.counts}
--- a/hollyridge/core/status.py
+++ b/hollyridge/core/status.py
@@ -1,4 +1,4 @@
-"""The engine's part of the status page. The keys are a format that other programs read: they stay as they are."""
+"""The engine's part of the status page. Other programs read its keys, so they must not change."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def spread(histogram: HdrHistogram) -> dict[str, int]:
-    """The median, 99th percentile and maximum of recorded values, in their unit."""
+    """Return the median, 99th percentile and maximum of the recorded values, in their unit."""
     return {
         "p50": histogram.get_value_at_percentile(50),
         "p99": histogram.get_value_at_percentile(99),
@@ -20,7 +20,7 @@
 
 
 def engine_status(engine: Engine) -> dict:
-    """Counts and levels of an engine. `counters` of the decision module are optional: baselines may have none."""
+    """Return counts and levels of an engine. The decision module's `counters` are optional: baselines may lack them."""
     module_counters = getattr(engine.assigner, "counters", dict)()
     return {
         "at": engine.ran_at,
--- a/hollyridge/core/stream_server.py
+++ b/hollyridge/core/stream_server.py
@@ -1,4 +1,4 @@
-"""What protocol servers with one connection per proxy or agent have in common, whatever they speak on it."""
+"""Base class of protocol servers that have one connection per proxy or agent."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from hollyridge.core.event_loop import EventLoop
 
-ACCEPT_BACKLOG = 1024  # connections that the system holds until they are accepted
+ACCEPT_BACKLOG = 1024  # connections that the operating system queues until they are accepted
 
 
 class Stream(Protocol):
     """One connection.
 
     Attributes:
-        number: Of the connection, never used twice.
-        sock: Its socket.
-        closed: Why it was closed; empty while it is open.
-        proxy: The index of the proxy that joined on it; -1 for none.
+        number: Number of the connection, never reused.
+        sock: Socket of the connection.
+        closed: Reason why it was closed, or empty while it is open.
+        proxy: Index of the proxy that joined on it, or -1.
     """
 
     number: int
@@ -31,12 +31,12 @@
 
 
 class ProtocolStreamServer:
-    """Listens on `host:port` and keeps the open connections.
+    """Server that listens on `host:port` and keeps the open connections.
 
     Attributes:
-        streams: The connections by number, entered by `serve`.
-        by_proxy: The connection that each proxy joined on last.
-        number: Of the last connection.
+        streams: The connections by number, added by `serve`.
+        by_proxy: The connection on which each proxy joined last.
+        number: Number of the last connection.
     """
 
     def __init__(self, loop: EventLoop, host: str, port: int) -> None:
@@ -49,27 +49,27 @@
         self.server = StreamServer((host, port), self.serve, backlog=ACCEPT_BACKLOG)
 
     def serve(self, sock: socket.socket, address: tuple) -> None:
-        """Serve one connection until it ends; runs in a greenlet of its own."""
+        """Serve one connection until it ends, in a greenlet of its own."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Accept no more connections and close those that are open."""
+        """Stop accepting connections and close those that are open."""
         self.server.stop(timeout=0)
         for stream in list(self.streams.values()):
             self.close(stream, "the assigner stops")
 
-    def close(self, stream: Stream, why: str) -> None:
-        """Shut a connection down; the greenlet that reads it sees the end and cleans up."""
+    def close(self, stream: Stream, reason: str) -> None:
+        """Shut a connection down. The greenlet that reads from it then ends and cleans up."""
         if not stream.closed:
-            stream.closed = why
-            with contextlib.suppress(OSError):  # the other end was faster
+            stream.closed = reason
+            with contextlib.suppress(OSError):  # the peer has closed it already
                 stream.sock.shutdown(socket.SHUT_RDWR)
 
     def forget(self, now_us: int, stream: Stream) -> bool:
-        """Take out a connection that has ended.
+        """Remove a connection that has ended.
 
         Returns:
-            Whether a proxy has left with it; one that has joined again on a newer connection has not.
+            Whether its proxy has left. A proxy that has joined again on a newer connection has not.
         """
         self.streams.pop(stream.number, None)
         if stream.proxy < 0 or self.by_proxy.get(stream.proxy) is not stream:
@@ -80,7 +80,7 @@
 
 
 def connection_lost_reason(error: OSError) -> str:
-    """Why a connection was closed, from the error of its socket.
+    """Return the reason why a connection was closed, from the error of its socket.
 
     >>> connection_lost_reason(ConnectionResetError(104, "reset"))
     'connection lost: ECONNRESET'
--- a/hollyridge/core/update_dispatcher.py
+++ b/hollyridge/core/update_dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of commands to the proxies: they become updates, wait in the paced queue and are written when due."""
+"""Dispatch of commands to the proxies: they become updates, wait in the paced queue and are sent when due."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from hollyridge.interface import Command
 from hollyridge.store.table_versions import TableStore
 
-TABLE_VERSIONS_KEPT = 64  # versions of a table from which a proxy that lags can be brought forward by differences
-MAX_LATENCY_US = 60_000_000  # the histogram's upper end
+TABLE_VERSIONS_KEPT = 64  # a proxy that lags by more versions gets the whole table, not the differences
+MAX_LATENCY_US = 60_000_000  # upper end of the histogram
 LATENCY_DIGITS = 3  # significant digits of the histogram
 
 
 class UpdateDispatcher:
-    """Builds, queues and writes updates.
+    """Builder, queue and sender of updates.
 
     Args:
-        methods: How many RPC methods there are.
-        limits: The queue's pace and bounds.
-        counts: Where messages that are sent or withheld are counted.
+        methods: Number of RPC methods.
+        limits: Pace and bounds of the queue.
+        counts: Counters of sent and withheld messages, updated in place.
 
     Attributes:
-        update_builder: The tables as commanded, and which proxies use them.
+        update_builder: The builder of updates, which holds the commanded tables and the proxies that use each.
         queue: The updates that wait.
-        refused_commands: How many commands could not be carried, by reason.
-        latency: From an event's submission to the update that it led to, in microseconds.
+        refused_commands: Number of commands that could not be executed, by reason.
+        latency: Histogram of the time from an event's submission to the sending of its update, in microseconds.
     """
 
     def __init__(self, methods: int, limits: EngineLimits, counts: dict[str, int]) -> None:
@@ -42,7 +42,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Start with no tables and an empty queue, as a new decision module expects."""
+        """Drop all tables and empty the queue, as a new decision module expects."""
         limits = self.limits
         self.update_builder = UpdateBuilder(self.methods, TableStore(TABLE_VERSIONS_KEPT))
         self.queue = PacedQueue(limits.lines_per_s, limits.message_overhead_lines, limits.max_waiting_lines)
@@ -58,10 +58,10 @@
         """Queue the updates that follow from the commands of a decision.
 
         Args:
-            now_us: The time.
-            oldest_us: When the oldest event that led to the decision was submitted.
-            decision: Its number.
-            commands: Its commands about tables.
+            now_us: The time, in microseconds.
+            oldest_us: Time at which the oldest event that led to the decision was submitted.
+            decision: Number of the decision.
+            commands: Commands of the decision about tables.
             servers: The protocol server of each joined proxy.
         """
         capabilities = {proxy: server.capabilities for proxy, server in servers.items()}
@@ -76,7 +76,7 @@
     def send_due(
         self, now_us: int, servers: Mapping[int, ProtocolServer], may_send: Callable[[int, int], bool]
     ) -> None:
-        """Write the updates that may leave by now; one that `may_send` forbids is dropped and counted."""
+        """Send the updates that are due. Drop and count those that `may_send` forbids."""
         while (update := self.queue.take(now_us)) is not None:
             server = servers.get(update.proxy)
             if server is None:
--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -1,4 +1,4 @@
-"""The engine: drains, restarts, failures of the decision module, floods of reports."""
+"""The engine under drains, restarts, failures of the decision module and floods of reports."""
 
 import pytest
 import structlog
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("make_assigner", [Assigner, Even])
-def test_a_drain_is_everywhere_within_the_grace(make_assigner):
+def test_a_drain_reaches_all_proxies_within_the_grace(make_assigner):
     rig = EngineRig(make_assigner)
     for event in (Quiesced(1, ("t1",), True), Deregistered(1, (("t2",),))):
         rig.engine.update_endpoints(rig.now, event)
@@ -31,7 +31,7 @@
     assert rig.held_tasks()[late] == {0, 3, 4, 5}
 
 
-def test_a_restart_under_the_same_address_starts_slowly_again():
+def test_a_task_restarted_under_the_same_address_gets_a_slow_start():
     rig = EngineRig()
     for _ in range(10):
         for k in range(6):
@@ -44,8 +44,8 @@
     assert rig.engine.endpoint_source.restarts == 1
 
 
-def test_a_start_in_the_middle_of_a_release_empties_nothing():
-    """The list and the streams are all that is known: no table empties, cold tasks get their fraction only."""
+def test_an_assigner_start_during_a_release_empties_no_table():
+    """Without reports, the engine knows the list and the streams only. Cold tasks get only their fraction."""
     rig = EngineRig(tasks=4)
     fresh = {f"n{k}": (f"run=n up={k * 0.5}", k % 2) for k in range(3)}
     rig.register(fresh)
@@ -59,7 +59,7 @@
 
 
 class Flaky(Assigner):
-    """Fails whenever a proxy leaves."""
+    """A decision module that fails whenever a proxy leaves."""
 
     def decide(self, now, events):
         if any(isinstance(e, api.ProxyLeft) for e in events):
@@ -68,14 +68,16 @@
 
 
 class Recording(Assigner):
+    """A decision module that keeps the events of its last decision."""
+
     def decide(self, now, events):
         self.last_events = events
         return super().decide(now, events)
 
 
-def test_the_queue_depth_comes_last_though_a_merged_update_acknowledges_its_mark_early():
+def test_the_queue_depth_is_the_last_event_although_a_merged_update_acknowledges_its_mark_early():
     rig = EngineRig(Recording, lines_per_s=40.0)
-    rig.engine.queue.us_per_line = 1e6 / 40  # so slow that every update waits and is merged into
+    rig.engine.queue.us_per_line = 1e6 / 40  # slow enough that every update waits and others are merged into it
     for k in range(3):
         rig.engine.update_endpoints(rig.now, Quiesced(1, (f"t{k}",), True))
         rig.run(0.3)
@@ -89,7 +91,7 @@
     assert waits > 0
 
 
-def test_a_failure_of_the_decision_module_is_logged_and_survived():
+def test_a_failure_of_the_decision_module_is_logged_and_the_engine_continues():
     rig = EngineRig(Flaky)
     held = rig.held_tasks()
     with structlog.testing.capture_logs() as logs:
@@ -114,7 +116,7 @@
             rig.run(0.2)
 
 
-def test_a_flood_of_reports_never_displaces_the_list():
+def test_a_flood_of_reports_never_displaces_an_endpoint_list_update():
     rig = EngineRig()
     for _ in range(10_000):
         rig.engine.submit(rig.now, api.TrafficReport(0, 1, 1, 0, 1000, SECOND, ()))
@@ -124,7 +126,7 @@
     assert all(1 not in held for held in rig.held_tasks().values())
 
 
-def test_tasks_that_come_and_go_leave_nothing_behind():
+def test_indices_and_tables_do_not_grow_with_tasks_that_register_and_leave():
     rig = EngineRig(tasks=3, proxies=2)
     for week in range(300):
         rig.register({f"x{week}": (f"run=x{week} up=100", 0)}, stream=9)
@@ -136,7 +138,7 @@
     assert all(len(held) == 3 for held in rig.held_tasks().values())
 
 
-def updates_of_a_run(seed):
+def run_and_collect_updates(seed):
     rig = EngineRig(seed=seed)
     for second in range(6):
         for k in range(6):
@@ -149,6 +151,6 @@
 
 
 def test_the_same_events_give_the_same_updates():
-    first = updates_of_a_run(3)
-    assert first == updates_of_a_run(3)
+    first = run_and_collect_updates(3)
+    assert first == run_and_collect_updates(3)
     assert len(first) > 8
--- a/tests/core/test_core_event_queue.py
+++ b/tests/core/test_core_event_queue.py
@@ -1,4 +1,4 @@
-"""The order in which events and timers reach a decision, and the bounds on both."""
+"""Order of events and timers in a decision, and the limits on both."""
 
 from helpers import SECOND, entry, roster
 
@@ -8,7 +8,7 @@
 REPORT = api.TrafficReport(0, 1, 1, 0, 1000, SECOND, ())
 
 
-def test_endpoint_lists_come_first_then_events_then_timers():
+def test_a_decision_gets_endpoint_lists_then_events_then_timers():
     queue = EventQueue(max_pending=10)
     change = roster([entry(0)])
     queue.submit(5, REPORT)
@@ -30,7 +30,7 @@
     assert queue.next_timer() is None
 
 
-def test_past_the_limit_load_reports_are_dropped_and_nothing_else():
+def test_at_the_limit_only_load_reports_are_dropped():
     queue = EventQueue(max_pending=2)
     assert queue.submit(0, REPORT)
     assert queue.submit(0, REPORT)
--- a/tests/core/test_core_persistence.py
+++ b/tests/core/test_core_persistence.py
@@ -1,4 +1,4 @@
-"""Learned estimates are kept on disk and restored after a restart, and count the less the older they are."""
+"""Learned estimates are saved on disk and restored after a restart. Older ones have less influence."""
 
 from pathlib import Path
 
@@ -20,8 +20,8 @@
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
-def trained():
-    """A decision module that has learned that one of four tasks does half as much."""
+def trained_assigner():
+    """Return a decision module that has learned that one of four tasks has half the capacity, and the time."""
     module, now = started_assigner(), START
     for _ in range(10):
         now += SECOND
@@ -30,24 +30,24 @@
     return module
 
 
-def test_restored_estimates_count_at_once_and_the_less_the_older_they_are():
-    rows, _price = trained().learned_estimates()
+def test_restored_estimates_apply_at_once_and_older_ones_have_less_influence():
+    rows, _price = trained_assigner().learned_estimates()
     assert len(rows) == 4
     assert rows[3].capacity < 0.6 * rows[0].capacity
-    found = {}
+    capacity_ratio_by_age = {}
     for age_s in (0, 30, 3600):
         module, now = started_assigner(), START + SECOND
         module.decide(now, [api.EstimatesRestored(tuple(rows), 2.0, age_s * SECOND)])
-        assert module.push_gate.push_price >= 2.0 - 1e-9  # an old price can only hold pushes back
+        assert module.push_gate.push_price >= 2.0 - 1e-9  # an old price can only delay pushes
         report_second(module, now + SECOND, load=0.5)
-        found[age_s] = module.estimates.capacity[3] / module.estimates.capacity[0]
-    assert found[0] < found[30] < found[3600]
-    assert found[0] < 0.75
-    assert found[3600] > 0.9
+        capacity_ratio_by_age[age_s] = module.estimates.capacity[3] / module.estimates.capacity[0]
+    assert capacity_ratio_by_age[0] < capacity_ratio_by_age[30] < capacity_ratio_by_age[3600]
+    assert capacity_ratio_by_age[0] < 0.75
+    assert capacity_ratio_by_age[3600] > 0.9
 
 
-def test_restored_estimates_change_neither_what_is_known_better_nor_closed_or_cold_tasks():
-    module, now = trained(), START + 20 * SECOND
+def test_restored_estimates_change_neither_better_known_nor_closed_or_cold_tasks():
+    module, now = trained_assigner(), START + 20 * SECOND
     before = list(module.estimates.busy_periods)
     restored = api.EstimatesRestored(
         (api.LearnedEstimate(0, 900.0, 0.5, 4.0, 9.0), api.LearnedEstimate(99, 900.0, 10.0, 4.0, 9.0)), 0.0, 0
@@ -101,10 +101,10 @@
     )
     loaded, recordings = scenario.load(path), []
     for _ in range(2):
-        stage = SimulatedEnvironment(loaded, "", 3)
-        outcome = Day(loaded, stage, 3).play()
+        environment = SimulatedEnvironment(loaded, "", 3)
+        outcome = Day(loaded, environment, 3).play()
         assert all(v.kept for v in outcome.verdicts)
-        assert stage.status[-1]["kept"]["recalled"] > 0
-        recordings.append(stage.record.rows)
+        assert environment.status[-1]["kept"]["recalled"] > 0
+        recordings.append(environment.record.rows)
     assert recordings[0] == recordings[1]
-    assert isinstance(stage.processes[0].service.engine.assigner, Assigner)
+    assert isinstance(environment.processes[0].service.engine.assigner, Assigner)
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -1,4 +1,4 @@
-"""An engine with a clock and a protocol server of the tests' own, and the tables that its proxies would hold."""
+"""An engine with a simulated clock and a protocol server that records updates and the tables of its proxies."""
 
 import structlog
 from helpers import SECOND, bootstrap
@@ -12,11 +12,11 @@
 from hollyridge.telemetry.report_aggregator import DataPoint, Kind
 
 START = 1_000 * SECOND
-TERMS = members.RegistrationConfig(16 * SECOND, SECOND, 30 * SECOND, SECOND // 2, 3 * SECOND, 1000)
+REGISTRATION_CONFIG = members.RegistrationConfig(16 * SECOND, SECOND, 30 * SECOND, SECOND // 2, 3 * SECOND, 1000)
 
 
 class RecordingServer:
-    """A protocol server that keeps the updates, and the tables that proxies would hold."""
+    """A protocol server that records the updates and the tables that proxies hold after them."""
 
     capabilities = ServerCapabilities(False, False, False, True, 1)
 
@@ -36,12 +36,20 @@
 
 
 class EngineRig:
-    def __init__(self, make_assigner=Assigner, tasks=6, proxies=4, seed=7, **terms):
-        config = bootstrap(admission=api.Admission.SILENT, **terms)
+    """An engine with registered tasks and joined proxies, advanced by `run`."""
+
+    def __init__(self, make_assigner=Assigner, tasks=6, proxies=4, seed=7, **config_values):
+        config = bootstrap(admission=api.Admission.SILENT, **config_values)
         limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.server = START, RecordingServer()
         self.engine = Engine(
-            config, seed, limits, members.MemberRegistry(TERMS, START), START, structlog.get_logger(), make_assigner
+            config,
+            seed,
+            limits,
+            members.MemberRegistry(REGISTRATION_CONFIG, START),
+            START,
+            structlog.get_logger(),
+            make_assigner,
         )
         self.register({f"t{k}": ("run=a up=100", k % 2) for k in range(tasks)})
         self.proxies = [self.engine.join(self.now, self.server, f"gw-{k}", k % 2, 5.0) for k in range(proxies)]
@@ -58,7 +66,7 @@
         return self.engine.task_indices.index[(name,)]
 
     def run(self, seconds, acks=True):
-        """Let time pass, with acknowledgements of 50 ms."""
+        """Advance the clock. Proxies acknowledge updates with an apply time of 50 ms."""
         until = self.now + round(seconds * SECOND)
         seen = len(self.server.updates)
         while self.now < until:
