--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -1,6 +1,6 @@
-"""A whole assigner of `hollyridge serve`: engine, loop, servers and receivers, built from its settings.
+"""A complete assigner of `hollyridge serve`: engine, loop, servers and receivers, built from the settings.
 
-Wiring only; the command line and the laboratory run it.
+This module only connects the parts. The command line and the laboratory run it.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 from hollyridge.settings.service_config import ServiceConfig
 from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
 
-MAX_CACHED_NAMES = 100_000  # names of tasks in load reports whose key is remembered
+MAX_CACHED_NAMES = 100_000  # task names in load reports whose parsed keys are cached
 
 
 class ServiceEnvironment(NamedTuple):
-    """What an assigner takes from its process; simulations hand in their own.
+    """Functions and values that an assigner takes from its process. Simulations supply their own.
 
     Attributes:
-        clock: Microseconds of a clock that never steps.
-        make_context: Makes the context of the pub-sub server's sockets.
-        epoch: Names this run of the process; made up if empty.
-        random_bytes: Gives so many random bytes.
+        clock: Returns the time of a clock that never steps, in microseconds.
+        make_context: Factory of the context of the pub-sub server's sockets.
+        epoch: Name of this run of the process, generated if empty.
+        random_bytes: Returns the given number of random bytes.
     """
 
     clock: Callable[[], int] = monotonic_us
@@ -58,10 +58,10 @@
 
 
 class Service:
-    """Everything that one assigner runs.
+    """A complete assigner.
 
-    `start` listens (OSError if an address is taken), `run` blocks until `stop` and raises what the engine raises when
-    it gives up.
+    `start` opens the listening sockets and raises OSError if an address is taken. `run` blocks until `stop` and raises
+    DecisionModuleError if the decision module fails too often.
 
     Attributes:
         sasp_server: The SASP server.
@@ -69,64 +69,72 @@
         peers: The exchange with other assigners, or None.
         metrics_server: The receiver of load reports, which also serves the status pages.
         solver_service: The weight solver beside the loop, or None.
-        persistence: What keeps learned estimates on disk, or None.
+        persistence: The service that saves learned estimates on disk, or None.
     """
 
     def __init__(
         self,
-        terms: ServiceConfig,
+        settings: ServiceConfig,
         log: BoundLogger,
-        make: Callable = Assigner,
+        make_assigner: Callable = Assigner,
         environment: ServiceEnvironment | None = None,
-        fleet: PeerConfig | None = None,
+        peer_config: PeerConfig | None = None,
     ) -> None:
-        """Build all parts; nothing listens yet.
+        """Build all parts, without listening yet.
 
         Args:
-            terms: The checked settings.
-            log: Where every part logs.
-            make: Builds the decisions.
-            environment: Clock, randomness and sockets; those of the process if absent.
-            fleet: Stands in for the [peers] of the settings.
+            settings: The validated settings.
+            log: Logger of all parts.
+            make_assigner: Factory of the decision module.
+            environment: Clock, randomness and sockets. Those of the process by default.
+            peer_config: Configuration of the exchange with other assigners, in place of [peers] in the settings.
         """
         environment = environment or ServiceEnvironment()
-        self.terms, self.log = terms, log
+        self.settings, self.log = settings, log
         now = environment.clock()
-        registry = MemberRegistry(terms.registration_config(), now)
+        registry = MemberRegistry(settings.registration_config(), now)
         self.engine = Engine(
-            terms.assigner_config(), terms.assigner.seed, terms.engine_limits(), registry, now, log, make
+            settings.assigner_config(),
+            settings.assigner.seed,
+            settings.engine_limits(),
+            registry,
+            now,
+            log,
+            make_assigner,
         )
         self.loop = EventLoop(self.engine, environment.clock)
         self.report_names = self.attribute_names()
-        self.zone_name = dict(enumerate(terms.zone_names)).get  # by index; None for none
-        self.jobs: list[gevent.Greenlet] = []  # that would run as long as the process; `stop` ends them
+        self.zone_name = dict(enumerate(settings.zone_names)).get  # returns the name of a zone by its index, or None
+        self.jobs: list[gevent.Greenlet] = []  # endless greenlets that `stop` kills
         self.peer_transport: DatagramTransport | None = None
-        self.peers = self.build_peers(fleet or terms.peer_config(), environment.random_bytes)
-        self.access = AccessControl(terms.tls_files() is not None or bool(terms.curve_file()), terms.principals)
-        self.tls = server_context(terms.tls_files()) if terms.tls_files() else None
+        self.peers = self.build_peers(peer_config or settings.peer_config(), environment.random_bytes)
+        self.access = AccessControl(
+            settings.tls_files() is not None or bool(settings.curve_file()), settings.principals
+        )
+        self.tls = server_context(settings.tls_files()) if settings.tls_files() else None
         self.limiter = self.build_limiter()
         self.sasp_server = self.build_sasp_server()
         self.curve: Curve | None = None
-        self.chp_server = self.build_chp_server(environment) if terms.clone.listen else None
+        self.chp_server = self.build_chp_server(environment) if settings.clone.listen else None
         self.solver_service = self.build_solver()
         self.persistence = self.build_persistence()
         self.metrics_server = self.build_metrics_server()
 
-    # Building.
+    # Construction of the parts.
 
     def build_peers(self, config: PeerConfig | None, random_bytes: Callable[[int], bytes]) -> PeerService | None:
-        """The exchange with other assigners; None where nothing is shared."""
+        """Return the exchange with other assigners, or None if nothing is shared."""
         if config is None:
             return None
-        terms = self.terms
-        addresses = {"sasp": terms.sasp.listen, "otlp": terms.otlp.listen, "clone": terms.clone.listen}
+        settings = self.settings
+        addresses = {"sasp": settings.sasp.listen, "otlp": settings.otlp.listen, "clone": settings.clone.listen}
         services = tuple(sorted((name, address) for name, address in addresses.items() if address))
         tasks = TaskLookup(self.task_name, self.report_names.task)
         return PeerService(self.loop, config._replace(services=services), self.log, random_bytes, tasks)
 
     def build_limiter(self) -> ConnectionLimiter:
-        """What connections, requests and replies the servers take together."""
-        sasp, channel = self.terms.sasp, self.terms.channel
+        """Return the limiter of connections, requests and replies that all servers share."""
+        sasp, channel = self.settings.sasp, self.settings.channel
         return ConnectionLimiter(
             sasp.connections_most,
             sasp.connections_each,
@@ -136,18 +144,18 @@
         )
 
     def build_sessions(self) -> SessionTracker:
-        """The sessions of one server's proxies."""
+        """Return a session tracker for the proxies of one server."""
         config = self.engine.config
         return SessionTracker(config.drain_grace_us, config.empty_table_limit_us)
 
     def build_sasp_server(self) -> SaspServer:
-        """The SASP server."""
+        """Return the SASP server."""
         return SaspServer(
             self.loop,
-            self.terms.sasp_config(),
+            self.settings.sasp_config(),
             self.build_sessions(),
             self.limiter,
-            self.terms.zone_finder(),
+            self.settings.zone_finder(),
             self.log,
             self.access,
             self.secure_handshake(),
@@ -156,16 +164,16 @@
         )
 
     def build_chp_server(self, environment: ServiceEnvironment) -> ChpServer:
-        """The pub-sub server."""
+        """Return the pub-sub server."""
         context = environment.make_context()
-        if self.terms.curve_file():
-            self.curve = Curve(context, self.terms.curve_file(), self.access.curve_known, self.principal_of_key)
+        if self.settings.curve_file():
+            self.curve = Curve(context, self.settings.curve_file(), self.access.curve_known, self.principal_of_key)
         return ChpServer(
             self.loop,
-            self.terms.chp_config(),
+            self.settings.chp_config(),
             self.build_sessions(),
             self.limiter,
-            self.terms.zone_finder(),
+            self.settings.zone_finder(),
             self.task_name,
             self.log,
             context,
@@ -177,22 +185,22 @@
         )
 
     def build_solver(self) -> SolverService | None:
-        """The weight solver beside the loop; None where it is off."""
-        config = self.terms.solver_config()
+        """Return the weight solver beside the loop, or None if it is off."""
+        config = self.settings.solver_config()
         if config is None:
             return None
         return SolverService(self.loop, config, self.log, gevent.get_hub().threadpool.apply)
 
     def build_persistence(self) -> EstimatePersistence | None:
-        """What keeps learned estimates on disk; None where nothing is kept."""
-        config = self.terms.persistence_config()
+        """Return the service that saves learned estimates on disk, or None if none are saved."""
+        config = self.settings.persistence_config()
         if config is None:
             return None
         in_thread = gevent.get_hub().threadpool.apply
         return EstimatePersistence(self.loop, config, self.log, self.task_name, self.report_names.task, in_thread)
 
     def build_metrics_server(self) -> MetricsServer:
-        """The receiver of load reports, with the status pages."""
+        """Return the receiver of load reports, which also serves the status pages."""
         pages = {
             "/status": Page("application/json", lambda: msgspec.json.encode(self.status())),
             "/fleet": Page("text/plain; charset=utf-8", self.fleet_page),
@@ -202,29 +210,29 @@
             pages["/peers"] = Page("application/json", lambda: msgspec.json.encode(self.peers.status()))
             actions = {"/peers/drain": self.peers.drain, "/peers/undrain": lambda: self.peers.drain(False)}
         options = HttpOptions(pages, actions, self.access, self.secure_handshake())
-        return MetricsServer(self.loop, self.terms.otlp_config(), self.report_names, options, self.log)
+        return MetricsServer(self.loop, self.settings.otlp_config(), self.report_names, options, self.log)
 
     def secure_handshake(self) -> Callable | None:
-        """What turns an accepted socket into a TLS one; None where connections are open."""
+        """Return the function that wraps an accepted socket in TLS, or None if connections are not encrypted."""
         if self.tls is None:
             return None
-        return lambda sock: server_handshake(sock, self.tls, self.terms.sasp.hello_s)
+        return lambda sock: server_handshake(sock, self.tls, self.settings.sasp.hello_s)
 
-    # Names.
+    # Names of principals, tasks and attributes.
 
     def principal_of_key(self, key: str) -> str:
-        """The principal whose CURVE key this is; the key itself for a stranger's."""
+        """Return the name of the principal with this CURVE public key, or the key itself if none has it."""
         return self.access.by_curve.get(key, key)
 
     def task_name(self, task: int) -> str:
-        """Address and port of a task by its index."""
+        """Return the address and port of a task, given its index."""
         address, port, _ = self.engine.task_indices.names[task]
         return f"{Member(address, port).host}:{port}"
 
     def attribute_names(self) -> AttributeNames:
-        """What turns the names in load reports into indices."""
-        zones = {name: z for z, name in enumerate(self.terms.zone_names)}
-        methods = {name: k for k, name in enumerate(self.terms.method_names)}
+        """Return the look-ups that translate names in load reports into indices."""
+        zones = {name: z for z, name in enumerate(self.settings.zone_names)}
+        methods = {name: k for k, name in enumerate(self.settings.method_names)}
         key_by_name: dict[str, tuple] = {}
 
         def task(name: str) -> int | None:
@@ -242,21 +250,21 @@
         return AttributeNames(zones.get, task, self.engine.proxy_indices.index.get, methods.get)
 
     def fleet_page(self) -> bytes | None:
-        """What the weight solver would be given now, as `hollyridge solve` reads it; None if nothing is known."""
-        assigner, solver = self.engine.assigner, self.terms.solver
-        if not isinstance(assigner, Assigner):  # a baseline of the laboratory learns nothing
+        """Return the solver's current input as a fleet file of `hollyridge solve`, or None if nothing is known."""
+        assigner, solver = self.engine.assigner, self.settings.solver
+        if not isinstance(assigner, Assigner):  # a baseline of the laboratory has no estimates
             return None
         fleet = fleet_of(assigner, self.loop.clock(), solver.handshake, solver.connections or math.inf)
         if fleet is None:
             return None
-        zones = tuple(zone._replace(name=name) for zone, name in zip(fleet.zones, self.terms.zone_names))
+        zones = tuple(zone._replace(name=name) for zone, name in zip(fleet.zones, self.settings.zone_names))
         tasks = tuple(task._replace(name=self.task_name(i)) for i, task in enumerate(fleet.tasks))
         return write(without_the_gone(fleet._replace(zones=zones, tasks=tasks))).encode()
 
-    # Running.
+    # Start and stop.
 
     def start(self) -> tuple[int, int]:
-        """The ports that SASP and OTLP listen on."""
+        """Start listening. Return the ports of SASP and OTLP."""
         if self.peers is not None:
             self.peer_transport = DatagramTransport(*self.peers.config.listen, self.peers.receive_datagram)
             self.peers.send = self.peer_transport.send
@@ -264,12 +272,12 @@
         if self.chp_server is not None:
             self.chp_server.start()
         self.start_background()
-        if self.terms.log.status_every_s:
+        if self.settings.log.status_every_s:
             self.jobs.append(gevent.spawn(self.log_status))
         return ports
 
     def start_background(self) -> None:
-        """Start what needs no socket."""
+        """Start the parts that need no listening socket."""
         if self.peers is not None:
             self.peers.begin()
             self.loop.spawn(self.peers.run)
@@ -279,11 +287,11 @@
             self.jobs.append(self.loop.spawn(self.solver_service.run))
 
     def run(self) -> None:
-        """Decide until `stop`."""
+        """Run the engine until `stop`."""
         self.loop.run()
 
     def stop(self) -> None:
-        """End every part; estimates are saved once more."""
+        """Stop all parts and save the estimates once more."""
         if self.peers is not None:
             self.peers.leave()
         if self.peer_transport is not None:
@@ -300,37 +308,40 @@
         self.metrics_server.stop()
         gevent.killall(self.jobs, block=False)
 
-    def reload(self, terms: ServiceConfig) -> None:
-        """Take new keys and access rights without dropping a stream of a principal that keeps its own.
+    def reload(self, settings: ServiceConfig) -> None:
+        """Apply new keys and access rights. Streams of principals that keep their rights stay open.
 
         Raises:
-            OSError: A file can't be read; nothing changes.
-            ValueError: A file holds no key; nothing changes.
+            OSError: A file can't be read. Nothing is changed.
+            ValueError: A file contains no key. Nothing is changed.
         """
-        if self.tls is not None and terms.tls_files():
-            load_keys(self.tls, terms.tls_files())
-        if self.curve is not None and terms.curve_file():
+        if self.tls is not None and settings.tls_files():
+            load_keys(self.tls, settings.tls_files())
+        if self.curve is not None and settings.curve_file():
             before = self.curve.public
-            self.curve.load(terms.curve_file())
+            self.curve.load(settings.curve_file())
             if self.curve.public != before:
                 self.chp_server.rebind()
-        self.access.replace(terms.principals)
+        self.access.replace(settings.principals)
         self.sasp_server.recheck()
         if self.chp_server is not None:
             self.chp_server.recheck()
-        self.log.info("keys_reloaded", principals=len(terms.principals))
+        self.log.info("keys_reloaded", principals=len(settings.principals))
 
     def status(self) -> dict:
-        """The status page."""
-        fronts = {"sasp": self.sasp_server.status(), **({"clone": self.chp_server.status()} if self.chp_server else {})}
+        """Return the content of the status page."""
+        servers = {
+            "sasp": self.sasp_server.status(),
+            **({"clone": self.chp_server.status()} if self.chp_server else {}),
+        }
         solver = {"solver": self.solver_service.status()} if self.solver_service is not None else {}
         peers = {"peers": self.peers.status()} if self.peers is not None else {}
-        kept = {"kept": self.persistence.status()} if self.persistence is not None else {}
+        persistence = {"kept": self.persistence.status()} if self.persistence is not None else {}
         core = {**self.engine.status(), "turn_us": spread(self.loop.run_durations)}
-        return {"core": core, **fronts, "otlp": self.metrics_server.status(), **solver, **peers, **kept}
+        return {"core": core, **servers, "otlp": self.metrics_server.status(), **solver, **peers, **persistence}
 
     def log_status(self) -> None:
-        """Log the status at the interval of the settings."""
+        """Log the status periodically, at the interval of the settings."""
         while True:
-            gevent.sleep(self.terms.log.status_every_s)
+            gevent.sleep(self.settings.log.status_every_s)
             self.log.info("status_reported", **self.status())
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -1,6 +1,6 @@
-"""A whole assigner on loopback sockets in this process, with clients of its protocols: for tests of several packages.
+"""A complete assigner on loopback sockets in this process, with clients of its protocols, for several test packages.
 
-A test module imports the fixture `rig` by name, and closes nothing itself: what a rig opened ends with the test.
+The fixture `rig` closes all clients and services at the end of a test, so that tests need not do so.
 """
 
 import http.client
@@ -23,8 +23,10 @@
 
 
 class Rig:
+    """A running assigner with short intervals, and factories of its clients."""
+
     def __init__(self, **overrides):
-        quick = {
+        settings = {
             ("sasp", "listen"): "127.0.0.1:0",
             ("otlp", "listen"): "127.0.0.1:0",
             ("log", "status_every_s"): "0",
@@ -32,15 +34,17 @@
             ("assigner", "report_period_s"): "0.2",
             ("promises", "drain_grace_s"): "1.5",
         }
-        quick.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
-        self.service = Service(assigner.load(LOOPBACK, quick), structlog.get_logger())
+        settings.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
+        self.service = Service(assigner.load(LOOPBACK, settings), structlog.get_logger())
         self.sasp, self.otlp = self.service.start()
         self.engine, self.front = self.service.engine, self.service.sasp_server
         self.job = gevent.spawn(self.service.run)
         self.clients = []
 
-    def open(self, kind, *words, **how):
-        client = kind(("127.0.0.1", self.sasp), *words, timeout=3, **{"connect": socket.create_connection, **how})
+    def open(self, client_class, *arguments, **options):
+        client = client_class(
+            ("127.0.0.1", self.sasp), *arguments, timeout=3, **{"connect": socket.create_connection, **options}
+        )
         self.clients.append(client)
         return client
 
@@ -54,8 +58,8 @@
     def members(self, tasks=4):
         return [Member.at(f"127.{1 + k % 3}.0.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(tasks)]
 
-    def balancer(self, uid="gw-1", zone=1, push=True, **how):
-        client = self.open(LoadBalancerClient, uid, source=f"127.{zone}.0.200", **how)
+    def balancer(self, uid="gw-1", zone=1, push=True, **options):
+        client = self.open(LoadBalancerClient, uid, source=f"127.{zone}.0.200", **options)
         client.start(GROUPS, push)
         return client
 
@@ -65,18 +69,18 @@
         return sock
 
     def holds(self, client, held=None, seconds=1.0):
-        """What a push client holds after this long, host numbers by group."""
+        """Return the host numbers by group that a push client holds after this time, and its held weights."""
         held = held or HeldWeights()
-        until = time.monotonic() + seconds
-        while (left := until - time.monotonic()) > 0:
-            pushed = client.receive(timeout=left)
+        deadline = time.monotonic() + seconds
+        while (remaining_s := deadline - time.monotonic()) > 0:
+            pushed = client.receive(timeout=remaining_s)
             if pushed:
                 held.take(pushed[1].groups)
         return {g: {int(m.host.split(".")[3]) for m in held.lines(g)} for g in GROUPS}, held
 
     def report(self, figures, source="gw-1", packed=True):
         connection = http.client.HTTPConnection("127.0.0.1", self.otlp, timeout=5)
-        connection._create_connection = socket.create_connection  # greenlets share this process with the service
+        connection._create_connection = socket.create_connection  # the service runs in greenlets of this process
         try:
             return post(connection, request_of(source, figures), packed)
         finally:
@@ -87,8 +91,8 @@
         connection._create_connection = socket.create_connection
         try:
             connection.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
-            answer = connection.getresponse()
-            return answer.status, answer.read()
+            response = connection.getresponse()
+            return response.status, response.read()
         finally:
             connection.close()
 
@@ -102,23 +106,23 @@
         return rigs[-1]
 
     yield build
-    for one in rigs:
-        for client in one.clients:
+    for started_rig in rigs:
+        for client in started_rig.clients:
             client.close()
-        one.service.stop()
-        one.job.join(2)
-        assert one.job.successful()
+        started_rig.service.stop()
+        started_rig.job.join(2)
+        assert started_rig.job.successful()
 
 
-def wait_for(what, seconds=5.0):
+def wait_for(condition, seconds=5.0):
     for _ in range(round(seconds / 0.02)):
-        if what():
+        if condition():
             return True
         gevent.sleep(0.02)
     return False
 
 
-def tries(r, value=10.0, begun=0.0, end=1.0, **words):
-    place = {"proxy": "gw-1", "zone": "abdali", "task": "127.1.0.1:9000", "method": "read-chapter", **words}
-    stamp = 1_700_000_000_000_000_000
-    return Figure("hollyridge.tries", value, place, stamp + round(end * 1e9), stamp + round(begun * 1e9))
+def tries(r, value=10.0, begun=0.0, end=1.0, **labels):
+    attributes = {"proxy": "gw-1", "zone": "abdali", "task": "127.1.0.1:9000", "method": "read-chapter", **labels}
+    base_ns = 1_700_000_000_000_000_000
+    return Figure("hollyridge.tries", value, attributes, base_ns + round(end * 1e9), base_ns + round(begun * 1e9))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""A whole assigner on loopback sockets: reports over OTLP, and what comes by HTTP otherwise."""
+"""A complete assigner on loopback sockets: reports over OTLP, and other HTTP requests."""
 
 import gc
 import gzip
@@ -13,7 +13,7 @@
 from hollyridge.lab.stand_ins.ports import free_ports
 
 REPORTS = [
-    # figures, how many are rejected, tries counted
+    # figures, number of rejected ones, attempts counted
     (lambda r: [tries(r)], 0, 10),
     (lambda r: [tries(r, zone="nowhere"), tries(r)], 1, 10),
     (lambda r: [tries(r, task="127.1.0.77:9000"), tries(r, task="no address")], 2, 0),
@@ -26,18 +26,18 @@
 
 @pytest.mark.parametrize(("figures", "rejected", "counted"), REPORTS)
 @pytest.mark.parametrize("packed", [True, False])
-def test_reports(rig, figures, rejected, counted, packed):
+def test_each_report_counts_once_and_rejected_points_are_stated(rig, figures, rejected, counted, packed):
     r = rig(assigner__report_period_s=30)
     r.agent()
-    for _turn in range(2):  # said again after a lost answer: a success, counted once
-        status, answer = r.report(figures(r), packed=packed)
+    for _repetition in range(2):  # a report repeated after a lost response succeeds and counts once
+        status, response = r.report(figures(r), packed=packed)
         assert status == 200
-        assert answer.partial_success.rejected_data_points == rejected
-        assert bool(answer.partial_success.error_message) == bool(rejected)
+        assert response.partial_success.rejected_data_points == rejected
+        assert bool(response.partial_success.error_message) == bool(rejected)
     assert sum(e.attempts for e in r.engine.reports.collect(0) if hasattr(e, "attempts")) == counted
 
 
-def test_bad_http(rig):
+def test_malformed_http_requests_get_their_status_and_are_counted(rig):
     r = rig(otlp__body_most_bytes=20000, otlp__body_s=0.5)
     kind, bomb = "application/x-protobuf", gzip.compress(b"\0" * 10_000_000)
     cases = [
@@ -57,20 +57,20 @@
     assert json.loads(r.http("GET", "/status")[1])["otlp"]["bad"] == len(cases)
 
 
-def test_too_fast_a_sender_is_told_to_come_back(rig):
+def test_a_sender_above_the_rate_limit_gets_status_429(rig):
     r = rig(otlp__points_per_s=10, assigner__report_period_s=30)
     r.agent()
-    seen = [r.report([tries(r, begun=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)]
-    assert seen[:2] == [200, 200]
-    assert 429 in seen
+    statuses = [r.report([tries(r, begun=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)]
+    assert statuses[:2] == [200, 200]
+    assert 429 in statuses
 
 
 def running_greenlets():
-    return {each for each in gc.get_objects() if isinstance(each, gevent.Greenlet) and each.started and not each.dead}
+    return {item for item in gc.get_objects() if isinstance(item, gevent.Greenlet) and item.started and not item.dead}
 
 
 def test_a_stopped_service_leaves_no_greenlet_and_no_descriptor():
-    gevent.sleep(0)  # the hub opens its descriptors at its first turn
+    gevent.sleep(0)  # the hub opens its descriptors in its first iteration
     gc.collect()
     greenlets, descriptors = running_greenlets(), len(os.listdir("/proc/self/fd"))
     r = Rig(log__status_every_s=30, solver__on=True, clone__listen=f"127.0.0.1:{free_ports(3)}")
