--- a/hollyridge/delivery/command_reader.py
+++ b/hollyridge/delivery/command_reader.py
@@ -1,4 +1,4 @@
-"""Reads the commands of one decision: what they change in tables, and what each proxy is owed for them."""
+"""Reader of the commands of one decision: their changes of tables and the resulting update of each proxy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from hollyridge.delivery.update_builder import ServerCapabilities, UpdateBuilder
 
-# The status page counts refused commands by these names, whatever the classes are called.
+# Names by which the status page counts refused commands, independent of the names of the classes.
 STATUS_NAMES = {
     LogNote: "Note",
     RefreshEndpoints: "Reload",
@@ -32,7 +32,7 @@
     WatchEndpoints: "Watch",
 }
 
-# And commands that a server can't carry by these reasons, by the capability that is lacking.
+# Reasons by which the status page counts commands that a server does not support, by missing capability.
 UNSUPPORTED = {"admission": "front has no levels", "ejection": "front has no withdrawals"}
 PROXY_HAS_LEFT = "proxy has left"
 
@@ -40,7 +40,13 @@
 
 
 class PendingUpdate:
-    """What one proxy is owed while the commands of a decision are read."""
+    """The update of one proxy while the commands of a decision are read.
+
+    Attributes:
+        bindings: (table, mask of methods) in the order of the commands.
+        ejections: (task, whether it is ejected) in the order of the commands.
+        line_counts: Number of changed lines, by table.
+    """
 
     __slots__ = ("bindings", "ejections", "line_counts")
 
@@ -50,27 +56,32 @@
         self.ejections: list[tuple[int, bool]] = []
 
     def count_line(self, table: int) -> None:
-        """Count one more line of a table."""
+        """Add a changed line of a table."""
         self.line_counts[table] = self.line_counts.get(table, 0) + 1
 
 
 class TableEdit(NamedTuple):
-    """What one decision sets in a table: weights by task, (amount, retry mode) by mask of methods."""
+    """Changes of a table by one decision.
+
+    Attributes:
+        lines: Weight by task.
+        levels: Admission level as (amount, retry mode), by mask of methods.
+    """
 
     lines: dict[int, float]
     levels: dict[int, tuple[float, int]]
 
 
 class CommandReader:
-    """Reads the commands of one decision, one handler for each kind of command.
+    """Reader of the commands of one decision, with one handler for each kind of command.
 
     Attributes:
-        pending: What each proxy is owed, in the order that the commands reached them.
-        refused: How many commands could not be carried, by reason.
-        edits: What is set in each table.
-        cleared: Tables that lose what they held before.
-        mark: To be acknowledged; -1 for none.
-        ack_from_all: By all proxies, not only those that the commands reach.
+        pending: Update of each proxy, in the order in which commands affect the proxies.
+        refused: Number of commands that could not be executed, by reason.
+        edits: Changes of each table.
+        cleared: Tables whose former content is dropped.
+        mark: The mark to acknowledge, or -1.
+        ack_from_all: Whether all proxies have to acknowledge it, not only those that the commands affect.
     """
 
     __slots__ = ("ack_from_all", "builder", "cleared", "edits", "mark", "pending", "refused", "servers")
@@ -86,7 +97,7 @@
         self.ack_from_all = False
 
     def read(self, command: Command) -> None:
-        """Take in one command."""
+        """Process one command."""
         handler = _HANDLERS.get(type(command))
         if handler is None:
             kind = type(command)
@@ -95,14 +106,14 @@
             handler(self, command)
 
     def pending_for(self, proxy: int) -> PendingUpdate:
-        """What a proxy is owed so far."""
+        """Return the update of a proxy, created empty if there is none."""
         pending = self.pending.get(proxy)
         if pending is None:
             pending = self.pending[proxy] = PendingUpdate()
         return pending
 
     def refuse(self, reason: str) -> None:
-        """Count a command that can't be carried."""
+        """Count a command that can't be executed."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
     def _set_weight(self, command: SetWeight) -> None:
--- a/hollyridge/delivery/paced_queue.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -1,9 +1,9 @@
-"""When each update of an assigner leaves: in order, at the configured pace, counted with its overhead.
+"""Queue that releases the updates of an assigner in order, at the configured pace, overhead included.
 
-An update for a proxy that another update already waits for is merged into that one, at its place in the queue. Only the
-newest state of each line counts, so the proxy learns it sooner, and the overhead, the mark and the lines that were
-overtaken meanwhile are saved. No update is ever dropped. The price: updates behind one that grew wait longer, as they
-would have behind two.
+An update is merged into one that already waits for the same proxy, at the position of the older one in the queue.
+Only the newest state of each line counts, so the proxy gets it sooner, and the overhead, the mark and the outdated
+lines are saved. No update is ever dropped. The price is that updates behind one that grew wait longer, as they would
+have behind two.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from hollyridge.delivery.update_builder import ProxyUpdate, merge_updates
 
 US_PER_S = 1e6
-MAX_LAG_US = 1_000_000  # a sender that is later than this starts its pace anew instead of catching up at once
+MAX_LAG_US = 1_000_000  # a sender that lags by more restarts its pace instead of catching up in a burst
 
 
 class QueuedUpdate(NamedTuple):
@@ -22,8 +22,8 @@
 
     Attributes:
         update: The update.
-        lines: What it costs, overhead included.
-        full_lines: What it would cost with all its tables in full, overhead included.
+        lines: Its cost in lines, overhead included.
+        full_lines: Its cost in lines if it contained all its tables in full, overhead included.
     """
 
     update: ProxyUpdate
@@ -35,17 +35,18 @@
     """The queue of updates to all proxies.
 
     Args:
-        lines_per_s: The pace.
-        head: Lines that each update costs beyond its own.
-        most: Lines that may wait, overhead included; more are counted in `overflows`.
+        lines_per_s: Pace, in lines per second.
+        overhead_lines: Overhead of each update, in lines.
+        max_lines: Limit on waiting lines, overhead included. Updates beyond it are queued and counted in `overflows`.
 
     Attributes:
-        waiting_lines: Lines that wait, overhead included.
-        peak_lines: The most that ever waited.
-        merged_updates: Updates that were merged into one that waited.
-        lost_lines: Lines that waited for proxies that left.
+        waiting_lines: Number of lines that wait, overhead included.
+        peak_lines: Maximum of `waiting_lines` so far.
+        merged_updates: Number of updates that were merged into a waiting one.
+        overflows: Number of updates queued beyond the limit.
+        lost_lines: Number of lines that waited for proxies when they left.
 
-    >>> queue = PacedQueue(lines_per_s=10, head=1, most=100)
+    >>> queue = PacedQueue(lines_per_s=10, overhead_lines=1, max_lines=100)
     >>> queue.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
     >>> queue.take(199_999), queue.due
     (None, 200000)
@@ -53,13 +54,13 @@
     (4, 0.0)
     """
 
-    def __init__(self, lines_per_s: float, head: float, most: float) -> None:
+    def __init__(self, lines_per_s: float, overhead_lines: float, max_lines: float) -> None:
         self.us_per_line = US_PER_S / lines_per_s
-        self.overhead_lines = head
-        self.max_lines = most
+        self.overhead_lines = overhead_lines
+        self.max_lines = max_lines
         self.queue: OrderedDict[int, QueuedUpdate] = OrderedDict()  # by proxy
         self.waiting_lines = 0.0
-        self.free_at = 0  # when the channel has sent all that was taken
+        self.free_at = 0  # time at which the channel has sent all that was taken
         self.merged_updates = 0
         self.overflows = 0
         self.lost_lines = 0
@@ -69,10 +70,10 @@
         """Queue an update, or merge it into the one that waits for its proxy.
 
         Args:
-            now_us: The time.
+            now_us: The time, in microseconds.
             update: The update.
-            lines: Its lines, overhead left out.
-            full_lines: Its lines with all its tables in full, overhead left out.
+            lines: Number of its lines, without overhead.
+            full_lines: Number of lines if it contained all its tables in full, without overhead.
         """
         overhead = self.overhead_lines + (update.mark >= 0)
         if update.proxy in self.queue:
@@ -87,7 +88,7 @@
         self.peak_lines = max(self.peak_lines, round(self.waiting_lines))
 
     def _merge(self, update: ProxyUpdate, lines: int, full_lines: float) -> None:
-        """Merge into the update that waits; the sum costs no more than all its tables in full."""
+        """Merge an update into the waiting one. The result costs no more than all its tables in full."""
         waiting = self.queue[update.proxy]
         full_lines = max(full_lines, waiting.full_lines)
         new_mark = update.mark >= 0 > waiting.update.mark
@@ -98,30 +99,30 @@
 
     @property
     def due(self) -> int | None:
-        """When the next update may leave; None when nothing waits."""
+        """Time at which the next update may be sent, in microseconds, or None if nothing waits."""
         if not self.queue:
             return None
         first = next(iter(self.queue.values()))
         return self.free_at + round(first.lines * self.us_per_line)
 
     def charge(self, now_us: int, lines: float) -> None:
-        """Count lines that were sent in a reply, beside the queue: what waits is delayed by as much."""
+        """Account for lines that were sent in a reply, bypassing the queue. Waiting updates are delayed as much."""
         self.free_at = max(self.free_at, now_us) + round(lines * self.us_per_line)
 
     def take(self, now_us: int) -> ProxyUpdate | None:
-        """Take out the next update if it may leave by now."""
+        """Remove and return the next update if it is due, else return None."""
         due = self.due
         if due is None or now_us < due:
             return None
         _, first = self.queue.popitem(last=False)
         self.waiting_lines = max(0.0, self.waiting_lines - first.lines) if self.queue else 0.0
-        self.free_at = due  # not `now_us`: a sender that woke late must not slow the pace
+        self.free_at = due  # not `now_us`, since a sender that woke late must not slow the pace
         if now_us - due > MAX_LAG_US:
-            self.free_at = now_us  # nor may one that stood still send all it missed at once
+            self.free_at = now_us  # a sender that was stalled must not send all missed updates at once
         return first.update
 
     def discard(self, proxy: int) -> int:
-        """Drop what waits for a proxy whose stream has ended; the number of updates dropped."""
+        """Drop the update that waits for a proxy whose stream has ended. Return the number of updates dropped."""
         dropped = self.queue.pop(proxy, None)
         if dropped is None:
             return 0
--- a/hollyridge/delivery/update_builder.py
+++ b/hollyridge/delivery/update_builder.py
@@ -1,4 +1,4 @@
-"""Which tables each proxy uses, and the one update that each is owed for the commands of one decision."""
+"""Bindings of proxies to tables, and the updates of the proxies for the commands of one decision."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ServerCapabilities(NamedTuple):
-    """What a protocol server can carry.
+    """Capabilities of a protocol server.
 
     Attributes:
-        admission: Admission levels.
-        retries: Retry modes.
-        ejection: Ejection of a task from all tables at once.
-        acks: Acknowledgements.
-        line_copies: How often a line is sent to a proxy, once for each group of methods.
+        admission: Whether it supports admission levels.
+        retries: Whether it supports retry modes.
+        ejection: Whether it supports the ejection of a task from all tables at once.
+        acks: Whether it supports acknowledgements.
+        line_copies: Number of copies of a line that are sent to a proxy, one for each group of methods.
     """
 
     admission: bool
@@ -32,13 +32,13 @@
     """One update to one proxy.
 
     Attributes:
-        proxy: Its index.
+        proxy: Index of the proxy.
         decision: Number of the decision.
-        decided_at_us: When the oldest event that led to it was submitted.
+        decided_at_us: Time at which the oldest event that led to the decision was submitted.
         bindings: (table, mask of methods) in the order of the commands.
-        tables: The value of each table that changed for the proxy.
-        line_counts: How many lines the decisions count for each of these tables.
-        mark: To be acknowledged; -1 for none.
+        tables: (table, its value) for each table that changed for the proxy.
+        line_counts: (table, lines that the decision module counts for it) for each of these tables.
+        mark: The mark to acknowledge, or -1.
         ejections: (task, whether it is ejected) in the order of the commands.
     """
 
@@ -53,7 +53,7 @@
 
 
 def merge_updates(old: ProxyUpdate, new: ProxyUpdate) -> ProxyUpdate:
-    """One update for two: only the newest value of each table counts."""
+    """Return one update in place of two, with the newest value of each table."""
     tables = {**dict(old.tables), **dict(new.tables)}
     line_counts = dict(old.line_counts)
     for table, lines in new.line_counts:
@@ -71,19 +71,24 @@
 
 
 class UpdateBatch(NamedTuple):
-    """The updates of one decision, and how many commands could not be carried, by reason."""
+    """The result of the commands of one decision.
+
+    Attributes:
+        updates: At most one update per proxy.
+        refused: Number of commands that could not be executed, by reason.
+    """
 
     updates: list[ProxyUpdate]
     refused: dict[str, int]
 
 
 class UpdateBuilder:
-    """Keeps the tables as commanded and which proxies use them.
+    """Builder of updates, which holds the commanded tables and the proxies that use each.
 
     Attributes:
-        bindings: The table of each method, by proxy.
-        users: The proxies of each table, in the order they were bound.
-        ejected: The tasks that are ejected from all tables.
+        bindings: Table by method, by proxy.
+        users: Proxies of each table, in the order of their bindings.
+        ejected: Tasks that are ejected from all tables.
 
     >>> from hollyridge.interface import BindTable, RequestAck, SetWeight
     >>> builder = UpdateBuilder(methods=2, store=TableStore(4))
@@ -107,32 +112,33 @@
             self.users[table].pop(proxy, None)
 
     def mentions(self, task: int) -> bool:
-        """Whether any table as it is now holds this task."""
+        """Return whether the newest version of any table contains this task."""
         return any(task in history[-1].lines for history in self.store.history.values() if history)
 
     def build(
         self, now_us: int, decision: int, commands: Iterable[Command], servers: Mapping[int, ServerCapabilities]
     ) -> UpdateBatch:
-        """Carry out the commands about tables and make the updates that follow from them.
+        """Execute the commands about tables and build the updates that follow from them.
 
         Args:
-            now_us: What the updates are to state as `decided_at_us`.
+            now_us: The value of `decided_at_us` of the updates.
             decision: Number of the decision.
-            commands: Its commands. One that a proxy's server can't carry is refused with a reason; others go on.
-            servers: What the server of each joined proxy can carry.
+            commands: Commands of the decision. Those that a proxy's server does not support are refused and counted by
+                reason, and the others are executed.
+            servers: Capabilities of the server of each joined proxy.
         """
-        batch = CommandReader(self, servers)
+        reader = CommandReader(self, servers)
         for command in commands:
-            batch.read(command)
-        for table, edit in batch.edits.items():
-            self.store.put(decision, table, edit.lines, edit.levels, table in batch.cleared)
-        if batch.ack_from_all:
+            reader.read(command)
+        for table, edit in reader.edits.items():
+            self.store.put(decision, table, edit.lines, edit.levels, table in reader.cleared)
+        if reader.ack_from_all:
             for proxy in servers:
-                batch.pending_for(proxy)
+                reader.pending_for(proxy)
         updates = [
-            self._update_of(proxy, pending, now_us, decision, batch.mark) for proxy, pending in batch.pending.items()
+            self._update_of(proxy, pending, now_us, decision, reader.mark) for proxy, pending in reader.pending.items()
         ]
-        return UpdateBatch(updates, batch.refused)
+        return UpdateBatch(updates, reader.refused)
 
     def _update_of(self, proxy: int, pending: PendingUpdate, now_us: int, decision: int, mark: int) -> ProxyUpdate:
         used = set(self.bindings.get(proxy, {}).values())
@@ -148,7 +154,7 @@
         )
 
     def bind(self, proxy: int, table: int, mask: int) -> None:
-        """Have a proxy use a table for the methods of a mask."""
+        """Bind a proxy to a table for the methods of a mask."""
         by_method = self.bindings.setdefault(proxy, {})
         before = set(by_method.values())
         by_method.update((method, table) for method in range(mask.bit_length()) if mask >> method & 1)
--- a/tests/delivery/test_delivery_paced_queue.py
+++ b/tests/delivery/test_delivery_paced_queue.py
@@ -1,4 +1,4 @@
-"""Updates leave in order and at the configured pace; updates for a proxy that waits are merged."""
+"""Updates are sent in order, at the configured pace, and merged with one that waits for the same proxy."""
 
 from random import Random
 
@@ -14,21 +14,21 @@
     return ProxyUpdate(proxy, number, 0, (), ((table, value),), ((table, lines),), mark)
 
 
-def test_updates_leave_in_order_at_the_configured_pace():
-    queue, left = PacedQueue(lines_per_s=1000, head=3, most=10_000), []
+def test_updates_are_sent_in_order_at_the_configured_pace():
+    queue, departures = PacedQueue(lines_per_s=1000, overhead_lines=3, max_lines=10_000), []
     for k in range(50):
         queue.put(0, update(k, 7), 7, 7)
     for now in range(0, SECOND, 1000):
         while (sent := queue.take(now)) is not None:
-            left.append((now, sent.proxy))
-    assert [p for _, p in left] == list(range(50))
-    assert left[0][0] == 10_000
-    assert left[-1][0] == 500_000
+            departures.append((now, sent.proxy))
+    assert [p for _, p in departures] == list(range(50))
+    assert departures[0][0] == 10_000
+    assert departures[-1][0] == 500_000
     assert queue.waiting_lines == 0
 
 
-def test_an_update_for_a_proxy_that_waits_is_merged_at_its_place():
-    queue, store = PacedQueue(1000, 10, most=10_000), TableStore(4)
+def test_an_update_is_merged_into_the_waiting_one_of_its_proxy_and_keeps_its_position():
+    queue, store = PacedQueue(1000, 10, max_lines=10_000), TableStore(4)
     for number, mark in ((1, 4), (2, 5)):
         for proxy in (7, 8, 9):
             value = store.put(number, 0, {task: float(number) for task in range(3)})
@@ -41,12 +41,12 @@
 
 
 def test_at_the_limit_updates_merge_and_none_is_lost():
-    queue, rng, store, wanted, marks = PacedQueue(1000, 3, most=200), Random(5), TableStore(1), {}, {}
+    queue, rng, store, expected_tables, marks = PacedQueue(1000, 3, max_lines=200), Random(5), TableStore(1), {}, {}
     highest = 0
     for number in range(400):
         proxy, table = number % 10, rng.randrange(2)
         value = store.put(number, table, {task: rng.random() for task in rng.sample(range(12), 4)})
-        wanted.setdefault(proxy, {})[table] = value
+        expected_tables.setdefault(proxy, {})[table] = value
         if number % 7 == 0:
             marks[proxy] = number
         mark = number if number % 7 == 0 else -1
@@ -59,7 +59,7 @@
         sent = queue.take(queue.due)
         sent_tables.setdefault(sent.proxy, {}).update(sent.tables)
         sent_marks[sent.proxy] = max(sent.mark, sent_marks.get(sent.proxy, -1))
-    assert sent_tables == wanted
+    assert sent_tables == expected_tables
     assert sent_marks == marks
 
 
@@ -73,7 +73,7 @@
     assert queue.take(SECOND).proxy == 2
 
 
-def test_a_sender_that_stood_still_does_not_burst():
+def test_a_sender_that_was_stalled_does_not_burst():
     queue = PacedQueue(100, 0, 10_000)
     for k in range(100):
         queue.put(0, update(k, 10), 10, 10)
--- a/tests/delivery/test_delivery_update_builder.py
+++ b/tests/delivery/test_delivery_update_builder.py
@@ -1,4 +1,4 @@
-"""One update a proxy, with its tables as they are after the last command."""
+"""Each proxy gets one update, with its tables as they are after the last command."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 PLAIN = ServerCapabilities(False, False, False, True, 1)
 
 
-def test_one_update_a_proxy_with_its_tables_as_they_are_in_the_end():
+def test_each_proxy_gets_one_update_with_its_final_tables():
     builder = UpdateBuilder(2, TableStore(4))
     servers = {1: PLAIN, 2: PLAIN}
     builder.build(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0), BindTable(2, 0, 0)], servers)
@@ -38,7 +38,7 @@
         (api.SendToPeer(1, b""), "no TellPeer here"),
     ],
 )
-def test_a_command_that_cannot_be_carried_is_refused_and_counted(command, reason):
+def test_an_unsupported_command_is_refused_and_counted(command, reason):
     builder = UpdateBuilder(1, TableStore(4))
     builder.build(0, 1, [SetWeight(1.0, 5, 0), BindTable(1, 0, 0)], {1: PLAIN})
     assert builder.build(0, 2, [command], {1: PLAIN}).refused == {reason: 1}
