--- a/hollyridge/registration/__init__.py
+++ b/hollyridge/registration/__init__.py
@@ -1,1 +1,1 @@
-"""Which tasks register, and the dense indices that names are given. No I/O, no clock."""
+"""Registration of tasks, and allocation of dense indices to names. No I/O, no clock."""
--- a/hollyridge/registration/events.py
+++ b/hollyridge/registration/events.py
@@ -1,4 +1,4 @@
-"""What happens to the member registry, and what follows from it."""
+"""Events of the member registry, and their outcomes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Refusal(IntEnum):
-    """Why a request about members is refused."""
+    """Reason why a request about members is refused."""
 
     ALREADY_REGISTERED = 1
     NOT_REGISTERED = 2
@@ -19,21 +19,21 @@
 
 
 class MemberRequest(NamedTuple):
-    """A member as a request names it.
+    """A member in a registration request.
 
     Attributes:
-        key: Its address and port, as the registry keeps it.
-        task: Its index as allocated; -1 where no more are given out.
-        zone: Its zone; -1 where it is in none that is known.
-        label: What it says of itself (`member_label`).
-        own: It registers itself, and no agent does it for it.
+        key: Address and port, the key of the registry.
+        task: Allocated task index, or -1 if no index is left.
+        zone: Index of the zone, or -1 if the address is in no known zone.
+        label: Label that describes the member (`member_label`).
+        self_registered: Whether the member registers itself, rather than an agent.
     """
 
     key: tuple
     task: int
     zone: int
     label: str
-    own: bool
+    self_registered: bool
 
 
 class Registered(NamedTuple):
@@ -44,18 +44,18 @@
 
 
 class Deregistered(NamedTuple):
-    """Members were deregistered on a stream; `keys` None stands for all that this stream has registered."""
+    """Members were deregistered on a stream. If `keys` is None, all members that this stream has registered."""
 
     stream: int
     keys: tuple[tuple, ...] | None
 
 
 class Quiesced(NamedTuple):
-    """A member was set draining (`on`), or back to ready."""
+    """A member was set to draining, or back to ready if `draining` is False."""
 
     stream: int
     key: tuple
-    on: bool
+    draining: bool
 
 
 class StreamLost(NamedTuple):
@@ -65,23 +65,23 @@
 
 
 class Tick(NamedTuple):
-    """The time of `next_deadline` has come."""
+    """The time of `next_deadline` has passed."""
 
 
 class RefreshRequested(NamedTuple):
-    """The decisions want the whole list."""
+    """The decision module requests the whole list."""
 
 
 RegistrationEvent = Union[Registered, Deregistered, Quiesced, StreamLost, Tick, RefreshRequested]
 
 
 class RegistrationOutcome(NamedTuple):
-    """What follows from an event.
+    """The outcome of an event.
 
     Attributes:
-        change: The endpoint list update to hand on, or None.
-        refusal: Why a request was refused, or None.
-        left: The keys of members that are listed no more.
+        change: The endpoint list update for the decision module, or None.
+        refusal: The reason why the request was refused, or None.
+        removed_keys: Keys of the members that were removed from the list.
     """
 
     change: EndpointListUpdate | None = None
--- a/hollyridge/registration/index_allocator.py
+++ b/hollyridge/registration/index_allocator.py
@@ -1,7 +1,8 @@
-"""Gives names small dense indices, and uses an index again once nothing can mean its former holder.
+"""Allocation of small dense indices to names, with reuse once nothing can refer to the former holder.
 
-The decisions keep figures in arrays by index, so a fleet whose tasks come and go for weeks must not make them grow for
-ever. A released index is kept back for a while, and longer as long as a table or an update may still name it.
+The decision module keeps values in arrays by index, which must not grow for ever in a fleet whose tasks are replaced
+for weeks. A released index is reserved for a while, and beyond that as long as a table or an update may still refer to
+it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class ReleasedIndex(NamedTuple):
-    """An index that is kept back until a time."""
+    """An index that is reserved for its former holder until a time, in microseconds."""
 
     until_us: int
     index: int
@@ -22,19 +23,19 @@
 
 
 class IndexAllocator:
-    """Allocates indices to names.
+    """Allocator of indices to names.
 
     Args:
-        rest: Microseconds for which a released index is kept back.
-        most: How many indices there are.
-        still_used: Whether something may still name an index; it is kept back for as long.
+        reserve_us: Time for which a released index is reserved, in microseconds.
+        max_indices: Maximum number of indices.
+        in_use: Returns whether something may still refer to an index, which is reserved as long as it does.
 
     Attributes:
         index: The index of each name that has one.
         names: The last holder of each index.
-        released: Names whose index is kept back, in the order of their release.
+        released: The reserved index of each former holder, in the order of their release.
 
-    >>> indices = IndexAllocator(rest=10, most=3)
+    >>> indices = IndexAllocator(reserve_us=10, max_indices=3)
     >>> indices.allocate(0, "a"), indices.allocate(0, "b"), indices.allocate(0, "a")
     (0, 1, 0)
     >>> indices.release(5, "a"); indices.allocate(6, "c"), indices.allocate(15, "d")
@@ -43,19 +44,19 @@
     True
     """
 
-    def __init__(self, rest: int, most: int, still_used: Callable[[int], bool] = _never_used) -> None:
-        self.rest_us = rest
-        self.max_indices = most
-        self.still_used = still_used
+    def __init__(self, reserve_us: int, max_indices: int, in_use: Callable[[int], bool] = _never_used) -> None:
+        self.reserve_us = reserve_us
+        self.max_indices = max_indices
+        self.in_use = in_use
         self.index: dict[Hashable, int] = {}
         self.names: list[Hashable] = []
         self.released: dict[Hashable, ReleasedIndex] = {}
 
     def allocate(self, now_us: int, name: Hashable) -> int | None:
-        """The index of a name: its present one, its former one if that is kept back, or a free one; None if none is."""
-        present = self.index.get(name)
-        if present is not None:
-            return present
+        """Return the index of a name: its current one, else its reserved one, else a free one, else None."""
+        current = self.index.get(name)
+        if current is not None:
+            return current
         former = self.released.pop(name, None)
         if former is not None:
             self.index[name] = former.index
@@ -73,7 +74,7 @@
         for holder, (until_us, index) in self.released.items():
             if until_us > now_us:
                 return None
-            if not self.still_used(index):
+            if not self.in_use(index):
                 del self.released[holder]
                 self.index[name] = index
                 self.names[index] = name
@@ -81,13 +82,13 @@
         return None
 
     def release(self, now_us: int, name: Hashable) -> None:
-        """Take the index from a name."""
+        """Release the index of a name."""
         index = self.index.pop(name, None)
         if index is not None:
-            self.released[name] = ReleasedIndex(now_us + self.rest_us, index)
+            self.released[name] = ReleasedIndex(now_us + self.reserve_us, index)
 
     def lookup(self, name: Hashable) -> int | None:
-        """The index of a name that has one, or whose former one is kept back."""
+        """Return the current or reserved index of a name, or None if it has neither."""
         index = self.index.get(name)
         if index is not None:
             return index
--- a/hollyridge/registration/member_label.py
+++ b/hollyridge/registration/member_label.py
@@ -1,4 +1,4 @@
-"""Reading the label of a registered member: words of the form `name=value`."""
+"""Parser of the label of a registered member, which contains words of the form `name=value`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def read_label(label: str) -> dict[str, str]:
-    """The `name=value` words of a label; anything else in it is ignored.
+    """Return the `name=value` words of a label. Other words are ignored.
 
     >>> read_label("shelf-3 run=9f up=12.5 size=2")
     {'run': '9f', 'up': '12.5', 'size': '2'}
@@ -15,14 +15,14 @@
     return dict(word.split("=", 1) for word in label.split() if "=" in word)
 
 
-def figure(words: Mapping[AnyStr, AnyStr], name: AnyStr, minimum: float, maximum: float) -> float | None:
-    """A number by its name within bounds; None where there is none, or it is no such number.
+def figure(values: Mapping[AnyStr, AnyStr], name: AnyStr, minimum: float, maximum: float) -> float | None:
+    """Return the number under a name, or None if it is missing, malformed or out of bounds.
 
     >>> figure({"up": "nan"}, "up", 0, 10), figure({"up": "3"}, "up", 0, 10)
     (None, 3.0)
     """
     try:
-        value = float(words.get(name, ""))
+        value = float(values.get(name, ""))
     except ValueError:
         return None
     return value if minimum <= value <= maximum else None
--- a/hollyridge/registration/members.py
+++ b/hollyridge/registration/members.py
@@ -1,16 +1,17 @@
 """The member registry: the endpoint list as members register, quiesce, deregister and lose their streams.
 
-A list only knows whether a process runs, and learns it late. What is decided here:
+The list states only whether a process runs, and changes late. The registry decides:
 
 - *Restart or reconnection.* A member's label may state `run=` (new at each start) and `up=` (seconds since then). The
-  same run on a new stream is a reconnection; another run, or a label that states none, is a restart. A restart taken
-  for a reconnection could overload a cold task; the reverse costs a slow start only.
-- *Ownership.* A member belongs to the stream that registered it last. A request on another stream can't end it while
-  the owner's stream is open, so that a deregistration overtaken by a new registration ends nothing.
+  same run on a new stream is a reconnection. Another run, or a label without one, is a restart. A restart mistaken for
+  a reconnection could overload a cold task, while the reverse only costs a slow start.
+- *Ownership.* A member belongs to the stream that registered it last. A request on another stream can't remove it
+  while the owner's stream is open, so that a deregistration overtaken by a new registration has no effect.
 - *Lost streams.* A member stays listed for a while after its stream was lost: `hold_own_us` if it registered itself,
-  `hold_agent_us` if an agent did, for an agent that restarts registers its members again.
-- *Settling.* After the start the first list is handed on once registrations have paused for `settle_us`, after
-  `max_settle_us` at the latest, so that the first tables do not crowd all proxies on the few tasks that came first.
+  `hold_agent_us` if an agent did, since an agent that restarts registers its members again.
+- *Settling.* After the start the first list is published once registrations have paused for `settle_us`, after
+  `max_settle_us` at the latest, so that the first tables do not send all proxies to the few tasks that registered
+  first.
 """
 
 from __future__ import annotations
@@ -52,23 +53,23 @@
 ]
 
 NOT_ALLOCATED = -1  # as task index or zone of a request
-MAX_UP_S = 1e9  # bounds of what a label may state
-MIN_SIZE = 1e-6
-MAX_SIZE = 1e6
+MAX_UP_S = 1e9  # largest `up=` in a label
+MIN_SIZE = 1e-6  # smallest `size=` in a label
+MAX_SIZE = 1e6  # largest `size=` in a label
 US_PER_S = 1e6
-MIN_SETTLE_CHECK_US = 1000  # between two looks whether registrations have paused
+MIN_SETTLE_CHECK_US = 1000  # between two checks whether registrations have paused
 
 
 class RegistrationConfig(NamedTuple):
-    """Times and bounds of the registry.
+    """Configuration of the registry. Times in microseconds.
 
     Attributes:
-        warm_up_us: After this long a task counts as started long ago.
-        hold_own_us: How long a member that registered itself stays after its stream was lost.
-        hold_agent_us: The same for a member that an agent registered.
+        warm_up_us: Time since its start after which a task counts as started long ago.
+        hold_own_us: Time for which a member that registered itself stays listed after its stream was lost.
+        hold_agent_us: The same time for a member that an agent registered.
         settle_us: Pause of registrations that ends the settling after the start.
-        max_settle_us: The longest time that this takes.
-        max_members: How many may be listed.
+        max_settle_us: Maximum time of the settling.
+        max_members: Maximum number of listed members.
     """
 
     warm_up_us: int
@@ -79,22 +80,27 @@
     max_members: int
 
 
-class _RegisteredOne(NamedTuple):
-    """What one member's registration came to: its entry if that has changed, and whether it only repeated itself."""
+class _MemberResult(NamedTuple):
+    """The result of the registration of one member.
+
+    Attributes:
+        changed: The member if its endpoint list entry has changed, else None.
+        repeated: Whether the same stream had registered the member before, without a restart since.
+    """
 
     changed: RegisteredMember | None
     repeated: bool
 
 
 class MemberRegistry:
-    """Keeps the members; an `EndpointSource` of the engine.
+    """The registered members, an `EndpointSource` of the engine.
 
     Attributes:
         entries: The listed members by key.
-        settled: The first list was handed on.
-        restarts: Members that registered again as another run.
-        returns: Members that registered again as the same run, on another stream.
-        lapsed: Members taken out after their stream was lost.
+        settled: Whether the first list was published.
+        restarts: Number of members that registered again as another run.
+        reconnections: Number of members that registered again as the same run, on another stream.
+        lapsed: Number of members removed after their stream was lost.
     """
 
     def __init__(self, terms: RegistrationConfig, now_us: int) -> None:
@@ -109,7 +115,7 @@
         self.lapsed = 0
 
     def handle(self, now_us: int, event: RegistrationEvent) -> RegistrationOutcome:
-        """Take in an event; what follows from it."""
+        """Process an event and return its outcome."""
         kind = type(event)
         if kind is Registered:
             outcome = self._register(now_us, event)
@@ -120,21 +126,21 @@
         elif kind is StreamLost:
             outcome = self._lose_stream(now_us, event.stream)
         elif kind is Tick:
-            outcome = self._take_out_lapsed(now_us)
+            outcome = self._remove_lapsed(now_us)
         else:  # RefreshRequested
             return RegistrationOutcome(self.full_list(UpdateKind.FULL)) if self.settled else RegistrationOutcome()
-        if not self.settled:  # nothing is handed on before the first list
+        if not self.settled:  # no update is published before the first list
             return outcome._replace(change=self._first_list(now_us))
         return outcome
 
     def full_list(self, kind: UpdateKind) -> EndpointListUpdate:
-        """The whole list as it stands, as a new version."""
+        """Return the whole list, as a new version."""
         self.version += 1
         endpoints = tuple(member.as_endpoint() for member in self.entries.values())
         return EndpointListUpdate(self.version, kind, endpoints)
 
     def next_deadline(self, now_us: int) -> int | None:
-        """When a `Tick` is due next; None for not at all."""
+        """Return the time at which the next `Tick` is due, or None if none is."""
         if not self.settled:
             return now_us + max(MIN_SETTLE_CHECK_US, self.terms.settle_us // 4)
         return min(
@@ -142,7 +148,7 @@
         )
 
     def counters(self) -> dict[str, int]:
-        """Counts for the status page."""
+        """Return counts for the status page."""
         return {"restarts": self.restarts, "returns": self.returns, "lapsed": self.lapsed}
 
     def _first_list(self, now_us: int) -> EndpointListUpdate | None:
@@ -153,7 +159,7 @@
         return self.full_list(UpdateKind.CACHED)
 
     def _delta(self, endpoints: Iterable[Endpoint]) -> EndpointListUpdate | None:
-        """An update with these entries; None for no entries, or before the first list."""
+        """Return an update with these entries, or None if there are none or before the first list."""
         changed = tuple(endpoints)
         if not changed or not self.settled:
             return None
@@ -172,7 +178,7 @@
         return RegistrationOutcome(change, refusal)
 
     def _refusal_of(self, requests: tuple[MemberRequest, ...]) -> Refusal | None:
-        """Why a registration is refused as a whole; None if it is not."""
+        """Return the reason why a registration is refused as a whole, or None if it is not."""
         if len({request.key for request in requests}) < len(requests):
             return Refusal.TWICE
         new = sum(request.key not in self.entries for request in requests)
@@ -184,43 +190,43 @@
             return Refusal.NO_ZONE
         return None
 
-    def _register_one(self, now_us: int, stream: int, request: MemberRequest) -> _RegisteredOne:
-        words = read_label(request.label)
-        run = words.get("run", "")
+    def _register_one(self, now_us: int, stream: int, request: MemberRequest) -> _MemberResult:
+        label_values = read_label(request.label)
+        run = label_values.get("run", "")
         member = self.entries.get(request.key)
         if member is None:
-            return _RegisteredOne(self._enter(now_us, stream, request, words), False)
+            return _MemberResult(self._add(now_us, stream, request, label_values), False)
         if run and run == member.run:
             return self._reconnect(stream, request, member)
         if not run and member.stream == stream:
-            return _RegisteredOne(None, True)
+            return _MemberResult(None, True)
         self.restarts += 1
-        return _RegisteredOne(self._enter(now_us, stream, request, words), False)
+        return _MemberResult(self._add(now_us, stream, request, label_values), False)
 
-    def _enter(self, now_us: int, stream: int, request: MemberRequest, words: dict[str, str]) -> RegisteredMember:
-        """List a member that is new, or has started anew."""
+    def _add(self, now_us: int, stream: int, request: MemberRequest, label_values: dict[str, str]) -> RegisteredMember:
+        """Add a member that is new or has restarted."""
         member = self.entries[request.key] = RegisteredMember(request)
-        member.run = words.get("run", "")
+        member.run = label_values.get("run", "")
         member.stream = stream
-        member.started_at_us = self._start_of_run(now_us, words)
-        member.listed_weight = figure(words, "size", MIN_SIZE, MAX_SIZE) or DEFAULT_SIZE
+        member.started_at_us = self._start_of_run(now_us, label_values)
+        member.listed_weight = figure(label_values, "size", MIN_SIZE, MAX_SIZE) or DEFAULT_SIZE
         return member
 
-    def _reconnect(self, stream: int, request: MemberRequest, member: RegisteredMember) -> _RegisteredOne:
-        """Take a member over to this stream; to register anew also ends a drain."""
+    def _reconnect(self, stream: int, request: MemberRequest, member: RegisteredMember) -> _MemberResult:
+        """Assign a member to this stream and end its drain, if any."""
         repeated = member.stream == stream
         self.returns += not repeated
         member.stream = stream
         member.held_until_us = NO_HOLD
-        member.own = request.own
+        member.self_registered = request.self_registered
         if member.state != TaskState.DRAINING:
-            return _RegisteredOne(None, repeated)
+            return _MemberResult(None, repeated)
         member.state = TaskState.READY
-        return _RegisteredOne(member, repeated)
+        return _MemberResult(member, repeated)
 
-    def _start_of_run(self, now_us: int, words: dict[str, str]) -> int:
-        """When a run began; 0 for long ago. One that does not say so began now: a slow start is the safe side."""
-        up_s = figure(words, "up", 0.0, MAX_UP_S)
+    def _start_of_run(self, now_us: int, label_values: dict[str, str]) -> int:
+        """Return the start time of a run, or 0 for long ago. Without `up=` it is now, since a slow start is safer."""
+        up_s = figure(label_values, "up", 0.0, MAX_UP_S)
         if up_s is None:
             return now_us
         up_us = up_s * US_PER_S
@@ -233,20 +239,20 @@
             keys = [key for key in event.keys if self._owned_member(event.stream, key) is not None]
             if len(keys) < len(set(event.keys)):
                 return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
-        return self._take_out(dict.fromkeys(keys))
+        return self._remove(dict.fromkeys(keys))
 
     def _quiesce(self, event: Quiesced) -> RegistrationOutcome:
         member = self._owned_member(event.stream, event.key)
         if member is None:
             return RegistrationOutcome(refusal=Refusal.NOT_REGISTERED)
-        state = TaskState.DRAINING if event.on else TaskState.READY
+        state = TaskState.DRAINING if event.draining else TaskState.READY
         if member.state == state:
             return RegistrationOutcome()
         member.state = state
         return RegistrationOutcome(self._delta([member.as_endpoint()]))
 
     def _owned_member(self, stream: int, key: tuple) -> RegisteredMember | None:
-        """A member that a request on this stream may change."""
+        """Return the member if a request on this stream may change it, else None."""
         member = self.entries.get(key)
         return member if member is not None and member.may_be_changed_by(stream) else None
 
@@ -254,16 +260,16 @@
         for member in self.entries.values():
             if member.stream == stream:
                 member.stream = NO_STREAM
-                hold_us = self.terms.hold_own_us if member.own else self.terms.hold_agent_us
+                hold_us = self.terms.hold_own_us if member.self_registered else self.terms.hold_agent_us
                 member.held_until_us = now_us + hold_us
-        return self._take_out_lapsed(now_us)
+        return self._remove_lapsed(now_us)
 
-    def _take_out_lapsed(self, now_us: int) -> RegistrationOutcome:
+    def _remove_lapsed(self, now_us: int) -> RegistrationOutcome:
         lapsed = [key for key, member in self.entries.items() if 0 <= member.held_until_us <= now_us]
         self.lapsed += len(lapsed)
-        return self._take_out(lapsed)
+        return self._remove(lapsed)
 
-    def _take_out(self, keys: Iterable[tuple]) -> RegistrationOutcome:
+    def _remove(self, keys: Iterable[tuple]) -> RegistrationOutcome:
         left = tuple(keys)
         endpoints = [self.entries.pop(key).as_endpoint()._replace(state=TaskState.GONE) for key in left]
         return RegistrationOutcome(self._delta(endpoints), None, left)
--- a/tests/registration/test_registration_index_allocator.py
+++ b/tests/registration/test_registration_index_allocator.py
@@ -1,11 +1,11 @@
-"""Indices are used again once nothing can mean their former holder."""
+"""Indices are reused once nothing can refer to their former holder."""
 
 from hollyridge.registration.index_allocator import IndexAllocator
 
 
-def test_weeks_of_tasks_do_not_grow_the_arrays():
+def test_replaced_tasks_do_not_grow_the_arrays():
     used = set()
-    indices, now = IndexAllocator(rest=100, most=200, still_used=used.__contains__), 0
+    indices, now = IndexAllocator(reserve_us=100, max_indices=200, in_use=used.__contains__), 0
     for week in range(2000):
         index = indices.allocate(now, f"task-{week}")
         assert index is not None
@@ -16,9 +16,9 @@
     assert len(indices.names) <= 13
 
 
-def test_an_index_is_kept_back_while_a_table_may_name_it():
+def test_an_index_is_reserved_while_a_table_may_refer_to_it():
     used = {0}
-    indices = IndexAllocator(rest=10, most=5, still_used=lambda i: i in used)
+    indices = IndexAllocator(reserve_us=10, max_indices=5, in_use=lambda i: i in used)
     indices.allocate(0, "a")
     indices.release(0, "a")
     assert indices.allocate(1000, "b") == 1
--- a/tests/registration/test_registration_members.py
+++ b/tests/registration/test_registration_members.py
@@ -1,4 +1,4 @@
-"""Members as they register, drain, deregister and lose their streams."""
+"""Registration, drains and deregistration of members, and lost streams."""
 
 import pytest
 from helpers import SECOND
@@ -17,7 +17,7 @@
     Tick,
 )
 
-TERMS = members.RegistrationConfig(
+CONFIG = members.RegistrationConfig(
     warm_up_us=16 * SECOND,
     hold_own_us=SECOND,
     hold_agent_us=30 * SECOND,
@@ -28,24 +28,26 @@
 
 
 class Fleet:
-    """Members with a clock; `states` is what the decisions know."""
+    """A registry with a simulated clock. `states` holds the published state of each task."""
 
     def __init__(self):
-        self.registry, self.now, self.states, self.started = MemberRegistry(TERMS, 0), 0, {}, {}
+        self.registry, self.now, self.states, self.started = MemberRegistry(CONFIG, 0), 0, {}, {}
 
-    def take(self, event, after=0.0):
+    def handle_event(self, event, after=0.0):
         self.now += round(after * SECOND)
         outcome = self.registry.handle(self.now, event)
         for entry in outcome.change.endpoints if outcome.change else ():
             self.states[entry.task], self.started[entry.task] = TaskState(entry.state), entry.started_at_us
         return outcome.refusal
 
-    def register(self, task, stream=1, label="run=a up=100", own=False, after=0.0):
-        return self.take(Registered(stream, (members.MemberRequest((task,), task, 0, label, own),)), after)
+    def register(self, task, stream=1, label="run=a up=100", self_registered=False, after=0.0):
+        return self.handle_event(
+            Registered(stream, (members.MemberRequest((task,), task, 0, label, self_registered),)), after
+        )
 
-    def settled(self):
+    def settle(self):
         self.register(99, stream=50)
-        self.take(Tick(), after=4)
+        self.handle_event(Tick(), after=4)
         return self
 
 
@@ -54,18 +56,18 @@
     for task in range(5):
         fleet.register(task, after=0.3)
         assert not fleet.states
-    fleet.take(Tick(), after=0.6)
+    fleet.handle_event(Tick(), after=0.6)
     assert len(fleet.states) == 5
 
 
-def test_an_empty_fleet_settles_in_the_end():
+def test_an_empty_fleet_settles_after_the_maximum_time():
     fleet = Fleet()
     assert fleet.registry.handle(2 * SECOND, Tick()).change is None
     assert fleet.registry.handle(3 * SECOND, Tick()).change.endpoints == ()
 
 
 RUNS = [
-    # first label, seconds later on a new stream the second, whether it counts as a start
+    # first label, second label 5 s later on a new stream, whether it counts as a start
     ("run=a up=100", "run=a up=105", False),
     ("run=a up=100", "run=b up=0.5", True),
     ("", "", True),
@@ -74,18 +76,18 @@
 
 
 @pytest.mark.parametrize(("first", "second", "starts"), RUNS)
-def test_a_reconnection_is_told_from_a_restart_by_its_label(first, second, starts):
-    fleet = Fleet().settled()
+def test_a_label_distinguishes_a_reconnection_from_a_restart(first, second, starts):
+    fleet = Fleet().settle()
     fleet.register(1, stream=1, label=first)
     before = fleet.started[1]
-    fleet.take(StreamLost(1))
+    fleet.handle_event(StreamLost(1))
     fleet.register(1, stream=2, label=second, after=5)
     assert (fleet.started[1] > before) == starts
     assert fleet.states[1] == TaskState.READY
 
 
-def test_a_start_is_read_from_the_label_and_now_where_there_is_none():
-    fleet = Fleet().settled()
+def test_the_start_time_is_read_from_the_label_and_now_without_a_valid_one():
+    fleet = Fleet().settle()
     fleet.register(1, label="run=a up=100")
     fleet.register(2, label="run=b up=1.5")
     fleet.register(3, label="run=c")
@@ -95,33 +97,33 @@
     assert fleet.started[3] == fleet.started[4] == fleet.now
 
 
-def test_a_deregistration_overtaken_by_a_registration_ends_nothing():
-    fleet = Fleet().settled()
+def test_a_deregistration_overtaken_by_a_registration_has_no_effect():
+    fleet = Fleet().settle()
     fleet.register(1, stream=1, label="run=a up=100")
     fleet.register(1, stream=2, label="run=b up=0")
-    assert fleet.take(Deregistered(1, ((1,),))) == Refusal.NOT_REGISTERED
+    assert fleet.handle_event(Deregistered(1, ((1,),))) == Refusal.NOT_REGISTERED
     assert fleet.states[1] == TaskState.READY
-    assert fleet.take(Quiesced(1, (1,), True)) == Refusal.NOT_REGISTERED
-    assert fleet.take(Deregistered(2, ((1,),))) is None
+    assert fleet.handle_event(Quiesced(1, (1,), True)) == Refusal.NOT_REGISTERED
+    assert fleet.handle_event(Deregistered(2, ((1,),))) is None
     assert fleet.states[1] == TaskState.GONE
 
 
-def test_members_of_a_lost_stream_stay_for_a_while_those_of_agents_longer():
-    fleet = Fleet().settled()
-    fleet.register(1, stream=1, own=True)
-    fleet.register(2, stream=2, own=False)
-    fleet.take(StreamLost(1))
-    fleet.take(StreamLost(2))
-    fleet.take(Tick(), after=2)
+def test_members_of_a_lost_stream_stay_listed_for_a_while_and_those_of_agents_longer():
+    fleet = Fleet().settle()
+    fleet.register(1, stream=1, self_registered=True)
+    fleet.register(2, stream=2, self_registered=False)
+    fleet.handle_event(StreamLost(1))
+    fleet.handle_event(StreamLost(2))
+    fleet.handle_event(Tick(), after=2)
     assert fleet.states[1] == TaskState.GONE
     assert fleet.states[2] == TaskState.READY
     fleet.register(2, stream=3, label="run=a up=105", after=20)
-    fleet.take(Tick(), after=60)
+    fleet.handle_event(Tick(), after=60)
     assert fleet.states[2] == TaskState.READY  # its agent reconnected and registered it again
 
 
-def test_refusals_leave_everything_as_it_was():
-    fleet = Fleet().settled()
+def test_refused_requests_change_nothing():
+    fleet = Fleet().settle()
     request = members.MemberRequest((1,), 1, 0, "", False)
     cases = [
         (Registered(1, (request, request)), Refusal.TWICE),
@@ -131,20 +133,20 @@
         (Registered(1, tuple(request._replace(key=(k,), task=k) for k in range(200))), Refusal.FULL),
     ]
     for event, refusal in cases:
-        assert fleet.take(event) == refusal
+        assert fleet.handle_event(event) == refusal
         assert set(fleet.states) == {99}
     assert fleet.register(1) is None
     assert fleet.register(1) == Refusal.ALREADY_REGISTERED
 
 
-def test_a_drain_ends_by_a_request_or_by_a_new_registration():
-    fleet = Fleet().settled()
+def test_a_request_or_a_new_registration_ends_a_drain():
+    fleet = Fleet().settle()
     fleet.register(1)
-    fleet.take(Quiesced(1, (1,), True))
+    fleet.handle_event(Quiesced(1, (1,), True))
     assert fleet.states[1] == TaskState.DRAINING
-    fleet.take(Quiesced(1, (1,), False))
+    fleet.handle_event(Quiesced(1, (1,), False))
     assert fleet.states[1] == TaskState.READY
-    fleet.take(Quiesced(1, (1,), True))
+    fleet.handle_event(Quiesced(1, (1,), True))
     fleet.register(1, stream=2)
     assert fleet.states[1] == TaskState.READY
     full = fleet.registry.handle(fleet.now, RefreshRequested()).change
