--- a/hollyridge/telemetry/counted_periods.py
+++ b/hollyridge/telemetry/counted_periods.py
@@ -1,4 +1,4 @@
-"""Remembers which periods of which series have been counted, within a bounded number of series and periods."""
+"""Record of the periods of each series that have been counted, bounded in series and in periods."""
 
 from __future__ import annotations
 
@@ -6,37 +6,45 @@
 
 from hollyridge.telemetry.data_points import NS_PER_S, SeriesKey
 
-MAX_PERIODS = 32  # separate stretches of time remembered of a series; what is before the oldest can't be told any more
-MAX_LATENESS_NS = 60 * NS_PER_S  # behind a source's newest period, before which no period of it counts
+MAX_PERIODS = 32  # separate periods kept of a series; whether an earlier one was counted is then unknown
+MAX_LATENESS_NS = 60 * NS_PER_S  # periods that end longer than this before their source's newest one do not count
 
 
 class Period(NamedTuple):
-    """A stretch of time on a source's clock."""
+    """A period on a source's clock, in nanoseconds."""
 
     start_ns: int
     end_ns: int
 
 
 class SourceClock(NamedTuple):
-    """The newest end of a period on a source's clock, and when that was received."""
+    """The latest state of a source's clock.
+
+    Attributes:
+        newest_ns: Newest end of a period, on the source's clock.
+        received_us: Time at which that period was received, on the assigner's clock.
+    """
 
     newest_ns: int
     received_us: int
 
 
 class CountedPeriods:
-    """Says of each period of each series whether it is new.
+    """Record of counted periods, which detects repeated ones.
 
-    A source's clock is not trusted about when something was: a period only tells how long it was and whether it has
-    been counted.
+    A source's clock may be wrong, so its times only determine the length of a period and whether it was counted.
 
     Args:
-        max_series: Series that are kept in all.
-        max_series_per_source: Series that are kept of one source.
-        expiry_us: After this long without a data point a series is forgotten.
+        max_series: Maximum number of series in all.
+        max_series_per_source: Maximum number of series of one source.
+        expiry_us: Time without a data point after which a series is dropped, in microseconds.
 
     Attributes:
-        periods: What was counted of each series, oldest first.
+        periods: The counted periods of each series, oldest first.
+        used_at: Time of the last counted data point of each series, in microseconds.
+        series_of_source: Number of series of each source.
+        source_clocks: State of the clock of each source.
+        swept_at: Time of the last removal of unused series, in microseconds.
     """
 
     def __init__(self, max_series: int, max_series_per_source: int, expiry_us: int) -> None:
@@ -52,18 +60,18 @@
     def __contains__(self, key: SeriesKey) -> bool:
         return key in self.periods
 
-    def add_moment(self, now_us: int, key: SeriesKey, moment_ns: int) -> bool:
-        """Count a moment of a series of which only the newest counts; False if it is not newer, or not kept."""
-        periods = self._open(now_us, key)
-        if periods is None or (periods and moment_ns < periods[0].end_ns):
+    def add_sample(self, now_us: int, key: SeriesKey, sampled_at_ns: int) -> bool:
+        """Count a sample of a gauge series. Return False if it is not newer than the last, or its series not kept."""
+        periods = self._get_or_add(now_us, key)
+        if periods is None or (periods and sampled_at_ns < periods[0].end_ns):
             return False
-        periods[:] = [Period(moment_ns, moment_ns + 1)]
+        periods[:] = [Period(sampled_at_ns, sampled_at_ns + 1)]
         self.used_at[key] = now_us
         return True
 
     def add_period(self, now_us: int, key: SeriesKey, start_ns: int, end_ns: int) -> bool:
-        """Count a period; False if it was counted before, is too old to tell, or its series is not kept."""
-        periods = self._open(now_us, key)
+        """Count a period. Return False if it was counted before or is too old, or if its series is not kept."""
+        periods = self._get_or_add(now_us, key)
         if periods is None:
             return False
         oldest_ns = self._oldest_counted(now_us, key.source, end_ns)
@@ -74,17 +82,17 @@
         periods[:] = [period for period in periods if period.end_ns > oldest_ns]
         if any(start_ns < period.end_ns and period.start_ns < end_ns for period in periods):
             return False
-        periods[:] = _joined(periods, start_ns, end_ns)[-MAX_PERIODS:]
+        periods[:] = _with_period(periods, start_ns, end_ns)[-MAX_PERIODS:]
         self.used_at[key] = now_us
         return True
 
     def sweep_if_due(self, now_us: int) -> None:
-        """Forget unused series once in the expiry time."""
+        """Drop unused series, once per expiry time."""
         if now_us - self.swept_at > self.expiry_us:
             self._sweep(now_us)
 
-    def _open(self, now_us: int, key: SeriesKey) -> list[Period] | None:
-        """The periods of a series that is kept, or is kept from now on; None if there is no room for it."""
+    def _get_or_add(self, now_us: int, key: SeriesKey) -> list[Period] | None:
+        """Return the periods of a series, which is added if it is new, or None if there are too many series."""
         periods = self.periods.get(key)
         if periods is not None:
             return periods
@@ -102,9 +110,10 @@
         )
 
     def _oldest_counted(self, now_us: int, source: str, end_ns: int) -> int:
-        """The time on a source's own clock before which its periods are too old to be told apart.
+        """Return the time on a source's own clock before which its periods are too old to count.
 
-        A clock that was set back would shut its reports out: one that has not moved on for long is trusted anew.
+        All reports of a source whose clock was set back would be too old. Hence a clock that has not advanced for the
+        expiry time is accepted at its new time.
         """
         clock = self.source_clocks.get(source)
         if clock is None or end_ns >= clock.newest_ns or now_us - clock.received_us > self.expiry_us:
@@ -112,7 +121,7 @@
         return clock.newest_ns - MAX_LATENESS_NS
 
     def _sweep(self, now_us: int) -> None:
-        """Forget series long unused; at most four times in the expiry time, however full it is."""
+        """Drop series unused for the expiry time, at most four times per expiry time even if the record is full."""
         if now_us - self.swept_at < self.expiry_us // 4 and self.swept_at:
             return
         self.swept_at = now_us
@@ -126,16 +135,16 @@
                 self.source_clocks.pop(key.source, None)
 
 
-def _joined(periods: list[Period], start_ns: int, end_ns: int) -> list[Period]:
-    """The periods with one more; those that meet it become one with it, so a steady source costs one period."""
+def _with_period(periods: list[Period], start_ns: int, end_ns: int) -> list[Period]:
+    """Return the periods with one more. Adjacent periods are merged, so that a steady source takes one period."""
     separate: list[Period] = []
-    joined_start_ns = start_ns
-    joined_end_ns = end_ns
+    merged_start_ns = start_ns
+    merged_end_ns = end_ns
     for period in periods:
         if period.end_ns == start_ns:
-            joined_start_ns = period.start_ns
+            merged_start_ns = period.start_ns
         elif period.start_ns == end_ns:
-            joined_end_ns = period.end_ns
+            merged_end_ns = period.end_ns
         else:
             separate.append(period)
-    return sorted([*separate, Period(joined_start_ns, joined_end_ns)])
+    return sorted([*separate, Period(merged_start_ns, merged_end_ns)])
--- a/hollyridge/telemetry/data_points.py
+++ b/hollyridge/telemetry/data_points.py
@@ -1,4 +1,4 @@
-"""Data points of load reports, as whatever receives reports hands them in."""
+"""Data points of load reports, independent of the protocol of the reports."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class Kind(IntEnum):
-    """What a data point counts or measures."""
+    """The quantity that a data point counts or measures."""
 
     TRIES = 0  # attempts that proxies made at a task
     FAILED = 1  # those of them that failed
-    TIME = 2  # seconds that the others took, summed
+    TIME = 2  # total duration of the others, in seconds
     RPCS = 3  # RPCs that reached a proxy
-    UNANSWERED = 4  # those of them that were left unanswered
-    UTIL = 5  # part of a task's capacity that is in use
-    QUEUE = 6  # RPCs that wait at a task
+    UNANSWERED = 4  # those of them that got no answer
+    UTIL = 5  # fraction of a task's capacity in use
+    QUEUE = 6  # number of RPCs that wait at a task
 
 
-LOADS = (Kind.UTIL, Kind.QUEUE)  # measured at a moment, by the task itself
+LOADS = (Kind.UTIL, Kind.QUEUE)  # gauges, measured by the task itself
 TASK_TRAFFIC = (Kind.TRIES, Kind.FAILED, Kind.TIME)  # counted over a period, by the proxies
 
 
 class DataPoint(NamedTuple):
-    """One figure of a load report.
+    """One data point of a load report.
 
     Attributes:
-        source: Who counted it.
-        kind: What it counts.
-        place: (zone, task) or, for RPCs, (proxy, method), as indices.
-        method: The method of attempts; 0 where it is not told apart.
-        value: The figure.
-        start_ns: Start of its period, on the source's clock.
-        end_ns: End of its period.
+        source: Name of the reporting source.
+        kind: The quantity.
+        subject: (zone, task) or, for RPCs, (proxy, method), as indices.
+        method: Index of the method of attempts, or 0 if the source does not distinguish methods.
+        value: The value.
+        start_ns: Start of its period on the source's clock, in nanoseconds.
+        end_ns: End of its period on the source's clock, in nanoseconds.
     """
 
     source: str
@@ -47,7 +47,7 @@
 
 
 class SeriesKey(NamedTuple):
-    """What all data points of one series have in common."""
+    """The fields that all data points of one series share."""
 
     source: str
     kind: Kind
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -1,7 +1,7 @@
-"""Turns data points of load reports into events: each period of each series counts once, impossible figures never do.
+"""Aggregation of data points of load reports into events.
 
-What many proxies counted at one task comes out as one event whose rate is the sum of their rates, however unequal or
-late their periods are.
+Each period of each series counts once, and impossible values never count. The counts of many proxies at one task become
+one event whose rate is the sum of their rates, even if their periods are unequal or late.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 __all__ = ["LOADS", "NS_PER_S", "TASK_TRAFFIC", "DataPoint", "Kind", "ReportAggregator"]
 
 MAX_PERIOD_NS = 600 * NS_PER_S
-MIN_RATE_PERIOD_NS = NS_PER_S // 100  # shorter periods count as that long when a rate is judged
-MAX_UTILISATION = 16  # of a task's capacity; more can't be
+MIN_RATE_PERIOD_NS = NS_PER_S // 100  # lower limit on the period in the check of a rate
+MAX_UTILIZATION = 16  # multiple of a task's capacity; higher values are impossible
 NS_PER_US = 1000
 US_PER_S = 1e6
-NO_LOAD = -1.0  # in an event, where a task reported none
+NO_LOAD = -1.0  # load in an event if the task reported none
 PROXY_TRAFFIC = (Kind.RPCS, Kind.UNANSWERED)
 
-Place = tuple[int, int]
+Subject = tuple[int, int]
 
-# Why a data point does not count: keys of the status page.
+# Reasons why a data point does not count. They are keys of the status page.
 INVALID_VALUE = "no sensible figure"
 INVALID_PERIOD = "no sensible period"
 RATE_TOO_HIGH = "more than can be"
@@ -35,7 +35,12 @@
 
 
 class Series:
-    """What one series has counted since it was collected last, and over how long."""
+    """The counts of one series since its last collection.
+
+    Attributes:
+        value: Sum of the values.
+        duration_us: Total duration of the periods, in microseconds.
+    """
 
     __slots__ = ("duration_us", "value")
 
@@ -44,25 +49,32 @@
         self.duration_us = 0
 
 
-class PlaceTotal(NamedTuple):
-    """The sum over all series of a place, and the sum of their rates."""
+class SubjectTotal(NamedTuple):
+    """The total of all series of a subject.
+
+    Attributes:
+        value: Sum of their values.
+        value_per_us: Sum of their rates, per microsecond.
+    """
 
     value: float
     value_per_us: float
 
 
 class ReportAggregator:
-    """Takes data points in and hands their sums out once a report period.
+    """Aggregator of data points, collected once per report period.
 
     Args:
-        max_series: Series that are kept in all.
-        max_series_per_source: Series that are kept of one source.
-        max_rate_per_s: The highest rate that can be true.
-        max_reports: Traffic reports that are handed out at a time; what is left out waits for the next.
-        expiry_us: After this long without a data point a series is forgotten.
+        max_series: Maximum number of series in all.
+        max_series_per_source: Maximum number of series of one source.
+        max_rate_per_s: Highest possible rate.
+        max_reports: Maximum number of traffic reports per collection. The others wait for the next collection.
+        expiry_us: Time without a data point after which a series is dropped, in microseconds.
 
     Attributes:
-        rejected: How many data points did not count, by reason.
+        sums: Counts since the last collection by (kind, subject), then by (source, method).
+        loads: Load by task and kind.
+        rejected: Number of data points that did not count, by reason.
 
     >>> reports = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
     >>> attempts = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * NS_PER_S, 6 * NS_PER_S)
@@ -78,12 +90,12 @@
         self.max_rate_per_s = max_rate_per_s
         self.max_reports = max_reports
         self.counted = CountedPeriods(max_series, max_series_per_source, expiry_us)
-        self.sums: dict[tuple[Kind, Place], dict[tuple[str, int], Series]] = {}  # then by source and method
-        self.loads: dict[int, dict[Kind, float]] = {}  # by task
+        self.sums: dict[tuple[Kind, Subject], dict[tuple[str, int], Series]] = {}
+        self.loads: dict[int, dict[Kind, float]] = {}
         self.rejected: dict[str, int] = {}
 
     def add(self, now_us: int, point: DataPoint) -> str:
-        """Take in a data point; empty if it counts, else why it does not."""
+        """Add a data point. Return an empty string if it counts, else the reason why it does not."""
         reason = self._count(now_us, point)
         if reason:
             self.rejected[reason] = self.rejected.get(reason, 0) + 1
@@ -99,24 +111,24 @@
         return ""
 
     def _count(self, now_us: int, point: DataPoint) -> str:
-        reason = self._implausible(point)
+        reason = self._implausibility(point)
         if reason:
             return reason
         key = SeriesKey(point.source, point.kind, point.place, point.method)
         if point.kind in LOADS:
-            is_new = self.counted.add_moment(now_us, key, point.end_ns)
+            is_new = self.counted.add_sample(now_us, key, point.end_ns)
         else:
             is_new = self.counted.add_period(now_us, key, point.start_ns, point.end_ns)
         if is_new:
             return ""
         return COUNTED_BEFORE if key in self.counted else TOO_MANY_SERIES
 
-    def _implausible(self, point: DataPoint) -> str:
-        """Why a figure can't be true; empty if it can."""
+    def _implausibility(self, point: DataPoint) -> str:
+        """Return the reason why a data point is impossible, or an empty string."""
         if not math.isfinite(point.value) or point.value < 0:
             return INVALID_VALUE
         if point.kind in LOADS:
-            return INVALID_VALUE if point.kind == Kind.UTIL and point.value > MAX_UTILISATION else ""
+            return INVALID_VALUE if point.kind == Kind.UTIL and point.value > MAX_UTILIZATION else ""
         period_ns = point.end_ns - point.start_ns
         if not 0 < period_ns <= MAX_PERIOD_NS:
             return INVALID_PERIOD
@@ -125,28 +137,28 @@
         return ""
 
     def collect(self, now_us: int) -> list[Event]:
-        """Hand out what was added since: traffic by task, the busiest first, then offered load by proxy."""
+        """Return the counts since the last call: traffic by task, the busiest first, then offered load by proxy."""
         self.counted.sweep_if_due(now_us)
-        attempted = self._busiest_places()
+        attempted = self._busiest_subjects()
         offered = sorted({place for kind, place in self.sums if kind == Kind.RPCS})
         events: list[Event] = []
         for place in attempted:
             events.append(self._traffic_report(place))
             self._drop_sums(place, TASK_TRAFFIC)
-        for _, task in attempted:  # only now: a load counts in the report of each zone that sent to the task
+        for _, task in attempted:  # after the loop, since the reports of all zones that sent to a task contain its load
             self.loads.pop(task, None)
         for place in offered:
             events.append(self._offered_load(place))
             self._drop_sums(place, PROXY_TRAFFIC)
         return events
 
-    def _busiest_places(self) -> list[Place]:
+    def _busiest_subjects(self) -> list[Subject]:
         by_attempts = sorted(
             (-self._total(Kind.TRIES, place).value, place) for kind, place in self.sums if kind == Kind.TRIES
         )
         return [place for _, place in by_attempts[: self.max_reports]]
 
-    def _traffic_report(self, place: Place) -> TrafficReport:
+    def _traffic_report(self, place: Subject) -> TrafficReport:
         zone, task = place
         attempts = self._total(Kind.TRIES, place)
         failed = round(min(self._total(Kind.FAILED, place).value, attempts.value))
@@ -163,26 +175,26 @@
             tuple(load.get(kind, NO_LOAD) for kind in LOADS),
         )
 
-    def _offered_load(self, place: Place) -> OfferedLoad:
+    def _offered_load(self, place: Subject) -> OfferedLoad:
         proxy, method = place
         rpcs = self._total(Kind.RPCS, place)
         unanswered = self._total(Kind.UNANSWERED, place).value
         idle_series = self.sums.get((Kind.RPCS, place), {}).values()
         return OfferedLoad(round(rpcs.value), _interval_us(rpcs, idle_series), proxy, method, round(unanswered))
 
-    def _total(self, kind: Kind, place: Place) -> PlaceTotal:
-        series_here = self.sums.get((kind, place), {}).values()
-        value = sum(series.value for series in series_here)
-        value_per_us = sum(series.value / max(series.duration_us, 1) for series in series_here)
-        return PlaceTotal(value, value_per_us)
+    def _total(self, kind: Kind, place: Subject) -> SubjectTotal:
+        all_series = self.sums.get((kind, place), {}).values()
+        value = sum(series.value for series in all_series)
+        value_per_us = sum(series.value / max(series.duration_us, 1) for series in all_series)
+        return SubjectTotal(value, value_per_us)
 
-    def _drop_sums(self, place: Place, kinds: tuple[Kind, ...]) -> None:
+    def _drop_sums(self, place: Subject, kinds: tuple[Kind, ...]) -> None:
         for kind in kinds:
             self.sums.pop((kind, place), None)
 
 
-def _interval_us(total: PlaceTotal, idle_series: Iterable[Series]) -> int:
-    """The interval at which a total has its rate; where it has none, the longest that was observed."""
+def _interval_us(total: SubjectTotal, idle_series: Iterable[Series]) -> int:
+    """Return the interval over which a total has its rate, or the longest observed one if the total is zero."""
     if total.value_per_us > 0:
         return max(1, round(total.value / total.value_per_us))
     return max((series.duration_us for series in idle_series), default=1)
--- a/tests/telemetry/test_telemetry_report_aggregator.py
+++ b/tests/telemetry/test_telemetry_report_aggregator.py
@@ -1,4 +1,4 @@
-"""Each period of each series counts once, and floods stay bounded."""
+"""Each period of each series counts once, and the number of series is bounded."""
 
 import pytest
 from helpers import SECOND
@@ -17,8 +17,8 @@
     )
 
 
-TAKEN = [
-    # points in the order they are added, attempts that count in all
+COUNTED = [
+    # points in the order in which they are added, total of the attempts that count
     ([point(), point()], 10),
     ([point(), point(start=1, end=2), point(start=0, end=1)], 20),
     ([point(start=5, end=6), point(start=2, end=3)], 20),  # out of order
@@ -29,7 +29,7 @@
 ]
 
 
-@pytest.mark.parametrize(("points", "counted"), TAKEN)
+@pytest.mark.parametrize(("points", "counted"), COUNTED)
 def test_each_period_counts_once(points, counted):
     reports = aggregator()
     for data_point in points:
@@ -38,7 +38,7 @@
     assert reports.collect(2) == []
 
 
-def test_a_steady_source_costs_one_period_and_gaps_are_bounded():
+def test_a_steady_source_takes_one_period_and_gaps_are_bounded():
     reports, steady, gappy = aggregator(), point(), point(source="gw-2")
     for k in range(500):
         reports.add(k, point(start=k, end=k + 1))
@@ -51,16 +51,16 @@
     assert reports.add(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge is not new
 
 
-def test_gaps_cost_no_more_than_the_time_that_counts():
+def test_periods_too_old_to_count_are_dropped():
     reports = aggregator()
     for k in range(0, 500, 20):
         assert not reports.add(k, point(start=k, end=k + 1))
     assert [len(periods) for periods in reports.counted.periods.values()] == [3]
-    assert reports.add(500, point(start=420, end=421, method=1))  # too late, whatever its series
+    assert reports.add(500, point(start=420, end=421, method=1))  # too old for any series of the source
     assert not reports.add(500, point(start=425, end=426, method=1))
 
 
-def test_a_clock_that_was_set_back_is_trusted_again():
+def test_a_clock_that_was_set_back_is_accepted_after_the_expiry_time():
     reports = aggregator()
     reports.add(0, point(start=3600, end=3601))
     assert reports.add(SECOND, point(start=1, end=2))
@@ -68,7 +68,7 @@
     assert not reports.add(63 * SECOND, point(start=62, end=63))
 
 
-def test_rates_add_up_however_unequal_the_periods():
+def test_rates_add_up_over_unequal_periods():
     reports = aggregator()
     reports.add(0, point(20, 0, 2, source="a"))
     reports.add(0, point(30, 0, 1, source="b"))
@@ -82,20 +82,20 @@
     assert event.latency_us == 200_000
 
 
-def test_floods_of_names_stay_bounded():
+def test_the_number_of_series_is_bounded():
     reports = aggregator()
     for k in range(1000):
         reports.add(k, point(place=(0, k), source=f"s{k % 4}"))
     assert len(reports.counted.periods) <= 50
     assert reports.rejected["too many series"] >= 950
-    assert len(reports.collect(2000)) == 5  # the rest waits
+    assert len(reports.collect(2000)) == 5  # the other reports wait
     late = 10**9
     reports.collect(late)
     assert reports.add(late + 1, point(place=(1, 1), source="new")) == ""
 
 
 def test_a_load_counts_in_the_report_of_each_zone_that_sent_to_the_task():
-    """The decisions keep the last report: one without the figure would undo it."""
+    """The decision module keeps only the last report of a task, so a report without the load would erase it."""
     reports = aggregator()
     for zone in (0, 1, 2):
         assert not reports.add(SECOND, point(source=f"gw-{zone}", place=(zone, 3)))
@@ -103,4 +103,4 @@
     events = reports.collect(SECOND)
     assert [event.load[0] for event in events] == [0.5, 0.5, 0.5]
     assert not reports.add(2 * SECOND, point(start=1, end=2))
-    assert reports.collect(2 * SECOND)[0].load[0] == -1.0  # handed out once
+    assert reports.collect(2 * SECOND)[0].load[0] == -1.0  # a load is reported once
