--- a/hollyridge/store/__init__.py
+++ b/hollyridge/store/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of tables as values, and learned estimates as they are kept on disk. Decides nothing, keeps no time."""
+"""Versions of tables as immutable values, and learned estimates on disk. No decisions, no clock."""
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -1,6 +1,6 @@
-"""Which estimates of an earlier run, or of another assigner, are used: plausible ones, of tasks that are listed.
+"""Selection of estimates of an earlier run or of another assigner: plausible ones of listed tasks are used.
 
-The older they are the less they count. What is not used costs little: it is learned again.
+Older estimates have less influence. An estimate that is not used costs little, since it is learned again.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from hollyridge.interface import EstimatesRestored, LearnedEstimate
 from hollyridge.store.state_file import SavedState, TaskEstimate
 
-MAX_BUSY_PERIODS = 10.0  # that an estimate may rest on; as many as the decisions themselves remember
-MAX_CAPACITY = 1e9  # RPCs in a report period; more can't be
+MAX_BUSY_PERIODS = 10.0  # as many as the decision module itself remembers of an estimate
+MAX_CAPACITY = 1e9  # RPCs per report period; higher values are implausible
 MIN_EFFICIENCY = 0.25
 MAX_EFFICIENCY = 4.0
 MIN_WEIGHT_RATIO = 0.01
 MAX_WEIGHT_RATIO = 100.0
 MAX_PUSH_PRICE = 1e6
-MAX_SHARED_BUSY_PERIODS = 1.0  # for a peer's estimate: the first report of one's own then counts as much
-MAX_SHARED_RATIO = 2.0  # how far a peer's capacity may lie above or below one's own median task
-UNKNOWN_AGE_MS = 86_400_000  # a day, older than anything that still counts
+MAX_SHARED_BUSY_PERIODS = 1.0  # of a peer's estimate, so that the first own report counts as much
+MAX_SHARED_RATIO = 2.0  # of a peer's capacity to the median own capacity, or the inverse
+UNKNOWN_AGE_MS = 86_400_000  # a day, older than any estimate that still has influence
 US_PER_MS = 1000
-DIGITS = 6  # of the figures that are saved
-UNUSABLE = -1  # in place of a task index
+DIGITS = 6  # decimal places of saved values
+UNUSABLE = -1  # task index of an implausible estimate
 
-# Why an estimate is left out, as the log names it.
+# Reasons why an estimate is left out. They are keys in the log line.
 OTHER_FLEET = "of another fleet"
 NOT_LISTED = "not listed"
 IMPLAUSIBLE = "no sensible figure"
@@ -35,14 +35,19 @@
 
 
 class RestoredEstimates(NamedTuple):
-    """The event to submit, None where no estimate is used; and how many were left out, by reason."""
+    """The result of a selection.
+
+    Attributes:
+        event: The event to submit, or None if no estimate is used.
+        left_out: Number of unused estimates, by reason.
+    """
 
     event: EstimatesRestored | None
     left_out: dict[str, int]
 
 
 def fleet_identity(zones: Iterable[str], methods: Iterable[str]) -> str:
-    """Names a fleet by what its estimates depend on.
+    """Return the identity of a fleet: the zones and methods on which its estimates depend.
 
     >>> fleet_identity(["a", "b"], ["read"])
     'a,b/read'
@@ -53,7 +58,7 @@
 def to_saved_state(
     fleet: str, saved_ms: int, estimates: Iterable[LearnedEstimate], push_price: float, name_of: Callable[[int], str]
 ) -> SavedState:
-    """The state to save; tasks by their names, for indices are given anew in each run."""
+    """Return the state to save, with tasks by name, since each run allocates new indices."""
     rows = [
         TaskEstimate(
             name_of(estimate.task),
@@ -68,9 +73,9 @@
 
 
 def restore_own(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
-    """The estimates of this assigner's own last run.
+    """Select estimates of this assigner's own last run.
 
-    A state from the future was saved before the clock was set back: nobody knows its age, so it counts as old.
+    A state from the future was saved before the clock was set back. Its age is unknown, so it counts as old.
     """
     if state.fleet != fleet:
         return RestoredEstimates(None, {OTHER_FLEET: len(state.estimates)})
@@ -80,22 +85,23 @@
 
 def restore_from_peer(
     rows: Iterable[tuple],
-    price: float,
+    push_price: float,
     age_us: int,
     index_of: Callable[[str], int | None],
     own: Iterable[LearnedEstimate],
 ) -> RestoredEstimates:
-    """The estimates of another assigner, which may be wrong or lie.
+    """Select estimates of another assigner, which may be wrong or malicious.
 
-    Only capacities are used, and only once there are some of one's own: each within `MAX_SHARED_RATIO` times the median
-    of those, resting on `MAX_SHARED_BUSY_PERIODS` at the most. Its push price is never used.
+    Only capacities are used, and only once there are own ones. Each is limited to a factor of `MAX_SHARED_RATIO` around
+    the median of the own capacities, and its busy periods to `MAX_SHARED_BUSY_PERIODS`. The peer's push price is never
+    used.
 
     Args:
         rows: (name, capacity, busy periods, efficiency, weight ratio) of each task.
-        price: The other's push price.
-        age_us: How old the estimates are.
-        index_of: The index of a task by its name; None for one that is not listed.
-        own: What this assigner has learned itself.
+        push_price: Push price of the peer.
+        age_us: Age of the estimates, in microseconds.
+        index_of: Returns the index of a task, given its name, or None if it is not listed.
+        own: Estimates that this assigner has learned itself.
     """
     own_median = median([estimate.capacity for estimate in own] or [0.0])
     if not own_median:
@@ -103,8 +109,8 @@
     limited = []
     for name, capacity, busy_periods, _efficiency, _weight_ratio in rows:
         if isfinite(capacity) and capacity > 0:
-            near = min(max(capacity, own_median / MAX_SHARED_RATIO), own_median * MAX_SHARED_RATIO)
-            limited.append(TaskEstimate(name, near, min(busy_periods, MAX_SHARED_BUSY_PERIODS)))
+            limited_capacity = min(max(capacity, own_median / MAX_SHARED_RATIO), own_median * MAX_SHARED_RATIO)
+            limited.append(TaskEstimate(name, limited_capacity, min(busy_periods, MAX_SHARED_BUSY_PERIODS)))
     return _accepted(limited, 0.0, age_us, index_of, MAX_SHARED_BUSY_PERIODS)
 
 
--- a/hollyridge/store/state_file.py
+++ b/hollyridge/store/state_file.py
@@ -1,10 +1,10 @@
-"""State that outlives its process: one file, read whole or not at all.
+"""The state file, which keeps state across restarts and is read completely or not at all.
 
     8 bytes "HRSTATE1" | u32 length | u64 xxh64 of the rest | msgpack of a `SavedState`
 
-It is written beside the old file, flushed to the disk and then renamed over it: a crash at any moment leaves the old
-file or the new one. Later layouts add members with defaults; a file of an unknown layout is rejected, not guessed at.
-The names and the order of members are the format, so they are pinned here whatever the attributes are called.
+A new file is written beside the old one, flushed to the disk and renamed over it, so that a crash at any time leaves
+either the old file or the new one. Later layouts add members with defaults. A file of an unknown layout is rejected.
+The names and the order of members are the format, so they are pinned here independently of the names of attributes.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 MAGIC = b"HRSTATE1"
 HEADER = struct.Struct(">8sIQ")
-MAX_FILE_BYTES = 1 << 24  # far more than the estimates of any fleet; bounds what a wrong file costs
+MAX_FILE_BYTES = 1 << 24  # far more than the estimates of any fleet; limits the cost of reading a wrong file
 LAYOUT = 1
 FILE_MODE = 0o600
 
 
 class StateFileError(HollyridgeError):
-    """The file is no state file, is not whole, or is of an unknown layout."""
+    """The file is not a state file, is truncated or damaged, or has an unknown layout."""
 
 
 class TaskEstimate(msgspec.Struct, array_like=True):
-    """What is known of a task by its name (`host:port`); figures as in `interface.LearnedEstimate`.
+    """Estimates of a task by its name (`host:port`), with the values of `interface.LearnedEstimate`.
 
-    Written as an array: the order of the members is the format.
+    It is written as an array, so the order of the members is the format.
     """
 
     name: str
@@ -46,11 +46,11 @@
     """The estimates of one fleet.
 
     Attributes:
-        fleet: Tells fleets apart (`learned_estimates.fleet_identity`).
-        saved_ms: The time of day when they were saved.
-        estimates: One for each task that something is known of.
-        push_price: Of the push gate.
-        layout: Of this structure.
+        fleet: Identity of the fleet, from `learned_estimates.fleet_identity`.
+        saved_ms: Time of day at which they were saved, in milliseconds since the epoch.
+        estimates: One entry for each task with estimates.
+        push_price: Push price of the push gate.
+        layout: Layout version of this structure.
     """
 
     fleet: str
@@ -65,7 +65,7 @@
 
 
 def pack(state: SavedState) -> bytes:
-    """The bytes of a state file.
+    """Return the content of a state file.
 
     >>> unpack(pack(SavedState("f", 5, [TaskEstimate("a:1", 2.0, 1.0)]))).estimates[0].name
     'a:1'
@@ -75,34 +75,38 @@
 
 
 def unpack(raw: bytes) -> SavedState:
-    """The state in the bytes of a state file.
+    """Return the state in the content of a state file.
 
     Raises:
-        StateFileError: The bytes are no state file, are not whole, or are of an unknown layout.
+        StateFileError: The content is not a state file, is truncated or damaged, or has an unknown layout.
     """
     try:
         magic, length, checksum = HEADER.unpack_from(raw)
     except struct.error:
-        raise StateFileError(f"state file cut off in its header: {len(raw)} bytes") from None
+        raise StateFileError(
+            f"state file is truncated: {len(raw)} bytes, expected a header of {HEADER.size} bytes"
+        ) from None
     body = raw[HEADER.size :]
     if magic != MAGIC:
-        raise StateFileError("not a state file: it starts with other bytes")
+        raise StateFileError(f"not a state file: it starts with {magic!r}, expected {MAGIC!r}")
     if len(body) != length or xxh64_intdigest(body) != checksum:
-        raise StateFileError("state file cut off or damaged: its checksum does not match")
+        raise StateFileError(
+            f"state file is truncated or damaged: {len(body)} bytes, expected {length} with a matching checksum"
+        )
     try:
         state = _DECODER.decode(body)
     except msgspec.DecodeError as error:
-        raise StateFileError(f"state file holds something else: {error}") from None
+        raise StateFileError(f"state file does not contain a valid state: {error}") from None
     if not 1 <= state.layout <= LAYOUT:
-        raise StateFileError(f"state file of layout {state.layout}; {LAYOUT} is the newest known here")
+        raise StateFileError(f"state file has unknown layout {state.layout}, expected 1 to {LAYOUT}")
     return state
 
 
 def write(path: Path, raw: bytes) -> None:
-    """Replace the file by these bytes.
+    """Replace the content of the file.
 
     Raises:
-        OSError: It can't be written; the old file stands.
+        OSError: The file can't be written. The old file is unchanged.
     """
     new_path = path.with_name(path.name + ".new")
     descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
@@ -113,20 +117,20 @@
     os.replace(new_path, path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # the rename itself has to reach the disk too
+        os.fsync(folder)  # flush the rename to the disk too
     finally:
         os.close(folder)
 
 
 def read(path: Path) -> bytes:
-    """The bytes of the file.
+    """Return the content of the file.
 
     Raises:
-        OSError: There is none, or it can't be read.
-        StateFileError: It is too long to be a state file.
+        OSError: The file does not exist or can't be read.
+        StateFileError: The file is too long for a state file.
     """
     with path.open("rb") as file:
         raw = file.read(MAX_FILE_BYTES + 1)
     if len(raw) > MAX_FILE_BYTES:
-        raise StateFileError(f"state file over {MAX_FILE_BYTES} bytes")
+        raise StateFileError(f"state file is too long: over {MAX_FILE_BYTES} bytes")
     return raw
--- a/hollyridge/store/table_versions.py
+++ b/hollyridge/store/table_versions.py
@@ -1,7 +1,7 @@
-"""Tables as immutable values, one a version, with a bounded history.
+"""Tables as immutable values, one per version, with a bounded history.
 
-What changes between two versions is computed from the two and never kept by hand, so it can't be wrong in another way
-than the tables are. A reader whose version is older than the history takes the whole table.
+The changes between two versions are always computed from the two tables and never recorded separately, so that they
+can't be inconsistent with the tables. A reader whose version is older than the history gets the whole table.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from immutables import Map
 
-REMOVED_WEIGHT = 0.0  # as a line's weight: the line is taken out
-REMOVED_LEVEL = None  # as an admission level: the level is taken out
+REMOVED_WEIGHT = 0.0  # weight that removes a line
+REMOVED_LEVEL = None  # admission level that removes a level
 
 
 class Table(NamedTuple):
-    """A table at one version.
+    """One version of a table.
 
     Attributes:
-        version: The decision that made it.
+        version: Number of the decision that made it.
         lines: Weight by task.
-        levels: Admission, (amount, retry mode) by mask of methods.
+        levels: Admission level as (amount, retry mode), by mask of methods.
     """
 
     version: int
@@ -37,7 +37,12 @@
 
 
 class TableChange(NamedTuple):
-    """What turns one version into another: weight 0 and level None take out."""
+    """Changes from one version of a table to another.
+
+    Attributes:
+        lines: (task, new weight), with weight 0 for a removed line.
+        levels: (mask of methods, new level), with None for a removed level.
+    """
 
     lines: tuple[tuple[int, float], ...]
     levels: tuple[tuple[int, tuple[float, int] | None], ...]
@@ -47,7 +52,7 @@
 
 
 class VersionPair(NamedTuple):
-    """A table and the two versions of it that are compared."""
+    """A table and two of its versions."""
 
     table: int
     old_version: int
@@ -55,7 +60,7 @@
 
 
 def difference(old: Table, new: Table) -> TableChange:
-    """What turns one table into another, in the order of indices, so that equal tables give equal changes.
+    """Return the changes from one table to another, sorted by index so that equal tables give equal changes.
 
     >>> old = Table(1, Map({1: 1.0, 2: 2.0}), Map())
     >>> difference(old, Table(2, Map({2: 2.5, 3: 1.0}), Map({0: (0.5, 0)})))
@@ -85,28 +90,31 @@
 
 
 class TableStore:
-    """Keeps the last `keep` versions of each table, the newest included.
+    """Store of the last versions of each table.
+
+    Args:
+        max_versions: Number of versions kept of each table, including the newest.
 
     Attributes:
         history: The versions of each table, oldest first.
-        memo: Differences that were asked for, by table and versions.
+        cached_changes: Changes that were computed before, by table and versions.
 
-    >>> store = TableStore(keep=2)
+    >>> store = TableStore(max_versions=2)
     >>> for version, weight in ((1, 1.0), (2, 2.0), (3, 3.0)):
     ...     _ = store.put(version, 0, {7: weight})
     >>> store.since(0, 2), store.since(0, 1)
     (TableChange(lines=((7, 3.0),), levels=()), None)
     """
 
-    MAX_MEMO = 512  # differences kept; most readers go from the same version to the same other one
+    MAX_CACHED_CHANGES = 512  # cached, since most readers need the changes between the same two versions
 
-    def __init__(self, keep: int) -> None:
-        self.keep = keep
+    def __init__(self, max_versions: int) -> None:
+        self.max_versions = max_versions
         self.history: dict[int, deque[Table]] = {}
-        self.memo: OrderedDict[VersionPair, TableChange] = OrderedDict()
+        self.cached_changes: OrderedDict[VersionPair, TableChange] = OrderedDict()
 
     def latest(self, table: int) -> Table:
-        """The newest version; an empty table where there is none."""
+        """Return the newest version, or an empty table if there is none."""
         history = self.history.get(table)
         return history[-1] if history else EMPTY
 
@@ -118,62 +126,65 @@
         levels: Mapping[int, tuple[float, int] | None] | None = None,
         clear: bool = False,
     ) -> Table:
-        """Make a new version; a version that is put again is replaced.
+        """Add a new version, or replace the newest if it has the same number.
 
         Args:
             version: Number of the decision.
             table: Number of the table.
-            lines: Weights to set; weight 0 takes a line out.
-            levels: Admission levels to set; None takes a level out.
-            clear: The new version holds nothing else.
+            lines: Weights to set, by task. Weight 0 removes a line.
+            levels: Admission levels to set, by mask of methods. None removes a level.
+            clear: Whether all other lines and levels are removed.
+
+        Returns:
+            The new version.
 
         Raises:
             ValueError: The version is older than the newest one.
         """
         before = self.latest(table)
         if version < before.version:
-            raise ValueError(f"table {table}: version {version} after {before.version}")
+            raise ValueError(f"table {table}: version {version} is older than the newest version {before.version}")
         base = EMPTY if clear else before
         new = Table(
             version,
             _with_changes(base.lines, lines, REMOVED_WEIGHT),
             _with_changes(base.levels, levels or {}, REMOVED_LEVEL),
         )
-        history = self.history.setdefault(table, deque(maxlen=self.keep))
+        history = self.history.setdefault(table, deque(maxlen=self.max_versions))
         if history and history[-1].version == version:
             history.pop()
-            self._forget_changes(table)
+            self._drop_cached_changes(table)
         history.append(new)
         return new
 
     def drop(self, table: int) -> None:
-        """Forget a table with its history."""
+        """Remove a table with its history."""
         self.history.pop(table, None)
 
     def at(self, table: int, version: int) -> Table | None:
-        """The table at that version; None if it is not known any more, or not yet."""
+        """Return the table at a version, or None if the version is not in the history."""
         for known in reversed(self.history.get(table, ())):
             if known.version == version:
                 return known
         return None
 
     def change(self, table: int, old: Table, new: Table) -> TableChange:
-        """`difference`, remembered for all who go between the same two versions."""
+        """Return the `difference` of two versions, cached for readers of the same two."""
         pair = VersionPair(table, old.version, new.version)
-        change = self.memo.get(pair)
+        change = self.cached_changes.get(pair)
         if change is None or old.version == new.version:
             change = difference(old, new)
             if self.at(table, old.version) is old and self.at(table, new.version) is new:
-                self.memo[pair] = change
-                if len(self.memo) > self.MAX_MEMO:
-                    self.memo.popitem(last=False)
+                self.cached_changes[pair] = change
+                if len(self.cached_changes) > self.MAX_CACHED_CHANGES:
+                    self.cached_changes.popitem(last=False)
         return change
 
     def since(self, table: int, version: int) -> TableChange | None:
-        """What has changed since that version; None where only the whole table will do."""
+        """Return the changes since a version, or None if it is not in the history."""
         old = self.at(table, version)
         return None if old is None else self.change(table, old, self.latest(table))
 
-    def _forget_changes(self, table: int) -> None:
-        for pair in [pair for pair in self.memo if pair.table == table]:
-            del self.memo[pair]
+    def _drop_cached_changes(self, table: int) -> None:
+        for pair in [pair for pair in self.cached_changes if pair.table == table]:
+            del self.cached_changes[pair]
--- a/tests/store/test_store_state_file.py
+++ b/tests/store/test_store_state_file.py
@@ -1,4 +1,4 @@
-"""State on disk: whole or not at all."""
+"""The state file is read completely or not at all."""
 
 import pytest
 
@@ -9,23 +9,23 @@
 WHOLE = state_file.pack(SavedState("f", 1000, ROWS, 0.6))
 
 
-def test_a_file_cut_off_at_any_byte_is_refused_and_the_whole_one_read():
+def test_a_file_truncated_at_any_byte_is_rejected_and_a_complete_one_is_read():
     assert state_file.unpack(WHOLE).estimates == ROWS
     for size in range(len(WHOLE)):
         with pytest.raises(StateFileError):
             state_file.unpack(WHOLE[:size])
 
 
-def test_a_file_with_any_byte_turned_over_is_refused():
+def test_a_file_with_any_damaged_byte_is_rejected():
     for at in range(len(WHOLE)):
         with pytest.raises(StateFileError):
             state_file.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
 
 
-def test_layouts_older_and_newer():
+def test_an_older_layout_is_read_and_a_newer_one_rejected():
     body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
     raw = state_file.HEADER.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
-    old = state_file.unpack(raw)  # members that came later have their defaults, unknown ones are passed over
+    old = state_file.unpack(raw)  # missing members have their defaults, and unknown ones are ignored
     assert old.push_price == 0.0
     assert old.estimates == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
     with pytest.raises(StateFileError, match="layout 9"):
--- a/tests/store/test_store_table_versions.py
+++ b/tests/store/test_store_table_versions.py
@@ -8,7 +8,7 @@
 
 
 def test_every_version_can_be_reached_from_every_kept_one():
-    rng, store, tables = Random(4), TableStore(keep=10), {}
+    rng, store, tables = Random(4), TableStore(max_versions=10), {}
     for version in range(1, 60):
         lines = {rng.randrange(20): rng.choice([0.0, 1.0, 2.0]) for _ in range(rng.randrange(5))}
         levels = {0: (rng.random(), 0)} if rng.random() < 0.2 else {}
@@ -24,12 +24,12 @@
     with pytest.raises(ValueError):
         store.put(3, 0, {})
     assert store.at(0, 3) is None
-    assert len(store.memo) <= TableStore.MAX_MEMO
+    assert len(store.cached_changes) <= TableStore.MAX_CACHED_CHANGES
     store.drop(0)
     assert store.latest(0) is EMPTY
 
 
-def test_the_same_version_put_twice_is_one_version():
+def test_a_version_that_is_put_twice_is_replaced():
     store = TableStore(4)
     store.put(1, 0, {1: 1.0})
     store.put(2, 0, {2: 1.0})
