--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -167,7 +167,9 @@
         """Return the pub-sub server."""
         context = environment.make_context()
         if self.settings.curve_file():
-            self.curve = Curve(context, self.settings.curve_file(), self.access.curve_known, self.principal_of_key)
+            self.curve = Curve(
+                context, self.settings.curve_file(), self.access.is_curve_key_known, self.principal_of_key
+            )
         return ChpServer(
             self.loop,
             self.settings.chp_config(),
@@ -222,7 +224,7 @@
 
     def principal_of_key(self, key: str) -> str:
         """Return the name of the principal with this CURVE public key, or the key itself if none has it."""
-        return self.access.by_curve.get(key, key)
+        return self.access.principal_by_curve_key.get(key, key)
 
     def task_name(self, task: int) -> str:
         """Return the address and port of a task, given its index."""
--- a/hollyridge/sessions/__init__.py
+++ b/hollyridge/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions of load balancers across their streams, and access control. No I/O, no clock."""
+"""Sessions of load balancers and their streams, and access control. No I/O, no clock."""
--- a/hollyridge/sessions/access.py
+++ b/hollyridge/sessions/access.py
@@ -1,8 +1,8 @@
 """Access control: which principal may act as which proxy, register which members and report for which zone.
 
-Without keys everyone may do everything. With keys but no principals in the settings, whoever holds a key signed by the
-authority may. Once principals are named, only they may, even after the last of them has been removed. A removed
-principal loses its rights at the next check, open streams included.
+Without keys every client may do everything. With keys but no principals in the settings, every holder of a key signed
+by the authority may. Once the settings name principals, only these have access, even after the last of them has been
+removed. A removed principal loses its rights at the next check, also on open streams.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Principal(NamedTuple):
-    """A holder of keys and what it may do.
+    """A holder of keys, with its rights.
 
     Attributes:
         name: Common name of its TLS certificate.
-        curve_key: Its CURVE public key (Z85); empty for none.
-        uid_patterns: Names of the proxies that it may act as, as shell patterns.
-        networks: Addresses that it may register members at.
-        zones: Zones that it may report for.
+        curve_key: CURVE public key (Z85), or empty.
+        uid_patterns: Shell patterns for the names of the proxies that it may act as.
+        networks: Networks in which it may register members.
+        zones: Names of the zones that it may report for.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class AccessControl:
-    """Answers each check with an empty string, or with the reason of the denial.
+    """Access checks, each of which returns an empty string or the reason of the denial.
 
     >>> network = ipaddress.ip_network("127.1.0.0/16")
     >>> gate, agent = Principal("gate", "", ("gw-*",), (), ("abdali",)), Principal("agent", "", (), (network,), ())
@@ -45,33 +45,33 @@
     ('', 'nobody is not known')
 
     Args:
-        keyed: Whether the servers require keys.
-        principals: Who may do what.
+        keys_required: Whether the servers require keys.
+        principals: The principals with their rights.
 
     Attributes:
-        open: Whether everyone may do everything.
-        by_curve: Names of principals by CURVE public key.
+        unrestricted: Whether every client may do everything.
+        principal_by_curve_key: Names of principals by CURVE public key.
     """
 
-    def __init__(self, keyed: bool, principals: Iterable[Principal]) -> None:
+    def __init__(self, keys_required: bool, principals: Iterable[Principal]) -> None:
         self.open = True
         self.replace(principals)
-        self.open = self.open or not keyed
+        self.open = self.open or not keys_required
 
     def replace(self, principals: Iterable[Principal]) -> None:
-        """Use another table from now on; access that was once restricted to principals stays restricted."""
+        """Replace the principals. Access that was once restricted to principals stays restricted."""
         self.principals = {principal.name: principal for principal in principals}
         self.open = self.open and not self.principals
-        self.by_curve = {
+        self.principal_by_curve_key = {
             principal.curve_key: principal.name for principal in self.principals.values() if principal.curve_key
         }
 
-    def curve_known(self, key: str) -> bool:
-        """Whether a client with this CURVE public key (Z85) may connect."""
-        return self.open or key in self.by_curve
+    def is_curve_key_known(self, key: str) -> bool:
+        """Return whether a client with this CURVE public key (Z85) may connect."""
+        return self.open or key in self.principal_by_curve_key
 
     def known(self, name: str) -> str:
-        """Check that a principal is in the table."""
+        """Check that a name is the name of a principal."""
         return "" if self.open or name in self.principals else f"{name or 'a stranger'} is not known"
 
     def may_be(self, name: str, uid: str) -> str:
--- a/tests/sessions/test_sessions_access.py
+++ b/tests/sessions/test_sessions_access.py
@@ -1,4 +1,4 @@
-"""Access control: open, closed and by principal; a table that is replaced."""
+"""Access control without keys, with keys and by principal, and the replacement of principals."""
 
 import ipaddress
 
@@ -11,9 +11,9 @@
 
 
 @pytest.mark.parametrize("access", [AccessControl(False, ()), AccessControl(True, ()), AccessControl(False, [GATE])])
-def test_without_keys_or_without_principals_everyone_may_do_everything(access):
+def test_without_keys_or_without_principals_every_client_may_do_everything(access):
     assert access.open
-    assert access.curve_known("any-key")
+    assert access.is_curve_key_known("any-key")
     assert access.known("anyone") == access.may_be("anyone", "gw-1") == ""
     assert access.may_register("anyone", "10.0.0.1") == access.may_report("anyone", "khalda") == ""
 
@@ -60,23 +60,23 @@
     assert AccessControl(True, [GATE, AGENT]).may_report(name, zone) == denial
 
 
-def test_a_curve_key_is_known_by_its_principal():
+def test_only_curve_keys_of_principals_are_known():
     access = AccessControl(True, [GATE, AGENT])
-    assert access.curve_known("gate-key")
-    assert not access.curve_known("other-key")
-    assert not access.curve_known("")
-    assert access.by_curve == {"gate-key": "gate"}
+    assert access.is_curve_key_known("gate-key")
+    assert not access.is_curve_key_known("other-key")
+    assert not access.is_curve_key_known("")
+    assert access.principal_by_curve_key == {"gate-key": "gate"}
 
 
-def test_removing_the_last_principal_admits_nobody():
+def test_removing_the_last_principal_denies_all_access():
     access = AccessControl(True, [GATE])
     access.replace([])
     assert not access.open
     assert access.known("gate") == "gate is not known"
-    assert not access.curve_known("gate-key")
+    assert not access.is_curve_key_known("gate-key")
 
 
-def test_naming_the_first_principal_closes_access_to_others():
+def test_adding_the_first_principal_denies_access_to_others():
     access = AccessControl(True, ())
     access.replace([GATE])
     assert not access.open
