--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -327,9 +327,8 @@
     def _decide(self, now_us: int) -> None:
         self.has_decided = True
         events, oldest_us = self.event_queue.take_due(now_us)
-        events.append(
-            QueueDepth(self.queue.waiting_lines)
-        )  # last, since acks of merged updates arrive early and prove less
+        # The queue depth is the last event, since acks of merged updates arrive early and prove less.
+        events.append(QueueDepth(self.queue.waiting_lines))
         self.decision_number += 1
         self.counts["events"] += len(events)
         try:
@@ -372,7 +371,7 @@
             self.decision_log.write(self.log, now_us, commands, summary)
 
     def _recover(self, now_us: int, error: Exception) -> None:
-        """Replace the decision module by a new one and give it the state that it has after a restart of the process."""
+        """Replace the decision module by a new one and queue the events that follow a restart of the process."""
         self.counts["module_failures"] += 1
         self.failure_recovery.record(self.log, now_us, self.decision_number, error, self.recent_events)
         self.assigner = self.make_assigner(self.config, self.seed)
--- a/hollyridge/core/event_queue.py
+++ b/hollyridge/core/event_queue.py
@@ -8,7 +8,7 @@
 
 from hollyridge.interface import EndpointListUpdate, Event, OfferedLoad, TimerFired, TrafficReport
 
-MAX_TIMERS = 4096  # set at a time; far more than needed, only bounds the effect of a faulty decision module
+MAX_TIMERS = 4096  # far more than needed, to bound the effect of a faulty decision module
 RECENT_EVENTS_KEPT = 64  # for the log line of a failure of the decision module
 
 
--- a/hollyridge/registration/index_allocator.py
+++ b/hollyridge/registration/index_allocator.py
@@ -1,7 +1,7 @@
 """Allocation of small dense indices to names, with reuse once nothing can refer to the former holder.
 
-The decision module keeps values in arrays by index, which must not grow for ever in a fleet whose tasks are replaced
-for weeks. A released index is reserved for a while, and beyond that as long as a table or an update may still refer to
+The decision module keeps values in arrays by index, which must not grow without limit when tasks are replaced for
+weeks. A released index is reserved for a while, and beyond that as long as a table or an update may still refer to
 it.
 """
 
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -9,7 +9,7 @@
 
 A second stream of the same name takes over from the first, which may be half-open, so that the load balancer need not
 wait for a table. After `MAX_TAKEOVERS` within the drain grace further streams are rejected until the grace has passed,
-since two load balancers of one name would otherwise disconnect each other for ever.
+since two load balancers of one name would otherwise disconnect each other endlessly.
 """
 
 from __future__ import annotations
--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -45,7 +45,7 @@
 
 
 def test_an_assigner_start_during_a_release_empties_no_table():
-    """Without reports, the engine knows the list and the streams only. Cold tasks get only their fraction."""
+    """Only the list and the streams are known then: no table becomes empty, and cold tasks get only their fraction."""
     rig = EngineRig(tasks=4)
     fresh = {f"n{k}": (f"run=n up={k * 0.5}", k % 2) for k in range(3)}
     rig.register(fresh)
