--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -72,7 +72,7 @@
         self.planner = Planner(config.deadline_s)
         load_solver_library()
         self.counts = {"asked": 0, "proposed": 0, "unknown": 0, "too_little": 0}  # keys of the status page
-        self.sheds_load = self.engine.config.admission not in (Admission.OFF, Admission.SILENT)
+        self.sheds_load = self.engine.config.admission not in (Admission.OFF, Admission.NOT_SUPPORTED)
 
     def run(self) -> None:
         """Request a plan once per report period, until the program ends."""
