--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -189,7 +189,7 @@
         if steps is None or steps[0] != "proxy":
             raise ChpError("no such key can be set")
         uid = steps[1]
-        reason = self.access.may_be(received.user, uid)
+        reason = self.access.check_proxy_name(received.user, uid)
         if reason:
             raise ChpError(reason)
         session = self.sessions.by_uid.get(uid)
@@ -199,7 +199,7 @@
     def _note_ack(self, now: int, session: SubscriberSession, ack: codec.Ack) -> None:
         """What a proxy has applied: a heartbeat, an acknowledgement, and how far it lags."""
         self.counts["acks"] += 1
-        self.session_tracker.polled(now, session.number)
+        self.session_tracker.record_poll(now, session.number)
         if self.ownership.shared:
             self.ownership.acknowledge(session.uid, ack.request_number if session.fence else 0)
             if session.number not in self.sessions.by_number:
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -43,7 +43,7 @@
     def join(self, now: int, request: JoinRequest) -> None:
         """A proxy has asked for its own subtree; ChpError for a name that it may not have."""
         uid = request.uid
-        reason = self.server.access.may_be(request.user, uid)
+        reason = self.server.access.check_proxy_name(request.user, uid)
         if not uid or len(uid) > MAX_UID_CHARS or reason:
             raise ChpError(reason or "no proxy has such a name")
         older = self.by_uid.get(uid)
@@ -68,7 +68,7 @@
         uid = request.uid
         self.newest_number += 1
         number = self.newest_number
-        if self.session_tracker.start(now, number, uid, push=False).turned_away:
+        if self.session_tracker.start(now, number, uid, push=False).rejected:
             self.server.counts["refused"] += 1
             return
         older = self.by_uid.get(uid)
@@ -123,7 +123,7 @@
     def recheck(self, now: int) -> None:
         """End the sessions of those who may not have their names any more."""
         for session in list(self.by_number.values()):
-            reason = self.server.access.may_be(session.user, session.uid)
+            reason = self.server.access.check_proxy_name(session.user, session.uid)
             if reason:
                 self.leave(now, session, f"keys withdrawn: {reason}")
 
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -240,7 +240,7 @@
     def report(self, now_us: int, point: DataPoint) -> str:
         """Add a data point of a load report. Return an empty string if it counts, else the reason why it does not."""
         reason = self.reports.add(now_us, point)
-        task = point.place[1]
+        task = point.subject[1]
         if not reason and task in self.endpoints and point.kind in TASK_TRAFFIC:
             self.task_states.last_report_at[task] = now_us
         return reason
@@ -251,7 +251,7 @@
         change = outcome.change
         if change is not None:
             self.task_states.apply(change)
-        for key in outcome.left:  # the state of an index ends with its holder, even if no update reports it
+        for key in outcome.removed_keys:  # the state of an index ends with its holder, even if no update reports it
             self.task_states.forget(self.task_indices.index.get(key))
             self.task_indices.release(now_us, key)
         if change is not None:
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -11,7 +11,7 @@
 
 from hollyridge.core.engine import Engine
 
-CLOCK_ABOVE = 1_000_000_000  # us added to the monotonic clock, since the interface reads time 0 as long past
+CLOCK_OFFSET_US = 1_000_000_000  # us added to the monotonic clock, since the interface reads time 0 as long past
 MAX_RUN_US = 60_000_000  # upper end of the histogram
 RUN_DIGITS = 3  # significant digits of the histogram
 US_PER_S = 1e6
@@ -19,7 +19,7 @@
 
 def monotonic_us() -> int:
     """Return the time of a clock that never steps, in microseconds."""
-    return time.monotonic_ns() // 1000 + CLOCK_ABOVE
+    return time.monotonic_ns() // 1000 + CLOCK_OFFSET_US
 
 
 class EventLoop:
--- a/hollyridge/discovery/endpoint_list.py
+++ b/hollyridge/discovery/endpoint_list.py
@@ -156,7 +156,7 @@
         if event.full:
             removed += self.remove_unlisted(event.entries)
         update = EndpointListUpdate(max(self.version, 0), update_kind(message), tuple(changed))
-        return RegistrationOutcome(update, left=tuple(removed))
+        return RegistrationOutcome(update, removed_keys=tuple(removed))
 
     def add_or_update(self, now_us: int, entry: ListedEndpoint) -> Endpoint | None:
         """Add or update an entry and return its endpoint; None if no more endpoints are accepted."""
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -13,7 +13,7 @@
 
 from hollyridge.lab.checks.chp_listener import ChpListener
 from hollyridge.lab.reports.record import frame_of, parts_of
-from hollyridge.registration.members import figure, read_label
+from hollyridge.registration.members import number_in_range, read_label
 from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import HeldWeights
 
@@ -298,7 +298,7 @@
 def _started(at: int, member: codec.Member) -> TaskNews:
     """What an assigner learns from a member's registration and its label."""
     words = read_label(member.label)
-    up_s = figure(words, "up", 0, MAX_UPTIME_S) or 0.0
+    up_s = number_in_range(words, "up", 0, MAX_UPTIME_S) or 0.0
     return TaskNews(at, "ready", words.get("run", ""), at - round(up_s * 1e6))
 
 
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -14,7 +14,7 @@
 import msgspec
 from gevent import subprocess
 
-from hollyridge.core.event_loop import CLOCK_ABOVE
+from hollyridge.core.event_loop import CLOCK_OFFSET_US
 from hollyridge.lab.day import Day, DayError
 from hollyridge.lab.reports.record import STATE, Recorder, now_us, read_all
 from hollyridge.lab.scenario import Scenario
@@ -234,4 +234,4 @@
 def _state_record(number: int, core: dict) -> dict:
     """The record that a simulated assigner's state would have."""
     state = {key: core[key] for key in STATE}
-    return {"k": "state", "t": core["at"] - CLOCK_ABOVE, "assigner": number, **state, **core["module"]}
+    return {"k": "state", "t": core["at"] - CLOCK_OFFSET_US, "assigner": number, **state, **core["module"]}
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -25,12 +25,12 @@
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
 METRICS = {
-    "hollyridge.tries": Kind.TRIES,
-    "hollyridge.tries.failed": Kind.FAILED,
-    "hollyridge.tries.time": Kind.TIME,
+    "hollyridge.tries": Kind.ATTEMPTS,
+    "hollyridge.tries.failed": Kind.FAILED_ATTEMPTS,
+    "hollyridge.tries.time": Kind.ATTEMPT_TIME,
     "hollyridge.rpcs": Kind.RPCS,
     "hollyridge.rpcs.unanswered": Kind.UNANSWERED,
-    "hollyridge.task.util": Kind.UTIL,
+    "hollyridge.task.util": Kind.UTILIZATION,
     "hollyridge.task.queue": Kind.QUEUE,
 }
 CUMULATIVE = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
@@ -52,10 +52,10 @@
 
 
 class Labels(NamedTuple):
-    """What a data point is about, as indices: `place` is (zone, task) or (proxy, method), as in DataPoint."""
+    """What a data point is about, as indices: `subject` is (zone, task) or (proxy, method), as in DataPoint."""
 
     source: str
-    place: tuple[int, int]
+    subject: tuple[int, int]
     method: int
 
 
@@ -149,14 +149,14 @@
     start_ns = point.start_time_unix_nano
     end_ns = point.time_unix_nano
     if temporality == CUMULATIVE:
-        key = (labels.source, kind, labels.place, labels.method)
+        key = (labels.source, kind, labels.subject, labels.method)
         increase = cumulative.increase(key, RunningTotal(start_ns, end_ns, value))
         if isinstance(increase, str):
             return increase
         value, start_ns = increase
     elif temporality != DELTA:
         return "no temporality"
-    return DataPoint(labels.source, kind, labels.place, labels.method, value, start_ns, end_ns)
+    return DataPoint(labels.source, kind, labels.subject, labels.method, value, start_ns, end_ns)
 
 
 def rpc_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
@@ -199,12 +199,12 @@
 
 
 LABEL_READERS: dict[Kind, Callable[[dict[str, str], str, AttributeNames], Labels | str]] = {
-    Kind.TRIES: attempt_labels,
-    Kind.FAILED: attempt_labels,
-    Kind.TIME: attempt_labels,
+    Kind.ATTEMPTS: attempt_labels,
+    Kind.FAILED_ATTEMPTS: attempt_labels,
+    Kind.ATTEMPT_TIME: attempt_labels,
     Kind.RPCS: rpc_labels,
     Kind.UNANSWERED: rpc_labels,
-    Kind.UTIL: load_labels,
+    Kind.UTILIZATION: load_labels,
     Kind.QUEUE: load_labels,
 }
 
--- a/hollyridge/registration/events.py
+++ b/hollyridge/registration/events.py
@@ -15,7 +15,7 @@
     NOT_REGISTERED = 2
     FULL = 3
     NO_ZONE = 4
-    TWICE = 5  # the request names a member twice
+    DUPLICATE = 5  # the request names a member twice
 
 
 class MemberRequest(NamedTuple):
@@ -86,4 +86,4 @@
 
     change: EndpointListUpdate | None = None
     refusal: Refusal | None = None
-    left: tuple[tuple, ...] = ()
+    removed_keys: tuple[tuple, ...] = ()
--- a/hollyridge/registration/member_label.py
+++ b/hollyridge/registration/member_label.py
@@ -15,10 +15,10 @@
     return dict(word.split("=", 1) for word in label.split() if "=" in word)
 
 
-def figure(values: Mapping[AnyStr, AnyStr], name: AnyStr, minimum: float, maximum: float) -> float | None:
+def number_in_range(values: Mapping[AnyStr, AnyStr], name: AnyStr, minimum: float, maximum: float) -> float | None:
     """Return the number under a name, or None if it is missing, malformed or out of bounds.
 
-    >>> figure({"up": "nan"}, "up", 0, 10), figure({"up": "3"}, "up", 0, 10)
+    >>> number_in_range({"up": "nan"}, "up", 0, 10), number_in_range({"up": "3"}, "up", 0, 10)
     (None, 3.0)
     """
     try:
--- a/hollyridge/registration/members.py
+++ b/hollyridge/registration/members.py
@@ -32,7 +32,7 @@
     StreamLost,
     Tick,
 )
-from hollyridge.registration.member_label import figure, read_label
+from hollyridge.registration.member_label import number_in_range, read_label
 from hollyridge.registration.registered_member import DEFAULT_SIZE, NO_HOLD, NO_STREAM, RegisteredMember
 
 __all__ = [
@@ -48,7 +48,7 @@
     "RegistrationOutcome",
     "StreamLost",
     "Tick",
-    "figure",
+    "number_in_range",
     "read_label",
 ]
 
@@ -103,15 +103,15 @@
         lapsed: Number of members removed after their stream was lost.
     """
 
-    def __init__(self, terms: RegistrationConfig, now_us: int) -> None:
-        self.terms = terms
+    def __init__(self, registration_config: RegistrationConfig, now_us: int) -> None:
+        self.registration_config = registration_config
         self.entries: dict[tuple, RegisteredMember] = {}
         self.version = 0
         self.opened_us = now_us
         self.last_registration_us = now_us
         self.settled = False
         self.restarts = 0
-        self.returns = 0
+        self.reconnections = 0
         self.lapsed = 0
 
     def handle(self, now_us: int, event: RegistrationEvent) -> RegistrationOutcome:
@@ -142,18 +142,18 @@
     def next_deadline(self, now_us: int) -> int | None:
         """Return the time at which the next `Tick` is due, or None if none is."""
         if not self.settled:
-            return now_us + max(MIN_SETTLE_CHECK_US, self.terms.settle_us // 4)
+            return now_us + max(MIN_SETTLE_CHECK_US, self.registration_config.settle_us // 4)
         return min(
             (member.held_until_us for member in self.entries.values() if member.held_until_us >= 0), default=None
         )
 
     def counters(self) -> dict[str, int]:
         """Return counts for the status page."""
-        return {"restarts": self.restarts, "returns": self.returns, "lapsed": self.lapsed}
+        return {"restarts": self.restarts, "returns": self.reconnections, "lapsed": self.lapsed}
 
     def _first_list(self, now_us: int) -> EndpointListUpdate | None:
-        paused = self.entries and now_us - self.last_registration_us >= self.terms.settle_us
-        if not paused and now_us - self.opened_us < self.terms.max_settle_us:
+        paused = self.entries and now_us - self.last_registration_us >= self.registration_config.settle_us
+        if not paused and now_us - self.opened_us < self.registration_config.max_settle_us:
             return None
         self.settled = True
         return self.full_list(UpdateKind.CACHED)
@@ -180,9 +180,9 @@
     def _refusal_of(self, requests: tuple[MemberRequest, ...]) -> Refusal | None:
         """Return the reason why a registration is refused as a whole, or None if it is not."""
         if len({request.key for request in requests}) < len(requests):
-            return Refusal.TWICE
+            return Refusal.DUPLICATE
         new = sum(request.key not in self.entries for request in requests)
-        if len(self.entries) + new > self.terms.max_members:
+        if len(self.entries) + new > self.registration_config.max_members:
             return Refusal.FULL
         if any(request.task <= NOT_ALLOCATED for request in requests):
             return Refusal.FULL
@@ -209,13 +209,13 @@
         member.run = label_values.get("run", "")
         member.stream = stream
         member.started_at_us = self._start_of_run(now_us, label_values)
-        member.listed_weight = figure(label_values, "size", MIN_SIZE, MAX_SIZE) or DEFAULT_SIZE
+        member.listed_weight = number_in_range(label_values, "size", MIN_SIZE, MAX_SIZE) or DEFAULT_SIZE
         return member
 
     def _reconnect(self, stream: int, request: MemberRequest, member: RegisteredMember) -> _MemberResult:
         """Assign a member to this stream and end its drain, if any."""
         repeated = member.stream == stream
-        self.returns += not repeated
+        self.reconnections += not repeated
         member.stream = stream
         member.held_until_us = NO_HOLD
         member.self_registered = request.self_registered
@@ -226,11 +226,11 @@
 
     def _start_of_run(self, now_us: int, label_values: dict[str, str]) -> int:
         """Return the start time of a run, or 0 for long ago. Without `up=` it is now, since a slow start is safer."""
-        up_s = figure(label_values, "up", 0.0, MAX_UP_S)
+        up_s = number_in_range(label_values, "up", 0.0, MAX_UP_S)
         if up_s is None:
             return now_us
         up_us = up_s * US_PER_S
-        return 0 if up_us >= self.terms.warm_up_us else max(1, now_us - round(up_us))
+        return 0 if up_us >= self.registration_config.warm_up_us else max(1, now_us - round(up_us))
 
     def _deregister(self, event: Deregistered) -> RegistrationOutcome:
         if event.keys is None:
@@ -260,7 +260,11 @@
         for member in self.entries.values():
             if member.stream == stream:
                 member.stream = NO_STREAM
-                hold_us = self.terms.hold_own_us if member.self_registered else self.terms.hold_agent_us
+                hold_us = (
+                    self.registration_config.hold_own_us
+                    if member.self_registered
+                    else self.registration_config.hold_agent_us
+                )
                 member.held_until_us = now_us + hold_us
         return self._remove_lapsed(now_us)
 
@@ -270,6 +274,6 @@
         return self._remove(lapsed)
 
     def _remove(self, keys: Iterable[tuple]) -> RegistrationOutcome:
-        left = tuple(keys)
-        endpoints = [self.entries.pop(key).as_endpoint()._replace(state=TaskState.GONE) for key in left]
-        return RegistrationOutcome(self._delta(endpoints), None, left)
+        removed_keys = tuple(keys)
+        endpoints = [self.entries.pop(key).as_endpoint()._replace(state=TaskState.GONE) for key in removed_keys]
+        return RegistrationOutcome(self._delta(endpoints), None, removed_keys)
--- a/hollyridge/sasp/registration.py
+++ b/hollyridge/sasp/registration.py
@@ -29,7 +29,7 @@
         members.Refusal.NOT_REGISTERED: Code.NOT_REGISTERED,
         members.Refusal.FULL: Code.NOT_FROM_YOU,
         members.Refusal.NO_ZONE: Code.NOT_FROM_YOU,
-        members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
+        members.Refusal.DUPLICATE: Code.DUPLICATE_MEMBER,
     }
 )
 # Members whose index is in use no more are forgotten once there are this many times as many as indices, and more.
@@ -92,8 +92,10 @@
         wanted = [member for batch in message.groups for member in batch.members]
         if len(wanted) > self.config.max_members_per_request:
             return Code.NOT_FROM_YOU
-        may_register = self.refusals.access.may_register
-        if any(self.refusals.check(connection, may_register(connection.bearer, member.host)) for member in wanted):
+        check_member_address = self.refusals.access.check_member_address
+        if any(
+            self.refusals.check(connection, check_member_address(connection.bearer, member.host)) for member in wanted
+        ):
             return Code.NOT_FROM_YOU
         own = len(wanted) == 1 and wanted[0].host == connection.address[0]
         allocation = self._allocate(now, wanted, own)
--- a/hollyridge/sessions/access.py
+++ b/hollyridge/sessions/access.py
@@ -37,11 +37,11 @@
     >>> network = ipaddress.ip_network("127.1.0.0/16")
     >>> gate, agent = Principal("gate", "", ("gw-*",), (), ("abdali",)), Principal("agent", "", (), (network,), ())
     >>> access = AccessControl(True, [gate, agent])
-    >>> access.may_be("gate", "gw-7"), access.may_be("gate", "other")
+    >>> access.check_proxy_name("gate", "gw-7"), access.check_proxy_name("gate", "other")
     ('', 'gate may not go by that name')
-    >>> access.may_register("agent", "127.1.0.9"), access.may_register("agent", "127.2.0.9")
+    >>> access.check_member_address("agent", "127.1.0.9"), access.check_member_address("agent", "127.2.0.9")
     ('', 'agent may not register that address')
-    >>> access.may_report("gate", "abdali"), access.may_report("nobody", "abdali")
+    >>> access.check_zone("gate", "abdali"), access.check_zone("nobody", "abdali")
     ('', 'nobody is not known')
 
     Args:
@@ -54,47 +54,47 @@
     """
 
     def __init__(self, keys_required: bool, principals: Iterable[Principal]) -> None:
-        self.open = True
+        self.unrestricted = True
         self.replace(principals)
-        self.open = self.open or not keys_required
+        self.unrestricted = self.unrestricted or not keys_required
 
     def replace(self, principals: Iterable[Principal]) -> None:
         """Replace the principals. Access that was once restricted to principals stays restricted."""
         self.principals = {principal.name: principal for principal in principals}
-        self.open = self.open and not self.principals
+        self.unrestricted = self.unrestricted and not self.principals
         self.principal_by_curve_key = {
             principal.curve_key: principal.name for principal in self.principals.values() if principal.curve_key
         }
 
     def is_curve_key_known(self, key: str) -> bool:
         """Return whether a client with this CURVE public key (Z85) may connect."""
-        return self.open or key in self.principal_by_curve_key
+        return self.unrestricted or key in self.principal_by_curve_key
 
-    def known(self, name: str) -> str:
+    def check_known(self, name: str) -> str:
         """Check that a name is the name of a principal."""
-        return "" if self.open or name in self.principals else f"{name or 'a stranger'} is not known"
+        return "" if self.unrestricted or name in self.principals else f"{name or 'a stranger'} is not known"
 
-    def may_be(self, name: str, uid: str) -> str:
+    def check_proxy_name(self, name: str, uid: str) -> str:
         """Check that a principal may act as the proxy `uid`."""
-        denial = self.known(name)
-        if self.open or denial:
+        denial = self.check_known(name)
+        if self.unrestricted or denial:
             return denial
         allowed = any(fnmatchcase(uid, pattern) for pattern in self.principals[name].uid_patterns)
         return "" if allowed else f"{name} may not go by that name"
 
-    def may_register(self, name: str, host: str) -> str:
+    def check_member_address(self, name: str, host: str) -> str:
         """Check that a principal may register a member at the IP address `host`."""
-        denial = self.known(name)
-        if self.open or denial:
+        denial = self.check_known(name)
+        if self.unrestricted or denial:
             return denial
         address = ipaddress.ip_address(host)
         networks = self.principals[name].networks
         allowed = any(address.version == network.version and address in network for network in networks)
         return "" if allowed else f"{name} may not register that address"
 
-    def may_report(self, name: str, zone: str) -> str:
+    def check_zone(self, name: str, zone: str) -> str:
         """Check that a principal may report for a zone."""
-        denial = self.known(name)
-        if self.open or denial:
+        denial = self.check_known(name)
+        if self.unrestricted or denial:
             return denial
         return "" if zone in self.principals[name].zones else f"{name} may not report for that zone"
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -33,7 +33,7 @@
 
     joined: bool
     close: int = -1
-    turned_away: bool = False
+    rejected: bool = False
 
 
 class StreamState:
@@ -61,10 +61,10 @@
     """Tracker of the streams of load balancers.
 
     >>> sessions = SessionTracker(drain_grace_us=3_000_000, empty_table_limit_us=5_000_000)
-    >>> sessions.interval
+    >>> sessions.poll_interval_s
     1
     >>> sessions.start(0, 7, "gw-1", push=False)
-    SessionStarted(joined=True, close=-1, turned_away=False)
+    SessionStarted(joined=True, close=-1, rejected=False)
     >>> sessions.overdue(2_600_000), sessions.overdue(2_800_000)
     ([], [(7, 'no poll within the timeout')])
 
@@ -85,8 +85,8 @@
         limit_us = min(drain_grace_us, empty_table_limit_us)
         self.drain_grace_us = drain_grace_us
         self.timeout_us = limit_us * 9 // 10
-        self.interval = max(1, limit_us // (POLLS_PER_LIMIT * 1_000_000))
-        self.first_answer = self.timeout_us // 4
+        self.poll_interval_s = max(1, limit_us // (POLLS_PER_LIMIT * 1_000_000))
+        self.first_poll_wait_us = self.timeout_us // 4
         self.streams: dict[int, StreamState] = {}
         self.by_uid: dict[str, int] = {}
         self.takeovers: dict[str, deque[int]] = {}
@@ -101,7 +101,7 @@
         older = self.by_uid.get(uid, -1)
         if older >= 0:
             if not self.may_take_over(now_us, uid):
-                return SessionStarted(False, turned_away=True)
+                return SessionStarted(False, rejected=True)
             self.end(older)
         self.streams[number] = StreamState(uid, push, now_us)
         self.by_uid[uid] = number
@@ -123,7 +123,7 @@
         if stream is not None and self.by_uid.get(stream.uid) == number:
             del self.by_uid[stream.uid]
 
-    def polled(self, now_us: int, number: int) -> None:
+    def record_poll(self, now_us: int, number: int) -> None:
         """Record that a message has arrived on a stream."""
         if number in self.streams:
             self.streams[number].last_polled_us = now_us
--- a/hollyridge/telemetry/data_points.py
+++ b/hollyridge/telemetry/data_points.py
@@ -11,17 +11,17 @@
 class Kind(IntEnum):
     """The quantity that a data point counts or measures."""
 
-    TRIES = 0  # attempts that proxies made at a task
-    FAILED = 1  # those of them that failed
-    TIME = 2  # total duration of the others, in seconds
+    ATTEMPTS = 0  # attempts that proxies made at a task
+    FAILED_ATTEMPTS = 1  # those of them that failed
+    ATTEMPT_TIME = 2  # total duration of the others, in seconds
     RPCS = 3  # RPCs that reached a proxy
     UNANSWERED = 4  # those of them that got no answer
-    UTIL = 5  # fraction of a task's capacity in use
+    UTILIZATION = 5  # fraction of a task's capacity in use
     QUEUE = 6  # number of RPCs that wait at a task
 
 
-LOADS = (Kind.UTIL, Kind.QUEUE)  # gauges, measured by the task itself
-TASK_TRAFFIC = (Kind.TRIES, Kind.FAILED, Kind.TIME)  # counted over a period, by the proxies
+LOADS = (Kind.UTILIZATION, Kind.QUEUE)  # gauges, measured by the task itself
+TASK_TRAFFIC = (Kind.ATTEMPTS, Kind.FAILED_ATTEMPTS, Kind.ATTEMPT_TIME)  # counted over a period, by the proxies
 
 
 class DataPoint(NamedTuple):
@@ -39,7 +39,7 @@
 
     source: str
     kind: Kind
-    place: tuple[int, int]
+    subject: tuple[int, int]
     method: int
     value: float
     start_ns: int
@@ -51,5 +51,5 @@
 
     source: str
     kind: Kind
-    place: tuple[int, int]
+    subject: tuple[int, int]
     method: int
--- a/hollyridge/telemetry/report_aggregator.py
+++ b/hollyridge/telemetry/report_aggregator.py
@@ -77,7 +77,7 @@
         rejected: Number of data points that did not count, by reason.
 
     >>> reports = ReportAggregator(100, 100, 1e6, 50, 60_000_000)
-    >>> attempts = DataPoint("gw-1", Kind.TRIES, (0, 3), 0, 12.0, 5 * NS_PER_S, 6 * NS_PER_S)
+    >>> attempts = DataPoint("gw-1", Kind.ATTEMPTS, (0, 3), 0, 12.0, 5 * NS_PER_S, 6 * NS_PER_S)
     >>> reports.add(0, attempts), reports.add(0, attempts)
     ('', 'counted before')
     >>> reports.collect(10)
@@ -101,10 +101,10 @@
             self.rejected[reason] = self.rejected.get(reason, 0) + 1
             return reason
         if point.kind in LOADS:
-            task = point.place[1]
+            task = point.subject[1]
             self.loads.setdefault(task, {})[point.kind] = point.value
             return ""
-        by_source = self.sums.setdefault((point.kind, point.place), {})
+        by_source = self.sums.setdefault((point.kind, point.subject), {})
         series = by_source.setdefault((point.source, point.method), Series())
         series.value += point.value
         series.duration_us += (point.end_ns - point.start_ns) // NS_PER_US
@@ -114,7 +114,7 @@
         reason = self._implausibility(point)
         if reason:
             return reason
-        key = SeriesKey(point.source, point.kind, point.place, point.method)
+        key = SeriesKey(point.source, point.kind, point.subject, point.method)
         if point.kind in LOADS:
             is_new = self.counted.add_sample(now_us, key, point.end_ns)
         else:
@@ -128,7 +128,7 @@
         if not math.isfinite(point.value) or point.value < 0:
             return INVALID_VALUE
         if point.kind in LOADS:
-            return INVALID_VALUE if point.kind == Kind.UTIL and point.value > MAX_UTILIZATION else ""
+            return INVALID_VALUE if point.kind == Kind.UTILIZATION and point.value > MAX_UTILIZATION else ""
         period_ns = point.end_ns - point.start_ns
         if not 0 < period_ns <= MAX_PERIOD_NS:
             return INVALID_PERIOD
@@ -140,29 +140,31 @@
         """Return the counts since the last call: traffic by task, the busiest first, then offered load by proxy."""
         self.counted.sweep_if_due(now_us)
         attempted = self._busiest_subjects()
-        offered = sorted({place for kind, place in self.sums if kind == Kind.RPCS})
+        offered = sorted({subject for kind, subject in self.sums if kind == Kind.RPCS})
         events: list[Event] = []
-        for place in attempted:
-            events.append(self._traffic_report(place))
-            self._drop_sums(place, TASK_TRAFFIC)
+        for subject in attempted:
+            events.append(self._traffic_report(subject))
+            self._drop_sums(subject, TASK_TRAFFIC)
         for _, task in attempted:  # after the loop, since the reports of all zones that sent to a task contain its load
             self.loads.pop(task, None)
-        for place in offered:
-            events.append(self._offered_load(place))
-            self._drop_sums(place, PROXY_TRAFFIC)
+        for subject in offered:
+            events.append(self._offered_load(subject))
+            self._drop_sums(subject, PROXY_TRAFFIC)
         return events
 
     def _busiest_subjects(self) -> list[Subject]:
         by_attempts = sorted(
-            (-self._total(Kind.TRIES, place).value, place) for kind, place in self.sums if kind == Kind.TRIES
+            (-self._total(Kind.ATTEMPTS, subject).value, subject)
+            for kind, subject in self.sums
+            if kind == Kind.ATTEMPTS
         )
-        return [place for _, place in by_attempts[: self.max_reports]]
+        return [subject for _, subject in by_attempts[: self.max_reports]]
 
-    def _traffic_report(self, place: Subject) -> TrafficReport:
-        zone, task = place
-        attempts = self._total(Kind.TRIES, place)
-        failed = round(min(self._total(Kind.FAILED, place).value, attempts.value))
-        total_s = self._total(Kind.TIME, place).value
+    def _traffic_report(self, subject: Subject) -> TrafficReport:
+        zone, task = subject
+        attempts = self._total(Kind.ATTEMPTS, subject)
+        failed = round(min(self._total(Kind.FAILED_ATTEMPTS, subject).value, attempts.value))
+        total_s = self._total(Kind.ATTEMPT_TIME, subject).value
         succeeded = round(attempts.value) - failed
         load = self.loads.get(task, {})
         return TrafficReport(
@@ -175,22 +177,22 @@
             tuple(load.get(kind, NO_LOAD) for kind in LOADS),
         )
 
-    def _offered_load(self, place: Subject) -> OfferedLoad:
-        proxy, method = place
-        rpcs = self._total(Kind.RPCS, place)
-        unanswered = self._total(Kind.UNANSWERED, place).value
-        idle_series = self.sums.get((Kind.RPCS, place), {}).values()
+    def _offered_load(self, subject: Subject) -> OfferedLoad:
+        proxy, method = subject
+        rpcs = self._total(Kind.RPCS, subject)
+        unanswered = self._total(Kind.UNANSWERED, subject).value
+        idle_series = self.sums.get((Kind.RPCS, subject), {}).values()
         return OfferedLoad(round(rpcs.value), _interval_us(rpcs, idle_series), proxy, method, round(unanswered))
 
-    def _total(self, kind: Kind, place: Subject) -> SubjectTotal:
-        all_series = self.sums.get((kind, place), {}).values()
+    def _total(self, kind: Kind, subject: Subject) -> SubjectTotal:
+        all_series = self.sums.get((kind, subject), {}).values()
         value = sum(series.value for series in all_series)
         value_per_us = sum(series.value / max(series.duration_us, 1) for series in all_series)
         return SubjectTotal(value, value_per_us)
 
-    def _drop_sums(self, place: Subject, kinds: tuple[Kind, ...]) -> None:
+    def _drop_sums(self, subject: Subject, kinds: tuple[Kind, ...]) -> None:
         for kind in kinds:
-            self.sums.pop((kind, place), None)
+            self.sums.pop((kind, subject), None)
 
 
 def _interval_us(total: SubjectTotal, idle_series: Iterable[Series]) -> int:
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -122,8 +122,8 @@
 
 def test_a_snapshot_larger_than_what_may_wait_arrives_while_changes_go_on(rig):
     r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
-    r.engine.endpoint_source.terms, r.engine.task_indices.max_indices = (
-        r.engine.endpoint_source.terms._replace(max_members=1000),
+    r.engine.endpoint_source.registration_config, r.engine.task_indices.max_indices = (
+        r.engine.endpoint_source.registration_config._replace(max_members=1000),
         1000,
     )
     agent = r.agent()
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -80,7 +80,11 @@
     def report_traffic(self, task, attempts=20, failed=0, zone=0, period_s=1.0):
         end_ns = self.now * 1000
         start_ns = end_ns - round(period_s * 1e9)
-        figures = ((Kind.TRIES, attempts), (Kind.FAILED, failed), (Kind.TIME, (attempts - failed) * 0.1))
+        figures = (
+            (Kind.ATTEMPTS, attempts),
+            (Kind.FAILED_ATTEMPTS, failed),
+            (Kind.ATTEMPT_TIME, (attempts - failed) * 0.1),
+        )
         for kind, value in figures:
             self.engine.report(self.now, DataPoint("gw", kind, (zone, task), 0, value, start_ns, end_ns))
 
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -38,7 +38,7 @@
 
     def take(self, what, now=START):
         outcome = self.listing.handle(now, what)
-        for name in outcome.left:
+        for name in outcome.removed_keys:
             self.indices.release(now, name)
         return outcome.change
 
--- a/tests/limits/test_limits_flood.py
+++ b/tests/limits/test_limits_flood.py
@@ -4,7 +4,7 @@
 
 import gevent
 from gevent import socket
-from service_rig import tries
+from service_rig import attempts_point
 
 from hollyridge.lab.experiments.flood import flood
 from hollyridge.otlp.sender import post, request_of
@@ -22,7 +22,9 @@
             )
             connection._create_connection = socket.create_connection
             figures = [
-                tries(assigner_rig, begun=request_index * 50 + figure_index, end=request_index * 50 + figure_index + 1)
+                attempts_point(
+                    assigner_rig, start_s=request_index * 50 + figure_index, end=request_index * 50 + figure_index + 1
+                )
                 for figure_index in range(40 if sender == "loud" else 2)
             ]
             statuses[sender].append(post(connection, request_of(f"{sender}-{request_index % 3}", figures))[0])
--- a/tests/registration/test_registration_members.py
+++ b/tests/registration/test_registration_members.py
@@ -126,7 +126,7 @@
     fleet = Fleet().settle()
     request = members.MemberRequest((1,), 1, 0, "", False)
     cases = [
-        (Registered(1, (request, request)), Refusal.TWICE),
+        (Registered(1, (request, request)), Refusal.DUPLICATE),
         (Registered(1, (request._replace(zone=-1),)), Refusal.NO_ZONE),
         (Registered(1, (request._replace(task=-1),)), Refusal.FULL),
         (Deregistered(1, ((7,),)), Refusal.NOT_REGISTERED),
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -37,7 +37,7 @@
         settings.update({tuple(key.split("__")): str(value) for key, value in overrides.items()})
         self.service = Service(assigner.load(LOOPBACK, settings), structlog.get_logger())
         self.sasp, self.otlp = self.service.start()
-        self.engine, self.front = self.service.engine, self.service.sasp_server
+        self.engine, self.protocol_server = self.service.engine, self.service.sasp_server
         self.job = gevent.spawn(self.service.run)
         self.clients = []
 
@@ -68,7 +68,7 @@
         self.clients.append(sock)
         return sock
 
-    def holds(self, client, held=None, seconds=1.0):
+    def held_after(self, client, held=None, seconds=1.0):
         """Return the host numbers by group that a push client holds after this time, and its held weights."""
         held = held or HeldWeights()
         deadline = time.monotonic() + seconds
@@ -122,7 +122,7 @@
     return False
 
 
-def tries(r, value=10.0, begun=0.0, end=1.0, **labels):
+def attempts_point(r, value=10.0, start_s=0.0, end=1.0, **labels):
     attributes = {"proxy": "gw-1", "zone": "abdali", "task": "127.1.0.1:9000", "method": "read-chapter", **labels}
     base_ns = 1_700_000_000_000_000_000
-    return Figure("hollyridge.tries", value, attributes, base_ns + round(end * 1e9), base_ns + round(begun * 1e9))
+    return Figure("hollyridge.tries", value, attributes, base_ns + round(end * 1e9), base_ns + round(start_s * 1e9))
--- a/tests/sessions/test_sessions_access.py
+++ b/tests/sessions/test_sessions_access.py
@@ -12,10 +12,10 @@
 
 @pytest.mark.parametrize("access", [AccessControl(False, ()), AccessControl(True, ()), AccessControl(False, [GATE])])
 def test_without_keys_or_without_principals_every_client_may_do_everything(access):
-    assert access.open
+    assert access.unrestricted
     assert access.is_curve_key_known("any-key")
-    assert access.known("anyone") == access.may_be("anyone", "gw-1") == ""
-    assert access.may_register("anyone", "10.0.0.1") == access.may_report("anyone", "khalda") == ""
+    assert access.check_known("anyone") == access.check_proxy_name("anyone", "gw-1") == ""
+    assert access.check_member_address("anyone", "10.0.0.1") == access.check_zone("anyone", "khalda") == ""
 
 
 @pytest.mark.parametrize(
@@ -30,7 +30,7 @@
     ],
 )
 def test_a_principal_acts_as_the_proxies_of_its_patterns(name, uid, denial):
-    assert AccessControl(True, [GATE, AGENT]).may_be(name, uid) == denial
+    assert AccessControl(True, [GATE, AGENT]).check_proxy_name(name, uid) == denial
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
     ],
 )
 def test_a_principal_registers_members_within_its_networks(name, host, denial):
-    assert AccessControl(True, [GATE, AGENT]).may_register(name, host) == denial
+    assert AccessControl(True, [GATE, AGENT]).check_member_address(name, host) == denial
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
     ],
 )
 def test_a_principal_reports_for_its_zones(name, zone, denial):
-    assert AccessControl(True, [GATE, AGENT]).may_report(name, zone) == denial
+    assert AccessControl(True, [GATE, AGENT]).check_zone(name, zone) == denial
 
 
 def test_only_curve_keys_of_principals_are_known():
@@ -71,14 +71,14 @@
 def test_removing_the_last_principal_denies_all_access():
     access = AccessControl(True, [GATE])
     access.replace([])
-    assert not access.open
-    assert access.known("gate") == "gate is not known"
+    assert not access.unrestricted
+    assert access.check_known("gate") == "gate is not known"
     assert not access.is_curve_key_known("gate-key")
 
 
 def test_adding_the_first_principal_denies_access_to_others():
     access = AccessControl(True, ())
     access.replace([GATE])
-    assert not access.open
-    assert access.known("gate") == ""
-    assert access.known("other") == "other is not known"
+    assert not access.unrestricted
+    assert access.check_known("gate") == ""
+    assert access.check_known("other") == "other is not known"
--- a/tests/sessions/test_sessions_session_tracker.py
+++ b/tests/sessions/test_sessions_session_tracker.py
@@ -8,14 +8,14 @@
 def test_the_poll_interval_is_short_enough_for_drains():
     for grace, empty_table_limit in ((1, 5), (3, 5), (10, 30), (60, 20)):
         tracker = SessionTracker(grace * SECOND, empty_table_limit * SECOND)
-        assert tracker.interval >= 1
-        assert tracker.interval * SECOND < tracker.timeout_us or grace == 1
+        assert tracker.poll_interval_s >= 1
+        assert tracker.poll_interval_s * SECOND < tracker.timeout_us or grace == 1
         tracker.start(0, 1, "gw", push=False)
         polled_at = 0
-        while polled_at < 20 * SECOND and tracker.interval * SECOND < tracker.timeout_us:
-            polled_at += tracker.interval * SECOND
+        while polled_at < 20 * SECOND and tracker.poll_interval_s * SECOND < tracker.timeout_us:
+            polled_at += tracker.poll_interval_s * SECOND
             assert not tracker.overdue(polled_at)
-            tracker.polled(polled_at, 1)
+            tracker.record_poll(polled_at, 1)
         assert tracker.overdue(polled_at + grace * SECOND)
 
 
@@ -37,5 +37,5 @@
     assert tracker.start(0, 1, "gw", True).joined
     for k in range(MAX_TAKEOVERS):
         assert tracker.start(k, k + 2, "gw", True) == (True, k + 1, False)
-    assert tracker.start(5, 99, "gw", True).turned_away
+    assert tracker.start(5, 99, "gw", True).rejected
     assert tracker.start(4 * SECOND, 100, "gw", True).joined
--- a/tests/telemetry/test_telemetry_report_aggregator.py
+++ b/tests/telemetry/test_telemetry_report_aggregator.py
@@ -7,8 +7,8 @@
 from hollyridge.telemetry.report_aggregator import DataPoint, Kind, ReportAggregator
 
 
-def point(value=10.0, start=0.0, end=1.0, kind=Kind.TRIES, source="gw-1", place=(0, 3), method=0):
-    return DataPoint(source, kind, place, method, value, round(start * NS), round(end * NS))
+def point(value=10.0, start=0.0, end=1.0, kind=Kind.ATTEMPTS, source="gw-1", subject=(0, 3), method=0):
+    return DataPoint(source, kind, subject, method, value, round(start * NS), round(end * NS))
 
 
 def aggregator():
@@ -43,12 +43,12 @@
     for k in range(500):
         reports.add(k, point(start=k, end=k + 1))
         reports.add(k, point(start=1.6 * k, end=1.6 * k + 1, source="gw-2"))
-        reports.add(k, point(0.5, k, k, kind=Kind.UTIL, source="gw-3"))
+        reports.add(k, point(0.5, k, k, kind=Kind.UTILIZATION, source="gw-3"))
     sizes = {key.source: len(periods) for key, periods in reports.counted.periods.items()}
     assert sizes == {"gw-1": 1, "gw-2": 32, "gw-3": 1}
     assert reports.add(0, steady)
     assert reports.add(0, gappy)
-    assert reports.add(0, point(0.9, 400, 400, kind=Kind.UTIL, source="gw-3"))  # an older gauge is not new
+    assert reports.add(0, point(0.9, 400, 400, kind=Kind.UTILIZATION, source="gw-3"))  # an older gauge is not new
 
 
 def test_periods_too_old_to_count_are_dropped():
@@ -73,8 +73,8 @@
     reports.add(0, point(20, 0, 2, source="a"))
     reports.add(0, point(30, 0, 1, source="b"))
     reports.add(0, point(30, 1, 2, source="b"))
-    reports.add(0, point(7, 0, 1, kind=Kind.FAILED, source="b"))
-    reports.add(0, point(14.6, 0, 1, kind=Kind.TIME, source="b"))
+    reports.add(0, point(7, 0, 1, kind=Kind.FAILED_ATTEMPTS, source="b"))
+    reports.add(0, point(14.6, 0, 1, kind=Kind.ATTEMPT_TIME, source="b"))
     (event,) = reports.collect(1)
     assert event.attempts == 80
     assert event.attempts / event.interval_us * SECOND == pytest.approx(40)
@@ -85,21 +85,21 @@
 def test_the_number_of_series_is_bounded():
     reports = aggregator()
     for k in range(1000):
-        reports.add(k, point(place=(0, k), source=f"s{k % 4}"))
+        reports.add(k, point(subject=(0, k), source=f"s{k % 4}"))
     assert len(reports.counted.periods) <= 50
     assert reports.rejected["too many series"] >= 950
     assert len(reports.collect(2000)) == 5  # the other reports wait
     late = 10**9
     reports.collect(late)
-    assert reports.add(late + 1, point(place=(1, 1), source="new")) == ""
+    assert reports.add(late + 1, point(subject=(1, 1), source="new")) == ""
 
 
 def test_a_load_counts_in_the_report_of_each_zone_that_sent_to_the_task():
     """The decision module keeps only the last report of a task, so a report without the load would erase it."""
     reports = aggregator()
     for zone in (0, 1, 2):
-        assert not reports.add(SECOND, point(source=f"gw-{zone}", place=(zone, 3)))
-    assert not reports.add(SECOND, point(kind=Kind.UTIL, value=0.5, place=(0, 3)))
+        assert not reports.add(SECOND, point(source=f"gw-{zone}", subject=(zone, 3)))
+    assert not reports.add(SECOND, point(kind=Kind.UTILIZATION, value=0.5, subject=(0, 3)))
     events = reports.collect(SECOND)
     assert [event.load[0] for event in events] == [0.5, 0.5, 0.5]
     assert not reports.add(2 * SECOND, point(start=1, end=2))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -9,7 +9,7 @@
 from chp_rig import clone_rig, hosts, open_gateway
 from gevent import socket
 from gevent import ssl as green_ssl
-from service_rig import GROUPS, LOOPBACK, tries, wait_for
+from service_rig import GROUPS, LOOPBACK, attempts_point, wait_for
 from zmq import auth
 
 from hollyridge.keys.curve import client_keys
@@ -90,7 +90,7 @@
 def test_clients_with_keys_are_admitted_by_both_servers(rig, keys):
     r, agent = secured_rig(rig, keys)
     gate = r.balancer("gw-1", connect=keys.connector("gate"))
-    assert r.holds(gate)[0] == {g: ALL for g in GROUPS}
+    assert r.held_after(gate)[0] == {g: ALL for g in GROUPS}
     gateway = open_gateway(r, "gw-2", keys=keys.curve_client("gate"))
     assert wait_for(lambda: hosts(gateway) == ALL)
     agent.quiesce([r.members()[0]])
@@ -138,7 +138,7 @@
         finally:
             connection.close()
 
-    both = [tries(r), tries(r, zone="khalda")]
+    both = [attempts_point(r), attempts_point(r, zone="khalda")]
     assert report("gate", both) == (200, 1)
     assert report("stranger", both) == (200, 2)
     assert r.service.metrics_server.uncounted["not for this sender"] == 3
@@ -156,10 +156,10 @@
     r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
     gevent.sleep(0.5)
     assert gateway.sessions == 1
-    assert r.holds(gate, seconds=0.5)[0] == {g: ALL for g in GROUPS}
+    assert r.held_after(gate, seconds=0.5)[0] == {g: ALL for g in GROUPS}
     new_gateway = open_gateway(r, "gw-3", keys=keys.curve_client("gate"))  # connects with the new server key
     assert wait_for(lambda: hosts(new_gateway) == ALL)
-    assert r.holds(r.balancer("gw-4", connect=keys.connector("gate")))[0] == {g: ALL for g in GROUPS}
+    assert r.held_after(r.balancer("gw-4", connect=keys.connector("gate")))[0] == {g: ALL for g in GROUPS}
     # Invalid files change nothing.
     (tmp_path / "service.pem").write_text("nonsense")
     with pytest.raises(OSError):
@@ -198,5 +198,5 @@
     silent = socket.create_connection(("127.0.0.1", r.sasp))  # never begins the handshake
     gate = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200", connect=keys.connector("gate"))
     gate.start(GROUPS)
-    assert r.holds(gate)[0] == {g: ALL for g in GROUPS}
+    assert r.held_after(gate)[0] == {g: ALL for g in GROUPS}
     silent.close()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -8,19 +8,23 @@
 
 import gevent
 import pytest
-from service_rig import Rig, tries, wait_for
+from service_rig import Rig, attempts_point, wait_for
 
 from hollyridge.lab.stand_ins.ports import free_ports
 
 REPORTS = [
     # figures, number of rejected ones, attempts counted
-    (lambda r: [tries(r)], 0, 10),
-    (lambda r: [tries(r, zone="nowhere"), tries(r)], 1, 10),
-    (lambda r: [tries(r, task="127.1.0.77:9000"), tries(r, task="no address")], 2, 0),
-    (lambda r: [tries(r, method="no-such")], 1, 0),
-    (lambda r: [tries(r, value=float("nan")), tries(r, value=-3.0), tries(r, end=0.0)], 3, 0),
-    (lambda r: [tries(r)._replace(name="something.else"), tries(r)], 1, 10),
-    (lambda r: [tries(r)._replace(start_ns=None)], 1, 0),
+    (lambda r: [attempts_point(r)], 0, 10),
+    (lambda r: [attempts_point(r, zone="nowhere"), attempts_point(r)], 1, 10),
+    (lambda r: [attempts_point(r, task="127.1.0.77:9000"), attempts_point(r, task="no address")], 2, 0),
+    (lambda r: [attempts_point(r, method="no-such")], 1, 0),
+    (
+        lambda r: [attempts_point(r, value=float("nan")), attempts_point(r, value=-3.0), attempts_point(r, end=0.0)],
+        3,
+        0,
+    ),
+    (lambda r: [attempts_point(r)._replace(name="something.else"), attempts_point(r)], 1, 10),
+    (lambda r: [attempts_point(r)._replace(start_ns=None)], 1, 0),
 ]
 
 
@@ -60,7 +64,9 @@
 def test_a_sender_above_the_rate_limit_gets_status_429(rig):
     r = rig(otlp__points_per_s=10, assigner__report_period_s=30)
     r.agent()
-    statuses = [r.report([tries(r, begun=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)]
+    statuses = [
+        r.report([attempts_point(r, start_s=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)
+    ]
     assert statuses[:2] == [200, 200]
     assert 429 in statuses
 
