--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -1,7 +1,7 @@
-"""A blocking SASP client for load balancers, members and agents. Needs nothing else of this package but the codec.
+"""Blocking SASP client for load balancers, members and agents. Of this package it depends only on the codec.
 
-Sockets come from `connect`, by default the standard library's; pass gevent's to use it in greenlets. A client is for
-one user at a time; a load balancer that takes pushes calls `receive` from one place.
+`connect` opens the sockets, by default with the standard library; pass gevent's function to use a client in greenlets.
+A client is not safe for concurrent use; a load balancer that accepts pushes calls `receive` from one place.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
     "RefusedError",
 ]
 
-MAX_MESSAGE_BYTES = 1 << 20  # longest message that is read
+MAX_MESSAGE_BYTES = 1 << 20  # maximum length of a received frame
 RECEIVE_BYTES = 65536
-MIN_TIMEOUT_S = 0.001  # 0 would mean not to wait at all
+MIN_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
 MAX_NUMBER = 0x7FFFFFFF
 HEALTHY = 0x7F  # health of a load balancer in Set LB State
-MAX_MEMBERS_PER_REQUEST = 200  # a component holds 64 KB; a member takes 24 bytes and a label of 255 at most
+MAX_MEMBERS_PER_REQUEST = 200  # a component holds 64 KB; a member takes 24 bytes and a label of up to 255 bytes
 
 
 class RefusedError(HollyridgeError):
-    """The service answered with a return code other than OK; `code` is that."""
+    """Error for a reply with a return code other than OK, which is in `code`."""
 
     def __init__(self, code: int) -> None:
         super().__init__(f"return code {code:#04x}")
@@ -44,18 +44,19 @@
 
 
 class ConnectionLostError(HollyridgeError):
-    """The connection is closed, or what was received is no SASP; open a new one."""
+    """Error for a connection that is closed or received invalid SASP; a new connection is needed."""
 
 
 class HeartbeatTimeoutError(ConnectionLostError):
-    """No answer in time: the other side has stopped, or can't be reached."""
+    """Error for a reply that did not arrive in time: the service has stopped or can't be reached."""
 
 
 class Client:
-    """A connection to the service.
+    """Connection to the service.
 
     `on_receive(frame)` and `on_send(frame)`, if given, are called with each frame received and sent. Methods raise
-    ConnectionLostError when the connection breaks and RefusedError for a return code; connecting raises OSError.
+    ConnectionLostError if the connection breaks and RefusedError for a return code; the constructor raises OSError if
+    it can't connect.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
@@ -81,7 +82,7 @@
         self.sock.close()
 
     def _read(self, timeout_s: float | None) -> tuple[int, codec.Message]:
-        """The next message; TimeoutError if none is whole in time, with the bytes received so far kept."""
+        """Return the next message; raise TimeoutError if none is complete in time, keeping the bytes received."""
         deadline = None if timeout_s is None else time.monotonic() + timeout_s
         try:
             while not self.frames:
@@ -96,17 +97,17 @@
             raise ConnectionLostError(str(error)) from error
 
     def _receive(self, deadline: float | None) -> None:
-        left_s = None if deadline is None else deadline - time.monotonic()
-        if left_s is not None and left_s <= 0:
+        remaining_s = None if deadline is None else deadline - time.monotonic()
+        if remaining_s is not None and remaining_s <= 0:
             raise TimeoutError
-        self.sock.settimeout(left_s)
+        self.sock.settimeout(remaining_s)
         chunk = self.sock.recv(RECEIVE_BYTES)
         if not chunk:
             raise ConnectionLostError("closed by the service")
         self.frames.extend(self.framer.feed(chunk))
 
     def call(self, message: codec.Message) -> codec.Message:
-        """Send a request and wait for its reply; pushes that come meanwhile are kept for `receive`."""
+        """Send a request and return its reply; keep pushes that arrive before the reply for `receive`."""
         self.number = self.number + 1 & MAX_NUMBER
         frame = codec.encode(self.number, message)
         try:
@@ -127,8 +128,8 @@
             elif number == self.number:
                 return reply
 
-    def ask(self, message: codec.Message, accepted_codes: Iterable[int] = (Code.OK,)) -> codec.Message:
-        """Send a request; the reply, RefusedError if its return code is not one of these."""
+    def call_checked(self, message: codec.Message, accepted_codes: Iterable[int] = (Code.OK,)) -> codec.Message:
+        """Send a request and return its reply; raise RefusedError if its return code is not accepted."""
         reply = self.call(message)
         if reply.code not in accepted_codes:
             raise RefusedError(reply.code)
@@ -136,41 +137,42 @@
 
 
 class LoadBalancerClient(Client):
-    """The side of the load balancer named `uid`. `options` are those of `Client`."""
+    """Connection of the load balancer with the UID `uid`. `options` are those of `Client`."""
 
     def __init__(self, address: tuple[str, int], uid: str, **options: object) -> None:
         super().__init__(address, **options)
         self.uid = uid
 
     def start(self, groups: Iterable[str], push: bool = True, number: int = 0, insist: bool = False) -> None:
-        """Say who it is and which groups it wants; with `push`, changes come by themselves.
+        """Identify the load balancer and register the groups whose weights it wants.
 
         Args:
             groups: Names of the groups.
-            push: Whether changes are pushed.
-            number: Of the request for an owner, where assigners share a fleet; 0 makes none.
-            insist: Whether to be taken in even if another assigner seems to be the owner.
+            push: Whether the service pushes changes.
+            number: Number of the ownership request, where assigners share a fleet; 0 sends no such request.
+            insist: Whether the service should accept the load balancer even if another assigner seems to own it.
 
         Raises:
-            RefusedError: Also where another assigner should be asked; `receive` then has the redirect.
+            RefusedError: The service refused a request. If it redirects to another assigner, `receive` returns the
+                redirect.
         """
         self.flags = (BalancerFlags.PUSH if push else 0) | BalancerFlags.NO_CHANGE
         self.alive()
         if number:
-            # A service that shares no fleet refuses this, which does no harm.
+            # A service that shares no fleet refuses this request, which does no harm.
             self.call(ownership_extension.write_request(self.uid, number, insist))
-        self.ask(codec.Register(True, tuple(codec.MembersOf(Group(self.uid, name), ()) for name in groups)))
+        self.call_checked(codec.Register(True, tuple(codec.MembersOf(Group(self.uid, name), ()) for name in groups)))
 
     def alive(self) -> None:
         """Send a heartbeat (Set LB State) and wait for its reply."""
-        self.ask(codec.SetBalancer(self.uid, HEALTHY, int(self.flags)))
+        self.call_checked(codec.SetBalancer(self.uid, HEALTHY, int(self.flags)))
 
     def weights(self, groups: Iterable[str]) -> codec.GetWeightsReply:
-        """Ask once; the reply has the interval (s) at which to ask again."""
-        return self.ask(codec.GetWeights(tuple(Group(self.uid, name) for name in groups)))
+        """Poll the weights once; the reply holds the polling interval in seconds."""
+        return self.call_checked(codec.GetWeights(tuple(Group(self.uid, name) for name in groups)))
 
     def receive(self, timeout: float | None = None) -> tuple[int, codec.SendWeights] | None:
-        """The next push with its number, None if none was received in `timeout` seconds."""
+        """Return the message id and message of the next push, None if none arrives within `timeout` seconds."""
         if self.pushed:
             return self.pushed.popleft()
         try:
@@ -181,32 +183,35 @@
 
 
 class MemberRegistrar(Client):
-    """The side of a member, or of an agent for several; `fleet` and `group` as the service has them."""
+    """Connection of a member, or of an agent for several members.
+
+    `fleet` and `group` are the UID and the group under which the service expects members.
+    """
 
     def __init__(self, address: tuple[str, int], fleet: str, group: str = "tasks", **options: object) -> None:
         super().__init__(address, **options)
         self.group = Group(fleet, group)
 
     def register(self, members: Iterable[Member]) -> None:
-        """Register members; those that are registered already are no error."""
+        """Register members; members that are registered already cause no error."""
         for batch in self.batches(members):
             request = codec.Register(False, (codec.MembersOf(self.group, batch),))
-            self.ask(request, (Code.OK, Code.ALREADY_REGISTERED))
+            self.call_checked(request, (Code.OK, Code.ALREADY_REGISTERED))
 
     def deregister(self, members: Iterable[Member], reason: int = 0) -> None:
-        """Deregister members; none means all that this client may remove."""
+        """Deregister members; an empty iterable means all members that this client may remove."""
         for batch in self.batches(members):
-            self.ask(codec.Deregister(False, reason, (codec.MembersOf(self.group, batch),)))
+            self.call_checked(codec.Deregister(False, reason, (codec.MembersOf(self.group, batch),)))
 
     def quiesce(self, members: Iterable[Member], on: bool = True) -> None:
-        """Ask for no new work for these members, or end that."""
+        """Request that these members get no new work, or revoke that if `on` is false."""
         for batch in self.batches(members):
             states = tuple(codec.State(member, on) for member in batch)
-            self.ask(codec.SetMembers(False, (codec.StatesOf(self.group, states),)))
+            self.call_checked(codec.SetMembers(False, (codec.StatesOf(self.group, states),)))
 
     @staticmethod
     def batches(members: Iterable[Member]) -> Iterable[tuple[Member, ...]]:
-        """As many at a time as one component holds, whatever their labels; one empty batch for none."""
+        """Yield batches that fit in one component with labels of any length; one empty batch if there are none."""
         members = tuple(members)
         for first in range(0, max(len(members), 1), MAX_MEMBERS_PER_REQUEST):
             yield members[first : first + MAX_MEMBERS_PER_REQUEST]
--- a/hollyridge/sasp/codec.py
+++ b/hollyridge/sasp/codec.py
@@ -1,7 +1,7 @@
-"""SASP version 1 as bytes (RFC 4678): messages and frames, both ways. No sockets.
+"""Encoder and decoder of SASP version 1 (RFC 4678). No sockets.
 
-A frame is a header component and one message component. What messages are made of is in `messages`, how their
-components are laid out in `components`; the types are offered here too, so that users of the codec need one import.
+A frame is a header component and one message component. `messages` defines the types and `components` the layout of
+their components. This module exports the types too, so that users of the codec need one import.
 
 >>> frame = encode(7, GetWeights((Group("gw-1", "read-chapter"),)))
 >>> decode(frame)
@@ -89,7 +89,7 @@
     "reply_to",
 ]
 
-BY_BALANCER = 0x01  # in requests about members: sent by a load balancer, not by the member or its agent
+BY_BALANCER = 0x01  # flag of requests about members: sent by a load balancer, not by the member or its agent
 FLAG_AND_COUNT = struct.Struct(">BH")
 FLAG_REASON_COUNT = struct.Struct(">BBH")
 CODE_INTERVAL_COUNT = struct.Struct(">BHH")
@@ -160,32 +160,32 @@
 
 
 class MessageFormat(NamedTuple):
-    """How one type of message is read from and written to the body of its component."""
+    """Functions that read and write the component body of one type of message."""
 
     message: type
     read: Callable[[Cursor], Message]
     write: Callable[..., bytes]
 
 
-def _plain_reply(message: type) -> MessageFormat:
-    """A reply that holds a return code and nothing else."""
+def _code_only_reply(message: type) -> MessageFormat:
+    """Return the format of a reply that holds only a return code."""
     return MessageFormat(message, lambda cursor: message(cursor.take(U8)[0]), lambda reply: U8.pack(reply.code))
 
 
 FORMATS: dict[int, MessageFormat] = {
     0x1010: MessageFormat(Register, _read_register, _write_register),
-    0x1015: _plain_reply(RegisterReply),
+    0x1015: _code_only_reply(RegisterReply),
     0x1020: MessageFormat(Deregister, _read_deregister, _write_deregister),
-    0x1025: _plain_reply(DeregisterReply),
+    0x1025: _code_only_reply(DeregisterReply),
     0x1030: MessageFormat(GetWeights, _read_get_weights, _write_get_weights),
     0x1035: MessageFormat(GetWeightsReply, _read_get_weights_reply, _write_get_weights_reply),
     0x1040: MessageFormat(SendWeights, _read_send_weights, _write_send_weights),
     0x1050: MessageFormat(SetBalancer, _read_set_balancer, _write_set_balancer),
-    0x1055: _plain_reply(SetBalancerReply),
+    0x1055: _code_only_reply(SetBalancerReply),
     0x1060: MessageFormat(SetMembers, _read_set_members, _write_set_members),
-    0x1065: _plain_reply(SetMembersReply),
+    0x1065: _code_only_reply(SetMembersReply),
 }
-TYPE_OF_MESSAGE = {entry.message: message_type for message_type, entry in FORMATS.items()}
+TYPE_OF_MESSAGE = {message_format.message: message_type for message_type, message_format in FORMATS.items()}
 REPLY_TO_TYPE: dict[int, Callable[[int], Message]] = {
     0x1010: RegisterReply,
     0x1020: DeregisterReply,
@@ -196,14 +196,18 @@
 
 
 def encode(number: int, message: Message) -> bytes:
-    """A whole frame; ValueError where a text, a component or the message is too long for its length field."""
+    """Return the frame of a message.
+
+    Raises:
+        ValueError: A text, a component or the message is too long for its length field.
+    """
     message_type = TYPE_OF_MESSAGE[type(message)]
     body = write_component(message_type, FORMATS[message_type].write(message))
     return HEADER.pack(HEADER_TYPE, HEADER.size, VERSION, HEADER.size + len(body), number) + body
 
 
 def reply_to(message: Message, code: int) -> Message:
-    """The plain answer to a request, with a return code and nothing else.
+    """Return the reply to a request that holds only a return code.
 
     >>> reply_to(GetWeights(()), Code.UNKNOWN_GROUP)
     GetWeightsReply(code=<Code.UNKNOWN_GROUP: 66>, interval=0, groups=())
@@ -212,21 +216,21 @@
 
 
 def decode(frame: bytes) -> tuple[int, Message]:
-    """Number and message of a whole frame.
+    """Return the message id and the message of a whole frame.
 
     Raises:
-        SaspError: It can't be read. Only where it is a known request that is badly built, the error has the reply
-            that its sender is to be given.
+        SaspError: The frame can't be decoded. The error holds a reply for the sender only if the frame is a known
+            request with malformed content.
     """
     number = HEADER.unpack_from(frame)[4]
     message_type = COMPONENT_HEAD.unpack_from(frame, HEADER.size)[0]
-    entry = FORMATS.get(message_type)
-    if entry is None:
-        raise SaspError(f"unknown message type {message_type:#06x}")
+    message_format = FORMATS.get(message_type)
+    if message_format is None:
+        raise SaspError(f"unknown SASP message type {message_type:#06x}")
     try:
         cursor = Cursor(frame, HEADER.size, len(frame))
         body = cursor.component(message_type)
-        message = entry.read(body)
+        message = message_format.read(body)
         body.expect_end()
         cursor.expect_end()
     except SaspError as error:
--- a/hollyridge/sasp/components.py
+++ b/hollyridge/sasp/components.py
@@ -1,7 +1,7 @@
-"""Components of SASP as bytes, both ways: u16 type, u16 length of the whole component, body.
+"""Encoder and decoder of SASP components: u16 type, u16 length of the whole component, body.
 
-Layouts follow RFC 4678 as generally known; `docs/sasp.md` says how certain each is. Where one is doubtful, it is one
-constant or one pair of functions here.
+The layouts follow RFC 4678 as generally known; `docs/sasp.md` lists how certain each of them is. Each doubtful layout
+is confined to one constant or one pair of functions in this module.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 MEMBER_TYPE, GROUP_TYPE, WEIGHT_TYPE, STATE_TYPE = 0x3010, 0x3011, 0x3012, 0x3013
 MEMBERS_OF_TYPE, WEIGHTS_OF_TYPE, STATES_OF_TYPE = 0x4010, 0x4011, 0x4012
-MAX_COMPONENT_BYTES = 0xFFFF  # its length field has 16 bits
-MAX_TEXT_BYTES = 0xFF  # its length field has 8 bits
+MAX_COMPONENT_BYTES = 0xFFFF  # the length field has 16 bits
+MAX_TEXT_BYTES = 0xFF  # the length field has 8 bits
 
 U8, U16, TWO_U8 = struct.Struct(">B"), struct.Struct(">H"), struct.Struct(">BB")
 COMPONENT_HEAD = struct.Struct(">HH")  # type, length
@@ -26,7 +26,7 @@
 
 
 class Cursor:
-    """Bounded reading of bytes; whatever would run past the end is a SaspError."""
+    """Reader of a bounded range of bytes; reading past its end raises SaspError."""
 
     def __init__(self, raw: bytes, position: int, end: int) -> None:
         self.raw = raw
@@ -34,64 +34,67 @@
         self.end = end
 
     def take(self, layout: struct.Struct) -> tuple:
-        """The next fields."""
+        """Read the next fields."""
         if self.position + layout.size > self.end:
-            raise SaspError("a component ends before its fields do")
+            raise SaspError(f"{self.end - self.position} bytes left in the component, expected fields of {layout.size}")
         fields = layout.unpack_from(self.raw, self.position)
         self.position += layout.size
         return fields
 
     def text(self, size_bytes: int) -> str:
-        """The next text of so many bytes."""
+        """Read the next text, `size_bytes` long."""
         if self.position + size_bytes > self.end:
-            raise SaspError("a text runs past its component")
+            raise SaspError(f"text of {size_bytes} bytes, {self.end - self.position} bytes left in its component")
         raw = self.raw[self.position : self.position + size_bytes]
         self.position += size_bytes
         try:
             return raw.decode("utf-8")
         except UnicodeDecodeError:
-            raise SaspError("a text is not UTF-8") from None
+            raise SaspError(f"text of {size_bytes} bytes is not valid UTF-8") from None
 
     def short_text(self) -> str:
-        """The next text with its length before it."""
+        """Read the next text, which follows its length."""
         return self.text(self.take(U8)[0])
 
     def component(self, expected_type: int) -> Cursor:
-        """The body of the next component, which must be of this type."""
+        """Return a cursor over the body of the next component, which must be of the expected type."""
         start = self.position
         found_type, size = self.take(COMPONENT_HEAD)
         if found_type != expected_type:
-            raise SaspError(f"component {found_type:#06x} where {expected_type:#06x} belongs")
+            raise SaspError(f"component type {found_type:#06x}, expected {expected_type:#06x}")
         if size < COMPONENT_HEAD.size or start + size > self.end:
-            raise SaspError(f"component {expected_type:#06x} of {size} bytes does not fit")
+            raise SaspError(
+                f"component {expected_type:#06x} has a length of {size}, "
+                f"expected {COMPONENT_HEAD.size} to {self.end - start} bytes"
+            )
         self.position = start + size
         return Cursor(self.raw, start + COMPONENT_HEAD.size, start + size)
 
     def many(self, count: int, read: Callable[[Cursor], Read]) -> tuple[Read, ...]:
-        """So many components; a count that can't be true is refused before anything is built from it."""
+        """Read `count` components; reject a count that exceeds the bytes left before building anything from it."""
         if count * COMPONENT_HEAD.size > self.end - self.position:
-            raise SaspError(f"{count} components counted, too few bytes follow")
+            raise SaspError(f"count of {count} components, but only {self.end - self.position} bytes follow")
         return tuple(read(self) for _ in range(count))
 
     def expect_end(self) -> None:
-        """SaspError if bytes are left."""
+        """Raise SaspError if bytes are left."""
         if self.position != self.end:
-            raise SaspError(f"{self.end - self.position} bytes are left over in a component")
+            raise SaspError(f"{self.end - self.position} unexpected bytes after the last field of a component")
 
 
 def write_component(component_type: int, body: bytes) -> bytes:
-    """A component around its body; ValueError if it is too long for its length field."""
+    """Return the component with this body; raise ValueError if it is too long for its length field."""
     size = COMPONENT_HEAD.size + len(body)
     if size > MAX_COMPONENT_BYTES:
-        raise ValueError(f"component {component_type:#06x} of {size} bytes: {MAX_COMPONENT_BYTES} at most")
+        raise ValueError(f"component {component_type:#06x} has {size} bytes, expected {MAX_COMPONENT_BYTES} at most")
     return COMPONENT_HEAD.pack(component_type, size) + body
 
 
 def write_short_text(text: str) -> bytes:
-    """A text with its length before it; ValueError if it is too long for that."""
+    """Return a text after its length; raise ValueError if it is too long for its length field."""
     raw = text.encode()
     if len(raw) > MAX_TEXT_BYTES:
-        raise ValueError(f"{len(raw)} bytes of text: {MAX_TEXT_BYTES} at most")
+        raise ValueError(f"text has {len(raw)} bytes, expected {MAX_TEXT_BYTES} at most")
     return bytes((len(raw),)) + raw
 
 
@@ -108,7 +111,7 @@
     """Write Member Data."""
     label = member.label.encode()
     if len(label) > MAX_TEXT_BYTES:
-        raise ValueError(f"a label of {len(label)} bytes: {MAX_TEXT_BYTES} at most")
+        raise ValueError(f"member label has {len(label)} bytes, expected {MAX_TEXT_BYTES} at most")
     fields = MEMBER_FIELDS.pack(member.protocol, member.port, member.address, len(label))
     return write_component(MEMBER_TYPE, fields + label)
 
@@ -156,10 +159,10 @@
     return write_component(STATE_TYPE, write_member(entry.member) + TWO_U8.pack(entry.state, entry.quiesce))
 
 
-def _reader_of(component_type: int, read_entry: Callable, build: Callable[[Group, tuple], Read]) -> Callable:
-    """Reader of a component that holds a group and a counted list of entries."""
+def _make_reader(component_type: int, read_entry: Callable, build: Callable[[Group, tuple], Read]) -> Callable:
+    """Return a reader of a component that holds a group and a counted list of entries."""
 
-    def read_all(cursor: Cursor) -> Read:
+    def read_component(cursor: Cursor) -> Read:
         body = cursor.component(component_type)
         (count,) = body.take(U16)
         group = read_group(body)
@@ -167,12 +170,12 @@
         body.expect_end()
         return build(group, entries)
 
-    return read_all
+    return read_component
 
 
-read_members_of = _reader_of(MEMBERS_OF_TYPE, read_member, MembersOf)
-read_weights_of = _reader_of(WEIGHTS_OF_TYPE, read_weight, WeightsOf)
-read_states_of = _reader_of(STATES_OF_TYPE, read_state, StatesOf)
+read_members_of = _make_reader(MEMBERS_OF_TYPE, read_member, MembersOf)
+read_weights_of = _make_reader(WEIGHTS_OF_TYPE, read_weight, WeightsOf)
+read_states_of = _make_reader(STATES_OF_TYPE, read_state, StatesOf)
 
 
 def _write_list(component_type: int, write_entry: Callable, batch: tuple) -> bytes:
--- a/hollyridge/sasp/config.py
+++ b/hollyridge/sasp/config.py
@@ -1,4 +1,4 @@
-"""What the SASP server is configured with."""
+"""Configuration of the SASP server."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class SaspConfig(NamedTuple):
-    """Configuration of the SASP server.
+    """Settings of the SASP server.
 
     Attributes:
         host: Address to listen on.
-        port: Port to listen on, 0 for any.
-        fleet: The UID under which members and agents register.
-        members_group: The group in which they register.
-        groups: The method whose table a group shows, by group name.
+        port: Port to listen on, 0 for any free port.
+        fleet: UID under which members and agents register.
+        members_group: Group in which members and agents register.
+        groups: Index of the method whose table a group shows, by group name.
         balancers_register: Whether load balancers may register members.
-        max_message_bytes: Longest frame that is read.
-        send_buffer_bytes: Size of a socket's send buffer.
-        frame_timeout_s: How long a frame that has begun may take.
-        hello_timeout_s: How long a new connection may leave open who it is.
-        max_members_per_request: Members in one registration.
-        default_rate: RPCs a second taken for a proxy until reports tell.
+        max_message_bytes: Maximum length of a received frame, in bytes.
+        send_buffer_bytes: Size of a socket's send buffer, in bytes.
+        frame_timeout_s: Time within which a frame has to be complete after its first byte, in seconds.
+        hello_timeout_s: Time within which a new connection has to identify itself, in seconds.
+        max_members_per_request: Maximum number of members in one registration.
+        default_rate: Load assumed for a proxy until reports show its actual load, in RPCs per second.
     """
 
     host: str
--- a/hollyridge/sasp/connection.py
+++ b/hollyridge/sasp/connection.py
@@ -1,4 +1,4 @@
-"""The state of one SASP connection: of a load balancer, a member or an agent. No I/O."""
+"""State of one SASP connection, which belongs to a load balancer, a member or an agent. No I/O."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class PendingMark(NamedTuple):
-    """An acknowledgement that the engine wants, not yet covered by a message, and when it was decided."""
+    """Mark that the engine wants acknowledged and that no sent message covers yet, with the time of its decision."""
 
     mark: int
     decided_at_us: int
 
 
 class SentMark(NamedTuple):
-    """A mark that is covered once the other side has taken this many bytes of the connection."""
+    """Mark that is acknowledged once the peer's TCP has acknowledged `sent_bytes` bytes of the connection."""
 
     sent_bytes: int
     mark: int
@@ -31,14 +31,14 @@
 
 
 class SaspProxyView:
-    """One group of one load balancer: what it should hold, and what of that was sent.
+    """State of one group of one load balancer: the table that it should hold and the part that was sent.
 
     Attributes:
-        weights: The figures that were sent.
+        weights: Weights that were sent, with their scale.
         table: Index of its table, -1 for none.
-        current: The table's newest value, None until the engine has bound a table.
-        sent: The value that was sent last.
-        resend_whole: Whether the next message replaces the group.
+        current: Newest value of the table, None until the engine has bound a table.
+        sent: Value of the table that was sent last.
+        resend_whole: Whether the next message replaces the whole group.
     """
 
     __slots__ = ("current", "resend_whole", "sent", "table", "weights")
@@ -52,40 +52,41 @@
 
     @property
     def due(self) -> bool:
-        """Whether something is to be sent."""
+        """Return whether a message has to be sent for this group."""
         return self.current is not None and (self.resend_whole or self.current is not self.sent)
 
 
 class Connection:
-    """One connection.
+    """State of one connection.
 
     Attributes:
         number: Identity of the connection in this run of the server.
-        replies: Frames that answer requests, not yet written.
-        due: Set when the writer has something to do.
-        answers: Limits the answers with weights that it may ask for.
-        uid: Name of the load balancer, empty until it is known, and for members and agents.
-        bearer: Name in its certificate, empty without one.
-        proxy: Index of the proxy that it serves, -1 for none.
+        address: Address of the peer (host, port).
+        replies: Encoded replies to requests that are not written yet.
+        due: Event that wakes the writer.
+        reply_bucket: Rate limit of the replies with weights.
+        uid: UID of the load balancer; empty until it is known, and for members and agents.
+        bearer: Common name in the peer's certificate, empty without a certificate.
+        proxy: Index of the proxy that joined on this connection, -1 for none.
         flags: `BalancerFlags` of the load balancer.
-        views: What it holds, by group in the order of registration.
-        registers_members: Whether it has registered members.
-        weights_ready: Set when the first table is there.
-        sent: Bytes handed to the socket so far.
-        version: The engine's decision behind the last update, the number of pushed messages.
-        pending: Marks that the next message or answer will cover.
-        sent_marks: Marks that wait until the other side has taken what covers them.
-        ownership_request: What it asked of the assigners that share the fleet.
-        fence: Fencing token under which it is owned, 0 for none.
-        fence_unsent: Whether that token was not sent yet.
-        closed: Why the connection ends, empty while it stands.
+        views: State of each group of the load balancer, by group name in the order of registration.
+        registers_members: Whether members were registered on this connection.
+        weights_ready: Event that is set once the first table is bound.
+        sent: Number of bytes handed to the socket so far.
+        version: Number of the engine's decision behind the last update, used as message id of pushed messages.
+        pending: Marks that the next message with weights will cover.
+        sent_marks: Marks of sent messages that are not acknowledged yet.
+        ownership_request: The load balancer's request to be owned, where assigners share the fleet.
+        fence: Fencing token under which this assigner owns the load balancer, 0 for none.
+        fence_unsent: Whether the fencing token still has to be sent.
+        closed: Reason why the connection ends, empty while it is open.
     """
 
-    def __init__(self, number: int, sock: socket.socket, address: tuple, answers: TokenBucket) -> None:
+    def __init__(self, number: int, sock: socket.socket, address: tuple, reply_bucket: TokenBucket) -> None:
         self.number = number
         self.sock = sock
         self.address = address
-        self.answers = answers
+        self.reply_bucket = reply_bucket
         self.uid = ""
         self.bearer = ""
         self.proxy = -1
@@ -106,10 +107,10 @@
 
     @property
     def push(self) -> bool:
-        """Whether changes are pushed to it; else it asks for them."""
+        """Return whether changes are pushed to the load balancer; otherwise it polls."""
         return bool(self.flags & BalancerFlags.PUSH)
 
     def reply(self, frame: bytes) -> None:
-        """Queue the answer to a request."""
+        """Queue the reply to a request."""
         self.replies.append(frame)
         self.due.set()
--- a/hollyridge/sasp/framing.py
+++ b/hollyridge/sasp/framing.py
@@ -1,4 +1,4 @@
-"""Frames of SASP in a stream of bytes: a header, which has the length of the whole frame, and one component."""
+"""Framing of SASP: a header, which holds the length of the whole frame, and one component."""
 
 from __future__ import annotations
 
@@ -14,19 +14,25 @@
 
 
 def frame_bytes(header: bytes, max_frame_bytes: int) -> int:
-    """Length of the frame that starts with this header; SaspError if that is no header, or the frame too long."""
+    """Return the length of the frame with this header; raise SaspError if the header or the length is invalid."""
     header_type, header_bytes, version, length, _ = HEADER.unpack(header)
     if header_type != HEADER_TYPE or header_bytes != HEADER.size:
-        raise SaspError(f"no SASP header (type {header_type:#06x}, length {header_bytes})")
+        raise SaspError(
+            f"header of type {header_type:#06x} and length {header_bytes}, "
+            f"expected type {HEADER_TYPE:#06x} and length {HEADER.size}"
+        )
     if version != VERSION:
-        raise SaspError(f"SASP version {version}, only {VERSION} is spoken")
+        raise SaspError(f"SASP version {version} in the header, expected {VERSION}")
     if not HEADER.size + COMPONENT_HEAD.size <= length <= max_frame_bytes:
-        raise SaspError(f"a message of {length} bytes ({max_frame_bytes} at most)")
+        raise SaspError(
+            f"frame length {length} in the header, "
+            f"expected {HEADER.size + COMPONENT_HEAD.size} to {max_frame_bytes} bytes"
+        )
     return length
 
 
 class Framer:
-    """Cuts a stream of bytes into whole frames; holds at most one frame of `max_frame_bytes`.
+    """Splitter of a stream of bytes into whole frames; buffers at most one frame of `max_frame_bytes`.
 
     >>> from hollyridge.sasp.codec import SetBalancerReply, encode
     >>> framer, frame = Framer(100), encode(1, SetBalancerReply(0))
@@ -36,20 +42,20 @@
 
     def __init__(self, max_frame_bytes: int) -> None:
         self.max_frame_bytes = max_frame_bytes
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, chunk: bytes) -> Iterator[bytes]:
-        """The frames that are whole with these bytes; SaspError where no frame can begin."""
-        self.held += chunk
-        while len(self.held) >= HEADER.size:
-            size = frame_bytes(bytes(self.held[: HEADER.size]), self.max_frame_bytes)
-            if len(self.held) < size:
+        """Yield the frames that these bytes complete; raise SaspError at an invalid header."""
+        self.buffer += chunk
+        while len(self.buffer) >= HEADER.size:
+            size = frame_bytes(bytes(self.buffer[: HEADER.size]), self.max_frame_bytes)
+            if len(self.buffer) < size:
                 return
-            frame = bytes(self.held[:size])
-            del self.held[:size]
+            frame = bytes(self.buffer[:size])
+            del self.buffer[:size]
             yield frame
 
     @property
     def partial(self) -> bool:
-        """Whether a frame has begun that is not whole yet."""
-        return bool(self.held)
+        """Return whether the buffer holds the beginning of an incomplete frame."""
+        return bool(self.buffer)
--- a/hollyridge/sasp/held_weights.py
+++ b/hollyridge/sasp/held_weights.py
@@ -1,4 +1,4 @@
-"""The weight tables that a load balancer holds, as messages of the service change them. No I/O."""
+"""Weight tables that a load balancer holds and updates from the messages of the service. No I/O."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class Entry(NamedTuple):
-    """What is held of one member; `flags` are `WeightFlags`."""
+    """Weight and `WeightFlags` of one member."""
 
     weight: int
     flags: int
 
 
 class HeldWeights:
-    """The tables that a load balancer holds, by group: changed by whole messages, never half.
+    """Weight tables that a load balancer holds, by group; each message is applied as a whole.
 
-    The first entries of a group on a connection replace what was held of it, later ones change it: members that this
-    service never knew must not stay. A group sent without entries leaves what is held.
+    The first entries of a group on a connection replace its table, so that members that this service never knew do not
+    remain; later entries change the table. A group that is sent without entries leaves its table unchanged.
 
     Attributes:
-        tables: Entries by member, by group; replaced as a whole, so that a reader keeps the tables that it has.
-        fresh: Groups of which this connection has sent something.
+        tables: Entries by member, by group; replaced on each change, so that a reader keeps a consistent copy.
+        received_groups: Groups for which this connection has received entries.
 
     >>> held, member = HeldWeights(), Member.at("127.1.0.1", 80)
     >>> held.take((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 9),)),))
@@ -41,11 +41,11 @@
         self.fresh: set[str] = set()
 
     def new_stream(self) -> None:
-        """A new connection has begun."""
+        """Begin a new connection: the next entries of each group replace its table."""
         self.fresh = set()
 
     def take(self, groups: Iterable[codec.WeightsOf], whole: bool = False) -> None:
-        """Apply one message; `whole` for a Get Weights Reply, which has all of each group."""
+        """Apply one message; `whole` for a Get Weights Reply, which holds all entries of each group."""
         tables = dict(self.tables)
         fresh = set(self.fresh)
         for group, weights in groups:
@@ -64,5 +64,5 @@
         self.fresh = fresh
 
     def lines(self, group: str) -> dict[Member, Entry]:
-        """What is held of a group, by member."""
+        """Return the entries of a group, by member."""
         return self.tables.get(group, {})
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -1,7 +1,7 @@
-"""Requests of load balancers: who they are, when they count as joined, and which connection serves which proxy.
+"""Requests of load balancers: identification, joining, and the binding of connections to proxies.
 
-A load balancer that takes pushes is joined when it registers its groups, one that asks with its first question. Where
-assigners share a fleet it is joined only once this one owns it.
+A load balancer that accepts pushes joins when it registers its groups, one that polls joins with its first Get Weights
+Request. Where assigners share a fleet, it joins only once this assigner owns it.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from hollyridge.sasp.server import SaspServer
 
-MAX_NAME_BYTES = 64  # of a UID or a group's name, as RFC 4678 has it
+MAX_NAME_BYTES = 64  # limit of RFC 4678 for a UID and for the name of a group
 
 
 class LoadBalancerRequests:
-    """Answers load balancers, and binds their connections to the engine's proxies."""
+    """Handler of load balancers' requests, which also binds their connections to the engine's proxies."""
 
     def __init__(
         self,
@@ -46,23 +46,23 @@
         self.ownership = ownership
         self.weight_replies = weight_replies
 
-    # Who it is and what it wants.
+    # Identification and groups.
 
     def identify(self, connection: Connection, uid: str) -> int:
-        """Take the name by which a connection goes from now on; the return code."""
+        """Set the UID of a connection and return the return code."""
         if not uid or len(uid.encode()) > MAX_NAME_BYTES:
             return Code.UID_SIZE
         if uid == self.config.fleet or connection.registers_members:
             return Code.NOT_FROM_YOU
         if connection.uid and connection.uid != uid:
             return Code.UNKNOWN_BALANCER
-        if self.refusals.check(connection, self.refusals.access.may_be(connection.bearer, uid)):
+        if self.refusals.is_denied(connection, self.refusals.access.may_be(connection.bearer, uid)):
             return Code.NOT_FROM_YOU
         connection.uid = uid
         return Code.OK
 
     def set_state(self, connection: Connection, message: codec.SetBalancer) -> int:
-        """Set LB State: the name, and whether changes are pushed; the return code."""
+        """Handle Set LB State, which sets the UID and the flags, and return the return code."""
         code = self.identify(connection, message.uid)
         if code == Code.OK:
             connection.flags = message.flags
@@ -70,16 +70,16 @@
                 code = self.join(connection)
         return code
 
-    def ownership_request_in(
+    def read_ownership_request(
         self, connection: Connection, groups: tuple[codec.MembersOf, ...]
     ) -> OwnershipRequest | None:
-        """The request for an owner that a registration is, None if it is an ordinary one."""
+        """Return the ownership request that a registration carries, None for an ordinary registration."""
         if not self.ownership.shared or not groups or connection.proxy >= 0:
             return None
         return read_request(groups[0].group.name)
 
     def register_groups(self, connection: Connection, groups: Iterable[codec.Group]) -> int:
-        """Take the groups that it wants, and join it; the return code."""
+        """Register groups of the load balancer, let it join, and return the return code."""
         groups = list(groups)
         for group in groups:
             if len(group.name.encode()) > MAX_NAME_BYTES:
@@ -94,7 +94,10 @@
         return self.join(connection) if groups else Code.OK
 
     def deregister_groups(self, connection: Connection, groups: tuple[codec.MembersOf, ...]) -> int:
-        """Take groups without members from it; without any group left it has left. The return code."""
+        """Deregister the groups that list no members and return the return code.
+
+        A load balancer without any group left leaves.
+        """
         for batch in groups:
             name = batch.group.name
             if batch.group.uid != connection.uid or name not in connection.views:
@@ -107,9 +110,9 @@
         return Code.OK
 
     def get_weights(self, connection: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
-        """Answer one that asks. Its first answer waits a little for a table, so that it is not empty."""
+        """Return the reply to a load balancer that polls. The first reply waits briefly for a table to not be empty."""
         code = self.register_groups(connection, message.groups)
-        if code == Code.OK and not connection.answers.take(self.clock()):
+        if code == Code.OK and not connection.reply_bucket.take(self.clock()):
             self.server.counts["asked_too_often"] += 1
             code = Code.NOT_FROM_YOU
         if code != Code.OK:
@@ -117,7 +120,7 @@
         if connection.proxy >= 0 and not connection.weights_ready.is_set():
             self.server.loop.wake()
             connection.weights_ready.wait(self.session_tracker.first_answer / 1e6)
-        batches = self.weight_replies.in_full(connection, message.groups)
+        batches = self.weight_replies.full_weights(connection, message.groups)
         if not connection.push:
             connection.sent_marks.extend(SentMark(0, *mark) for mark in connection.pending)
             connection.pending.clear()
@@ -126,7 +129,7 @@
     # Joining and leaving.
 
     def join(self, connection: Connection) -> int:
-        """Count it as joined, if it is not yet; the return code."""
+        """Let the load balancer join if it has not joined yet, and return the return code."""
         now = self.clock()
         if self.ownership.shared and connection.proxy < 0:
             refusal = self.ownership.claim(connection, self.zone_of(connection.address[0]))
@@ -158,14 +161,14 @@
         return Code.OK
 
     def unbind(self, now: int, connection: Connection) -> None:
-        """Let the connection serve its proxy no more, if it has one."""
+        """Unbind the connection from its proxy, if it has one; the proxy leaves the engine."""
         if connection.proxy >= 0:
             self.server.by_proxy.pop(connection.proxy, None)
             self.engine.leave(now, connection.proxy)
             connection.proxy = -1
 
     def _redirect_newcomer(self, connection: Connection, refusal: StaleToken | ForwardProxy) -> None:
-        """Tell it ahead of the reply which assigner it should ask, and end the connection that it had here before."""
+        """Send a redirect ahead of the reply, if the owner is known, and end the load balancer's older connection."""
         older = self.server.streams.get(self.session_tracker.by_uid.get(connection.uid, -1))
         if isinstance(refusal, ForwardProxy):
             self.ownership.send_redirect(connection, refusal.owner)
@@ -173,13 +176,13 @@
                 self._release(older, "its newer connection was redirected")
 
     def _release(self, connection: Connection, reason: str) -> None:
-        """End a connection whose proxy is another assigner's already."""
+        """End a connection whose proxy belongs to another assigner already."""
         self.unbind(self.clock(), connection)
         self.server.close(connection, reason)
 
     def redirect(self, connection: Connection, assigner: str, reason: str) -> None:
-        """Give the proxy up to another assigner (empty: whichever answers)."""
-        if assigner:  # it closes the connection itself once it has read that; if not, its next request is refused
+        """Release the proxy to another assigner; with an empty name, to whichever assigner it reaches next."""
+        if assigner:  # the load balancer closes the connection on a redirect; if not, its next request is refused
             self.ownership.send_redirect(connection, assigner)
             self.unbind(self.clock(), connection)
             self.session_tracker.end(connection.number)
--- a/hollyridge/sasp/messages.py
+++ b/hollyridge/sasp/messages.py
@@ -1,7 +1,7 @@
 """Types of SASP version 1 (RFC 4678): return codes, flags, components and messages. No bytes, no sockets.
 
-Whatever is sent or received is one of the messages of `Message`. The members of each type stand in the order in which
-the codec builds them.
+Each message sent or received is one of the types in `Message`. The fields of each type are in the order in which the
+codec passes them.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 
 
 class BalancerFlags(IntFlag):
-    """Flags of Set LB State: how a load balancer wants to be served."""
+    """Flags of Set LB State, by which a load balancer chooses how it receives weights."""
 
     PUSH = 0x80
     TRUST = 0x40
-    NO_CHANGE = 0x20  # only entries that changed are to be sent
+    NO_CHANGE = 0x20  # the load balancer wants only the entries that changed
 
 
 class WeightFlags(IntFlag):
-    """Flags of a weight entry: what the service knows of the member."""
+    """Flags of a weight entry, with the state of the member as the service knows it."""
 
     CONTACT = 0x80
     QUIESCE = 0x40
@@ -52,10 +52,10 @@
 
 
 class SaspError(HollyridgeError):
-    """Bytes that are not a valid SASP message.
+    """Error for bytes that are not a valid SASP message.
 
     Attributes:
-        reply: The frame that answers the sender, None where the stream can't be read further and is to be closed.
+        reply: Frame that answers the sender; None if the stream can't be read further and has to be closed.
     """
 
     def __init__(self, reason: str, reply: bytes | None = None) -> None:
@@ -64,17 +64,17 @@
 
 
 @lru_cache(maxsize=65536)
-def host_of(address: bytes) -> str:
-    """Text of a 16-byte address; an IPv4-mapped one is written as IPv4."""
+def address_text(address: bytes) -> str:
+    """Return the text of a 16-byte address; an IPv4-mapped address is written as IPv4."""
     ip = ipaddress.IPv6Address(address)
     return str(ip.ipv4_mapped or ip)
 
 
 class Member(NamedTuple):
-    """A task's address.
+    """Address of a task, with its label (Member Data).
 
     Attributes:
-        address: 16 bytes; an IPv4 address is mapped into IPv6.
+        address: IPv6 address, 16 bytes; an IPv4 address is mapped into IPv6.
         port: Port number.
         protocol: IP protocol number.
         label: Free text of the member, 255 bytes at most.
@@ -87,7 +87,7 @@
 
     @classmethod
     def at(cls, host: str, port: int, label: str = "", protocol: int = TCP_PROTOCOL) -> Member:
-        """Make a member from the text of its address; ValueError if `host` is no IP address.
+        """Create a member from the text of its address; raise ValueError if `host` is not an IP address.
 
         >>> Member.at("127.1.0.5", 9000).host
         '127.1.0.5'
@@ -100,31 +100,38 @@
 
     @property
     def host(self) -> str:
-        """The address as text."""
-        return host_of(self.address)
+        """Return the address as text."""
+        return address_text(self.address)
 
     @property
     def key(self) -> tuple[bytes, int, int]:
-        """Identity of the member; the label is no part of it."""
+        """Return the identity of the member (address, port, protocol), which does not include the label."""
         return self.address, self.port, self.protocol
 
 
 class Group(NamedTuple):
-    """A group of members, named by its load balancer (`uid`) and its own name."""
+    """Group of members, identified by the UID of its load balancer and its own name (Group Data)."""
 
     uid: str
     name: str
 
 
 class MembersOf(NamedTuple):
-    """Group of Member Data."""
+    """A group and its members (Group of Member Data)."""
 
     group: Group
     members: tuple[Member, ...]
 
 
 class Weight(NamedTuple):
-    """Weight Entry Data: `weight` is a 16-bit figure, `flags` are `WeightFlags`."""
+    """Weight of one member (Weight Entry Data).
+
+    Attributes:
+        member: The member.
+        weight: Weight as a 16-bit integer.
+        flags: `WeightFlags` of the member.
+        state: Opaque state of the member, one byte.
+    """
 
     member: Member
     weight: int
@@ -133,14 +140,14 @@
 
 
 class WeightsOf(NamedTuple):
-    """Group of Weight Entry Data."""
+    """A group and its weights (Group of Weight Entry Data)."""
 
     group: Group
     weights: tuple[Weight, ...]
 
 
 class State(NamedTuple):
-    """Member State Data: `quiesce` asks for no new work."""
+    """State of one member (Member State Data); `quiesce` requests that it gets no new work."""
 
     member: Member
     quiesce: bool
@@ -148,14 +155,14 @@
 
 
 class StatesOf(NamedTuple):
-    """Group of Member State Data."""
+    """A group and the states of its members (Group of Member State Data)."""
 
     group: Group
     states: tuple[State, ...]
 
 
 class Register(NamedTuple):
-    """Registration Request: members, or from a load balancer the groups that it wants."""
+    """Registration Request of members or, from a load balancer, of the groups whose weights it wants."""
 
     by_balancer: bool
     groups: tuple[MembersOf, ...]
@@ -176,7 +183,7 @@
 
 
 class GetWeightsReply(NamedTuple):
-    """Get Weights Reply; `interval` is in seconds."""
+    """Get Weights Reply; `interval` is the polling interval in seconds."""
 
     code: int
     interval: int
@@ -184,7 +191,7 @@
 
 
 class SendWeights(NamedTuple):
-    """Send Weights: pushed by the service, never answered."""
+    """Send Weights, which the service pushes and the load balancer does not answer."""
 
     groups: tuple[WeightsOf, ...]
 
--- a/hollyridge/sasp/ownership.py
+++ b/hollyridge/sasp/ownership.py
@@ -1,6 +1,6 @@
-"""What the SASP server asks of the assigners that share the fleet, and tells load balancers of the answer.
+"""Ownership of load balancers among the assigners that share a fleet, on the side of the SASP server.
 
-Where no fleet is shared, each load balancer is served and nothing is sent.
+Where no fleet is shared, each load balancer is served and no ownership message is sent.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 def message_id(connection: Connection) -> int:
-    """The number of a pushed message: the decision behind the last update, as 32 bits."""
+    """Return the message id of a pushed message: the number of the decision behind the last update, as 32 bits."""
     return connection.version & MAX_MESSAGE_ID
 
 
 class SaspOwnership(ProxyOwnership):
-    """Ownership of the SASP server's load balancers, told to them by the ownership extension."""
+    """Ownership of the SASP server's load balancers, which they learn from the ownership extension."""
 
     def claim(self, connection: Connection, zone: int) -> StaleToken | ForwardProxy | None:
-        """Claim the load balancer; None if it is ours, else why not."""
+        """Claim the load balancer; return None if this assigner owns it now, else the reason why not."""
         answer = self.request_lease(connection.uid, zone, connection.ownership_request)
         if type(answer) is not LeaseGranted:
             return answer
@@ -32,17 +32,17 @@
         return None
 
     def acknowledge(self, connection: Connection) -> None:
-        """A request of the load balancer has come: it still takes us for its owner."""
+        """Record a request of the load balancer, which shows that it accepts this assigner as its owner."""
         if self.peers is not None and connection.proxy >= 0:
             self.peers.acknowledge_token(connection.uid, connection.fence)
 
     def owned_entry(self, connection: Connection) -> codec.WeightsOf:
-        """The group that tells the load balancer that it is ours, and for how long."""
+        """Return the group that carries the fencing token, the lease and the name of this assigner."""
         lease_s = self.peers.config.lease.duration_us / 1e6
         return write_reply(connection.uid, Owned(connection.fence, lease_s, self.peers.config.name))
 
     def send_redirect(self, connection: Connection, assigner: str) -> None:
-        """Tell the load balancer which assigner it should ask; nothing if that one's address is not known."""
+        """Send a redirect to another assigner; send nothing if its address is unknown."""
         address = self.peers.address_of(assigner, "sasp")
         if address:
             reply: OwnershipReply = Redirected(address)
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -1,11 +1,15 @@
-"""How assigners that share a fleet use SASP without changing it: a group that only clients which know it name.
-
-A load balancer registers the group `.owner/NUMBER/INSIST` before its own ones: the number of its request, and 1 if the
-assigner it was redirected to could not be reached. A service that shares no fleet refuses that group, which does no
-harm. One that does sends, ahead of its weights, one entry of the group `.owner`, quiesced and of weight 0, so that no
-RPC could ever be sent there: its address carries the fencing token (`fd`, seven bytes of zero, eight of the token) and
-its port the lease in tenths of a second, or else it is the address of another service that should be asked. From then
-on the load balancer sends Set LB State a few times a lease: a heartbeat both ways.
+"""Ownership extension of SASP for assigners that share a fleet.
+
+The extension leaves the protocol unchanged: it uses a group that only clients with this extension register. A load
+balancer registers the group `.owner/NUMBER/INSIST` before its own groups. NUMBER is the number of its ownership
+request; INSIST is 1 if the assigner that it was redirected to could not be reached. A service that shares no fleet
+refuses that group, which does no harm.
+
+A service that shares a fleet sends one entry of the group `.owner` ahead of its weights. The entry is quiesced and has
+weight 0, so that no RPC is ever sent there. Either its address carries the fencing token (the byte `fd`, seven zero
+bytes, eight bytes of the token) and its port the lease in tenths of a second, or it is the address of the service that
+the load balancer should connect to instead. From then on, the load balancer sends Set LB State a few times per lease,
+which serves as a heartbeat in both directions.
 """
 
 from __future__ import annotations
@@ -20,16 +24,16 @@
 TOKEN_BYTES = 8
 MAX_NUMBER = (1 << 63) - 1
 LEASE_TICKS_PER_S = 10
-MAX_LEASE_TICKS = 0xFFFF  # it travels as a port
+MAX_LEASE_TICKS = 0xFFFF  # the lease is encoded as a port number
 MAX_OWNER_CHARS = 64
 
 
 class Owned(NamedTuple):
-    """The assigner owns the load balancer.
+    """Reply of the assigner that owns the load balancer.
 
     Attributes:
-        fence: Fencing token; messages under another one are not to be applied.
-        lease_s: How long the claim holds without a renewal.
+        fence: Fencing token; messages under another token must not be applied.
+        lease_s: Time for which the claim is valid without a renewal, in seconds.
         owner: Name of the assigner.
     """
 
@@ -39,7 +43,7 @@
 
 
 class Redirected(NamedTuple):
-    """Another service should be asked, at `address` (`host:port`)."""
+    """Redirect to another service at `address` (`host:port`)."""
 
     address: str
 
@@ -48,12 +52,12 @@
 
 
 def write_request(uid: str, number: int, insist: bool) -> Register:
-    """The registration by which a load balancer asks to be owned."""
+    """Return the registration that carries a load balancer's ownership request."""
     return Register(True, (MembersOf(Group(uid, f"{GROUP_NAME}/{number}/{int(insist)}"), ()),))
 
 
 def read_request(group_name: str) -> OwnershipRequest | None:
-    """The request in the name of a group, None if there is none.
+    """Return the ownership request in the name of a group, None if there is none.
 
     >>> read_request(write_request("gw", 7, True).groups[0].group.name)
     OwnershipRequest(number=7, insist=True)
@@ -69,7 +73,7 @@
 
 
 def write_reply(uid: str, reply: OwnershipReply) -> WeightsOf:
-    """The group that tells a load balancer who owns it.
+    """Return the group that carries the reply to a load balancer's ownership request.
 
     >>> read_reply((write_reply("gw", Owned(9, 3.0, "a")),))
     Owned(fence=9, lease_s=3.0, owner='a')
@@ -87,7 +91,7 @@
 
 
 def read_reply(groups: tuple[WeightsOf, ...]) -> OwnershipReply | None:
-    """Who owns the load balancer, None if these groups do not tell."""
+    """Return the ownership reply in these groups, None if there is none."""
     for group, weights in groups:
         if group.name == GROUP_NAME and weights:
             member = weights[0].member
--- a/hollyridge/sasp/registration.py
+++ b/hollyridge/sasp/registration.py
@@ -1,7 +1,7 @@
 """Requests about members: registration, deregistration and quiescing, from members, agents and load balancers.
 
-Decides who may ask for what and keeps which member a task's index stands for. What becomes of the list is decided in
-`hollyridge.registration`, through the engine.
+This module authorizes the requests and maps each task's index to its member. `hollyridge.registration` decides, through
+the engine, how they change the endpoint list.
 """
 
 from __future__ import annotations
@@ -32,38 +32,44 @@
         members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
     }
 )
-# Members whose index is in use no more are forgotten once there are this many times as many as indices, and more.
+# Members whose index is no longer in use are dropped once the members outnumber
+# STALE_MEMBERS_FACTOR * indices + STALE_MEMBERS_MARGIN.
 STALE_MEMBERS_FACTOR = 4
 STALE_MEMBERS_MARGIN = 1024
 
 
 class Allocation(NamedTuple):
-    """What a registration asks for, with the indices that it was given; `added` are the keys that had none before."""
+    """Members of a registration with their allocated indices.
+
+    Attributes:
+        requests: Each member with its index.
+        added: Keys of the members that had no index before.
+    """
 
     requests: tuple[members.MemberRequest, ...]
     added: tuple[tuple, ...]
 
 
 class Refusals:
-    """What a bearer may not do is logged, and refused by a return code."""
+    """Access control of SASP requests, which logs each denial."""
 
     def __init__(self, access: AccessControl, log: BoundLogger) -> None:
         self.access = access
         self.log = log
 
-    def check(self, connection: Connection, reason: str) -> bool:
-        """Whether it is refused: it is unless `reason` is empty."""
+    def is_denied(self, connection: Connection, reason: str) -> bool:
+        """Return whether a request is denied, which it is unless `reason` is empty; log the denial."""
         if reason:
             self.log.warning("access_denied", peer=connection.address[0], reason=reason)
         return bool(reason)
 
 
 class MemberRequests:
-    """Answers requests about members.
+    """Handler of requests about members.
 
     Attributes:
-        by_task: The member that a task's index stands for.
-        registered_by_balancer: By a member's key, whether a load balancer registered it.
+        by_task: Member by the index of its task.
+        registered_by_balancer: Whether a load balancer registered the member, by the member's key.
     """
 
     def __init__(
@@ -84,19 +90,21 @@
         self.registered_by_balancer: dict[tuple, bool] = {}
 
     def register(self, connection: Connection, message: codec.Register) -> int:
-        """Put members on the list; the return code."""
+        """Register members and return the return code."""
         code = self._authorize_all(connection, message.by_balancer, (batch.group for batch in message.groups))
         if code != Code.OK:
             return code
         now = self.clock()
-        wanted = [member for batch in message.groups for member in batch.members]
-        if len(wanted) > self.config.max_members_per_request:
+        requested = [member for batch in message.groups for member in batch.members]
+        if len(requested) > self.config.max_members_per_request:
             return Code.NOT_FROM_YOU
         may_register = self.refusals.access.may_register
-        if any(self.refusals.check(connection, may_register(connection.bearer, member.host)) for member in wanted):
+        if any(
+            self.refusals.is_denied(connection, may_register(connection.bearer, member.host)) for member in requested
+        ):
             return Code.NOT_FROM_YOU
-        own = len(wanted) == 1 and wanted[0].host == connection.address[0]
-        allocation = self._allocate(now, wanted, own)
+        registers_itself = len(requested) == 1 and requested[0].host == connection.address[0]
+        allocation = self._allocate(now, requested, registers_itself)
         refusal = self.engine.update_endpoints(now, members.Registered(connection.number, allocation.requests))
         if refusal not in (None, members.Refusal.ALREADY_REGISTERED):
             for key in allocation.added:
@@ -107,10 +115,10 @@
                 self.registered_by_balancer[request.key] = message.by_balancer
         return CODE_OF_REFUSAL[refusal]
 
-    def _allocate(self, now: int, wanted: Iterable[codec.Member], own: bool) -> Allocation:
+    def _allocate(self, now: int, requested: Iterable[codec.Member], registers_itself: bool) -> Allocation:
         requests = []
         added = []
-        for member in wanted:
+        for member in requested:
             new = member.key not in self.engine.task_indices.index
             zone = self.zone_of(member.host)
             allocated = self.engine.task_indices.allocate(now, member.key) if zone >= 0 else -1
@@ -119,22 +127,22 @@
                 if new:
                     added.append(member.key)
                 self.by_task[task] = member._replace(label="")
-            listed_task = max(task, 0) if zone < 0 else task  # a member without a zone is refused for that, not as full
-            requests.append(members.MemberRequest(member.key, listed_task, zone, member.label, own))
+            listed_task = max(task, 0) if zone < 0 else task  # a missing zone is refused as that, not as a full list
+            requests.append(members.MemberRequest(member.key, listed_task, zone, member.label, registers_itself))
         return Allocation(tuple(requests), tuple(added))
 
     def deregister(self, connection: Connection, message: codec.Deregister) -> int:
-        """Take members off the list; the return code."""
+        """Deregister members and return the return code."""
         code = self._authorize_all(connection, message.by_balancer, (batch.group for batch in message.groups))
         if code != Code.OK:
             return code
         keys = tuple(member.key for batch in message.groups for member in batch.members)
-        everyone = not message.by_balancer and any(not batch.members for batch in message.groups)
-        event = members.Deregistered(connection.number, None if everyone else keys)
+        all_members = not message.by_balancer and any(not batch.members for batch in message.groups)
+        event = members.Deregistered(connection.number, None if all_members else keys)
         return CODE_OF_REFUSAL[self.engine.update_endpoints(self.clock(), event)]
 
     def set_states(self, connection: Connection, message: codec.SetMembers) -> int:
-        """Quiesce members or end that; the return code, of the last one refused if any was."""
+        """Quiesce or resume members and return the return code, that of the last refused member if any is refused."""
         code = Code.OK
         for batch in message.groups:
             code = self._authorize(connection, message.by_balancer, batch.group)
@@ -154,7 +162,7 @@
         return Code.OK
 
     def _authorize(self, connection: Connection, by_balancer: bool, group: codec.Group) -> int:
-        """Whether this connection may change members of this group, as a return code."""
+        """Return OK if this connection may change members of this group, else the return code of the refusal."""
         if by_balancer:
             allowed = self.config.balancers_register and connection.uid == group.uid
             return Code.OK if allowed else Code.NOT_FROM_YOU
@@ -166,12 +174,12 @@
         return Code.OK if group.name == self.config.members_group else Code.INVALID_GROUP
 
     def connection_lost(self, now: int, connection: Connection) -> None:
-        """The connection has ended; what it registered is held for a while."""
+        """Note the end of a connection; the engine holds its members for a while."""
         if connection.registers_members:
             self.engine.update_endpoints(now, members.StreamLost(connection.number))
 
     def forget_stale(self) -> None:
-        """Drop members whose index stands for nothing any more, once they are many."""
+        """Drop members whose index is no longer in use, once there are many of them."""
         indices = self.engine.task_indices
         for task in [
             task
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -1,7 +1,7 @@
-"""The SASP server: connections of load balancers, members and agents on gevent sockets.
+"""SASP server for load balancers, members and agents on gevent sockets.
 
-Here connections begin and end, requests are handed to `load_balancers` and `registration`, and what the engine asks
-of a server to `weight_replies`. Reading from and writing to sockets is in `transport`.
+This module opens and closes connections and dispatches requests to `load_balancers` and `registration`, and calls of
+the engine to `weight_replies`. `transport` reads from and writes to the sockets.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 
 
 class SaspServer(ProtocolStreamServer):
-    """Serves SASP for the engine of `loop`.
+    """SASP server of the engine of `loop`.
 
     Attributes:
-        secure: Makes an accepted socket a TLS one (OSError where that fails), None without TLS.
-        counts: Figures of the status page.
+        secure: Function that wraps an accepted socket in TLS and raises OSError on failure; None without TLS.
+        counts: Counters of the status page.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - it is made in one place, of all that the service has for it
+    def __init__(  # noqa: PLR0913, PLR0917 - called in one place, with all dependencies of the server
         self,
         loop: EventLoop,
         config: SaspConfig,
@@ -83,7 +83,7 @@
     # Connections.
 
     def start(self) -> int:
-        """Listen; returns the port. OSError if the address is taken."""
+        """Listen and return the port; raise OSError if the address is in use."""
         self.server.start()
         self.monitor = gevent.spawn(self.transport.monitor)
         self.log.info("server_started", protocol="sasp", host=self.config.host, port=self.server.server_port)
@@ -95,15 +95,15 @@
         if self.monitor is not None:
             self.monitor.kill(block=False)
 
-    def close(self, stream: Connection, why: str) -> None:
-        """Close a connection; its greenlets see that and end."""
+    def close(self, stream: Connection, reason: str) -> None:
+        """Close a connection, which ends its greenlets."""
         if not stream.closed:
             self.counts["closed"] += 1
-            super().close(stream, why)
+            super().close(stream, reason)
             stream.due.set()
 
     def recheck(self) -> None:
-        """Close the connections whose bearers may not have them any more; the access table has changed."""
+        """Close the connections that a changed access table no longer allows."""
         for connection in list(self.streams.values()):
             reason = self.access.known(connection.bearer)
             if not reason and connection.uid:
@@ -131,9 +131,9 @@
             connection.closed = connection.closed or connection_lost_reason(error)
         except codec.SaspError as error:
             self.counts["bad_frames"] += 1
-            connection.closed = connection.closed or f"bad frame: {error}"
+            connection.closed = connection.closed or f"invalid frame: {error}"
         finally:
-            connection.closed = connection.closed or "closed by the other side"
+            connection.closed = connection.closed or "closed by the peer"
             connection.due.set()
             self.limiter.release(address[0])
             self.end(connection)
@@ -151,7 +151,7 @@
         return not reason
 
     def end(self, connection: Connection) -> None:
-        """A connection has ended: let go of all that it had."""
+        """Release the state of a connection that has ended."""
         now = self.clock()
         self.transport.unacknowledged.pop(connection.number, None)
         self.session_tracker.end(connection.number)
@@ -170,7 +170,7 @@
     # Requests.
 
     def take(self, connection: Connection, frame: bytes) -> None:
-        """Carry out one request; SaspError if the connection can't go on after it."""
+        """Handle one request; raise SaspError if the connection has to be closed."""
         peer = connection.address[0]
         try:
             number, message = codec.decode(frame)
@@ -182,7 +182,7 @@
             connection.reply(error.reply)
             return
         self._note_request(connection)
-        reply = self._answer(connection, message)
+        reply = self._dispatch(connection, message)
         if reply.code:
             self.log.info(
                 "request_rejected",
@@ -199,7 +199,7 @@
         self.loop.wake()
 
     def _note_request(self, connection: Connection) -> None:
-        """A request has come: a sign of life, and from one that asks the acknowledgement of its last answer."""
+        """Record a request as a heartbeat and, if its sender polls, as acknowledgement of the last reply."""
         now = self.clock()
         self.session_tracker.polled(now, connection.number)
         self.ownership.acknowledge(connection)
@@ -208,7 +208,7 @@
                 self.engine.acknowledge(now, connection.proxy, sent.mark, now - sent.decided_at_us)
             connection.sent_marks.clear()
 
-    def _answer(self, connection: Connection, message: codec.Message) -> codec.Message:
+    def _dispatch(self, connection: Connection, message: codec.Message) -> codec.Message:
         if isinstance(message, codec.GetWeights):
             return self.load_balancers.get_weights(connection, message)
         if isinstance(message, codec.SetBalancer):
@@ -220,12 +220,12 @@
         elif isinstance(message, codec.SetMembers):
             code = self.member_requests.set_states(connection, message)
         else:
-            raise codec.SaspError(f"{type(message).__name__} is not a request")
+            raise codec.SaspError(f"message {type(message).__name__} received, expected a request")
         return codec.reply_to(message, code)
 
     def _register(self, connection: Connection, message: codec.Register) -> int:
         if message.by_balancer:
-            request = self.load_balancers.ownership_request_in(connection, message.groups)
+            request = self.load_balancers.read_ownership_request(connection, message.groups)
             if request is not None:
                 connection.ownership_request = request
                 return self.load_balancers.identify(connection, message.groups[0].group.uid)
@@ -242,35 +242,35 @@
                 return code
         return self.member_requests.deregister(connection, message)
 
-    # What the engine asks of a server.
+    # Interface to the engine.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """How many entries this update comes to at this proxy, and how many all its groups in full."""
+        """Return the number of entries of this update for the proxy and of all its groups in full."""
         connection = self.by_proxy.get(proxy)
         return (0, 0) if connection is None else self.weight_replies.count_lines(connection, update)
 
     def write(self, proxy: int, update: ProxyUpdate) -> None:
-        """Let the proxy have this update; never blocks."""
+        """Apply an update to the views of the proxy, for its writer to send; never block."""
         connection = self.by_proxy.get(proxy)
         if connection is not None:
             self.weight_replies.apply(connection, update)
 
-    def detach(self, proxy: int, why: str) -> None:
+    def detach(self, proxy: int, reason: str) -> None:
         """Close the proxy's connection."""
         connection = self.by_proxy.get(proxy)
         if connection is not None:
-            self.close(connection, why)
+            self.close(connection, reason)
 
-    def redirect(self, proxy: int, to: str, why: str) -> None:
-        """Give the proxy up to the assigner `to`, empty if whichever answers."""
+    def redirect(self, proxy: int, assigner: str, reason: str) -> None:
+        """Release the proxy to another assigner; with an empty name, to whichever assigner it reaches next."""
         connection = self.by_proxy.get(proxy)
         if connection is not None:
-            self.load_balancers.redirect(connection, to, why)
+            self.load_balancers.redirect(connection, assigner, reason)
 
     def compose(self, connection: Connection) -> list[bytes]:
-        """Frames for all that is to be pushed to a load balancer now."""
+        """Return the frames that are due to be pushed to a load balancer."""
         return self.weight_replies.compose(connection)
 
     def status(self) -> dict:
-        """Figures for the status page."""
+        """Return the counters for the status page."""
         return {**self.counts, "streams": len(self.streams), "refused_why": self.limiter.refused}
--- a/hollyridge/sasp/transport.py
+++ b/hollyridge/sasp/transport.py
@@ -1,6 +1,6 @@
-"""Bytes of SASP connections: reading under limits, writing, and what the other side has acknowledged.
+"""Transport of SASP connections: reading under rate limits, writing, and tracking acknowledged bytes.
 
-Each connection has a greenlet that reads and one that writes; one more looks after all connections.
+Each connection has a greenlet that reads and one that writes; one more greenlet monitors all connections.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 if TYPE_CHECKING:
     from hollyridge.sasp.server import SaspServer
 
-MAX_WAITING_REPLIES = 64  # above it, no more requests of that connection are read
+MAX_WAITING_REPLIES = 64  # from this number on, no more requests of the connection are handled
 RECEIVE_BYTES = 65536
-BACKPRESSURE_SLEEP_S = 0.02  # between two looks at whether reading may go on
-MONITOR_INTERVAL_S = 0.02  # between two looks at what the other sides have acknowledged
-OVERDUE_EVERY = 5  # looks for connections that are overdue come once in so many of these
-MIN_TIMEOUT_S = 0.001  # 0 would mean not to wait at all
+BACKPRESSURE_SLEEP_S = 0.02  # interval between checks of whether reading may continue
+MONITOR_INTERVAL_S = 0.02  # interval between checks of acknowledged bytes
+OVERDUE_EVERY = 5  # number of monitor intervals between checks for overdue connections
+MIN_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
 KEEPALIVE = ((plain.TCP_KEEPIDLE, 5), (plain.TCP_KEEPINTVL, 2), (plain.TCP_KEEPCNT, 3))  # s, s, probes
 
 
 class ConnectionTransport:
-    """Reads and writes the connections of one server.
+    """Reader, writer and monitor of the connections of one server.
 
     Attributes:
-        unacknowledged: Connections that have bytes under way, as far as is known, by number.
+        unacknowledged: Connections that may have sent bytes without acknowledgement, by number.
     """
 
     def __init__(self, server: SaspServer) -> None:
@@ -54,7 +54,7 @@
     # Reading.
 
     def read_until_closed(self, connection: Connection) -> None:
-        """Read requests and have them carried out; OSError and SaspError end the connection."""
+        """Read requests and pass them to the server; OSError and SaspError end the connection."""
         framer = codec.Framer(self.config.max_message_bytes)
         requests = self.server.limiter.request_bucket()
         opened_us = self.clock()
@@ -64,25 +64,25 @@
             try:
                 chunk = connection.sock.recv(RECEIVE_BYTES)
             except TimeoutError:
-                late = "a frame was not complete in time" if framer.partial else "it did not say in time who it is"
-                connection.closed = late
+                timeout_reason = "frame was not complete in time" if framer.partial else "peer did not identify in time"
+                connection.closed = timeout_reason
                 return
             if not chunk:
                 return
             if not framer.partial:
                 frame_began_us = self.clock()
             for frame in framer.feed(chunk):
-                self._wait_for_turn(connection, requests)
+                self._apply_backpressure(connection, requests)
                 self.server.counts["frames_in"] += 1
                 self.server.take(connection, frame)
                 frame_began_us = self.clock()
-            if framer.partial and len(framer.held) == len(chunk):
+            if framer.partial and len(framer.buffer) == len(chunk):
                 frame_began_us = self.clock()
 
     def _read_timeout(
         self, connection: Connection, in_frame: bool, frame_began_us: int, opened_us: int
     ) -> float | None:
-        """Seconds to wait for bytes: a frame that has begun must end in time, however slowly its bytes drip."""
+        """Return the seconds to wait for bytes; a frame has to be complete in time, even if its bytes arrive slowly."""
         if in_frame:
             left_s = self.config.frame_timeout_s - (self.clock() - frame_began_us) / 1e6
         elif not connection.uid and not connection.registers_members:
@@ -91,8 +91,8 @@
             return None
         return max(MIN_TIMEOUT_S, left_s)
 
-    def _wait_for_turn(self, connection: Connection, requests: TokenBucket) -> None:
-        """Wait while the other side asks too often or does not read; its own full window slows it."""
+    def _apply_backpressure(self, connection: Connection, requests: TokenBucket) -> None:
+        """Wait while the peer exceeds its request rate or does not read; its full TCP window then slows it down."""
         while not requests.take(self.clock()) and not connection.closed:
             gevent.sleep(BACKPRESSURE_SLEEP_S)
         while len(connection.replies) >= MAX_WAITING_REPLIES and not connection.closed:
@@ -101,7 +101,7 @@
     # Writing.
 
     def write_until_closed(self, connection: Connection) -> None:
-        """Write replies, and pushes as they fall due."""
+        """Write replies, and pushes as they become due."""
         try:
             while not connection.closed:
                 connection.due.wait()
@@ -126,44 +126,47 @@
         self.server.counts["frames_out"] += 1
         while unsent and not connection.closed:
             try:
-                taken_bytes = connection.sock.send(unsent)
-            except TimeoutError:  # the reader's time limit, which the socket shares; writing has none
+                accepted_bytes = connection.sock.send(unsent)
+            except TimeoutError:  # the socket has the reader's timeout; writing has no time limit
                 continue
-            connection.sent += taken_bytes
-            unsent = unsent[taken_bytes:]
+            connection.sent += accepted_bytes
+            unsent = unsent[accepted_bytes:]
 
-    # Watching over connections.
+    # Monitoring.
 
     def monitor(self) -> None:
-        """Acknowledge what the other sides have taken, close what is overdue; runs until it is killed."""
-        turn = 0
+        """Record acknowledged bytes and close overdue connections until the greenlet is killed."""
+        intervals = 0
         while True:
             gevent.sleep(MONITOR_INTERVAL_S)
             now = self.clock()
             for connection in list(self.unacknowledged.values()):
                 self._check_acknowledged(now, connection)
-            turn += 1
-            if turn % OVERDUE_EVERY == 0:
+            intervals += 1
+            if intervals % OVERDUE_EVERY == 0:
                 for number, reason in self.server.session_tracker.overdue(now):
                     if number in self.server.streams:
                         self.server.close(self.server.streams[number], reason)
                 self.server.member_requests.forget_stale()
 
     def _check_acknowledged(self, now: int, connection: Connection) -> None:
-        """Look at what the kernel still holds for the other side; with TLS only 0 tells how much was taken."""
+        """Derive the acknowledged bytes from the kernel's send queue.
+
+        With TLS, the queue counts encrypted bytes, so that only an empty queue shows how much was acknowledged.
+        """
         try:
             raw = fcntl.ioctl(connection.sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
         except OSError:
             self.unacknowledged.pop(connection.number, None)
             return
         (queued_bytes,) = struct.unpack("i", raw)
-        taken_bytes = (
+        acknowledged_bytes = (
             connection.sent - queued_bytes if self.server.secure is None else connection.sent * (queued_bytes == 0)
         )
-        self.server.session_tracker.check_backlog(now, connection.number, taken_bytes, queued_bytes > 0)
+        self.server.session_tracker.check_backlog(now, connection.number, acknowledged_bytes, queued_bytes > 0)
         if connection.push:
             marks = connection.sent_marks
-            while marks and marks[0].sent_bytes <= taken_bytes:
+            while marks and marks[0].sent_bytes <= acknowledged_bytes:
                 sent = marks.popleft()
                 self.server.engine.acknowledge(now, connection.proxy, sent.mark, now - sent.decided_at_us)
                 self.server.loop.wake()
--- a/hollyridge/sasp/weight_replies.py
+++ b/hollyridge/sasp/weight_replies.py
@@ -1,7 +1,7 @@
-"""Weight tables as SASP messages: what each load balancer should hold, what it was sent, what it is owed.
+"""Weight tables as SASP messages.
 
-Updates of the engine change a connection's views; messages are made of the views when they are written. So a reader
-that stands still holds up nobody, and costs one view for each group, not a queue.
+Updates of the engine change a connection's views, and messages are built from the views only when they are written.
+Therefore a reader that does not read delays no other reader and costs one view per group rather than a queue.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from hollyridge.sasp.registration import MemberRequests
 from hollyridge.store.table_versions import Table
 
-MAX_ENTRIES_PER_GROUP = 900  # with the longest addresses and no labels these fit in a component of 64 KB
-MAX_ENTRIES_PER_MESSAGE = 1500  # a message is one component, so 64 KB too
+MAX_ENTRIES_PER_GROUP = 900  # these fit in a component of 64 KB with the longest addresses and without labels
+MAX_ENTRIES_PER_MESSAGE = 1500  # a message is one component, so its limit is 64 KB too
 MAX_PENDING_MARKS = 32  # a later mark covers the earlier ones
 
 
 class WeightReplies:
-    """Keeps the views of load balancers and writes what is owed."""
+    """Views of load balancers, and the messages that bring load balancers up to date with them."""
 
     def __init__(
         self, loop: EventLoop, config: SaspConfig, member_requests: MemberRequests, ownership: SaspOwnership
@@ -33,20 +33,20 @@
         self.member_requests = member_requests
         self.ownership = ownership
 
-    # What the views should hold.
+    # Changes of views.
 
     def count_lines(self, connection: Connection, update: ProxyUpdate) -> tuple[int, int]:
-        """How many entries this update comes to, and how many all its groups in full."""
+        """Return the number of entries of this update and of all groups of the connection in full."""
         bound = self.engine.update_builder.bindings.get(connection.proxy, {})
         tables = [bound.get(method) for name, method in self.config.groups.items() if name in connection.views]
         store = self.engine.update_builder.store
         whole = sum(len(store.latest(table)) for table in tables if table is not None)
-        if not connection.flags & BalancerFlags.NO_CHANGE:  # it is sent its groups in full, whatever changed
+        if not connection.flags & BalancerFlags.NO_CHANGE:  # any change sends its groups in full
             return whole, whole
         return sum(lines * tables.count(table) for table, lines in update.line_counts), whole
 
     def apply(self, connection: Connection, update: ProxyUpdate) -> None:
-        """Change the views by an update of the engine."""
+        """Apply an update of the engine to the views."""
         connection.version = update.decision
         values = dict(update.tables)
         for name, method in self.config.groups.items():
@@ -65,7 +65,7 @@
         connection.due.set()
 
     def bind(self, connection: Connection, view: SaspProxyView, table: int, value: Table) -> None:
-        """Let the view show this table from now on."""
+        """Bind the view to a table with its current value."""
         view.table = table
         view.current = value
         view.resend_whole = True
@@ -73,7 +73,7 @@
         connection.due.set()
 
     def add_group(self, connection: Connection, name: str) -> None:
-        """Let the load balancer have this group; if its proxy has its tables already, this one at once."""
+        """Add a group to the load balancer, and bind its table at once if the proxy has its tables already."""
         view = connection.views.setdefault(name, SaspProxyView())
         if view.current is None and connection.proxy >= 0:
             builder = self.engine.update_builder
@@ -81,10 +81,10 @@
             if table is not None:
                 self.bind(connection, view, table, builder.store.latest(table))
 
-    # What is sent.
+    # Messages.
 
-    def in_full(self, connection: Connection, groups: tuple[codec.Group, ...]) -> tuple[codec.WeightsOf, ...]:
-        """The answer to one that asks; its cost is charged to the channel that all share."""
+    def full_weights(self, connection: Connection, groups: tuple[codec.Group, ...]) -> tuple[codec.WeightsOf, ...]:
+        """Return all entries of the groups for a load balancer that polls, and charge them to the shared channel."""
         batches = []
         for group in groups:
             entries = self._entries(connection, connection.views[group.name], whole=True)
@@ -94,7 +94,7 @@
         return tuple(batches)
 
     def compose(self, connection: Connection) -> list[bytes]:
-        """Frames for all that is to be pushed; several only where one would be too long."""
+        """Return the frames that are due to be pushed, more than one only if one would be too long."""
         batches: list[codec.WeightsOf] = []
         frames = []
         entries_in_message = 0
@@ -118,7 +118,7 @@
             if not view.due:
                 continue
             group = codec.Group(connection.uid, name)
-            entries = self._entries(connection, view, whole=False)  # none where only admission levels changed
+            entries = self._entries(connection, view, whole=False)  # empty if only admission levels changed
             for first in range(0, len(entries), MAX_ENTRIES_PER_GROUP):
                 batches.append(codec.WeightsOf(group, entries[first : first + MAX_ENTRIES_PER_GROUP]))
         return batches
@@ -128,7 +128,7 @@
         return codec.encode(message_id(connection), codec.SendWeights(tuple(batches)))
 
     def _entries(self, connection: Connection, view: SaspProxyView, whole: bool) -> tuple[codec.Weight, ...]:
-        """Entries that bring the group up to date; from then on they count as sent."""
+        """Return the entries that bring the group up to date, and mark them as sent."""
         if view.current is None:
             return ()
         now = self.clock()
@@ -144,13 +144,13 @@
         )
         view.sent = view.current
         view.resend_whole = False
-        return tuple(self._entry(now, task, figure) for task, figure in advised.figures.items())
+        return tuple(self._entry(now, task, sasp_weight) for task, sasp_weight in advised.sasp_weights.items())
 
-    def _entry(self, now: int, task: int, figure: int) -> codec.Weight:
+    def _entry(self, now: int, task: int, sasp_weight: int) -> codec.Weight:
         member = self.member_requests.by_task[task]
         flags = WeightFlags.CONTACT * self.engine.is_running(task)
         flags |= WeightFlags.QUIESCE * self.engine.is_closed(task)
         flags |= WeightFlags.CONFIDENT * self.engine.is_confident(now, task)
         by_balancer = self.member_requests.registered_by_balancer.get(member.key, False)
         flags |= WeightFlags.REGISTERED_BY_BALANCER * by_balancer
-        return codec.Weight(member, figure, int(flags))
+        return codec.Weight(member, sasp_weight, int(flags))
--- a/tests/sasp/test_sasp_server.py
+++ b/tests/sasp/test_sasp_server.py
@@ -1,4 +1,4 @@
-"""The SASP server on loopback sockets, with clients that behave well or badly."""
+"""Tests of the SASP server on loopback sockets, with well-behaved and misbehaving clients."""
 
 import socket as plain
 import time
@@ -18,14 +18,14 @@
 def test_a_pushed_balancer_holds_the_table_and_loses_drained_tasks(rig):
     r = rig()
     agent, gw = r.agent(), r.balancer()
-    held, book = r.holds(gw)
+    held, tables = r.holds(gw)
     assert held == ALL
     agent.quiesce([r.members()[0]])
-    held, book = r.holds(gw, book, 0.5)
+    held, tables = r.holds(gw, tables, 0.5)
     assert held == {g: {2, 3, 4} for g in GROUPS}
     agent.deregister([r.members()[1]])
-    assert r.holds(gw, book, 0.5)[0] == {g: {3, 4} for g in GROUPS}
-    other = r.balancer("gw-2", zone=2)  # who joins later gets none of them
+    assert r.holds(gw, tables, 0.5)[0] == {g: {3, 4} for g in GROUPS}
+    other = r.balancer("gw-2", zone=2)  # a load balancer that joins later gets none of the removed tasks
     assert r.holds(other)[0] == {g: {3, 4} for g in GROUPS}
 
 
@@ -35,26 +35,26 @@
     gw = r.balancer()
     own = r.open(MemberRegistrar, "shelf", source="127.1.0.50")
     own.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
-    held, book = r.holds(gw, seconds=0.6)
-    assert all(50 in some for some in held.values())
+    held, tables = r.holds(gw, seconds=0.6)
+    assert all(50 in hosts for hosts in held.values())
     own.close()
-    assert r.holds(gw, book, 1.0)[0] == ALL
+    assert r.holds(gw, tables, 1.0)[0] == ALL
 
 
 def test_an_agent_that_reconnects_keeps_its_list(rig):
     r = rig(roster__hold_agent_s=1)
     agent, gw = r.agent(), r.balancer()
-    book = r.holds(gw, seconds=0.5)[1]
+    tables = r.holds(gw, seconds=0.5)[1]
     agent.close()
     gevent.sleep(0.4)
     r.agent()
-    held, _ = r.holds(gw, book, 1.2)
+    held, _ = r.holds(gw, tables, 1.2)
     assert held == ALL
     assert r.engine.endpoint_source.returns == 4
     assert not r.engine.endpoint_source.restarts
 
 
-def test_a_balancer_that_asks_once_gets_a_table_and_is_closed(rig):
+def test_a_balancer_that_polls_once_gets_a_table_and_is_closed(rig):
     r = rig()
     r.agent()
     gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
@@ -68,7 +68,7 @@
     assert not r.engine.servers
 
 
-def test_a_balancer_that_goes_on_asking_stays_and_sees_a_drain(rig):
+def test_a_balancer_that_keeps_polling_stays_and_sees_a_drain(rig):
     r = rig(promises__drain_grace_s=3)
     agent = r.agent()
     gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
@@ -88,21 +88,21 @@
     assert r.front.counts["asked_too_often"] == 1
 
 
-def test_a_balancer_that_reads_nothing_harms_no_other(rig):
+def test_a_balancer_that_reads_nothing_does_not_delay_others(rig):
     r = rig(sasp__send_buffer_bytes=4096, proxies__tasks_most=400, channel__messages_most=200)
     agent = r.agent(tasks=4)
     slow, quick = r.open(LoadBalancerClient, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
     slow.sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
     slow.start(GROUPS)
-    book = r.holds(quick, seconds=0.4)[1]
-    crowd = [Member.at(f"127.3.1.{k}", 9000, "run=a up=100") for k in range(1, 200)]
+    tables = r.holds(quick, seconds=0.4)[1]
+    many_members = [Member.at(f"127.3.1.{k}", 9000, "run=a up=100") for k in range(1, 200)]
     for _ in range(8):
-        agent.register(crowd)
-        book = r.holds(quick, book, 0.25)[1]
-        agent.deregister(crowd)
-        held, book = r.holds(quick, book, 0.25)
-    for _ in range(20):  # the quick one sees it all
-        held, book = (held, book) if held == ALL else r.holds(quick, book, 0.25)
+        agent.register(many_members)
+        tables = r.holds(quick, tables, 0.25)[1]
+        agent.deregister(many_members)
+        held, tables = r.holds(quick, tables, 0.25)
+    for _ in range(20):  # the reading balancer receives every change
+        held, tables = (held, tables) if held == ALL else r.holds(quick, tables, 0.25)
     assert held == ALL
     assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index)
     assert "quick" in r.engine.proxy_indices.index
@@ -110,17 +110,17 @@
 
 def test_quiesce_between_a_computed_and_a_sent_table(rig):
     r = rig(channel__lines_per_s=15, channel__most_waiting=2000, channel__worst_transit_s=1)
-    agent, gw = r.agent(), r.balancer()  # its table takes a second to leave
+    agent, gw = r.agent(), r.balancer()  # the channel takes a second to send the table
     assert wait_for(lambda: r.engine.queue.waiting_lines, 0.9)
     agent.quiesce([r.members()[0]])
     first = gw.receive(5)[1]
-    told = [w for row in first.groups for w in row.weights]
-    closed = [w for w in told if w.member.host == "127.1.0.1"]  # mostly it is not told of at all
-    assert len(told) > len(closed)
+    entries = [w for row in first.groups for w in row.weights]
+    closed = [w for w in entries if w.member.host == "127.1.0.1"]  # usually the message has no entry for it
+    assert len(entries) > len(closed)
     assert all(w.weight == 0 and w.flags & WeightFlags.QUIESCE for w in closed)
 
 
-NONSENSE = [
+MALFORMED = [
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     b"\0" * 64,
     codec.encode(1, codec.SendWeights(())),
@@ -128,7 +128,7 @@
 ]
 
 
-@pytest.mark.parametrize("raw", NONSENSE)
+@pytest.mark.parametrize("raw", MALFORMED)
 def test_a_malformed_frame_closes_its_own_connection_only(rig, raw):
     r = rig()
     r.agent()
@@ -139,25 +139,25 @@
     assert r.front.counts["bad_frames"] == 1
 
 
-def test_connections_end_after_half_a_frame_silence_or_dripping_bytes(rig):
+def test_connections_end_after_half_a_frame_silence_or_slow_bytes(rig):
     r = rig(sasp__frame_s=0.5, sasp__hello_s=0.5)
-    half, silent, dripping = r.raw(), r.raw(), r.raw()
-    half.sendall(NONSENSE[2][:10])
-    begun = time.monotonic()
+    half, silent, slow = r.raw(), r.raw(), r.raw()
+    half.sendall(MALFORMED[2][:10])
+    started = time.monotonic()
     frame = codec.encode(1, codec.SetBalancer("x" * 60, 0, 0))
     with pytest.raises(OSError):
         for byte in frame:
-            dripping.sendall(bytes((byte,)))
+            slow.sendall(bytes((byte,)))
             gevent.sleep(0.05)
-        raise OSError("it was read on and on") if not r.front.counts["closed"] else OSError
+        raise OSError("the server kept reading the slow frame") if not r.front.counts["closed"] else OSError
     assert half.recv(10) == b""
     assert silent.recv(10) == b""
-    assert time.monotonic() - begun < 6
+    assert time.monotonic() - started < 6
     assert not r.front.streams
 
 
 BAD_REQUESTS = [
-    # who asks, what, the code that answers it
+    # (client class, request, return code of the reply)
     (Client, codec.Register(True, (MembersOf(Group("gw", "no-such-group"), ()),)), Code.INVALID_GROUP),
     (Client, codec.Register(True, (MembersOf(Group("gw", "x" * 100), ()),)), Code.GROUP_NAME_SIZE),
     (Client, codec.SetBalancer("", 0, 0), Code.UID_SIZE),
@@ -176,7 +176,7 @@
         Client,
         codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("10.0.0.1", 1),)),)),
         Code.NOT_FROM_YOU,
-    ),  # no zone holds it
+    ),  # an address in no zone
     (
         Client,
         codec.Register(False, (MembersOf(Group("shelf", "tasks"), (Member.at("127.1.0.9", 1),) * 2),)),
@@ -195,11 +195,11 @@
 ]
 
 
-@pytest.mark.parametrize(("kind", "message", "code"), BAD_REQUESTS)
-def test_bad_requests_get_their_code(rig, kind, message, code):
+@pytest.mark.parametrize(("client_class", "message", "code"), BAD_REQUESTS)
+def test_invalid_requests_get_their_return_code(rig, client_class, message, code):
     r = rig()
     r.agent()
-    client = r.open(kind, source="127.1.0.200")
+    client = r.open(client_class, source="127.1.0.200")
     assert client.call(message).code == code
     assert len(r.engine.endpoint_source.entries) == 4
 
@@ -209,9 +209,9 @@
     agent, first = r.agent(), r.balancer()
     with pytest.raises(RefusedError) as refused:
         first.weights(())
-        first.ask(codec.GetWeights((Group("gw-2", "read-chapter"),)))
+        first.call_checked(codec.GetWeights((Group("gw-2", "read-chapter"),)))
     assert refused.value.code == Code.UNKNOWN_BALANCER
-    second = r.balancer()  # the same name on a newer stream
+    second = r.balancer()  # the same UID on a newer stream
     assert r.holds(second)[0] == ALL
     with pytest.raises(ConnectionLostError):
         while first.receive(1):
@@ -219,7 +219,7 @@
     assert len(r.engine.servers) == 1
     other = r.open(MemberRegistrar, "shelf")
     with pytest.raises(RefusedError):
-        other.deregister([r.members()[0]])  # it is the agent's
+        other.deregister([r.members()[0]])  # the agent registered this member
     agent.deregister([r.members()[0]])
 
 
@@ -227,21 +227,21 @@
     r = rig(sasp__connections_most=300, sasp__connects_per_s=400)
     r.agent()
     gw = r.balancer()
-    storm = []
+    attempts = []
     for _ in range(1000):
-        storm.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
+        attempts.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
     held, _ = r.holds(gw, seconds=1.5)
     assert held == ALL
     assert r.front.counts["refused"] > 300
     assert len(r.front.streams) <= 300
-    for one in storm:
-        if one.successful():
-            one.value.close()
+    for attempt in attempts:
+        if attempt.successful():
+            attempt.value.close()
     gevent.sleep(0.2)
     assert r.holds(r.balancer("gw-2", zone=2))[0] == ALL
 
 
-def test_a_step_of_the_wall_clock_changes_nothing(rig, monkeypatch):
+def test_a_step_of_the_wall_clock_has_no_effect(rig, monkeypatch):
     r = rig()
     r.agent()
     gw = r.balancer()
