--- a/hollyridge/chp/__init__.py
+++ b/hollyridge/chp/__init__.py
@@ -1,1 +1,1 @@
-"""Pub-sub with snapshots: the Clustered Hashmap Protocol (ZeroMQ RFC 12). See docs/clone.md."""
+"""The Clustered Hashmap Protocol (ZeroMQ RFC 12), which is pub-sub with snapshots. See docs/clone.md."""
--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -1,6 +1,6 @@
-"""A blocking client of the CHP server.
+"""Blocking client of the CHP server.
 
-Sockets come from `zmq`, by default pyzmq's own module; pass `zmq.green` to use it in greenlets.
+The module in `zmq` provides the sockets, by default pyzmq's own; pass `zmq.green` to use a client in greenlets.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
     import zmq as pyzmq
 
 ROUTING_ID_RANDOM_BYTES = 12
-FIRST_HEARTBEAT_S = 1.0  # until the assigner's own is known
-MIN_HEARTBEAT_S, MAX_HEARTBEAT_S = 0.05, 10.0  # whatever it tells
-RETRY_HEARTBEATS = 2  # a snapshot that is not here after so many heartbeats is asked for again
+FIRST_HEARTBEAT_S = 1.0  # assumed until the assigner's interval is known
+MIN_HEARTBEAT_S, MAX_HEARTBEAT_S = 0.05, 10.0  # bounds of the interval that the assigner announces
+RETRY_HEARTBEATS = 2  # number of heartbeat intervals after which a missing snapshot is requested again
 
 
 class Subscriber:
-    """One session of the proxy `uid` with the assigner at `address` (host, port of the snapshot socket).
+    """Session of the proxy `uid` with the assigner at `address` (host, port of the snapshot socket).
 
-    `on_receive(parts)`, if given, is called with every message received; `keys(sock)` prepares a socket for CURVE.
-    When a session is over, begin another with the same `client` to keep what is held. `insist`: the assigner that it
-    was redirected to could not be reached.
+    `on_receive(parts)`, if given, is called with every received message; `keys(sock)` prepares a socket for CURVE. When
+    a session ends, start another one with the same `client` to keep the tables. `insist` is true if the assigner that
+    the proxy was redirected to could not be reached.
 
     Attributes:
-        heartbeat_s: The assigner's time between two heartbeats.
+        requested_at: Time of the pending snapshot request, by subtree, in seconds.
+        heartbeat_s: Interval between the assigner's heartbeats, in seconds.
         joined: Whether the assigner serves this session.
     """
 
@@ -64,13 +65,13 @@
         self._connect(context or zmq.Context.instance(), address, source, keys)
         self.last_message = self.clock()
         self.last_heartbeat = self.last_message
-        self.asked: dict[str, float] = {}  # when a snapshot was asked for, by subtree
+        self.requested_at: dict[str, float] = {}
         self.heartbeat_s = FIRST_HEARTBEAT_S
         self.joined = False
         self.acked_at = 0.0
         for subtree in self.client.replicas:
             self.sub.subscribe(subtree.encode())
-        self.ask(self.client.home)
+        self.request_snapshot(self.client.home)
 
     def _connect(self, context: pyzmq.Context, address: tuple[str, int], source: str, keys: Callable) -> None:
         zmq = self.zmq
@@ -94,62 +95,62 @@
         for sock in (self.dealer, self.sub, self.push):
             sock.close()
 
-    def ask(self, subtree: str) -> None:
-        """Ask for a snapshot of a subtree, and subscribe to its changes."""
-        self.asked[subtree] = self.clock()
+    def request_snapshot(self, subtree: str) -> None:
+        """Request a snapshot of a subtree, and subscribe to its changes."""
+        self.requested_at[subtree] = self.clock()
         self.sub.subscribe(subtree.encode())
         self.dealer.send_multipart(codec.encode(codec.Icanhaz(subtree)))
 
     def ack(self) -> None:
-        """Tell the assigner what is applied; also the heartbeat."""
+        """Send the applied heads to the assigner, which is also the heartbeat."""
         self.acked_at = self.clock()
         home = self.client.replicas[self.client.home]
         value = codec.Ack(home.head.epoch, self.client.applied_heads(), self.client.fencing.newest_token)
         uuid = codec.uuid_of(self.routing_id.hex())
         message = codec.Kvset(self.client.home + "ack", uuid, codec.PROPERTIES, codec.json(value))
-        with suppress(self.zmq.ZMQError):  # nobody reads it now; the next one makes up for it
+        with suppress(self.zmq.ZMQError):  # the assigner does not read at present; the next message replaces this one
             self.push.send_multipart(codec.encode(message), flags=self.zmq.NOBLOCK)
 
     def step(self, timeout: float) -> ReplicaTables | None:
-        """Take what comes within `timeout` seconds, at least one look; the tables if they changed."""
+        """Process messages for up to `timeout` seconds, polling at least once; return the tables if they changed."""
         deadline = self.clock() + timeout
         changed = False
         while True:
-            left_s = max(0.0, min(deadline, self.acked_at + self.heartbeat_s) - self.clock())
-            for sock, _ in self.poller.poll(left_s * 1000):
+            remaining_s = max(0.0, min(deadline, self.acked_at + self.heartbeat_s) - self.clock())
+            for sock, _ in self.poller.poll(remaining_s * 1000):
                 changed = self.take(sock.recv_multipart()) or changed
             now = self.clock()
             if changed or now >= self.acked_at + self.heartbeat_s:
                 self.ack()
-            self._ask_again(now)
+            self._retry_snapshots(now)
             if changed:
                 return self.client.tables
             if self.client.redirect() is not None or now >= deadline:
                 return None
 
-    def _ask_again(self, now: float) -> None:
-        """Ask again for snapshots that are not here in time."""
-        for subtree, asked_at in list(self.asked.items()):
+    def _retry_snapshots(self, now: float) -> None:
+        """Repeat the requests for snapshots that did not arrive in time."""
+        for subtree, sent_at in list(self.requested_at.items()):
             replica = self.client.replicas.get(subtree)
             if replica is None or not replica.asking:
-                del self.asked[subtree]
-            elif now - asked_at > RETRY_HEARTBEATS * self.heartbeat_s:
+                del self.requested_at[subtree]
+            elif now - sent_at > RETRY_HEARTBEATS * self.heartbeat_s:
                 replica.begin()
-                self.ask(subtree)
+                self.request_snapshot(subtree)
 
     def take(self, parts: list[bytes]) -> bool:
-        """Take one message; whether the tables changed."""
+        """Process one message, and return whether the tables changed."""
         if self.on_receive:
             self.on_receive(parts)
         try:
             message = codec.decode(parts)
             self.last_message = self.clock()
-            ask, drop, changed = self.client.take(message)
+            needed, unused, changed = self.client.take(message)
         except codec.ChpError:
-            return False  # of a later layout, or corrupted: not applied; the next head shows the gap if it mattered
-        for subtree in ask:
-            self.ask(subtree)
-        for subtree in drop:
+            return False  # corrupted or of a later layout; if it belongs to a change, the next head reveals the gap
+        for subtree in needed:
+            self.request_snapshot(subtree)
+        for subtree in unused:
             self.sub.unsubscribe(subtree.encode())
         self._note_heartbeat(message)
         return changed
@@ -167,5 +168,8 @@
 
     @property
     def silent_for(self) -> float:
-        """Seconds since a heartbeat of its own subtree, which only joined sessions get; before it joins, since any."""
+        """Return the seconds since the last heartbeat of the proxy's own subtree, which only joined sessions receive.
+
+        Before the session has joined, return the seconds since the last message of any kind.
+        """
         return self.clock() - (self.last_heartbeat if self.joined else self.last_message)
--- a/hollyridge/chp/config.py
+++ b/hollyridge/chp/config.py
@@ -1,4 +1,4 @@
-"""What the CHP server is configured with."""
+"""Configuration of the CHP server."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ChpConfig(NamedTuple):
-    """Configuration of the CHP server.
+    """Settings of the CHP server.
 
     Attributes:
         host: Address to listen on.
-        port: Port of the snapshot socket; the publisher and the collector have the next two.
-        max_waiting_messages: Messages that may wait in the library for one reader.
-        heartbeat_ms: Time between two heartbeats.
-        max_proxies: Sessions at a time.
-        default_rate: RPCs a second taken for a proxy until reports tell.
-        methods: Names of the methods, in order.
+        port: Port of the snapshot socket; the publisher and the collector use the next two ports.
+        max_waiting_messages: Maximum number of messages that ZeroMQ queues for one reader.
+        heartbeat_ms: Interval between heartbeats, in milliseconds.
+        max_proxies: Maximum number of concurrent sessions.
+        default_rate: Load assumed for a proxy until reports show its actual load, in RPCs per second.
+        methods: Names of the methods, in the order of their indices.
     """
 
     host: str
--- a/hollyridge/chp/key_space.py
+++ b/hollyridge/chp/key_space.py
@@ -1,4 +1,4 @@
-"""The server's side of the key space: what each subtree holds, numbered changes, snapshots. No sockets."""
+"""Server side of the key space: the content of each subtree, numbered changes and snapshots. No sockets."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class KeySpace:
-    """What all subtrees hold.
+    """Content of all subtrees.
 
     Attributes:
-        epoch: Names this run of the assigner: numbers of another run mean nothing here.
-        sequence: The newest number given to a message.
+        epoch: Identifier of this run of the assigner; sequence numbers of different runs are not comparable.
+        sequence: Newest sequence number of a message.
         held: Keys and their values, by subtree.
-        heads: The newest head, by subtree.
+        heads: Newest head, by subtree.
 
     >>> key_space = KeySpace("e1", 500)
     >>> [message.key for message in key_space.set("/table/0/", 1, {"/table/0/line/a:1": b"x"})]
@@ -31,12 +31,12 @@
         self.heads: dict[str, Head] = {}
 
     def set(self, subtree: str, version: int, target: dict[str, bytes]) -> list[Kvpub]:
-        """Make the subtree hold this; the messages of the change, none if it holds it already."""
+        """Replace the content of the subtree; return the messages of the change, none if nothing changes."""
         held = self.held.setdefault(subtree, {})
         changed = [(key, b"") for key in held if key not in target]
         changed += [(key, value) for key, value in target.items() if held.get(key) != value]
-        before = self.heads.get(subtree)
-        if not changed and before is not None:
+        previous_head = self.heads.get(subtree)
+        if not changed and previous_head is not None:
             return []
         messages = [self._change(key, value) for key, value in sorted(changed)]
         self.sequence += 1
@@ -44,7 +44,7 @@
             epoch=self.epoch,
             version=version,
             seq=self.sequence,
-            prev=before.seq if before else 0,
+            prev=previous_head.seq if previous_head else 0,
             count=len(messages),
             total=len(target),
             heartbeat_ms=self.heartbeat_ms,
@@ -61,11 +61,11 @@
         return Kvpub(subtree + "head", head.seq, self.uuid, codec.PROPERTIES, codec.json(head))
 
     def heartbeat(self, subtree: str) -> Kvpub:
-        """The heartbeat: the head again, so that who missed the last change notices."""
+        """Return the heartbeat, which repeats the head so that a subscriber that missed the last change notices it."""
         return self._head_message(subtree, self.heads[subtree])
 
     def snapshot(self, subtree: str) -> list[Kvsync | Kthxbai]:
-        """All messages of a snapshot."""
+        """Return all messages of a snapshot."""
         head = self.heads.get(subtree)
         if head is None:
             return [Kthxbai(self.sequence, subtree)]
@@ -73,6 +73,6 @@
         return [*keys, Kvsync(subtree + "head", head.seq, codec.json(head)), Kthxbai(head.seq, subtree)]
 
     def drop(self, subtree: str) -> None:
-        """Forget a subtree."""
+        """Remove a subtree."""
         self.held.pop(subtree, None)
         self.heads.pop(subtree, None)
--- a/hollyridge/chp/proxy_replicas.py
+++ b/hollyridge/chp/proxy_replicas.py
@@ -1,4 +1,4 @@
-"""The client's side of all subtrees of one proxy, and the tables that they come to. No sockets, no clock."""
+"""Client side of all subtrees of one proxy, and the tables that result from them. No sockets, no clock."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class ReplicaTables(NamedTuple):
-    """What a proxy goes by, each by method name.
+    """Tables and admission levels of a proxy, each by method name.
 
     Attributes:
-        lines: Weight by task (`host:port`).
-        levels: Fraction let in, and how retries go on.
+        lines: Weights by task (`host:port`).
+        levels: Admitted fraction and retry mode.
         versions: Version of the table in use.
     """
 
@@ -25,29 +25,32 @@
 
 
 def lines_of(replica: Replica) -> dict[str, float]:
-    """The weights in a table's subtree, without those of 0.
+    """Return the positive weights in a table's subtree, by task.
 
     >>> replica = Replica("/table/0/"); replica.held = {"/table/0/line/127.0.0.1:80": b'{"w":0.5,"v":1}'}
     >>> lines_of(replica)
     {'127.0.0.1:80': 0.5}
     """
-    start = replica.subtree + "line/"
+    prefix = replica.subtree + "line/"
     found = {
-        key[len(start) :]: codec.value_of(codec.Line, raw).weight
+        key[len(prefix) :]: codec.value_of(codec.Line, raw).weight
         for key, raw in replica.held.items()
-        if key.startswith(start)
+        if key.startswith(prefix)
     }
     return {task: weight for task, weight in found.items() if weight > 0}
 
 
 def level_of(replica: Replica, method: int) -> tuple[float, int]:
-    """Admission and retries of one method in a table's subtree; the lowest amount where masks overlap."""
-    start = replica.subtree + "level/"
+    """Return the admitted fraction and retry mode of one method in a table's subtree.
+
+    If several masks contain the method, the lowest fraction applies.
+    """
+    prefix = replica.subtree + "level/"
     amount = 1.0
     retry = 0
     for key, raw in sorted(replica.held.items()):
-        if key.startswith(start):
-            mask = int(key[len(start) :] or 0)
+        if key.startswith(prefix):
+            mask = int(key[len(prefix) :] or 0)
             if not mask or mask >> method & 1:
                 level = codec.value_of(codec.Level, raw)
                 amount = min(amount, level.amount)
@@ -56,115 +59,115 @@
 
 
 class ClientChanges(NamedTuple):
-    """What a message did to the subtrees of a proxy.
+    """Effects of a message on the subtrees of a proxy.
 
     Attributes:
-        ask: Subtrees to ask for.
-        drop: Subtrees that are of no more use.
-        changed: Whether the tables to go by are new.
+        needed: Subtrees of which a snapshot has to be requested.
+        unused: Subtrees that are no longer used.
+        changed: Whether the tables in use were replaced.
     """
 
-    ask: list[str]
-    drop: list[str]
+    needed: list[str]
+    unused: list[str]
     changed: bool
 
 
 class ProxyReplicas:
-    """All subtrees of one proxy: its own bindings, the tables that they name, and the ejected tasks.
+    """Replicas of all subtrees of one proxy: its bindings, the bound tables, and the ejected tasks.
 
-    A table that a binding newly names is used once it is whole, until then the former one is.
+    A newly bound table is used once it is complete; until then the previous table stays in use.
 
     Attributes:
         home: The proxy's own subtree.
-        tables: What to go by; replaced only when every table in use is whole.
-        applied: How often it was replaced.
+        tables: Tables in use; replaced only when every bound table is complete.
+        applied: Number of times that the tables were replaced.
     """
 
     def __init__(self, uid: str, methods: list[str], fencing: FencingChecker | None = None) -> None:
         self.home = f"/proxy/{uid}/"
         self.methods = methods
         self.fencing = fencing or FencingChecker()
-        self.replicas = {self.home: Replica(self.home), codec.OUT: Replica(codec.OUT)}
+        self.replicas = {self.home: Replica(self.home), codec.EJECTED_SUBTREE: Replica(codec.EJECTED_SUBTREE)}
         self.tables = ReplicaTables({}, {}, {})
         self.applied = 0
 
     def ownership(self) -> codec.Own:
-        """Who owns the proxy, as the bindings held were sent."""
+        """Return the ownership under which the current bindings were sent."""
         raw = self.replicas[self.home].held.get(self.home + "own")
         return codec.value_of(codec.Own, raw) if raw else codec.Own()
 
     def redirect(self) -> codec.Go | None:
-        """Which assigner should be asked in place of this one, None if this one serves."""
+        """Return the redirect to another assigner, None if this assigner serves the proxy."""
         home = self.replicas[self.home]
         raw = home.held.get(self.home + "go") if home.synced and not home.asking else None
         return codec.value_of(codec.Go, raw) if raw else None
 
     def bound_tables(self) -> dict[str, str]:
-        """The subtree of the table that each method is bound to."""
-        start = self.home + "bind/"
+        """Return the subtree of the table that each method is bound to, by method name."""
+        prefix = self.home + "bind/"
         found = {}
         for key, raw in self.replicas[self.home].held.items():
-            method = key[len(start) :]
-            if key.startswith(start) and method in self.methods:
+            method = key[len(prefix) :]
+            if key.startswith(prefix) and method in self.methods:
                 found[method] = f"/table/{codec.value_of(codec.Bind, raw).table}/"
         return found
 
     def take(self, message: codec.Message) -> ClientChanges:
-        """Take one message of any subtree."""
+        """Process one message of any subtree."""
         subtree = codec.subtree_of_message(message)
         replica = self.replicas.get(subtree)
         if replica is None:
             return ClientChanges([], [], False)
-        did = replica.take(message)
+        changes = replica.take(message)
         ends_snapshot = type(message) is Kthxbai
-        ask = [subtree] if did.ask else []
-        if subtree == self.home and (did.applied or (did.beat and ends_snapshot)):
-            ask += self._subtrees_to_ask(ends_snapshot)
-        for asked in ask:
-            self.replicas[asked].begin()
-        changed = did.applied and self.rebuild_tables()
-        return ClientChanges(ask, self._drop_unused() if changed else [], changed)
-
-    def _subtrees_to_ask(self, ends_snapshot: bool) -> list[str]:
-        """Tables that are bound for the first time; after a snapshot of the bindings also those still asked for."""
-        ask = []
-        for table in dict.fromkeys((codec.OUT, *self.bound_tables().values())):
+        needed = [subtree] if changes.ask else []
+        if subtree == self.home and (changes.applied or (changes.head_applied and ends_snapshot)):
+            needed += self._subtrees_to_request(ends_snapshot)
+        for needed_subtree in needed:
+            self.replicas[needed_subtree].begin()
+        changed = changes.applied and self.rebuild_tables()
+        return ClientChanges(needed, self._drop_unused() if changed else [], changed)
+
+    def _subtrees_to_request(self, ends_snapshot: bool) -> list[str]:
+        """Return newly bound tables and, after a snapshot of the bindings, those whose snapshot is still missing."""
+        needed = []
+        for table in dict.fromkeys((codec.EJECTED_SUBTREE, *self.bound_tables().values())):
             if table not in self.replicas or (self.replicas[table].asking and ends_snapshot):
                 self.replicas.setdefault(table, Replica(table))
-                ask.append(table)
-        return ask
+                needed.append(table)
+        return needed
 
     def _drop_unused(self) -> list[str]:
-        used = {self.home, codec.OUT, *self.bound_tables().values()}
+        used = {self.home, codec.EJECTED_SUBTREE, *self.bound_tables().values()}
         unused = [subtree for subtree in self.replicas if subtree not in used]
         for subtree in unused:
             del self.replicas[subtree]
         return unused
 
     def rebuild_tables(self) -> bool:
-        """Make `tables` new, if every table in use is whole and its sender is to be obeyed."""
-        wanted = self.bound_tables()
-        if not wanted or not all(self.replicas[table].synced for table in wanted.values()):
+        """Replace `tables` if every bound table is complete and the fencing token is accepted; return whether it is."""
+        bound = self.bound_tables()
+        if not bound or not all(self.replicas[table].synced for table in bound.values()):
             return False
         if not self.fencing.accepts(self.ownership().fence):
             return False
-        ejected = {key[len(codec.OUT) :] for key in self.replicas[codec.OUT].held}
+        ejected = {key[len(codec.EJECTED_SUBTREE) :] for key in self.replicas[codec.EJECTED_SUBTREE].held}
         lines = {
             table: {task: weight for task, weight in lines_of(self.replicas[table]).items() if task not in ejected}
-            for table in set(wanted.values())
+            for table in set(bound.values())
         }
         self.tables = ReplicaTables(
-            {method: lines[table] for method, table in wanted.items()},
+            {method: lines[table] for method, table in bound.items()},
             {
                 method: level_of(self.replicas[table], index)
                 for index, method in enumerate(self.methods)
-                if (table := wanted.get(method))
+                if (table := bound.get(method))
             },
-            {method: self.replicas[table].head.version for method, table in wanted.items()},
+            {method: self.replicas[table].head.version for method, table in bound.items()},
         )
         self.applied += 1
         return True
 
     def applied_heads(self) -> dict[str, int]:
-        """Sequence number of the head held, by subtree."""
+        """Return the sequence number of the applied head, by subtree."""
         return {subtree: replica.head.seq for subtree, replica in self.replicas.items() if replica.synced}
--- a/hollyridge/chp/publication.py
+++ b/hollyridge/chp/publication.py
@@ -1,7 +1,7 @@
-"""Updates of the engine as changes of the key space, and snapshots of it to those who ask.
+"""Publication of the engine's updates as changes of the key space, and snapshots of the key space on request.
 
-A table's change is published once for all proxies that use it, when the first of their updates leaves the channel;
-the others' updates take their time in the channel but send nothing.
+A table's change is published once for all proxies that use it, when the first of their updates leaves the channel. The
+updates of the other proxies use the channel too, but send nothing.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from hollyridge.delivery.update_builder import ProxyUpdate
 from hollyridge.store.table_versions import EMPTY, Table
 
-FULL_PIPE_SLEEP_S = 0.01  # before a session that can't take more is tried again
-MAX_MARKS = 32  # of one session; a later one covers the earlier ones
+FULL_PIPE_SLEEP_S = 0.01  # interval between attempts to send to a session whose pipe is full
+MAX_MARKS = 32  # marks of one session; a later mark covers the earlier ones
 WEIGHT_DIGITS = 6
 AMOUNT_DIGITS = 4
 
 
 class Publication:
-    """Publishes changes and sends snapshots; `is_current(session)` tells whether a session still stands."""
+    """Publisher of changes and sender of snapshots; `is_current(session)` returns whether a session is still open."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 - it joins the engine, the key space and the sockets
+    def __init__(  # noqa: PLR0913, PLR0917 - it connects the engine, the key space and the sockets
         self,
         loop: EventLoop,
         config: ChpConfig,
@@ -45,19 +45,19 @@
         self.name_of = name_of
         self.ownership = ownership
         self.is_current = is_current
-        self.published: dict[int, Table] = {}  # newest value published, by table
+        self.published: dict[int, Table] = {}  # newest published value, by table
 
     # Changes.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """How many lines this update comes to, and how many all its tables in full."""
+        """Return the number of lines of this update and of all tables of the proxy in full."""
         tables = set(self.engine.update_builder.bindings.get(proxy, {}).values())
         store = self.engine.update_builder.store
         changed = sum(lines for _, lines in update.line_counts)
         return changed, sum(1 + len(store.latest(table)) for table in tables)
 
     def apply(self, session: SubscriberSession | None, update: ProxyUpdate) -> None:
-        """Publish an update; `session` is its proxy's, None if that has left."""
+        """Publish an update; `session` is that of its proxy, None if the proxy has left."""
         if update.ejections:
             self._publish_ejections(update.decision)
         for table, value in update.tables:
@@ -67,14 +67,14 @@
         if update.bindings:
             self._publish_bindings(session, update)
         if update.mark >= 0:
-            session.marks.append(SentMark(self.heads_of(session), update.mark, update.decided_at_us))
-            while len(session.marks) > MAX_MARKS:
-                session.marks.popleft()
+            session.sent_marks.append(SentMark(self.heads_of(session), update.mark, update.decided_at_us))
+            while len(session.sent_marks) > MAX_MARKS:
+                session.sent_marks.popleft()
 
     def _publish_ejections(self, decision: int) -> None:
         ejected = sorted(self.engine.update_builder.ejected)
-        target = {codec.OUT + self.name_of(task): codec.json(codec.Out()) for task in ejected}
-        self.sockets.publish(self.key_space.set(codec.OUT, decision, target))
+        target = {codec.EJECTED_SUBTREE + self.name_of(task): codec.json(codec.Out()) for task in ejected}
+        self.sockets.publish(self.key_space.set(codec.EJECTED_SUBTREE, decision, target))
 
     def _publish_bindings(self, session: SubscriberSession, update: ProxyUpdate) -> None:
         bound = self.engine.update_builder.bindings.get(session.proxy, {})
@@ -85,33 +85,33 @@
         for table in set(bound.values()):
             if f"/table/{table}/" not in self.key_space.heads:
                 self._publish_table(table, self.engine.update_builder.store.latest(table))
-        session.counted.update(f"/table/{table}/" for table, _ in update.bindings)
+        session.charged_tables.update(f"/table/{table}/" for table, _ in update.bindings)
         if session.fence:
             target[session.home + "own"] = self.ownership.own_value(session.fence)
         messages = self.key_space.set(session.home, update.decision, target)
-        if session.waits_for_home:
-            session.waits_for_home = False
+        if session.home_unsent:
+            session.home_unsent = False
             self.send_snapshot(session, session.home)
         else:
             self.sockets.publish(messages)
 
     def _publish_table(self, table: int, value: Table) -> None:
-        """Publish a table's newest value, once. A closed task is left out even where the table still has it."""
+        """Publish a table's newest value once; leave out closed tasks that the table still has."""
         if table in self.published and value.version <= self.published.get(table, EMPTY).version:
             return
         self.published[table] = value
-        start = f"/table/{table}/"
+        prefix = f"/table/{table}/"
         target = {
-            f"{start}line/{self.name_of(task)}": codec.json(codec.Line(round(weight, WEIGHT_DIGITS)))
+            f"{prefix}line/{self.name_of(task)}": codec.json(codec.Line(round(weight, WEIGHT_DIGITS)))
             for task, weight in value.lines.items()
             if not self.engine.is_closed(task)
         }
         for mask, (amount, retry) in value.levels.items():
-            target[f"{start}level/{mask}"] = codec.json(codec.Level(round(amount, AMOUNT_DIGITS), retry))
-        self.sockets.publish(self.key_space.set(start, value.version, target))
+            target[f"{prefix}level/{mask}"] = codec.json(codec.Level(round(amount, AMOUNT_DIGITS), retry))
+        self.sockets.publish(self.key_space.set(prefix, value.version, target))
 
     def redirect(self, session: SubscriberSession, assigner: str) -> None:
-        """Tell a session's proxy which assigner it should ask."""
+        """Publish a redirect of a session's proxy to another assigner."""
         target = dict(self.key_space.held.get(session.home, {}))
         target[session.home + "go"] = self.ownership.go_value(assigner)
         self.sockets.publish(self.key_space.set(session.home, 0, target))
@@ -121,38 +121,38 @@
         self.sockets.publish([codec.Hugz()])
         self.sockets.publish([self.key_space.heartbeat(subtree) for subtree in list(self.key_space.heads)])
 
-    # Who uses what.
+    # Subtrees of a session.
 
     def tables_of(self, session: SubscriberSession) -> set[str]:
-        """The subtrees of the tables that a session's proxy is bound to."""
+        """Return the subtrees of the tables that a session's proxy is bound to."""
         bound = self.engine.update_builder.bindings.get(session.proxy, {})
         return {f"/table/{table}/" for table in bound.values()}
 
     def heads_of(self, session: SubscriberSession) -> dict[str, int]:
-        """Sequence number of the newest head of each subtree that a session uses."""
-        subtrees = [session.home, codec.OUT, *self.tables_of(session)]
+        """Return the sequence number of the newest head of each subtree that a session uses."""
+        subtrees = [session.home, codec.EJECTED_SUBTREE, *self.tables_of(session)]
         heads = self.key_space.heads
         return {subtree: heads[subtree].seq for subtree in subtrees if subtree in heads}
 
     # Snapshots.
 
-    def charge_repair(self, now: int, subtree: str) -> None:
-        """Count a snapshot that the channel has not counted yet."""
+    def charge_snapshot(self, now: int, subtree: str) -> None:
+        """Charge the channel for a snapshot that it was not charged for yet."""
         size = len(self.key_space.held.get(subtree, ()))
         self.engine.queue.charge(now, size + self.engine.queue.overhead_lines)
 
     def send_snapshot(self, session: SubscriberSession, subtree: str) -> None:
-        """Send a snapshot, after those that this session still waits for."""
-        if subtree not in session.owed_snapshots:
-            session.owed_snapshots[subtree] = None
-            if len(session.owed_snapshots) == 1:
-                self.loop.spawn(self._send_owed, session)
-
-    def _send_owed(self, session: SubscriberSession) -> None:
-        """Send one after the other, as fast as the reader takes them; a full pipe holds up nobody else."""
+        """Queue a snapshot for a session, and start to send if the queue was empty."""
+        if subtree not in session.queued_snapshots:
+            session.queued_snapshots[subtree] = None
+            if len(session.queued_snapshots) == 1:
+                self.loop.spawn(self._send_queued, session)
+
+    def _send_queued(self, session: SubscriberSession) -> None:
+        """Send the queued snapshots in order, as fast as the reader takes them; a full pipe delays no other session."""
         counts = self.sockets.counts
-        while session.owed_snapshots and self.is_current(session):
-            subtree = next(iter(session.owed_snapshots))
+        while session.queued_snapshots and self.is_current(session):
+            subtree = next(iter(session.queued_snapshots))
             counts["snapshots"] += 1
             for message in self.key_space.snapshot(subtree):
                 parts = codec.encode(message)
@@ -161,4 +161,4 @@
                     self.loop.sleep(FULL_PIPE_SLEEP_S)
                     if not self.is_current(session):
                         return
-            del session.owed_snapshots[subtree]
+            del session.queued_snapshots[subtree]
--- a/hollyridge/chp/replica.py
+++ b/hollyridge/chp/replica.py
@@ -1,6 +1,7 @@
-"""The client's side of one subtree: changed whole or not at all, whatever is lost, duplicated, late or reordered.
+"""Client side of one subtree, which applies each change completely or not at all.
 
-Decides when messages belong together, and when only a new snapshot will do. No sockets, no clock.
+This holds even if messages are lost, duplicated, delayed or reordered. The module decides which messages form a change
+and when a new snapshot is needed. No sockets, no clock.
 """
 
 from __future__ import annotations
@@ -10,40 +11,40 @@
 from hollyridge.chp import codec
 from hollyridge.chp.codec import Head, Kthxbai, Kvpub, Kvsync
 
-MAX_GATHERED = 20_000  # messages kept for a change whose head is not here yet
+MAX_GATHERED = 20_000  # messages kept for a change whose head has not arrived yet
 
 
 class ReplicaChanges(NamedTuple):
-    """What a message did.
+    """Effects of a message on a replica.
 
     Attributes:
-        applied: The subtree holds something new.
-        ask: A snapshot is needed.
-        beat: It was a heartbeat.
+        applied: Whether the content of the subtree changed.
+        needs_snapshot: Whether a new snapshot has to be requested.
+        head_applied: Whether the replica now holds the head of the message, which then counts as a heartbeat.
     """
 
     applied: bool = False
     ask: bool = False
-    beat: bool = False
+    head_applied: bool = False
 
 
-NOTHING = ReplicaChanges()
+NO_CHANGES = ReplicaChanges()
 
 
 class Replica:
-    """One subtree as of its newest whole head.
+    """Replica of one subtree as of its newest applied head.
 
-    Heads of another epoch, or behind what is held, are never applied; a snapshot of another epoch is, since it was
-    asked for.
+    Heads of another epoch or older than the applied head are never applied. A snapshot of another epoch is applied,
+    since the client requested it.
 
     Attributes:
-        held: Values by key; replaced, never altered, so that a reader may keep it.
-        head: The head that `held` belongs to.
-        synced: Whether anything is held yet.
-        asking: Whether a snapshot is asked for: from the start and after a gap, until one is here.
-        gathered: By run and sequence number, messages that may belong to the next change.
-        incoming: Keys of snapshots, by the snapshot's number.
-        heads: Heads of snapshots, by the snapshot's number.
+        held: Values by key; replaced and never modified, so that a reader may keep a reference.
+        head: Head that `held` belongs to.
+        synced: Whether a snapshot was applied yet.
+        awaiting_snapshot: Whether a snapshot is requested, from the start and after a gap until it is applied.
+        gathered: Messages that may belong to the next change, by UUID of the run and sequence number.
+        incoming: Keys and values of incomplete snapshots, by sequence number of the snapshot.
+        heads: Heads of incomplete snapshots, by sequence number of the snapshot.
     """
 
     def __init__(self, subtree: str) -> None:
@@ -57,17 +58,17 @@
         self.heads: dict[int, Head] = {}
 
     def take(self, message: Kvsync | Kthxbai | Kvpub) -> ReplicaChanges:
-        """Take one message of this subtree; ChpError for a head that is none."""
+        """Process one message of this subtree; raise ChpError for an invalid head."""
         if type(message) is Kvsync:
             self._gather_snapshot(message)
-            return NOTHING
+            return NO_CHANGES
         if type(message) is Kthxbai:
-            return self.snapshot(message.sequence)
+            return self.apply_snapshot(message.sequence)
         if message.key == self.subtree + "head":
             return self.change(codec.value_of(Head, message.value))
         if len(self.gathered) < MAX_GATHERED:
             self.gathered[message.uuid, message.sequence] = message
-        return NOTHING
+        return NO_CHANGES
 
     def _gather_snapshot(self, message: Kvsync) -> None:
         if message.key == self.subtree + "head":
@@ -76,19 +77,19 @@
             self.incoming.setdefault(message.sequence, {})[message.key] = message.value
 
     def begin(self) -> None:
-        """A snapshot is asked for: what an earlier one has brought so far is void."""
+        """Await a new snapshot, and discard the messages of earlier incomplete snapshots."""
         self.asking = True
         self.incoming = {}
         self.heads = {}
 
-    def snapshot(self, number: int) -> ReplicaChanges:
-        """A snapshot has ended: apply it if it is whole and not older than what is held."""
+    def apply_snapshot(self, number: int) -> ReplicaChanges:
+        """Apply a snapshot that has ended, if it is complete and not older than the applied head."""
         head = self.heads.pop(number, None)
         keys = self.incoming.pop(number, {})
         if head is None or len(keys) != head.total:
-            return NOTHING
+            return NO_CHANGES
         if self.synced and self._outdated(head):
-            return NOTHING
+            return NO_CHANGES
         new = not self.synced or keys != self.held
         self.held = keys
         self.head = head
@@ -97,27 +98,27 @@
         self.incoming = {}
         self.heads = {}
         self.prune()
-        return ReplicaChanges(applied=new, beat=True)
+        return ReplicaChanges(applied=new, head_applied=True)
 
     def _outdated(self, head: Head) -> bool:
-        """Whether a snapshot was overtaken by changes, or is of another run and nobody asked for it."""
+        """Return whether a snapshot is older than the applied changes, or of another run and not requested."""
         if head.epoch == self.head.epoch:
             return head.seq < self.head.seq
         return not self.asking
 
     def prune(self) -> None:
-        """Forget messages that can't belong to the next change."""
+        """Discard messages that can't belong to the next change."""
         uuid = codec.uuid_of(self.head.epoch)
         self.gathered = {
             key: message for key, message in self.gathered.items() if key[0] == uuid and key[1] > self.head.seq
         }
 
     def change(self, head: Head) -> ReplicaChanges:
-        """A head was published: apply its change if all of it is here, else ask for a snapshot."""
+        """Apply the change that a published head ends; if messages are missing, report that a snapshot is needed."""
         if not self.synced or head.epoch != self.head.epoch:
             return ReplicaChanges(ask=not self.asking)
         if head.seq <= self.head.seq:
-            return ReplicaChanges(beat=head.seq == self.head.seq)
+            return ReplicaChanges(head_applied=head.seq == self.head.seq)
         uuid = codec.uuid_of(head.epoch)
         sequences = sorted(seq for run, seq in self.gathered if run == uuid and self.head.seq < seq < head.seq)
         if head.prev != self.head.seq or len(sequences) != head.count:
@@ -132,4 +133,4 @@
         self.held = held
         self.head = head
         self.prune()
-        return ReplicaChanges(applied=True, beat=True)
+        return ReplicaChanges(applied=True, head_applied=True)
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -1,8 +1,9 @@
-"""The CHP server on gevent: snapshots by request, numbered changes to all at once.
+"""CHP server on gevent, which sends snapshots on request and publishes numbered changes to all subscribers.
 
-Which sessions stand is kept in `session_registry`, what is sent in `publication`, the sockets in `sockets`. How far a
-proxy lags is known by what it has acknowledged: it takes a snapshot in place of what it missed, so that only the newest
-state is ever owed, and its session ends when it has not caught up in time (`hollyridge.sessions.session_tracker`).
+`session_registry` keeps the open sessions, `publication` sends changes and snapshots, and `sockets` holds the sockets.
+The acknowledgements of a proxy show how far it lags. A proxy requests a snapshot instead of the changes that it missed,
+so that the server only ever has to send the newest state. A session that does not catch up in time is ended (see
+`hollyridge.sessions.session_tracker`).
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 OPEN_ACCESS = AccessControl(False, ())
 EPOCH_BYTES = 8
-# Figures of the status page.
+# Counters of the status page.
 COUNTS = (
     "asked",
     "snapshots",
@@ -53,29 +54,30 @@
 )
 
 
-def subtree_steps(path: str, last: str) -> tuple[str, str] | None:
-    """Kind and name in `/KIND/NAME/` followed by `last`, None for any other path.
+def split_subtree(path: str, last: str) -> tuple[str, str] | None:
+    """Return kind and name of the path `/KIND/NAME/` followed by `last`, None for any other path.
 
-    >>> subtree_steps("/table/0/", ""), subtree_steps("/proxy/gw-1/ack", "ack"), subtree_steps("/table/0/a/b", "")
+    >>> split_subtree("/table/0/", ""), split_subtree("/proxy/gw-1/ack", "ack"), split_subtree("/table/0/a/b", "")
     (('table', '0'), ('proxy', 'gw-1'), None)
     """
-    root, *steps = path.split("/")
-    if root or len(steps) != 3 or steps[2] != last:  # noqa: PLR2004 - kind, name, last
+    root, *segments = path.split("/")
+    if root or len(segments) != 3 or segments[2] != last:  # noqa: PLR2004 - kind, name, last
         return None
-    return steps[0], steps[1]
+    return segments[0], segments[1]
 
 
 class ChpServer:
-    """Serves CHP for the engine of `loop`.
+    """CHP server of the engine of `loop`.
 
-    `name_of(task)` is a task's `host:port`. With `curve` only holders of known keys are let in, and `access` decides
-    who may have which name. `epoch` names this run. `peers`: the assigners that share the fleet with this one.
+    `name_of(task)` returns a task's `host:port`. With `curve`, only holders of known keys can connect, and `access`
+    decides which principal may use which UID. `epoch` identifies this run; empty for a random identifier. `peers` are
+    the assigners that share the fleet with this one.
 
     Attributes:
-        counts: Figures of the status page.
+        counts: Counters of the status page.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - it is made in one place, of all that the service has for it
+    def __init__(  # noqa: PLR0913, PLR0917 - called in one place, with all dependencies of the server
         self,
         loop: EventLoop,
         config: ChpConfig,
@@ -102,7 +104,7 @@
         self.access = access
         self.capabilities = ServerCapabilities(admission=True, retries=True, ejection=True, acks=True, line_copies=1)
         self.key_space = KeySpace(epoch or os.urandom(EPOCH_BYTES).hex(), config.heartbeat_ms)
-        self.key_space.set(codec.OUT, 0, {})
+        self.key_space.set(codec.EJECTED_SUBTREE, 0, {})
         self.counts = dict.fromkeys(COUNTS, 0)
         self.sockets = ServerSockets(context, config, curve, self.counts)
         self.ownership = ChpOwnership(peers, zone_name)
@@ -110,27 +112,27 @@
         self.publication = Publication(
             loop, config, self.key_space, self.sockets, name_of, self.ownership, self.sessions.is_current
         )
-        self.jobs: list = []
+        self.greenlets: list = []
 
     def start(self) -> int:
-        """Listen; returns the first of the three ports. OSError if one is taken."""
+        """Listen and return the first of the three ports; raise OSError if a port is in use."""
         self.sockets.bind()
-        jobs = (self._answer_requests, self._collect_acks, self._send_heartbeats)
-        self.jobs = [self.loop.spawn(job) for job in jobs]
+        functions = (self._answer_requests, self._collect_acks, self._send_heartbeats)
+        self.greenlets = [self.loop.spawn(function) for function in functions]
         self.log.info("server_started", protocol="chp", host=self.config.host, port=self.config.port)
         return self.config.port
 
     def stop(self) -> None:
         """End the greenlets and close the sockets."""
-        gevent.killall(self.jobs, block=False)
+        gevent.killall(self.greenlets, block=False)
         self.sockets.close()
 
     def recheck(self) -> None:
-        """The access table has changed: end the sessions of those who lost their names."""
+        """End the sessions that a changed access table no longer allows."""
         self.sessions.recheck(self.clock())
 
     def rebind(self) -> None:
-        """The CURVE key has changed: new connections meet the new one, those that stand go on."""
+        """Use the changed CURVE key for new connections; open connections continue."""
         self.sockets.rebind(self.loop.sleep, self.log)
 
     # Requests.
@@ -147,31 +149,31 @@
         routing_id, *parts = received.parts
         message = codec.decode(parts)
         if not isinstance(message, codec.Icanhaz):
-            raise ChpError("only ICANHAZ is answered here")
+            raise ChpError(f"{type(message).__name__} received on the snapshot socket, expected Icanhaz")
         self.counts["asked"] += 1
         now = self.clock()
-        steps = subtree_steps(message.subtree, "")
-        if steps is None or steps[0] not in ("proxy", "table", "out"):
-            raise ChpError("no such subtree")
-        kind, name = steps
+        segments = split_subtree(message.subtree, "")
+        if segments is None or segments[0] not in ("proxy", "table", "out"):
+            raise ChpError("snapshot requested of an unknown subtree, expected /proxy/UID/, /table/N/ or /out/all/")
+        kind, name = segments
         if kind == "proxy":
             self.sessions.join(now, JoinRequest(name, routing_id, received.address, received.user))
         else:
             self._send_shared(now, routing_id, message.subtree)
 
     def _send_shared(self, now: int, routing_id: bytes, subtree: str) -> None:
-        """A snapshot of a table or of the ejected tasks, to a session that uses it."""
+        """Send a snapshot of a table or of the ejected tasks to a session that uses it."""
         session = self.sessions.by_routing_id.get(routing_id)
-        if session is None or (subtree != codec.OUT and subtree not in self.publication.tables_of(session)):
+        if session is None or (subtree != codec.EJECTED_SUBTREE and subtree not in self.publication.tables_of(session)):
             self.counts["refused"] += 1
             return
-        if subtree in session.counted:
-            session.counted.discard(subtree)
-        elif not session.repairs.take(now):
+        if subtree in session.charged_tables:
+            session.charged_tables.discard(subtree)
+        elif not session.snapshot_bucket.take(now):
             self.counts["refused"] += 1
             return
         else:
-            self.publication.charge_repair(now, subtree)
+            self.publication.charge_snapshot(now, subtree)
         self.publication.send_snapshot(session, subtree)
 
     def _collect_acks(self) -> None:
@@ -185,10 +187,10 @@
     def _collect(self, received: ReceivedMessage) -> None:
         message = codec.decode(received.parts, collector=True)
         key = message.key if isinstance(message, codec.Kvset) else ""
-        steps = subtree_steps(key, "ack")
-        if steps is None or steps[0] != "proxy":
-            raise ChpError("no such key can be set")
-        uid = steps[1]
+        segments = split_subtree(key, "ack")
+        if segments is None or segments[0] != "proxy":
+            raise ChpError(f"{type(message).__name__} received on the collector, expected a Kvset of /proxy/UID/ack")
+        uid = segments[1]
         reason = self.access.may_be(received.user, uid)
         if reason:
             raise ChpError(reason)
@@ -197,7 +199,7 @@
             self._note_ack(self.clock(), session, codec.value_of(codec.Ack, message.value))
 
     def _note_ack(self, now: int, session: SubscriberSession, ack: codec.Ack) -> None:
-        """What a proxy has applied: a heartbeat, an acknowledgement, and how far it lags."""
+        """Record a proxy's acknowledgement as a heartbeat, acknowledge its marks, and note how far it lags."""
         self.counts["acks"] += 1
         self.session_tracker.polled(now, session.number)
         if self.ownership.shared:
@@ -207,8 +209,8 @@
         if ack.epoch and ack.epoch != self.key_space.epoch:
             return
         session.applied = ack.applied
-        while session.marks and session.has_applied(session.marks[0].heads):
-            sent = session.marks.popleft()
+        while session.sent_marks and session.has_applied(session.sent_marks[0].heads):
+            sent = session.sent_marks.popleft()
             self.engine.acknowledge(now, session.proxy, sent.mark, now - sent.decided_at_us)
             self.loop.wake()
 
@@ -224,30 +226,30 @@
             self.publication.heartbeat()
             self.sessions.check_progress(now)
 
-    # What the engine asks of a server.
+    # Interface to the engine.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """How many lines this update comes to at this proxy, and how many all its tables in full."""
+        """Return the number of lines of this update for the proxy and of all its tables in full."""
         return self.publication.count_lines(proxy, update)
 
     def write(self, proxy: int, update: ProxyUpdate) -> None:
-        """Publish the update; never blocks."""
+        """Publish the update; never block."""
         self.publication.apply(self.sessions.by_proxy.get(proxy), update)
 
-    def detach(self, proxy: int, why: str) -> None:
+    def detach(self, proxy: int, reason: str) -> None:
         """End the proxy's session."""
         session = self.sessions.by_proxy.get(proxy)
         if session is not None:
-            self.sessions.leave(self.clock(), session, why)
+            self.sessions.leave(self.clock(), session, reason)
 
-    def redirect(self, proxy: int, to: str, why: str) -> None:
-        """Give the proxy up to the assigner `to`, empty if whichever answers."""
+    def redirect(self, proxy: int, assigner: str, reason: str) -> None:
+        """Release the proxy to another assigner; with an empty name, to whichever assigner it reaches next."""
         session = self.sessions.by_proxy.get(proxy)
         if session is not None:
-            if to:
-                self.publication.redirect(session, to)
-            self.sessions.leave(self.clock(), session, why, keep_lease=True)
+            if assigner:
+                self.publication.redirect(session, assigner)
+            self.sessions.leave(self.clock(), session, reason, keep_lease=True)
 
     def status(self) -> dict:
-        """Figures for the status page."""
+        """Return the counters for the status page."""
         return {**self.counts, "readers": len(self.sessions.by_uid), "subtrees": len(self.key_space.heads)}
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -1,4 +1,7 @@
-"""Which sessions stand: joining by asking for one's own subtree, taking over, leaving, being redirected."""
+"""Registry of the open sessions of the CHP server: joining, takeover by a newer session, leaving and redirects.
+
+A proxy joins when it requests a snapshot of its own subtree.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,14 @@
 
 
 class JoinRequest(NamedTuple):
-    """A request for a proxy's own subtree: from which socket and address, by the user that the key stands for."""
+    """Request for a proxy's own subtree.
+
+    Attributes:
+        uid: Name of the proxy.
+        routing_id: Routing id of the sender's socket.
+        address: IP address of the sender.
+        user: Name of the principal that the sender's key belongs to, empty without keys.
+    """
 
     uid: str
     routing_id: bytes
@@ -25,7 +35,7 @@
 
 
 class SessionRegistry:
-    """The sessions of one server, by what they are looked up by."""
+    """Open sessions of one server, indexed by UID, proxy, number and routing id."""
 
     def __init__(self, server: ChpServer) -> None:
         self.server = server
@@ -37,18 +47,18 @@
         self.newest_number = 0
 
     def is_current(self, session: SubscriberSession) -> bool:
-        """Whether the session stands, and none of the same name has taken over."""
+        """Return whether the session is open and no newer session of the same UID has replaced it."""
         return self.by_uid.get(session.uid) is session
 
     def join(self, now: int, request: JoinRequest) -> None:
-        """A proxy has asked for its own subtree; ChpError for a name that it may not have."""
+        """Handle a proxy's request for its own subtree; raise ChpError if the proxy may not use the UID."""
         uid = request.uid
         reason = self.server.access.may_be(request.user, uid)
         if not uid or len(uid) > MAX_UID_CHARS or reason:
-            raise ChpError(reason or "no proxy has such a name")
+            raise ChpError(reason or f"UID of {len(uid)} characters, expected 1 to {MAX_UID_CHARS}")
         older = self.by_uid.get(uid)
-        if older is not None and older.routing_id == request.routing_id:  # it lost something of its own subtree
-            if not older.waits_for_home and older.repairs.take(now):
+        if older is not None and older.routing_id == request.routing_id:  # it lost a message of its own subtree
+            if not older.home_unsent and older.snapshot_bucket.take(now):
                 self.server.publication.send_snapshot(older, older.home)
             return
         zone = self.server.zone_of(request.address)
@@ -90,7 +100,7 @@
         self.server.loop.wake()
 
     def _redirect_newcomer(self, now: int, request: JoinRequest, answer: StaleToken | ForwardProxy) -> None:
-        """Tell a proxy in place of a table which assigner it should ask, and end the session that it had here."""
+        """Send a redirect instead of a table, if the owner is known, and end the proxy's older session."""
         self.server.counts["sent_on"] += 1
         if not isinstance(answer, ForwardProxy):
             return
@@ -105,7 +115,7 @@
         key_space.drop(home)
 
     def leave(self, now: int, session: SubscriberSession, reason: str, keep_lease: bool = False) -> None:
-        """End a session; with `keep_lease` it has been decided already who owns its proxy."""
+        """End a session, and release the lease of its proxy unless `keep_lease`: then the owner is decided already."""
         if not keep_lease:
             self.server.ownership.release(session.uid)
         if self.is_current(session):
@@ -121,14 +131,14 @@
         self.server.loop.wake()
 
     def recheck(self, now: int) -> None:
-        """End the sessions of those who may not have their names any more."""
+        """End the sessions whose users may no longer use their UIDs."""
         for session in list(self.by_number.values()):
             reason = self.server.access.may_be(session.user, session.uid)
             if reason:
                 self.leave(now, session, f"keys withdrawn: {reason}")
 
     def check_progress(self, now: int) -> None:
-        """Note how far each session lags, and end those that are silent or do not catch up."""
+        """Record how far each session lags, and end those that are silent or do not catch up."""
         for session in list(self.by_number.values()):
             needed = self.server.publication.heads_of(session)
             behind = bool(needed) and not session.has_applied(needed)
--- a/hollyridge/chp/sockets.py
+++ b/hollyridge/chp/sockets.py
@@ -1,4 +1,4 @@
-"""The three sockets of the CHP server: snapshots (ROUTER), the publisher (PUB) and the collector (PULL)."""
+"""Sockets of the CHP server: the snapshot socket (ROUTER), the publisher (PUB) and the collector (PULL)."""
 
 from __future__ import annotations
 
@@ -14,12 +14,18 @@
 if TYPE_CHECKING:
     from structlog import BoundLogger
 
-REBIND_ATTEMPTS = 50  # the listener is closed by another thread of the library, a little later
+REBIND_ATTEMPTS = 50  # ZeroMQ closes the former listener in another thread, with a short delay
 REBIND_INTERVAL_S = 0.02
 
 
 class ReceivedMessage(NamedTuple):
-    """A message's parts, the address of its sender and the user that the sender's key stands for."""
+    """Received message.
+
+    Attributes:
+        parts: Parts of the message.
+        address: IP address of the sender, empty if unknown.
+        user: Name of the principal that the sender's key belongs to, empty without keys.
+    """
 
     parts: list[bytes]
     address: str
@@ -27,7 +33,7 @@
 
 
 class ServerSockets:
-    """Opens, binds and writes the sockets; `counts` are the server's figures."""
+    """The three sockets of a server; `counts` are the server's counters."""
 
     def __init__(self, context: zmq.Context, config: ChpConfig, curve: Curve | None, counts: dict[str, int]) -> None:
         self.config = config
@@ -38,8 +44,8 @@
         self.collector = self._open(context, zmq.PULL)
         self.snapshot.router_mandatory = True
 
-    def _open(self, context: zmq.Context, kind: int) -> zmq.Socket:
-        sock = context.socket(kind)
+    def _open(self, context: zmq.Context, socket_type: int) -> zmq.Socket:
+        sock = context.socket(socket_type)
         sock.linger = 0
         sock.sndhwm = sock.rcvhwm = self.config.max_waiting_messages
         sock.maxmsgsize = codec.MAX_PART_BYTES
@@ -52,7 +58,7 @@
         return [(sock, f"tcp://{self.config.host}:{self.config.port + offset}") for offset, sock in enumerate(sockets)]
 
     def bind(self) -> None:
-        """Listen; OSError if a port is taken."""
+        """Listen; raise OSError if a port is in use."""
         first = self.config.port
         try:
             for sock, endpoint in self._endpoints():
@@ -61,7 +67,7 @@
             raise OSError(error.errno, f"{error}: ports {first} to {first + 2}") from None
 
     def rebind(self, sleep: Callable[[float], None], log: BoundLogger) -> None:
-        """Listen anew with the key that `curve` has now; connections that stand go on."""
+        """Listen again with the present key of `curve`; open connections continue."""
         for sock, endpoint in self._endpoints():
             sock.unbind(endpoint)
             self.curve.secure(sock)
@@ -75,25 +81,28 @@
                 log.error("listen_failed", endpoint=endpoint)
 
     def close(self) -> None:
-        """Close all three."""
+        """Close the sockets."""
         for sock, _ in self._endpoints():
             sock.close()
 
     @staticmethod
     def receive(sock: zmq.Socket) -> ReceivedMessage:
-        """Wait for the next message of a socket."""
+        """Wait for the next message of a socket and return it."""
         frames = sock.recv_multipart(copy=False)
-        facts = []
+        properties = []
         for name in ("Peer-Address", "User-Id"):
             try:
-                facts.append(frames[-1].get(name))
+                properties.append(frames[-1].get(name))
             except zmq.ZMQError:
-                facts.append("")
-        address, user = facts
+                properties.append("")
+        address, user = properties
         return ReceivedMessage([bytes(frame) for frame in frames], address, user)
 
     def publish(self, messages: Iterable[codec.Message]) -> None:
-        """Send to all subscribers. Never blocks: a full reader loses it, sees the gap, and asks."""
+        """Send messages to all subscribers without blocking.
+
+        A subscriber whose queue is full loses messages, detects the gap and requests a snapshot.
+        """
         for message in messages:
             parts = codec.encode(message)
             self.counts["published"] += 1
@@ -101,12 +110,12 @@
             self.publisher.send_multipart(parts)
 
     def send_to(self, routing_id: bytes, parts: list[bytes]) -> bool:
-        """Send to one session; False if it can't take more now."""
+        """Send a message to one session; return False if its pipe is full."""
         try:
             self.snapshot.send_multipart([routing_id, *parts], flags=zmq.NOBLOCK)
         except zmq.Again:
             return False
-        except zmq.ZMQError:  # its connection is closed: it will ask again in a new session, or be overdue
+        except zmq.ZMQError:  # its connection is closed; the proxy starts a new session, or the old one becomes overdue
             self.counts["unreachable"] += 1
             return True
         self.counts["bytes_out"] += sum(map(len, parts))
--- a/hollyridge/chp/values.py
+++ b/hollyridge/chp/values.py
@@ -1,7 +1,7 @@
-"""Values of the key space: JSON objects, each with the version of this layout as `v`.
+"""Values of the key space: JSON objects that each hold the version of their layout as `v`.
 
-Unknown members are ignored and missing ones have the defaults below, so that one layout reads the next and the one
-before. The names of members on the wire are a format: where an attribute has another name, the wire's is pinned.
+Unknown members are ignored and missing members get the defaults below, so that each version can read the next and the
+previous layout. The member names on the wire are part of the format: an attribute with another name pins its wire name.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class ChpError(HollyridgeError):
-    """What was received is no message of this protocol, or not one that is answered here."""
+    """Error for received parts that are not a valid CHP message, or for a message that the receiver does not accept."""
 
 
 class Head(msgspec.Struct):
-    """The value of a subtree's head, which ends a change.
+    """Value of a subtree's head, which ends a change.
 
     Attributes:
-        epoch: The run of the assigner; numbers of different runs have nothing to do with each other.
-        version: The engine's decision behind the change.
+        epoch: Identifier of the assigner's run; sequence numbers of different runs are not comparable.
+        version: Number of the engine's decision behind the change.
         seq: Sequence number of this head.
-        prev: Sequence number of the head before.
-        count: Messages since that one.
-        total: Keys in the subtree, the head left out.
-        heartbeat_ms: Time between two heartbeats.
+        prev: Sequence number of the previous head.
+        count: Number of messages since the previous head.
+        total: Number of keys in the subtree without the head.
+        heartbeat_ms: Interval between heartbeats, in milliseconds.
         layout: Version of the layout.
     """
 
@@ -46,14 +46,14 @@
 
 
 class Line(msgspec.Struct):
-    """A task's weight in a table."""
+    """Weight of a task in a table."""
 
     weight: float = msgspec.field(name="w", default=0.0)
     layout: int = msgspec.field(name="v", default=LAYOUT)
 
 
 class Level(msgspec.Struct):
-    """Admission of methods: the fraction that is let in, and how retries go on (see `Gateway.level_for`)."""
+    """Admission level of methods: the admitted fraction and the retry mode (see `Gateway.level_for`)."""
 
     amount: float = 1.0
     retry: int = 0
@@ -61,21 +61,28 @@
 
 
 class Bind(msgspec.Struct):
-    """The table that a method's RPCs go by."""
+    """Index of the table that a method is bound to."""
 
     table: int
     layout: int = msgspec.field(name="v", default=LAYOUT)
 
 
 class Out(msgspec.Struct):
-    """A task that is ejected."""
+    """Ejection of a task."""
 
     ejected: bool = msgspec.field(name="out", default=True)
     layout: int = msgspec.field(name="v", default=LAYOUT)
 
 
 class Own(msgspec.Struct):
-    """The assigner `owner` owns the proxy under this fencing token, for `lease_ms` without a renewal."""
+    """Ownership of the proxy by the assigner `owner`.
+
+    Attributes:
+        fence: Fencing token of the ownership.
+        owner: Name of the assigner.
+        lease_ms: Time for which the ownership is valid without a renewal, in milliseconds.
+        layout: Version of the layout.
+    """
 
     fence: int = 0
     owner: str = msgspec.field(name="by", default="")
@@ -84,7 +91,7 @@
 
 
 class Go(msgspec.Struct):
-    """The assigner `owner` should be asked, at `address` (`host:port`)."""
+    """Redirect of the proxy to the assigner `owner` at `address` (`host:port`)."""
 
     address: str = msgspec.field(name="to")
     owner: str = msgspec.field(name="by", default="")
@@ -92,12 +99,12 @@
 
 
 class Ack(msgspec.Struct):
-    """What a proxy has applied, and its heartbeat.
+    """Acknowledgement of the heads that a proxy has applied, which is also its heartbeat.
 
     Attributes:
-        epoch: The run that the numbers belong to.
-        applied: Sequence number of the newest head applied, by subtree.
-        request_number: Number of its newest request for an owner.
+        epoch: Identifier of the assigner's run that the sequence numbers belong to.
+        applied: Sequence number of the newest applied head, by subtree.
+        request_number: Number of the proxy's newest ownership request.
         layout: Version of the layout.
     """
 
@@ -112,7 +119,7 @@
 
 
 def value_of(kind: type[Value], raw: bytes) -> Value:
-    """A value as its struct; ChpError for what does not fit.
+    """Decode a value into its struct; raise ChpError if it is invalid.
 
     >>> value_of(Line, b'{"w": 0.5, "v": 9, "colour": "red"}').weight
     0.5
@@ -120,4 +127,4 @@
     try:
         return DECODERS[kind].decode(raw)
     except msgspec.DecodeError as error:
-        raise ChpError(f"a value that is no {kind.__name__}: {error}") from None
+        raise ChpError(f"value is not a valid {kind.__name__}: {error}") from None
--- a/tests/chp/test_chp_codec.py
+++ b/tests/chp/test_chp_codec.py
@@ -1,4 +1,4 @@
-"""CHP as message parts: what is written is read back, and what is no message is refused."""
+"""Tests of the CHP codec: messages survive a round trip, and invalid parts are refused."""
 
 import pytest
 
@@ -15,7 +15,7 @@
         codec.Hugz(),
     ],
 )
-def test_a_message_is_read_as_it_was_written(message):
+def test_an_encoded_message_decodes_to_itself(message):
     assert codec.decode(codec.encode(message)) == message
 
 
@@ -33,6 +33,6 @@
         [b"KTHXBAI", b"\0" * 8, b"", b"", b"\xff"],
     ],
 )
-def test_parts_that_are_no_message_are_refused(parts):
+def test_invalid_parts_are_refused(parts):
     with pytest.raises(codec.ChpError):
         codec.decode(parts)
--- a/tests/chp/test_chp_replica.py
+++ b/tests/chp/test_chp_replica.py
@@ -1,4 +1,4 @@
-"""The client's side of the key space: runs never mix, and layouts before and after this one are read."""
+"""Tests of the client side of the key space: runs never mix, and older and newer layouts are decoded."""
 
 import itertools
 import json
@@ -15,7 +15,7 @@
 STREAMS = Path(__file__).parent.parent / "streams"
 
 
-def test_lines_of_a_former_run_never_mix_with_the_present_one():
+def test_lines_of_a_previous_run_never_mix_with_the_present_run():
     old, new = KeySpace("old", 500), KeySpace("new", 500)
     replica = Replica("/table/0/")
     stale = old.set("/table/0/", 1, {f"/table/0/line/a:{k}": b"old" for k in range(3)})
@@ -28,12 +28,12 @@
     assert replica.held == {"/table/0/line/x:1": b"2", "/table/0/line/y:1": b"2"}
 
 
-def skewed(parts, story):
-    """A message as a library of another layout would write it."""
+def in_other_layout(parts, layout):
+    """Return a message as a library with another layout encodes it."""
     if not parts[-1].startswith(b"{"):
         return parts
     value = json.loads(parts[-1])
-    if story == "ahead":
+    if layout == "ahead":
         value.update(v=2, colour={"deep": [1]})
     else:
         value.pop("v")
@@ -41,28 +41,28 @@
     return [*parts[:-1], json.dumps(value).encode()]
 
 
-@pytest.mark.parametrize("story", ["ahead", "behind"])
-def test_layouts_one_ahead_and_one_behind_are_read(story):
-    ledger, client = KeySpace("e", 500), ProxyReplicas("gw", ["m"])
-    told = ledger.set("/proxy/gw/", 1, {"/proxy/gw/bind/m": codec.json(codec.Bind(0))})
+@pytest.mark.parametrize("layout", ["ahead", "behind"])
+def test_the_next_and_the_previous_layout_are_decoded(layout):
+    key_space, client = KeySpace("e", 500), ProxyReplicas("gw", ["m"])
+    bindings = key_space.set("/proxy/gw/", 1, {"/proxy/gw/bind/m": codec.json(codec.Bind(0))})
     lines = {f"/table/0/line/127.0.0.1:{k}": codec.json(codec.Line(k / 2)) for k in range(1, 4)}
-    ledger.set("/table/0/", 1, lines)
-    feed = [
-        *ledger.snapshot("/proxy/gw/"),
-        *ledger.snapshot("/table/0/"),
-        *ledger.set("/table/0/", 2, {**lines, "/table/0/level/0": codec.json(codec.Level(0.5, 1))}),
-        *told,
+    key_space.set("/table/0/", 1, lines)
+    messages = [
+        *key_space.snapshot("/proxy/gw/"),
+        *key_space.snapshot("/table/0/"),
+        *key_space.set("/table/0/", 2, {**lines, "/table/0/level/0": codec.json(codec.Level(0.5, 1))}),
+        *bindings,
     ]
-    for message in feed:
-        client.take(codec.decode(skewed(codec.encode(message), story)))
+    for message in messages:
+        client.take(codec.decode(in_other_layout(codec.encode(message), layout)))
     assert client.tables.lines["m"] == {f"127.0.0.1:{k}": k / 2 for k in range(1, 4)}
     assert client.tables.levels["m"] == (0.5, 1)
 
 
 @pytest.mark.parametrize("path", sorted(STREAMS.glob("*.json")), ids=lambda path: path.stem)
-def test_recorded_streams_of_older_layouts_are_read(path):
-    kept = json.loads(path.read_text())
-    client = ProxyReplicas(kept["uid"], kept["methods"])
-    for row in kept["messages"]:
+def test_recorded_streams_of_older_layouts_are_decoded(path):
+    recorded = json.loads(path.read_text())
+    client = ProxyReplicas(recorded["uid"], recorded["methods"])
+    for row in recorded["messages"]:
         client.take(codec.decode(parts_of(row)))
-    assert {m: dict(lines) for m, lines in client.tables.lines.items()} == kept["lines"]
+    assert {m: dict(lines) for m, lines in client.tables.lines.items()} == recorded["lines"]
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -1,4 +1,4 @@
-"""The CHP server and its client library on real sockets."""
+"""Tests of the CHP server and its client library on real sockets."""
 
 import gevent
 import pytest
@@ -11,10 +11,10 @@
 from hollyridge.sasp.codec import Member
 
 
-def test_both_libraries_hold_the_same_and_see_a_drain(rig):
+def test_sasp_and_chp_gateways_hold_the_same_tables_and_see_a_drain(rig):
     r = clone_rig(rig)
-    agent, other = r.agent(), open_gateway(r)
-    one = SaspGateway(
+    agent, chp_gateway = r.agent(), open_gateway(r)
+    sasp_gateway = SaspGateway(
         ("127.0.0.1", r.sasp),
         "gw-s",
         list(GROUPS),
@@ -22,21 +22,21 @@
         receive_s=0.2,
         how=dict(source="127.1.0.78", connect=gevent.socket.create_connection),
     )
-    one.job, one.close = gevent.spawn(one.run), one.stop
-    r.clients.append(one)
-    assert wait_for(lambda: hosts(one) == hosts(other) == {1, 2, 3, 4})
-    for gateway in (one, other):
+    sasp_gateway.job, sasp_gateway.close = gevent.spawn(sasp_gateway.run), sasp_gateway.stop
+    r.clients.append(sasp_gateway)
+    assert wait_for(lambda: hosts(sasp_gateway) == hosts(chp_gateway) == {1, 2, 3, 4})
+    for gateway in (sasp_gateway, chp_gateway):
         assert gateway.state == GatewayState.FRESH
         assert gateway.pick("read-chapter") in gateway.table_for("read-chapter")
     shares = [
         {t: w / max(g.table_for("redeem-code").values()) for t, w in g.table_for("redeem-code").items()}
-        for g in (one, other)
+        for g in (sasp_gateway, chp_gateway)
     ]
     assert shares[0] == pytest.approx(shares[1], abs=1e-3)
-    held = other.table_for("read-chapter")
+    held = chp_gateway.table_for("read-chapter")
     agent.quiesce([r.members()[0]])
-    assert wait_for(lambda: hosts(one) == hosts(other) == {2, 3, 4}, 1.0)
-    assert len(held) == 4  # a reader in mid-pick keeps the one it has
+    assert wait_for(lambda: hosts(sasp_gateway) == hosts(chp_gateway) == {2, 3, 4}, 1.0)
+    assert len(held) == 4  # a reader that is picking a task keeps its table unchanged
 
 
 def test_admission_is_acknowledged_and_a_silent_proxy_is_cut(rig):
@@ -44,9 +44,12 @@
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway))
-    receipts = []
-    tell = r.engine.acknowledge
-    r.engine.acknowledge = lambda now, proxy, mark, took: (receipts.append(mark), tell(now, proxy, mark, took))
+    acknowledged = []
+    acknowledge = r.engine.acknowledge
+    r.engine.acknowledge = lambda now, proxy, mark, delay: (
+        acknowledged.append(mark),
+        acknowledge(now, proxy, mark, delay),
+    )
     from hollyridge import interface as api
 
     r.engine.apply_commands(r.engine.decision_number, r.service.loop.clock(), [])
@@ -55,7 +58,7 @@
     r.engine.apply_commands(now, now, [api.SetAdmission(0, 0, 0.5, 1), api.RequestAck(77, False)])
     r.service.loop.wake()
     assert wait_for(lambda: gateway.level_for("redeem-code") == (0.5, 1), 2)
-    assert wait_for(lambda: 77 in receipts, 2)
+    assert wait_for(lambda: 77 in acknowledged, 2)
     gateway.stop()
     assert wait_for(lambda: not r.engine.servers, 4)
     assert r.clone.counts["cut"] == 1
@@ -68,12 +71,12 @@
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
-    for out, left in ((True, {2, 3, 4}), (False, {1, 2, 3, 4})):
+    for ejected, expected in ((True, {2, 3, 4}), (False, {1, 2, 3, 4})):
         r.engine.decision_number += 1
         now = r.service.loop.clock()
-        r.engine.apply_commands(now, now, [api.SetEjected(0, out)])
+        r.engine.apply_commands(now, now, [api.SetEjected(0, ejected)])
         r.service.loop.wake()
-        assert wait_for(lambda left=left: hosts(gateway) == left, 2)
+        assert wait_for(lambda expected=expected: hosts(gateway) == expected, 2)
     late = open_gateway(r, "late")
     assert wait_for(lambda: hosts(late) == {1, 2, 3, 4})
 
@@ -83,7 +86,7 @@
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
-    listen = r.clone.config.port
+    port = r.clone.config.port
     r.service.stop()
     r.job.join(2)
     assert wait_for(lambda: gateway.state == GatewayState.STALE, 2)
@@ -91,27 +94,27 @@
     gevent.sleep(1)
     assert hosts(gateway) == {1, 2, 3, 4}
     assert 1 < gateway.age < 5
-    again = rig(clone__listen=f"127.0.0.1:{listen}", clone__beat_ms=100)
-    again.agent(tasks=2)
+    restarted = rig(clone__listen=f"127.0.0.1:{port}", clone__beat_ms=100)
+    restarted.agent(tasks=2)
     assert wait_for(lambda: hosts(gateway) == {1, 2}, 8)
     assert gateway.state == GatewayState.FRESH
     assert gateway.client.replicas[gateway.client.home].head.seq < 50
 
 
-def test_a_subscriber_that_never_reads_is_cut_and_harms_nobody(rig):
+def test_a_subscriber_that_never_reads_is_cut_and_does_not_delay_others(rig):
     r = clone_rig(rig, clone__waiting_most=450, proxies__tasks_most=400)
     agent, quick = r.agent(), open_gateway(r, "quick", zone=2)
     stuck = open_gateway(r, "stuck")
     assert wait_for(lambda: hosts(quick) == hosts(stuck) == {1, 2, 3, 4})
     stuck.before = lambda lines: gevent.sleep(30)
-    crowd = r.members(4) + [m._replace(port=p) for m in r.members(4) for p in range(9001, 9030)]
+    many_members = r.members(4) + [m._replace(port=p) for m in r.members(4) for p in range(9001, 9030)]
     for _ in range(6):
-        agent.register(crowd)
+        agent.register(many_members)
         gevent.sleep(0.4)
-        agent.deregister(crowd[4:])
+        agent.deregister(many_members[4:])
         gevent.sleep(0.4)
 
-    def settled():  # removals may wait a little for more of them
+    def settled():  # the engine may delay removals briefly to batch them
         newest = {r.service.task_name(task) for task in r.engine.update_builder.store.latest(1).lines}
         return len(newest) <= 4 and set(quick.table_for("read-chapter")) == newest
 
@@ -120,19 +123,19 @@
     assert "quick" in r.clone.sessions.by_uid
 
 
-def test_a_snapshot_larger_than_what_may_wait_arrives_while_changes_go_on(rig):
+def test_a_snapshot_larger_than_the_send_queue_arrives_during_changes(rig):
     r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
     r.engine.endpoint_source.terms, r.engine.task_indices.max_indices = (
         r.engine.endpoint_source.terms._replace(max_members=1000),
         1000,
     )
     agent = r.agent()
-    crowd = [Member.at(f"127.{1 + k % 3}.2.{k // 3}", 9000, "run=a up=100") for k in range(300)]
-    agent.register(crowd)
+    many_members = [Member.at(f"127.{1 + k % 3}.2.{k // 3}", 9000, "run=a up=100") for k in range(300)]
+    agent.register(many_members)
     assert wait_for(lambda: len(r.engine.endpoint_source.entries) == 304)
     gateway = open_gateway(r)
     for k in range(20):
-        agent.quiesce([crowd[k]])
+        agent.quiesce([many_members[k]])
         gevent.sleep(0.05)
 
     def newest():
@@ -148,14 +151,14 @@
     )
     agent, first = r.agent(), open_gateway(r)
     assert wait_for(lambda: hosts(first) == {1, 2, 3, 4})
-    many = [open_gateway(r, f"gw-{k}", zone=1 + k % 3) for k in range(100)]
+    gateways = [open_gateway(r, f"gw-{k}", zone=1 + k % 3) for k in range(100)]
     gevent.sleep(0.1)
     agent.quiesce([r.members()[0]])
     assert wait_for(lambda: 1 not in hosts(first), 2.0)
-    assert wait_for(lambda: all(hosts(g) == {2, 3, 4} for g in many), 10)
+    assert wait_for(lambda: all(hosts(g) == {2, 3, 4} for g in gateways), 10)
 
 
-def test_malformed_messages_are_counted_and_harm_nobody(rig):
+def test_malformed_messages_are_counted_and_have_no_other_effect(rig):
     r = clone_rig(rig)
     r.agent()
     gateway = open_gateway(r)
--- a/tests/chp/test_chp_update_model.py
+++ b/tests/chp/test_chp_update_model.py
@@ -1,4 +1,7 @@
-"""The update protocol explored as a small world: no half table whatever is lost, duplicated, late or reordered."""
+"""Model check of the update protocol.
+
+A replica never holds a partial table, even if messages are lost, duplicated, delayed or reordered.
+"""
 
 import pytest
 from hypothesis import settings
@@ -8,8 +11,8 @@
 from hollyridge.lab.checks.update_model_check import World, explore
 
 
-def test_no_interleaving_to_a_stated_depth_breaks_a_table():
-    """Loss, doubling, reordering and a restart with smaller numbers: nothing half, nothing back."""
+def test_no_interleaving_up_to_a_given_depth_breaks_a_table():
+    """Loss, duplication, reordering or a restart with smaller numbers leads to no partial and no older table."""
     for begin in ((), ("snapshot", "snapshot")):
         found = explore(depth=7, begin=begin)
         assert found.states > 5000
@@ -24,12 +27,12 @@
         ("no order", ("change", "change", "deliver")),
     ],
 )
-def test_the_model_catches_a_replica_that_leaves_out_a_check(fault, begin):
+def test_the_model_detects_a_replica_that_omits_a_check(fault, begin):
     assert explore(depth=7, fault=fault, begin=begin).broken
 
 
-class Story(RuleBasedStateMachine):
-    """The same, longer and at random."""
+class UpdateProtocolMachine(RuleBasedStateMachine):
+    """Longer, random sequences of moves."""
 
     def __init__(self):
         super().__init__()
@@ -41,13 +44,13 @@
         self.world = self.world.after(moves[pick % len(moves)])
 
     @invariant()
-    def whole_and_never_back(self):
+    def table_is_complete_and_never_older(self):
         assert not self.world.broken(), self.world.broken()
 
     def teardown(self):
-        """Once the world is quiet and heartbeats get through, the newest table is held."""
+        """Check that the replica holds the newest table once all messages and heartbeats are delivered."""
         assert self.world.settled().is_newest()
 
 
-TestStory = Story.TestCase
-TestStory.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
+TestUpdateProtocol = UpdateProtocolMachine.TestCase
+TestUpdateProtocol.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
--- a/tests/chp_rig.py
+++ b/tests/chp_rig.py
@@ -1,4 +1,4 @@
-"""A whole assigner whose CHP server listens too, and gateways that read it; for tests of several packages."""
+"""Assigner with a CHP server, and gateways that subscribe to it, for tests of several packages."""
 
 import gevent
 import zmq.green as zmq
@@ -14,13 +14,13 @@
     return r
 
 
-def open_gateway(r, uid="gw-c", zone=1, **how):
+def open_gateway(r, uid="gw-c", zone=1, **options):
     gateway = ChpGateway(
         ("127.0.0.1", r.clone.config.port),
         uid,
         list(GROUPS),
         sleep=gevent.sleep,
-        how=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **how),
+        how=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **options),
     )
     gateway.job = gevent.spawn(gateway.run)
     gateway.close = gateway.stop
