--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -191,7 +191,7 @@
         if segments is None or segments[0] != "proxy":
             raise ChpError(f"{type(message).__name__} received on the collector, expected a Kvset of /proxy/UID/ack")
         uid = segments[1]
-        reason = self.access.may_be(received.user, uid)
+        reason = self.access.check_proxy_name(received.user, uid)
         if reason:
             raise ChpError(reason)
         session = self.sessions.by_uid.get(uid)
@@ -201,7 +201,7 @@
     def _note_ack(self, now: int, session: SubscriberSession, ack: codec.Ack) -> None:
         """Record a proxy's acknowledgement as a heartbeat, acknowledge its marks, and note how far it lags."""
         self.counts["acks"] += 1
-        self.session_tracker.polled(now, session.number)
+        self.session_tracker.record_poll(now, session.number)
         if self.ownership.shared:
             self.ownership.acknowledge(session.uid, ack.request_number if session.fence else 0)
             if session.number not in self.sessions.by_number:
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -53,7 +53,7 @@
     def join(self, now: int, request: JoinRequest) -> None:
         """Handle a proxy's request for its own subtree; raise ChpError if the proxy may not use the UID."""
         uid = request.uid
-        reason = self.server.access.may_be(request.user, uid)
+        reason = self.server.access.check_proxy_name(request.user, uid)
         if not uid or len(uid) > MAX_UID_CHARS or reason:
             raise ChpError(reason or f"UID of {len(uid)} characters, expected 1 to {MAX_UID_CHARS}")
         older = self.by_uid.get(uid)
@@ -78,7 +78,7 @@
         uid = request.uid
         self.newest_number += 1
         number = self.newest_number
-        if self.session_tracker.start(now, number, uid, push=False).turned_away:
+        if self.session_tracker.start(now, number, uid, push=False).rejected:
             self.server.counts["refused"] += 1
             return
         older = self.by_uid.get(uid)
@@ -133,7 +133,7 @@
     def recheck(self, now: int) -> None:
         """End the sessions whose users may no longer use their UIDs."""
         for session in list(self.by_number.values()):
-            reason = self.server.access.may_be(session.user, session.uid)
+            reason = self.server.access.check_proxy_name(session.user, session.uid)
             if reason:
                 self.leave(now, session, f"keys withdrawn: {reason}")
 
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -56,7 +56,7 @@
             return Code.NOT_FROM_YOU
         if connection.uid and connection.uid != uid:
             return Code.UNKNOWN_BALANCER
-        if self.refusals.is_denied(connection, self.refusals.access.may_be(connection.bearer, uid)):
+        if self.refusals.is_denied(connection, self.refusals.access.check_proxy_name(connection.bearer, uid)):
             return Code.NOT_FROM_YOU
         connection.uid = uid
         return Code.OK
@@ -116,15 +116,15 @@
             self.server.counts["asked_too_often"] += 1
             code = Code.NOT_FROM_YOU
         if code != Code.OK:
-            return codec.GetWeightsReply(code, self.session_tracker.interval, ())
+            return codec.GetWeightsReply(code, self.session_tracker.poll_interval_s, ())
         if connection.proxy >= 0 and not connection.weights_ready.is_set():
             self.server.loop.wake()
-            connection.weights_ready.wait(self.session_tracker.first_answer / 1e6)
+            connection.weights_ready.wait(self.session_tracker.first_poll_wait_us / 1e6)
         batches = self.weight_replies.full_weights(connection, message.groups)
         if not connection.push:
             connection.sent_marks.extend(SentMark(0, *mark) for mark in connection.pending)
             connection.pending.clear()
-        return codec.GetWeightsReply(Code.OK, self.session_tracker.interval, batches)
+        return codec.GetWeightsReply(Code.OK, self.session_tracker.poll_interval_s, batches)
 
     # Joining and leaving.
 
@@ -137,7 +137,7 @@
                 self._redirect_newcomer(connection, refusal)
                 return Code.NOT_FROM_YOU
         started = self.session_tracker.start(now, connection.number, connection.uid, connection.push)
-        if started.turned_away:
+        if started.rejected:
             return Code.NOT_FROM_YOU
         if started.close >= 0 and started.close in self.server.streams:
             older = self.server.streams[started.close]
--- a/hollyridge/sasp/registration.py
+++ b/hollyridge/sasp/registration.py
@@ -29,7 +29,7 @@
         members.Refusal.NOT_REGISTERED: Code.NOT_REGISTERED,
         members.Refusal.FULL: Code.NOT_FROM_YOU,
         members.Refusal.NO_ZONE: Code.NOT_FROM_YOU,
-        members.Refusal.TWICE: Code.DUPLICATE_MEMBER,
+        members.Refusal.DUPLICATE: Code.DUPLICATE_MEMBER,
     }
 )
 # Members whose index is no longer in use are dropped once the members outnumber
@@ -98,9 +98,10 @@
         requested = [member for batch in message.groups for member in batch.members]
         if len(requested) > self.config.max_members_per_request:
             return Code.NOT_FROM_YOU
-        may_register = self.refusals.access.may_register
+        check_member_address = self.refusals.access.check_member_address
         if any(
-            self.refusals.is_denied(connection, may_register(connection.bearer, member.host)) for member in requested
+            self.refusals.is_denied(connection, check_member_address(connection.bearer, member.host))
+            for member in requested
         ):
             return Code.NOT_FROM_YOU
         registers_itself = len(requested) == 1 and requested[0].host == connection.address[0]
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -105,9 +105,9 @@
     def recheck(self) -> None:
         """Close the connections that a changed access table no longer allows."""
         for connection in list(self.streams.values()):
-            reason = self.access.known(connection.bearer)
+            reason = self.access.check_known(connection.bearer)
             if not reason and connection.uid:
-                reason = self.access.may_be(connection.bearer, connection.uid)
+                reason = self.access.check_proxy_name(connection.bearer, connection.uid)
             if reason:
                 self.close(connection, f"keys withdrawn: {reason}")
 
@@ -201,7 +201,7 @@
     def _note_request(self, connection: Connection) -> None:
         """Record a request as a heartbeat and, if its sender polls, as acknowledgement of the last reply."""
         now = self.clock()
-        self.session_tracker.polled(now, connection.number)
+        self.session_tracker.record_poll(now, connection.number)
         self.ownership.acknowledge(connection)
         if not connection.push:
             for sent in connection.sent_marks:
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -125,8 +125,8 @@
 
 def test_a_snapshot_larger_than_the_send_queue_arrives_during_changes(rig):
     r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
-    r.engine.endpoint_source.terms, r.engine.task_indices.max_indices = (
-        r.engine.endpoint_source.terms._replace(max_members=1000),
+    r.engine.endpoint_source.registration_config, r.engine.task_indices.max_indices = (
+        r.engine.endpoint_source.registration_config._replace(max_members=1000),
         1000,
     )
     agent = r.agent()
--- a/tests/sasp/test_sasp_server.py
+++ b/tests/sasp/test_sasp_server.py
@@ -18,15 +18,15 @@
 def test_a_pushed_balancer_holds_the_table_and_loses_drained_tasks(rig):
     r = rig()
     agent, gw = r.agent(), r.balancer()
-    held, tables = r.holds(gw)
+    held, tables = r.held_after(gw)
     assert held == ALL
     agent.quiesce([r.members()[0]])
-    held, tables = r.holds(gw, tables, 0.5)
+    held, tables = r.held_after(gw, tables, 0.5)
     assert held == {g: {2, 3, 4} for g in GROUPS}
     agent.deregister([r.members()[1]])
-    assert r.holds(gw, tables, 0.5)[0] == {g: {3, 4} for g in GROUPS}
+    assert r.held_after(gw, tables, 0.5)[0] == {g: {3, 4} for g in GROUPS}
     other = r.balancer("gw-2", zone=2)  # a load balancer that joins later gets none of the removed tasks
-    assert r.holds(other)[0] == {g: {3, 4} for g in GROUPS}
+    assert r.held_after(other)[0] == {g: {3, 4} for g in GROUPS}
 
 
 def test_a_member_that_registers_itself_and_vanishes_is_removed(rig):
@@ -35,22 +35,22 @@
     gw = r.balancer()
     own = r.open(MemberRegistrar, "shelf", source="127.1.0.50")
     own.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
-    held, tables = r.holds(gw, seconds=0.6)
+    held, tables = r.held_after(gw, seconds=0.6)
     assert all(50 in hosts for hosts in held.values())
     own.close()
-    assert r.holds(gw, tables, 1.0)[0] == ALL
+    assert r.held_after(gw, tables, 1.0)[0] == ALL
 
 
 def test_an_agent_that_reconnects_keeps_its_list(rig):
     r = rig(roster__hold_agent_s=1)
     agent, gw = r.agent(), r.balancer()
-    tables = r.holds(gw, seconds=0.5)[1]
+    tables = r.held_after(gw, seconds=0.5)[1]
     agent.close()
     gevent.sleep(0.4)
     r.agent()
-    held, _ = r.holds(gw, tables, 1.2)
+    held, _ = r.held_after(gw, tables, 1.2)
     assert held == ALL
-    assert r.engine.endpoint_source.returns == 4
+    assert r.engine.endpoint_source.reconnections == 4
     assert not r.engine.endpoint_source.restarts
 
 
@@ -61,10 +61,10 @@
     reply = gw.weights(GROUPS)
     assert reply.interval == 1
     assert {len(row.weights) for row in reply.groups} == {4}
-    assert len(r.front.by_proxy) == 1
+    assert len(r.protocol_server.by_proxy) == 1
     with pytest.raises(ConnectionLostError):
         gw._read(4)
-    assert not r.front.by_proxy
+    assert not r.protocol_server.by_proxy
     assert not r.engine.servers
 
 
@@ -85,7 +85,7 @@
     with pytest.raises(RefusedError):
         for _ in range(30):
             gw.weights(GROUPS)
-    assert r.front.counts["asked_too_often"] == 1
+    assert r.protocol_server.counts["asked_too_often"] == 1
 
 
 def test_a_balancer_that_reads_nothing_does_not_delay_others(rig):
@@ -94,15 +94,15 @@
     slow, quick = r.open(LoadBalancerClient, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
     slow.sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
     slow.start(GROUPS)
-    tables = r.holds(quick, seconds=0.4)[1]
+    tables = r.held_after(quick, seconds=0.4)[1]
     many_members = [Member.at(f"127.3.1.{k}", 9000, "run=a up=100") for k in range(1, 200)]
     for _ in range(8):
         agent.register(many_members)
-        tables = r.holds(quick, tables, 0.25)[1]
+        tables = r.held_after(quick, tables, 0.25)[1]
         agent.deregister(many_members)
-        held, tables = r.holds(quick, tables, 0.25)
+        held, tables = r.held_after(quick, tables, 0.25)
     for _ in range(20):  # the reading balancer receives every change
-        held, tables = (held, tables) if held == ALL else r.holds(quick, tables, 0.25)
+        held, tables = (held, tables) if held == ALL else r.held_after(quick, tables, 0.25)
     assert held == ALL
     assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index)
     assert "quick" in r.engine.proxy_indices.index
@@ -135,8 +135,8 @@
     gw, bad = r.balancer(), r.raw()
     bad.sendall(raw)
     assert bad.recv(100) == b""
-    assert r.holds(gw)[0] == ALL
-    assert r.front.counts["bad_frames"] == 1
+    assert r.held_after(gw)[0] == ALL
+    assert r.protocol_server.counts["bad_frames"] == 1
 
 
 def test_connections_end_after_half_a_frame_silence_or_slow_bytes(rig):
@@ -149,11 +149,11 @@
         for byte in frame:
             slow.sendall(bytes((byte,)))
             gevent.sleep(0.05)
-        raise OSError("the server kept reading the slow frame") if not r.front.counts["closed"] else OSError
+        raise OSError("the server kept reading the slow frame") if not r.protocol_server.counts["closed"] else OSError
     assert half.recv(10) == b""
     assert silent.recv(10) == b""
     assert time.monotonic() - started < 6
-    assert not r.front.streams
+    assert not r.protocol_server.streams
 
 
 BAD_REQUESTS = [
@@ -212,7 +212,7 @@
         first.call_checked(codec.GetWeights((Group("gw-2", "read-chapter"),)))
     assert refused.value.code == Code.UNKNOWN_BALANCER
     second = r.balancer()  # the same UID on a newer stream
-    assert r.holds(second)[0] == ALL
+    assert r.held_after(second)[0] == ALL
     with pytest.raises(ConnectionLostError):
         while first.receive(1):
             pass
@@ -230,22 +230,22 @@
     attempts = []
     for _ in range(1000):
         attempts.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
-    held, _ = r.holds(gw, seconds=1.5)
+    held, _ = r.held_after(gw, seconds=1.5)
     assert held == ALL
-    assert r.front.counts["refused"] > 300
-    assert len(r.front.streams) <= 300
+    assert r.protocol_server.counts["refused"] > 300
+    assert len(r.protocol_server.streams) <= 300
     for attempt in attempts:
         if attempt.successful():
             attempt.value.close()
     gevent.sleep(0.2)
-    assert r.holds(r.balancer("gw-2", zone=2))[0] == ALL
+    assert r.held_after(r.balancer("gw-2", zone=2))[0] == ALL
 
 
 def test_a_step_of_the_wall_clock_has_no_effect(rig, monkeypatch):
     r = rig()
     r.agent()
     gw = r.balancer()
-    r.holds(gw)
+    r.held_after(gw)
     real, real_ns = time.time, time.time_ns
     before = dict(r.engine.counts)
     for hours in (1, -1):
