--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -132,7 +132,7 @@
         """Repeat the requests for snapshots that did not arrive in time."""
         for subtree, sent_at in list(self.requested_at.items()):
             replica = self.client.replicas.get(subtree)
-            if replica is None or not replica.asking:
+            if replica is None or not replica.awaiting_snapshot:
                 del self.requested_at[subtree]
             elif now - sent_at > RETRY_HEARTBEATS * self.heartbeat_s:
                 replica.begin()
@@ -167,7 +167,7 @@
             self.last_heartbeat = self.clock()
 
     @property
-    def silent_for(self) -> float:
+    def silence_s(self) -> float:
         """Return the seconds since the last heartbeat of the proxy's own subtree, which only joined sessions receive.
 
         Before the session has joined, return the seconds since the last message of any kind.
--- a/hollyridge/chp/proxy_replicas.py
+++ b/hollyridge/chp/proxy_replicas.py
@@ -99,7 +99,7 @@
     def redirect(self) -> codec.Go | None:
         """Return the redirect to another assigner, None if this assigner serves the proxy."""
         home = self.replicas[self.home]
-        raw = home.held.get(self.home + "go") if home.synced and not home.asking else None
+        raw = home.held.get(self.home + "go") if home.synced and not home.awaiting_snapshot else None
         return codec.value_of(codec.Go, raw) if raw else None
 
     def bound_tables(self) -> dict[str, str]:
@@ -120,7 +120,7 @@
             return ClientChanges([], [], False)
         changes = replica.take(message)
         ends_snapshot = type(message) is Kthxbai
-        needed = [subtree] if changes.ask else []
+        needed = [subtree] if changes.needs_snapshot else []
         if subtree == self.home and (changes.applied or (changes.head_applied and ends_snapshot)):
             needed += self._subtrees_to_request(ends_snapshot)
         for needed_subtree in needed:
@@ -132,7 +132,7 @@
         """Return newly bound tables and, after a snapshot of the bindings, those whose snapshot is still missing."""
         needed = []
         for table in dict.fromkeys((codec.EJECTED_SUBTREE, *self.bound_tables().values())):
-            if table not in self.replicas or (self.replicas[table].asking and ends_snapshot):
+            if table not in self.replicas or (self.replicas[table].awaiting_snapshot and ends_snapshot):
                 self.replicas.setdefault(table, Replica(table))
                 needed.append(table)
         return needed
--- a/hollyridge/chp/replica.py
+++ b/hollyridge/chp/replica.py
@@ -24,7 +24,7 @@
     """
 
     applied: bool = False
-    ask: bool = False
+    needs_snapshot: bool = False
     head_applied: bool = False
 
 
@@ -52,7 +52,7 @@
         self.held: dict[str, bytes] = {}
         self.head = Head()
         self.synced = False
-        self.asking = True
+        self.awaiting_snapshot = True
         self.gathered: dict[tuple[bytes, int], Kvpub] = {}
         self.incoming: dict[int, dict[str, bytes]] = {}
         self.heads: dict[int, Head] = {}
@@ -65,7 +65,7 @@
         if type(message) is Kthxbai:
             return self.apply_snapshot(message.sequence)
         if message.key == self.subtree + "head":
-            return self.change(codec.value_of(Head, message.value))
+            return self.apply_change(codec.value_of(Head, message.value))
         if len(self.gathered) < MAX_GATHERED:
             self.gathered[message.uuid, message.sequence] = message
         return NO_CHANGES
@@ -78,7 +78,7 @@
 
     def begin(self) -> None:
         """Await a new snapshot, and discard the messages of earlier incomplete snapshots."""
-        self.asking = True
+        self.awaiting_snapshot = True
         self.incoming = {}
         self.heads = {}
 
@@ -94,7 +94,7 @@
         self.held = keys
         self.head = head
         self.synced = True
-        self.asking = False
+        self.awaiting_snapshot = False
         self.incoming = {}
         self.heads = {}
         self.prune()
@@ -104,7 +104,7 @@
         """Return whether a snapshot is older than the applied changes, or of another run and not requested."""
         if head.epoch == self.head.epoch:
             return head.seq < self.head.seq
-        return not self.asking
+        return not self.awaiting_snapshot
 
     def prune(self) -> None:
         """Discard messages that can't belong to the next change."""
@@ -113,16 +113,16 @@
             key: message for key, message in self.gathered.items() if key[0] == uuid and key[1] > self.head.seq
         }
 
-    def change(self, head: Head) -> ReplicaChanges:
+    def apply_change(self, head: Head) -> ReplicaChanges:
         """Apply the change that a published head ends; if messages are missing, report that a snapshot is needed."""
         if not self.synced or head.epoch != self.head.epoch:
-            return ReplicaChanges(ask=not self.asking)
+            return ReplicaChanges(needs_snapshot=not self.awaiting_snapshot)
         if head.seq <= self.head.seq:
             return ReplicaChanges(head_applied=head.seq == self.head.seq)
         uuid = codec.uuid_of(head.epoch)
         sequences = sorted(seq for run, seq in self.gathered if run == uuid and self.head.seq < seq < head.seq)
         if head.prev != self.head.seq or len(sequences) != head.count:
-            return ReplicaChanges(ask=not self.asking)
+            return ReplicaChanges(needs_snapshot=not self.awaiting_snapshot)
         held = dict(self.held)
         for sequence in sequences:
             message = self.gathered[uuid, sequence]
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -255,7 +255,7 @@
         for group, _ in message.groups if self.keep_tables else ():
             weights = {name_of(member): float(entry.weight) for member, entry in held.lines(group.name).items()}
             self.evidence.tables.append(HeldTable(at, proxy, group.name, "", number, weights))
-        for group in held.fresh:
+        for group in held.received_groups:
             self._note_lines(proxy, group, not held.lines(group), at)
 
     def _on_agent_answer(self, key: tuple[str, int, int], answer: codec.Message) -> None:
--- a/hollyridge/lab/checks/parity.py
+++ b/hollyridge/lab/checks/parity.py
@@ -8,9 +8,11 @@
 from typing import NamedTuple
 
 from hollyridge.lab.checks.evidence import Evidence, HeldTable
-from hollyridge.sasp.weight_advice import MIN_LARGEST_FIGURE
+from hollyridge.sasp.weight_advice import MIN_LARGEST_SASP_WEIGHT
 
-MAX_DISTANCE = 2 / MIN_LARGEST_FIGURE  # of the largest line: what 16 bits and a cold task's rounding down may come to
+MAX_DISTANCE = (
+    2 / MIN_LARGEST_SASP_WEIGHT
+)  # of the largest line: what 16 bits and a cold task's rounding down may come to
 
 Run = tuple[int, int]  # an assigner, and when this run of it began
 
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -39,7 +39,7 @@
 
     fault = ""
 
-    def change(self, head: codec.Head) -> ReplicaChanges:
+    def apply_change(self, head: codec.Head) -> ReplicaChanges:
         """Take a head, without the check that is left out."""
         same = self.synced and head.epoch == self.head.epoch
         if self.fault == "no count" and same and head.prev == self.head.seq:
@@ -50,7 +50,7 @@
             self.head = codec.Head(head.epoch, head.version, head.prev, head.prev)
         if self.fault == "no order" and same and head.seq < self.head.seq:
             self.head = codec.Head(head.epoch, 0, head.prev, 0)
-        return super().change(head)
+        return super().apply_change(head)
 
     def prune(self) -> None:
         """Drop what is behind, unless that is left out."""
@@ -144,7 +144,7 @@
         self.run += 1
         self.version = 0
         self.key_space = self._start_run()
-        self.snapshots = [SNAPSHOT_ASKED] if self.replica.asking else []
+        self.snapshots = [SNAPSHOT_ASKED] if self.replica.awaiting_snapshot else []
         self.replica.incoming, self.replica.heads = {}, {}
 
     def _on_deliver(self) -> None:
@@ -175,7 +175,7 @@
 
     def _take(self, message: codec.Message) -> None:
         changes = self.replica.take(message)
-        if changes.ask:
+        if changes.needs_snapshot:
             self._ask()
         if not self.replica.synced:
             return
@@ -207,7 +207,7 @@
             self.version,
             self.mischief,
             self.seen,
-            replica.asking,
+            replica.awaiting_snapshot,
             replica.synced,
             replica.head.epoch,
             replica.head.seq,
@@ -233,7 +233,7 @@
 
     def is_newest(self) -> bool:
         """Whether the subscriber holds the newest table."""
-        return self.replica.synced and self.at() == (self.run, self.version) and not self.replica.asking
+        return self.replica.synced and self.at() == (self.run, self.version) and not self.replica.awaiting_snapshot
 
 
 class Found(NamedTuple):
--- a/hollyridge/sasp/held_weights.py
+++ b/hollyridge/sasp/held_weights.py
@@ -38,20 +38,20 @@
 
     def __init__(self) -> None:
         self.tables: dict[str, dict[Member, Entry]] = {}
-        self.fresh: set[str] = set()
+        self.received_groups: set[str] = set()
 
     def new_stream(self) -> None:
         """Begin a new connection: the next entries of each group replace its table."""
-        self.fresh = set()
+        self.received_groups = set()
 
     def take(self, groups: Iterable[codec.WeightsOf], whole: bool = False) -> None:
         """Apply one message; `whole` for a Get Weights Reply, which holds all entries of each group."""
         tables = dict(self.tables)
-        fresh = set(self.fresh)
+        received_groups = set(self.received_groups)
         for group, weights in groups:
             if not weights or group.name == GROUP_NAME:
                 continue
-            changed_groups = fresh - self.fresh if whole else fresh
+            changed_groups = received_groups - self.received_groups if whole else received_groups
             table = dict(tables.get(group.name, {})) if group.name in changed_groups else {}
             for entry in weights:
                 if entry.weight > 0 and not entry.flags & WeightFlags.QUIESCE:
@@ -59,9 +59,9 @@
                 else:
                     table.pop(entry.member, None)
             tables[group.name] = table
-            fresh.add(group.name)
+            received_groups.add(group.name)
         self.tables = tables
-        self.fresh = fresh
+        self.received_groups = received_groups
 
     def lines(self, group: str) -> dict[Member, Entry]:
         """Return the entries of a group, by member."""
--- a/hollyridge/sasp/weight_advice.py
+++ b/hollyridge/sasp/weight_advice.py
@@ -12,7 +12,7 @@
 
 MAX_SASP_WEIGHT = 0xFFFF
 TARGET_LARGEST_SASP_WEIGHT = (MAX_SASP_WEIGHT + 1) // 4  # SASP weight of the largest weight under a new scale
-MIN_LARGEST_FIGURE = (MAX_SASP_WEIGHT + 1) // 16  # below it, a new scale is chosen
+MIN_LARGEST_SASP_WEIGHT = (MAX_SASP_WEIGHT + 1) // 16  # below it, a new scale is chosen
 
 
 def shown_methods(methods: Iterable[tuple[str, float]]) -> dict[str, int]:
@@ -75,7 +75,7 @@
         corrects it.
         """
         largest = max(weights.values(), default=0.0)
-        if largest > 0 and not MIN_LARGEST_FIGURE <= largest * self.scale <= MAX_SASP_WEIGHT:
+        if largest > 0 and not MIN_LARGEST_SASP_WEIGHT <= largest * self.scale <= MAX_SASP_WEIGHT:
             whole = True
             self.scale = TARGET_LARGEST_SASP_WEIGHT / largest
         tasks = {**dict.fromkeys(weights), **dict.fromkeys(self.sent)} if whole else dict.fromkeys(changed)
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 import zmq.green as zmq
-from chp_rig import clone_rig, hosts, open_gateway
+from chp_rig import hosts, open_gateway, start_chp_rig
 from service_rig import GROUPS, wait_for
 
 from hollyridge.chp import codec
@@ -12,7 +12,7 @@
 
 
 def test_sasp_and_chp_gateways_hold_the_same_tables_and_see_a_drain(rig):
-    r = clone_rig(rig)
+    r = start_chp_rig(rig)
     agent, chp_gateway = r.agent(), open_gateway(r)
     sasp_gateway = SaspGateway(
         ("127.0.0.1", r.sasp),
@@ -40,7 +40,7 @@
 
 
 def test_admission_is_acknowledged_and_a_silent_proxy_is_cut(rig):
-    r = clone_rig(rig)
+    r = start_chp_rig(rig)
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway))
@@ -67,7 +67,7 @@
 def test_an_ejected_task_is_in_no_table_until_it_returns(rig):
     from hollyridge import interface as api
 
-    r = clone_rig(rig)
+    r = start_chp_rig(rig)
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
@@ -82,7 +82,7 @@
 
 
 def test_an_assigner_that_restarts_with_smaller_numbers_is_followed(rig):
-    r = clone_rig(rig)
+    r = start_chp_rig(rig)
     r.agent()
     gateway = open_gateway(r)
     assert wait_for(lambda: hosts(gateway) == {1, 2, 3, 4})
@@ -102,7 +102,7 @@
 
 
 def test_a_subscriber_that_never_reads_is_cut_and_does_not_delay_others(rig):
-    r = clone_rig(rig, clone__waiting_most=450, proxies__tasks_most=400)
+    r = start_chp_rig(rig, clone__waiting_most=450, proxies__tasks_most=400)
     agent, quick = r.agent(), open_gateway(r, "quick", zone=2)
     stuck = open_gateway(r, "stuck")
     assert wait_for(lambda: hosts(quick) == hosts(stuck) == {1, 2, 3, 4})
@@ -124,7 +124,7 @@
 
 
 def test_a_snapshot_larger_than_the_send_queue_arrives_during_changes(rig):
-    r = clone_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
+    r = start_chp_rig(rig, clone__waiting_most=101, proxies__tasks_most=100)
     r.engine.endpoint_source.registration_config, r.engine.task_indices.max_indices = (
         r.engine.endpoint_source.registration_config._replace(max_members=1000),
         1000,
@@ -146,7 +146,7 @@
 
 
 def test_a_drain_arrives_while_a_hundred_join_in_a_second(rig):
-    r = clone_rig(
+    r = start_chp_rig(
         rig, channel__lines_per_s=1500, channel__most_waiting=3000, promises__drain_grace_s=3, clone__beat_ms=500
     )
     agent, first = r.agent(), open_gateway(r)
@@ -159,7 +159,7 @@
 
 
 def test_malformed_messages_are_counted_and_have_no_other_effect(rig):
-    r = clone_rig(rig)
+    r = start_chp_rig(rig)
     r.agent()
     gateway = open_gateway(r)
     context = zmq.Context()
--- a/tests/chp_rig.py
+++ b/tests/chp_rig.py
@@ -8,7 +8,7 @@
 from hollyridge.lab.stand_ins.ports import free_ports
 
 
-def clone_rig(rig, **overrides):
+def start_chp_rig(rig, **overrides):
     r = rig(**{"clone__listen": f"127.0.0.1:{free_ports(3)}", "clone__beat_ms": 100, **overrides})
     r.clone, r.context = r.service.chp_server, zmq.Context()
     return r
--- a/tests/sasp/test_sasp_weight_advice.py
+++ b/tests/sasp/test_sasp_weight_advice.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hollyridge.sasp.weight_advice import MAX_SASP_WEIGHT, MIN_LARGEST_FIGURE, GroupWeights
+from hollyridge.sasp.weight_advice import MAX_SASP_WEIGHT, MIN_LARGEST_SASP_WEIGHT, GroupWeights
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -17,15 +17,15 @@
         lines.update((i, lines[i] * rng.uniform(0.5, 2)) for i in changed)
         group.advise(lines, changed, False, cold.__contains__, lambda i: False)
         largest, total, sent_total = max(lines.values()), sum(lines.values()), sum(group.sent.values())
-        assert MIN_LARGEST_FIGURE // 2 <= max(group.sent.values()) <= MAX_SASP_WEIGHT
+        assert MIN_LARGEST_SASP_WEIGHT // 2 <= max(group.sent.values()) <= MAX_SASP_WEIGHT
         for i, weight in lines.items():
-            sasp_weight, unit = group.sent.get(i, 0), largest / MIN_LARGEST_FIGURE
+            sasp_weight, unit = group.sent.get(i, 0), largest / MIN_LARGEST_SASP_WEIGHT
             assert abs(sasp_weight / group.scale - weight) <= unit  # no line drifts, so the sum does not either
             if i in cold and len(lines) > 1:
                 assert sasp_weight / group.scale <= weight  # never rounded up
             elif weight > 0:
                 assert sasp_weight >= 1
-        assert abs(sent_total / group.scale - total) <= len(lines) * largest / MIN_LARGEST_FIGURE
+        assert abs(sent_total / group.scale - total) <= len(lines) * largest / MIN_LARGEST_SASP_WEIGHT
 
 
 def test_the_whole_group_is_sent_again_only_when_its_scale_changes():
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,7 +6,7 @@
 import gevent
 import pytest
 import trustme
-from chp_rig import clone_rig, hosts, open_gateway
+from chp_rig import hosts, open_gateway, start_chp_rig
 from gevent import socket
 from gevent import ssl as green_ssl
 from service_rig import GROUPS, LOOPBACK, attempts_point, wait_for
@@ -77,7 +77,7 @@
 
 
 def secured_rig(rig, keys):
-    r = clone_rig(rig, **keys.overrides())
+    r = start_chp_rig(rig, **keys.overrides())
     agent = r.open(MemberRegistrar, "shelf", connect=keys.connector("agent"))
     agent.register(r.members())
     gevent.sleep(0.3)
