--- a/hollyridge/membership/__init__.py
+++ b/hollyridge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of a shared fleet and ownership of its proxies: decisions only, no I/O and no clock."""
+"""Fleet membership and proxy ownership, implemented as decisions only, without I/O and without a clock."""
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -1,18 +1,19 @@
-"""Fencing tokens on the proxy's side, used by both client libraries."""
+"""Fencing tokens on the proxy side, used by the clients of both protocols."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-UNFENCED = 0  # the token of a message by an assigner that shares its fleet with nobody
+UNFENCED = 0  # token of a message from an assigner that shares its fleet with no other assigner
 
 
 class OwnershipRequest(NamedTuple):
-    """A proxy asks to be owned, whatever protocol it speaks.
+    """A proxy's request to be owned, independent of the protocol.
 
     Attributes:
-        number: Number of the request; 0 where none was made.
-        insist: Whether to be taken in even if another assigner seems to be the owner: that one can't be reached.
+        number: Number of the request; 0 if the proxy has made none.
+        insist: Whether the assigner has to accept the proxy even if another assigner seems to be its owner, because
+            the proxy can't reach that one.
     """
 
     number: int = 0
@@ -20,11 +21,12 @@
 
 
 class FencingChecker:
-    """Issues fencing tokens and accepts only what carries the newest.
+    """Issuer of fencing tokens that accepts only messages with the newest token.
 
-    The proxy numbers its own requests; the assigner that answers one puts its number on all that it sends. An assigner
-    that was asked earlier is refused from the moment another one is asked, however late and in whatever order its
-    messages arrive. Messages without a token (`UNFENCED`) are accepted as long as none with a token has been.
+    The proxy numbers its own requests. The assigner that answers a request puts the number of that request on every
+    message that it sends. As soon as the proxy sends a request to another assigner, messages of the previous assigner
+    are refused, however late and in whatever order they arrive. Messages without a token (`UNFENCED`) are accepted
+    until the first message with a token has been accepted.
 
     >>> checker = FencingChecker()
     >>> checker.accepts(0), checker.next_token(), checker.accepts(1), checker.next_token()
@@ -34,28 +36,29 @@
 
     Attributes:
         newest_token: Token of the newest request.
-        accepted_token: Token of the message accepted last; `UNFENCED` before the first that has one.
+        accepted_token: Token of the message accepted last; `UNFENCED` until a message with a token is accepted.
         refused: Number of messages refused.
     """
 
     def __init__(self, first: int = 0) -> None:
-        """Starts below the first token that is to be issued.
+        """Start with the number before the first token to issue.
 
         Args:
-            first: Must not be below the tokens of the proxy's previous run, else its requests are stale until the old
-                lease ends. Seconds since a fixed day, shifted to leave room for the requests of a second, will do.
+            first: Must not be below the tokens of the proxy's previous run, otherwise its requests are stale until the
+                old lease ends. Seconds since a fixed date are suitable if they are shifted to the left, which leaves
+                room for the requests of one second.
         """
         self.newest_token = first
         self.accepted_token = UNFENCED
         self.refused = 0
 
     def next_token(self) -> int:
-        """Issues the token of a new request; all older ones are refused from now on."""
+        """Issue the token of a new request and refuse all older tokens from now on."""
         self.newest_token += 1
         return self.newest_token
 
     def accepts(self, fencing_token: int) -> bool:
-        """Tells whether a message under this token is to be applied."""
+        """Return whether a message with this token may be applied; count it as refused if not."""
         is_newest = fencing_token == self.newest_token
         if not is_newest and (fencing_token != UNFENCED or self.accepted_token != UNFENCED):
             self.refused += 1
--- a/hollyridge/membership/lease_events.py
+++ b/hollyridge/membership/lease_events.py
@@ -1,4 +1,4 @@
-"""What the lease manager is configured with, what it is notified of, and the actions that it returns."""
+"""Configuration, events and actions of the lease manager."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class LeaseConfig(NamedTuple):
-    """Durations of one fleet's leases.
+    """Durations that govern the leases of a fleet, in microseconds.
 
     Attributes:
-        duration_us: A lease ends when its proxy has been silent for so long.
-        settle_us: How long a member, or a lease, must have lasted before proxies move for it.
-        move_period_us: Between two rounds of moves.
+        duration_us: Time without an acknowledgement from the proxy after which its lease ends.
+        settle_us: Minimum age of a member before proxies move to it, and of a lease before its proxy moves.
+        move_period_us: Interval between two rounds of moves.
     """
 
     duration_us: int
@@ -22,13 +22,13 @@
 
 
 class ProxyAsked(NamedTuple):
-    """A proxy requests to be served.
+    """A proxy requests a lease.
 
     Attributes:
-        uid: The proxy.
-        zone: Its zone; empty if unknown.
-        fencing_token: Number of the request, above those of all its earlier ones.
-        fallback_request: Whether it could not reach the member that it was forwarded to.
+        uid: Name of the proxy.
+        zone: Zone of the proxy; empty if unknown.
+        fencing_token: Number of the request, above the numbers of all earlier requests of this proxy.
+        fallback_request: Whether the proxy could not reach the member that it was forwarded to.
     """
 
     uid: str
@@ -38,26 +38,37 @@
 
 
 class TokenAcknowledged(NamedTuple):
-    """A proxy has acknowledged; `fencing_token` is that of its newest request, whoever it went to."""
+    """A proxy has sent an acknowledgement.
+
+    Attributes:
+        uid: Name of the proxy.
+        fencing_token: Token of the proxy's newest request, to whichever member it was sent.
+    """
 
     uid: str
     fencing_token: int
 
 
-class ProxyEnded(NamedTuple):
+class ProxyDisconnected(NamedTuple):
     """The connection of a proxy has ended."""
 
     uid: str
 
 
 class MembersChanged(NamedTuple):
-    """The members that are alive now, by name, this one included."""
+    """The set of live members has changed; `members` holds all of them by name, this member included."""
 
     members: dict[str, MemberState]
 
 
 class ClaimsReceived(NamedTuple):
-    """Proxies that another member claims, with their fencing tokens; `starts_list` begins a new list."""
+    """Another member has sent part of the list of proxies that it claims.
+
+    Attributes:
+        member: Name of that member.
+        claims: Pairs of proxy and fencing token.
+        starts_list: Whether this part is the first of a new list, which replaces the previous one.
+    """
 
     member: str
     claims: tuple[tuple[str, int], ...]
@@ -69,32 +80,32 @@
 
 
 class LeaseGranted(NamedTuple):
-    """The proxy is this member's, under this fencing token."""
+    """This member owns the proxy, with this fencing token."""
 
     uid: str
     fencing_token: int
 
 
 class StaleToken(NamedTuple):
-    """The request is older than one that was answered already; nothing is to be done."""
+    """The request is older than one that has been answered already and needs no answer."""
 
     uid: str
 
 
 class ForwardProxy(NamedTuple):
-    """The proxy should be owned by another member, and is to ask there."""
+    """Another member should own the proxy, which has to be redirected to it."""
 
     uid: str
     owner: str
 
 
 class ReleaseProxy(NamedTuple):
-    """The proxy is this member's no more; its stream is to end.
+    """This member has given up the proxy, whose stream has to be closed.
 
     Attributes:
-        uid: The proxy.
-        reason: For the log.
-        new_owner: Where it should ask; empty for any member.
+        uid: Name of the proxy.
+        reason: Reason for the log.
+        new_owner: Member to which the proxy should connect; empty for any member.
     """
 
     uid: str
@@ -103,12 +114,12 @@
 
 
 class Disagreement(NamedTuple):
-    """Two members claim one proxy."""
+    """A proxy that two members claim, with the names of both."""
 
     uid: str
     first: str
     second: str
 
 
-Event = Union[ProxyAsked, TokenAcknowledged, ProxyEnded, MembersChanged, ClaimsReceived, Tick]
+Event = Union[ProxyAsked, TokenAcknowledged, ProxyDisconnected, MembersChanged, ClaimsReceived, Tick]
 Action = Union[LeaseGranted, StaleToken, ForwardProxy, ReleaseProxy]
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -1,16 +1,18 @@
-"""Which member of a fleet owns which proxy, and until when.
+"""Leases of the members of a fleet on its proxies.
 
-Fencing makes it safe: the proxy numbers its requests, the member that answers puts the number on all that it sends, and
-the proxy refuses older numbers. During a network partition two members may both hold a lease on a proxy, but it obeys
-only one, with no agreement between them. (If members chose the numbers themselves, above the highest that the proxy had
-accepted, a delayed grant of the former owner could stand above the new owner's; model checking found that.)
+Safety rests on fencing: the proxy numbers its requests, the member that answers a request puts its number on every
+message that it sends, and the proxy refuses older numbers. During a network partition two members may both hold a lease
+on a proxy, but the proxy accepts messages from only one of them, and the members need no agreement. (If members chose
+the numbers themselves, above the highest that the proxy had accepted, a delayed grant of the former owner could carry a
+higher number than the grant of the new owner. Model checking found that.)
 
-All else here decides only who should hold the lease and when to stop serving a silent proxy:
+The rest of this module only decides which member should hold a lease and when to stop serving a silent proxy:
 
-- Placement is by rendezvous hashing over the members that are alive.
-- A lease lapses when its proxy has been silent for the lease's duration, also if this process was paused meanwhile.
-- Proxies move to their preferred owner only once that has been alive for the settle time, a few in each period.
-- A proxy that can't reach its preferred owner is served all the same: that is a fallback request.
+- Rendezvous hashing over the live members determines the preferred owner of each proxy.
+- A lease expires when its proxy has been silent for the duration of the lease, even if this process was paused
+  meanwhile.
+- Proxies move to their preferred owner only after it has been alive for the settle time, a few in each period.
+- A proxy that can't reach its preferred owner makes a fallback request, which is granted by any member.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
     LeaseGranted,
     MembersChanged,
     ProxyAsked,
-    ProxyEnded,
+    ProxyDisconnected,
     ReleaseProxy,
     StaleToken,
     Tick,
@@ -50,28 +52,31 @@
     "MemberState",
     "MembersChanged",
     "ProxyAsked",
-    "ProxyEnded",
+    "ProxyDisconnected",
     "ReleaseProxy",
     "StaleToken",
     "Tick",
     "TokenAcknowledged",
 ]
 
-MAX_MOVED_FRACTION = 0.1  # of its proxies that a member releases in a period, one at the least: no wave of joins
-FALLBACK_REST_LEASES = 10  # lease durations that a proxy taken as a fallback stays: its path needs time to heal
-MAX_CLAIMS_PER_MEMBER = 100_000  # bounds the memory that one peer can use up
-NO_FALLBACK = -1  # in place of a time
+# Largest fraction of its proxies that a member releases in one period, but at least one proxy. Bounds the number of
+# proxies that join their new owners at the same time.
+MAX_MOVED_FRACTION = 0.1
+# Lease durations for which a proxy accepted by a fallback request stays: its network path needs time to recover.
+FALLBACK_HOLD_LEASES = 10
+MAX_CLAIMS_PER_MEMBER = 100_000  # bounds the memory that one peer can use
+NO_FALLBACK = -1  # replaces a time in `HeldLease.fallback_at_us`
 
 
 class HeldLease:
-    """A lease on one proxy. Times in microseconds.
+    """A lease on one proxy. Times are in microseconds.
 
     Attributes:
-        fencing_token: Number of the request that it was granted for.
-        zone: The proxy's zone.
-        since_us: When it was granted.
-        renewed_at_us: When the proxy was last heard from.
-        fallback_at_us: When a fallback request was granted, else `NO_FALLBACK`.
+        fencing_token: Number of the request for which the lease was granted.
+        zone: Zone of the proxy.
+        since_us: Time of the grant.
+        renewed_at_us: Time of the proxy's last acknowledgement.
+        fallback_at_us: Time of the grant if it answered a fallback request, otherwise `NO_FALLBACK`.
     """
 
     __slots__ = ("fallback_at_us", "fencing_token", "renewed_at_us", "since_us", "zone")
@@ -85,15 +90,15 @@
 
 
 class LeaseManager:
-    """The leases of one member. All times are handed in, in microseconds of a clock that never steps.
+    """The leases of one member. The caller passes in all times, in microseconds of a monotonic clock.
 
     Attributes:
-        name: This member.
-        config: Durations.
-        members: Members that are alive, by name.
-        held: The leases held, by proxy.
-        claims: Fencing tokens by proxy that each other member claims, by member.
-        draining: Whether this member is to give up all its proxies.
+        name: Name of this member.
+        config: Durations of leases.
+        members: Live members by name.
+        held: Leases held by this member, by proxy.
+        claims: Claims of the other members: fencing token by proxy, by member.
+        draining: Whether this member has to give up all its proxies.
         counts: Totals for the status page.
     """
 
@@ -108,24 +113,24 @@
         self._next_moves_at_us = 0
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Processes one event and returns the actions that are to be carried out, in order."""
+        """Process one event and return the actions to carry out, in order."""
         return self._HANDLERS[type(event)](self, now_us, event)
 
     def may_order(self, now_us: int, uid: str) -> bool:
-        """Tells whether a command to this proxy may be sent now.
+        """Return whether a command to this proxy may be sent now.
 
-        A lease that ran out while the process was paused counts as ended at once, before any `Tick`.
+        A lease that has expired while the process was paused counts as ended immediately, before any `Tick`.
         """
         lease = self.held.get(uid)
         return lease is not None and now_us - lease.renewed_at_us <= self.config.duration_us
 
     def fencing_token(self, uid: str) -> int:
-        """Returns the token of the lease on this proxy, 0 if none is held."""
+        """Return the token of the lease on this proxy, 0 if no lease is held."""
         lease = self.held.get(uid)
         return lease.fencing_token if lease is not None else 0
 
     def disagreements(self) -> list[Disagreement]:
-        """Lists proxies that two members claim, by member and order of its claims. For operators."""
+        """Return the proxies that two members claim, by member and in the order of its claims, for operators."""
         claimed_by: dict[str, str] = dict.fromkeys(self.held, self.name)
         found = []
         for member in sorted(self.claims):
@@ -135,14 +140,15 @@
                 claimed_by[uid] = member
         return found
 
-    def _on_proxy_asked(self, now_us: int, event: ProxyAsked) -> list[Action]:
+    def _on_lease_requested(self, now_us: int, event: ProxyAsked) -> list[Action]:
         lease = self.held.get(event.uid)
         if lease is not None and event.fencing_token < lease.fencing_token:
             self.counts["stale"] += 1
             return [StaleToken(event.uid)]
         owner = preferred_owner(event.uid, event.zone, self.members)
-        # A proxy that looks elsewhere while its owner is suspected confirms the suspicion: waiting until the owner is
-        # declared gone would add to the takeover. Packet loss may make this wrong; the proxy is moved back later.
+        # A proxy that connects to this member while its owner is suspected confirms the suspicion. Waiting until the
+        # owner is declared gone would lengthen the takeover. If the suspicion was only due to packet loss, the proxy is
+        # moved back later.
         is_fallback = event.fallback_request or (owner in self.members and self.members[owner].suspected)
         if owner and owner != self.name and not is_fallback:
             self.counts["sent_on"] += 1
@@ -159,14 +165,14 @@
         lease = self.held.get(event.uid)
         if lease is None:
             return []
-        if event.fencing_token > lease.fencing_token:  # it has asked another member meanwhile
+        if event.fencing_token > lease.fencing_token:  # the proxy has sent a request to another member meanwhile
             self.counts["fenced_out"] += 1
             del self.held[event.uid]
             return [ReleaseProxy(event.uid, "another orders it")]
         lease.renewed_at_us = now_us
         return []
 
-    def _on_proxy_ended(self, _now_us: int, event: ProxyEnded) -> list[Action]:
+    def _on_proxy_disconnected(self, _now_us: int, event: ProxyDisconnected) -> list[Action]:
         self.held.pop(event.uid, None)
         return []
 
@@ -183,13 +189,13 @@
         return []
 
     def _on_tick(self, now_us: int, _event: Tick) -> list[Action]:
-        actions = self._lapse(now_us)
+        actions = self._expire_leases(now_us)
         if now_us >= self._next_moves_at_us:
             self._next_moves_at_us = now_us + self.config.move_period_us
-            actions += self._move(now_us)
+            actions += self._move_proxies(now_us)
         return actions
 
-    def _lapse(self, now_us: int) -> list[Action]:
+    def _expire_leases(self, now_us: int) -> list[Action]:
         actions: list[Action] = []
         for uid, lease in list(self.held.items()):
             if now_us - lease.renewed_at_us > self.config.duration_us:
@@ -198,13 +204,13 @@
                 actions.append(ReleaseProxy(uid, "its lease ran out"))
         return actions
 
-    def _move(self, now_us: int) -> list[Action]:
-        """Releases some of the proxies that prefer other members, the longest held first."""
+    def _move_proxies(self, now_us: int) -> list[Action]:
+        """Release some of the proxies whose preferred owner is another member, the longest held first."""
         candidates = self._settled_members(now_us)
         due = []
         for uid, lease in self.held.items():
             owner = preferred_owner(uid, lease.zone, candidates)
-            if owner and owner != self.name and not self._rests(now_us, lease, candidates[owner]):
+            if owner and owner != self.name and not self._must_stay(now_us, lease, candidates[owner]):
                 due.append((lease.since_us, uid, owner))
         due.sort()
         actions: list[Action] = []
@@ -215,7 +221,7 @@
         return actions
 
     def _settled_members(self, now_us: int) -> Mapping[str, MemberState]:
-        """Members alive for the settle time; all of them if no settled one accepts proxies."""
+        """Return the members alive for the settle time, or all members if none of those accepts proxies."""
         settled = {
             name: member
             for name, member in self.members.items()
@@ -223,24 +229,24 @@
         }
         return settled if any(member.accepts_proxies for member in settled.values()) else self.members
 
-    def _rests(self, now_us: int, lease: HeldLease, owner: MemberState) -> bool:
-        """Tells whether a lease is not to move to its preferred owner yet; none rests while this member drains.
+    def _must_stay(self, now_us: int, lease: HeldLease, owner: MemberState) -> bool:
+        """Return whether a proxy must not move to its preferred owner yet; never while this member drains.
 
-        A new lease rests for the settle time, so that a member that flaps moves no proxy back and forth. A fallback
-        rests longer, unless its preferred owner has come back since.
+        A proxy with a new lease stays for the settle time, so that a flapping member does not cause proxies to move
+        back and forth. After a fallback request the proxy stays longer, unless its preferred owner has come back since.
         """
         if self.draining:
             return False
         if now_us - lease.since_us < self.config.settle_us:
             return True
         was_unreachable = owner.since_us <= lease.fallback_at_us
-        rest_us = FALLBACK_REST_LEASES * self.config.duration_us
-        return was_unreachable and now_us - lease.fallback_at_us < rest_us
+        hold_us = FALLBACK_HOLD_LEASES * self.config.duration_us
+        return was_unreachable and now_us - lease.fallback_at_us < hold_us
 
     _HANDLERS: ClassVar[Mapping[type, Callable[[LeaseManager, int, Any], list[Action]]]] = {
-        ProxyAsked: _on_proxy_asked,
+        ProxyAsked: _on_lease_requested,
         TokenAcknowledged: _on_token_acknowledged,
-        ProxyEnded: _on_proxy_ended,
+        ProxyDisconnected: _on_proxy_disconnected,
         MembersChanged: _on_members_changed,
         ClaimsReceived: _on_claims_received,
         Tick: _on_tick,
--- a/hollyridge/membership/member_table.py
+++ b/hollyridge/membership/member_table.py
@@ -1,7 +1,7 @@
-"""What one member knows about all others, and which of it goes into the next message.
+"""One member's view of all other members, and the choice of updates for each outgoing message.
 
-Updates are ordered by incarnation, then by status, as SWIM has it. A member alone raises its own incarnation, which is
-how it refutes a suspicion.
+Updates are ordered by incarnation, then by status, as in SWIM. Only a member itself raises its incarnation, which
+refutes a suspicion.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from hollyridge.membership.swim_events import Action, MemberChanged, SwimConfig
 
 MAX_UPDATES_PER_MESSAGE = 8  # keeps probes within one network packet
-RETRANSMIT_MULTIPLIER = 3  # an update is sent this many times the logarithm of the fleet's size
-SUSPICION_MULTIPLIER = 4  # probe periods that a suspicion lasts for each doubling of the fleet
-MAX_INCARNATION_JUMP = 1 << 20  # beyond this an update is rejected: its member could not refute it for ever
-INCARNATION_LIMIT = 1 << 53  # whole numbers above are not exact everywhere
-MAX_MEMBER_WEIGHT = 1e6  # beyond this the weight is a fault of its sender
+RETRANSMIT_MULTIPLIER = 3  # each update is sent this many times the binary logarithm of the fleet's size
+SUSPICION_MULTIPLIER = 4  # a suspicion lasts this many probe periods times the binary logarithm of the fleet's size
+MAX_INCARNATION_JUMP = 1 << 20  # larger jumps are rejected: the member could never refute such an update
+INCARNATION_LIMIT = 1 << 53  # larger integers are not exact on all platforms
+MAX_MEMBER_WEIGHT = 1e6  # a larger weight is considered an error of the sender
 
 
 class Member:
-    """What is known about another member. Times in microseconds.
+    """The known state of another member. Times are in microseconds.
 
     Attributes:
-        status: Its state.
-        incarnation: Of the update that this rests on.
-        facts: What it stated under this incarnation.
-        since_us: When it entered this state.
-        suspect_until_us: When a suspicion turns into the verdict that it is gone.
-        sent_count: Messages that have carried this update.
-        disputed: Whether it restarted without knowing its former incarnation, and needs to be sent this update.
+        status: State of the member.
+        incarnation: Incarnation of the newest update.
+        facts: Facts that the member published with this incarnation.
+        since_us: Time at which the member entered this state.
+        suspect_until_us: Time at which a suspected member is declared gone.
+        sent_count: Number of messages that have carried this update.
+        disputed: Whether the member has restarted without knowing its former incarnation, so that it needs this update.
     """
 
     __slots__ = ("disputed", "facts", "incarnation", "sent_count", "since_us", "status", "suspect_until_us")
@@ -48,11 +48,11 @@
     """One member's view of its fleet.
 
     Attributes:
-        name: This member.
-        facts: What it states about itself.
-        incarnation: Its own.
-        has_left: Whether it has announced that it leaves.
-        members: All others, by name.
+        name: Name of this member.
+        facts: Facts that this member publishes about itself.
+        incarnation: Incarnation of this member.
+        has_left: Whether this member has announced that it leaves.
+        members: All other members by name.
     """
 
     def __init__(self, name: str, facts: MemberFacts, config: SwimConfig, counts: dict[str, int]) -> None:
@@ -66,34 +66,34 @@
         self._own_sent_count = 0
 
     def alive(self) -> dict[str, Member]:
-        """Returns the others that count as alive; suspected ones do until they are declared gone."""
+        """Return the other members that count as alive, which includes suspected ones until they are declared gone."""
         return {name: member for name, member in self.members.items() if member.status <= Status.SUSPECT}
 
     def own_update(self) -> GossipMessage:
-        """Returns this member's update about itself."""
+        """Return this member's update about itself."""
         status = Status.LEFT if self.has_left else Status.ALIVE
         return GossipMessage(self.name, status, self.incarnation, self.facts)
 
     def update_about(self, name: str) -> GossipMessage:
-        """Returns what is known about another member."""
+        """Return an update with the known state of another member."""
         member = self.members[name]
         return GossipMessage(name, int(member.status), member.incarnation, member.facts)
 
     def change_facts(self, facts: MemberFacts) -> None:
-        """States other facts about this member from now on."""
+        """Publish other facts about this member from now on."""
         self.facts = facts
         self.incarnation += 1
         self._own_sent_count = 0
 
     def leave(self) -> None:
-        """States that this member leaves."""
+        """Publish that this member leaves."""
         self.has_left = True
         self.incarnation += 1
 
     def updates_for(self, recipient: str) -> tuple[GossipMessage, ...]:
-        """Chooses the updates of one message, those sent least often first.
+        """Choose the updates of one message, those sent least often first.
 
-        An update about the recipient itself goes in ahead of them if it is one that the recipient has to refute.
+        An update about the recipient itself precedes them if the recipient has to refute it.
         """
         max_sent = self._max_sent()
         updates = []
@@ -114,7 +114,7 @@
         return tuple(updates)
 
     def merge(self, now_us: int, update: GossipMessage, actions: list[Action]) -> None:
-        """Takes in an update from a peer; what changes is appended to the actions."""
+        """Apply an update from a peer and append the resulting changes to `actions`."""
         if not _is_plausible(update):
             self._counts["disbelieved"] += 1
             return
@@ -135,7 +135,7 @@
             member.disputed = True
 
     def set(self, now_us: int, update: GossipMessage, actions: list[Action]) -> None:
-        """Replaces what is known about another member."""
+        """Replace the known state of another member and append a visible change to `actions`."""
         previous = self.members.get(update.name)
         member = self.members[update.name] = Member(update, now_us)
         if member.status == Status.SUSPECT:
@@ -151,9 +151,9 @@
             member.suspect_until_us = previous.suspect_until_us or member.suspect_until_us
 
     def _refute(self, update: GossipMessage) -> None:
-        """Raises the own incarnation above an update about this member that it did not make.
+        """Raise the own incarnation above that of an update about this member that this run did not make.
 
-        An earlier run of it may have had a higher incarnation than this one.
+        An earlier run of this member may have had a higher incarnation.
         """
         own = self.own_update()
         differs = update.status != own.status or update.facts != self.facts
--- a/hollyridge/membership/messages.py
+++ b/hollyridge/membership/messages.py
@@ -1,6 +1,7 @@
-"""The messages between assigners of one fleet.
+"""Messages between the assigners of one fleet.
 
-On the wire each is a msgpack array of its fields by position: fields may be renamed, but neither reordered nor removed.
+Each message is encoded as a msgpack array of its fields by position, so fields may be renamed, but neither reordered
+nor removed.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 
 class MemberFacts(NamedTuple):
-    """What a member states about itself.
+    """The properties that a member publishes about itself.
 
     Attributes:
-        address: Where it receives datagrams, host:port.
-        run_id: Random name of this run of it; a restart has another one.
-        zone: Its zone; empty if it has none.
-        weight: Its share of the proxies, relative to the other members.
-        draining: Whether it takes no more proxies.
-        services: Address (host:port) by service name: `sasp`, `otlp`, `clone`.
+        address: Address (host:port) at which the member receives datagrams.
+        run_id: Random identifier of the member's current run, which changes with each restart.
+        zone: Zone of the member; empty if it has none.
+        weight: Share of the proxies, relative to the other members.
+        draining: Whether the member accepts no more proxies.
+        services: Pairs of service name (`sasp`, `otlp`, `clone`) and address (host:port).
     """
 
     address: str
@@ -42,10 +43,10 @@
     """An update about one member. Only the member itself raises its incarnation.
 
     Attributes:
-        name: Its name.
-        status: A `Status`.
-        incarnation: Orders updates about one member.
-        facts: What it stated under this incarnation.
+        name: Name of the member.
+        status: State of the member, a `Status`.
+        incarnation: Number by which updates about one member are ordered.
+        facts: Facts that the member published with this incarnation.
     """
 
     name: str
@@ -55,7 +56,7 @@
 
 
 class Ping(NamedTuple):
-    """A probe. `target` names its recipient, as an address may belong to another member by now."""
+    """A probe. `target` names the recipient, because its address may belong to another member meanwhile."""
 
     sequence: int
     target: str
@@ -63,14 +64,14 @@
 
 
 class Ack(NamedTuple):
-    """The answer to the probe of this sequence number."""
+    """The answer to the probe with this sequence number."""
 
     sequence: int
     updates: tuple[GossipMessage, ...]
 
 
 class PingRequest(NamedTuple):
-    """An indirect probe: the recipient is asked to ping the target and to pass its ack on."""
+    """An indirect probe, whose recipient has to ping the target and to forward its ack."""
 
     sequence: int
     target: str
@@ -78,22 +79,24 @@
 
 
 class Join(NamedTuple):
-    """The first message to a seed or to a member that was unreachable; answered by `FullState`."""
+    """The first message to a seed or to a member that was unreachable, answered by `FullState`."""
 
     updates: tuple[GossipMessage, ...]
 
 
 class FullState(NamedTuple):
-    """All members that the sender knows, itself first."""
+    """The state of all members that the sender knows, starting with the sender itself."""
 
     updates: tuple[GossipMessage, ...]
 
 
 class ClaimedProxies(NamedTuple):
-    """Part of the list of proxies that the sender owns. For operators only: a proxy's own requests always win.
+    """Part of the list of proxies that the sender owns.
+
+    The list is for operators only, because a proxy's own requests always take precedence.
 
     Attributes:
-        claims: Proxies with their fencing tokens.
+        claims: Pairs of proxy and fencing token.
         starts_list: Whether this part is the first of a new list.
     """
 
@@ -102,12 +105,12 @@
 
 
 class SharedEstimates(NamedTuple):
-    """What the sender has learned about tasks.
+    """Estimates that the sender has learned about tasks.
 
     Attributes:
-        estimates: The fields of `interface.LearnedEstimate`, with the task's name in place of its index.
+        estimates: Rows with the fields of `interface.LearnedEstimate`, with the task's name in place of its index.
         push_price: The sender's price of pushing updates.
-        age_ms: Time since the newest estimate was confirmed.
+        age_ms: Time since the newest estimate was confirmed, in milliseconds.
     """
 
     estimates: tuple[tuple[str, float, float, float, float], ...]
--- a/hollyridge/membership/rendezvous.py
+++ b/hollyridge/membership/rendezvous.py
@@ -1,7 +1,7 @@
-"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998): which member should own which proxy.
+"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998), which maps each proxy to its preferred owner.
 
-A change of members moves only the proxies that it must. Scores rest on whole numbers of a published hash, so all
-members arrive at the same owner.
+When members change, only the proxies of the affected members move. Scores are computed from the integers of a published
+hash function, so all members determine the same owner.
 """
 
 from __future__ import annotations
@@ -12,8 +12,10 @@
 
 from xxhash import xxh64_intdigest
 
-SAME_ZONE_FACTOR = 4.0  # on the weight of a member in the proxy's own zone: keeps most traffic in the zone
-HASH_SHIFT = 12  # bits of the 64 dropped: a float holds the rest exactly, with the half that keeps it above zero
+SAME_ZONE_FACTOR = 4.0  # multiplies the weight of a member in the proxy's own zone: keeps most traffic in the zone
+# Number of the 64 bits that are dropped. A float holds the remaining ones exactly, together with the added half that
+# keeps the value above zero.
+HASH_SHIFT = 12
 HASH_RANGE = 2.0**52
 
 
@@ -21,11 +23,11 @@
     """A live member as a candidate for owning proxies.
 
     Attributes:
-        zone: Its zone; empty if it has none.
-        weight: Its share of the proxies, relative to the other members; 0 takes none.
-        since_us: When it was first seen alive.
-        accepts_proxies: False while it drains.
-        suspected: Whether failure detection suspects it.
+        zone: Zone of the member; empty if it has none.
+        weight: Share of the proxies, relative to the other members; 0 for none.
+        since_us: Time at which the member was first seen alive, in microseconds.
+        accepts_proxies: Whether the member accepts proxies; False while it drains.
+        suspected: Whether failure detection suspects the member.
     """
 
     zone: str
@@ -36,7 +38,7 @@
 
 
 def rendezvous_score(uid: str, member: str, weight: float) -> float:
-    """Scores a member for a proxy; the highest score wins.
+    """Return the score of a member for a proxy; the highest score wins.
 
     >>> rendezvous_score("gw-1", "a", 1.0) > 0, rendezvous_score("gw-1", "a", 0.0)
     (True, 0.0)
@@ -49,7 +51,7 @@
 
 
 def preferred_owner(uid: str, zone: str, members: Mapping[str, MemberState]) -> str:
-    """Names the member that should own a proxy; empty if none accepts any.
+    """Return the name of the member that should own a proxy; empty if no member accepts proxies.
 
     >>> three = {name: MemberState("", 1.0, 0) for name in "abc"}
     >>> before = {f"gw-{k}": preferred_owner(f"gw-{k}", "", three) for k in range(300)}
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -1,15 +1,16 @@
 """Failure detection by SWIM (Das, Gupta, Motivala, 2002), with suspicion and incarnations as published.
 
-In each period one other member is probed, in shuffled rounds. Without an ack in time some others are asked to probe it;
-without any ack it is suspected, which it can refute by raising its incarnation, and after a while it is declared gone.
-Updates about members ride on these messages.
+In each period a member probes one other member, in shuffled rounds. If no ack arrives in time, it sends indirect probes
+through some of the others. If no ack arrives at all, the probed member is suspected. It can refute the suspicion by
+raising its incarnation, otherwise it is declared gone when the suspicion times out. Updates about members are
+piggybacked on these messages.
 
-Three things are added:
+This implementation adds three rules to the paper:
 
-- After a pause of its own process a member accuses nobody: its open probe is void, and suspicions last longer by the
-  length of the pause.
-- A message to a member that is suspected or gone carries that update, so that it can refute it.
-- Members that are gone are contacted again now and then, so that the halves of a partitioned fleet find each other.
+- After a pause of its own process a member suspects nobody: it discards its open probe and extends all suspicions by
+  the length of the pause.
+- A message to a member that is suspected or gone carries that update, so that the member can refute it.
+- Members that are gone are contacted again at intervals, so that the halves of a partitioned fleet find each other.
 """
 
 from __future__ import annotations
@@ -54,16 +55,16 @@
     "Tick",
 ]
 
-MAX_UPDATES_IN_FULL_STATE = 64  # as many as there may be members; also read of any one message
-INDIRECT_PROBES = 3  # members asked to probe one that did not answer; the paper's k
-INDIRECT_PROBE_PERIODS = 2  # after which an ack for somebody else's probe is of no use
-REJOIN_INTERVAL_PERIODS = 10  # between two attempts to reach seeds and members that are gone
+MAX_UPDATES_IN_FULL_STATE = 64  # the largest number of members; also the limit on updates read from one message
+INDIRECT_PROBES = 3  # number of indirect probes after a missing ack; k in the paper
+INDIRECT_PROBE_PERIODS = 2  # probe periods after which an ack for another member's probe is useless
+REJOIN_INTERVAL_PERIODS = 10  # probe periods between two attempts to reach seeds and members that are gone
 MAX_REJOINS = 8  # messages of one such attempt
-GONE_RETENTION_PERIODS = 600  # that a member is remembered after it has gone
+GONE_RETENTION_PERIODS = 600  # probe periods for which a member that is gone stays in the table
 
 
 class Probe(NamedTuple):
-    """The probe that waits for its ack; `indirect` once others have been asked for theirs."""
+    """A probe that waits for its ack; `indirect` is set after indirect probes have been requested."""
 
     sequence: int
     target: str
@@ -72,7 +73,13 @@
 
 
 class RelayedProbe(NamedTuple):
-    """A probe on behalf of another member: its address, its sequence number, and when it asked."""
+    """A probe on behalf of another member.
+
+    Attributes:
+        address: Address of the requesting member.
+        sequence: Sequence number of the requesting member's probe.
+        received_at_us: Time at which the request arrived, in microseconds.
+    """
 
     address: str
     sequence: int
@@ -80,7 +87,7 @@
 
 
 class Swim:
-    """Failure detection of one member. Times are handed in, in microseconds of a clock that never steps.
+    """Failure detection of one member. The caller passes in all times, in microseconds of a monotonic clock.
 
     >>> a, b = (Swim(name, MemberFacts(f"127.0.0.1:{port}", "r1"), SwimConfig(1000, 200), Random(1))
     ...         for name, port in (("a", 1), ("b", 2)))
@@ -95,9 +102,9 @@
     ['b']
 
     Attributes:
-        table: What is known about all members.
-        members: The others, by name.
-        seeds: Addresses to join by.
+        table: Known state of all members.
+        members: The other members by name.
+        seeds: Addresses through which this member joins the fleet.
         counts: Totals for the status page.
     """
 
@@ -121,15 +128,15 @@
 
     @property
     def facts(self) -> MemberFacts:
-        """What this member states about itself."""
+        """The facts that this member publishes about itself."""
         return self.table.facts
 
     def alive(self) -> dict[str, Member]:
-        """Returns the others that count as alive; suspected ones do until they are declared gone."""
+        """Return the other members that count as alive, which includes suspected ones until they are declared gone."""
         return self.table.alive()
 
     def next_deadline_us(self) -> int:
-        """Returns when the next `Tick` is due."""
+        """Return the time at which the next `Tick` is due."""
         deadlines = [max(self._next_probe_us, 0)]
         if self._probe is not None and not self._probe.indirect:
             deadlines.append(self._probe.sent_at_us + self.config.ack_timeout_us)
@@ -137,14 +144,14 @@
         return min(deadlines)
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Processes one event and returns the actions that are to be carried out, in order."""
+        """Process one event and return the actions to carry out, in order."""
         actions: list[Action] = []
-        kind = type(event)
-        if kind is MessageReceived:
+        event_type = type(event)
+        if event_type is MessageReceived:
             self._on_message(now_us, event, actions)
-        elif kind is FactsChanged:
+        elif event_type is FactsChanged:
             self.table.change_facts(event.facts)
-        elif kind is LeaveRequested:
+        elif event_type is LeaveRequested:
             self._announce_leave(actions)
         elif not self.table.has_left:
             self._tick(now_us, actions)
@@ -159,12 +166,12 @@
         return Join((self.table.own_update(),))
 
     def _tick(self, now_us: int, actions: list[Action]) -> None:
-        self._void_after_pause(now_us)
+        self._reset_after_pause(now_us)
         self._ticked_at_us = now_us
         self._expire_members(now_us, actions)
-        keep_us = INDIRECT_PROBE_PERIODS * self.config.probe_period_us
+        max_age_us = INDIRECT_PROBE_PERIODS * self.config.probe_period_us
         self._relayed = {
-            sequence: probe for sequence, probe in self._relayed.items() if now_us - probe.received_at_us < keep_us
+            sequence: probe for sequence, probe in self._relayed.items() if now_us - probe.received_at_us < max_age_us
         }
         self._probe_indirectly(now_us, actions)
         if now_us >= self._next_probe_us:
@@ -173,17 +180,20 @@
             self._begin_probe(now_us, actions)
             self._rejoin(now_us, actions)
 
-    def _void_after_pause(self, now_us: int) -> None:
-        """Forgets the open probe after a pause: its ack may still wait in the queue of this process."""
+    def _reset_after_pause(self, now_us: int) -> None:
+        """Discard the open probe and extend suspicions if this process was paused.
+
+        The ack of the probe may still wait in the receive queue of this process.
+        """
         if self._ticked_at_us < 0:
             return
-        late_us = now_us - max(self._ticked_at_us, self._next_probe_us)
-        if late_us > self.config.probe_period_us:
+        pause_us = now_us - max(self._ticked_at_us, self._next_probe_us)
+        if pause_us > self.config.probe_period_us:
             self.counts["stalls"] += 1
             self._probe = None
             self._next_probe_us = now_us
             for member in self.members.values():
-                member.suspect_until_us += late_us
+                member.suspect_until_us += pause_us
 
     def _expire_members(self, now_us: int, actions: list[Action]) -> None:
         retention_us = GONE_RETENTION_PERIODS * self.config.probe_period_us
@@ -208,7 +218,7 @@
             actions.append(SendMessage(self.members[helper].facts.address, request))
 
     def _schedule_probe(self, now_us: int) -> None:
-        """Keeps the pace after small delays; starts a new one where a whole period was missed."""
+        """Set the time of the next probe: on schedule after a small delay, a period from now after a missed period."""
         period_us = self.config.probe_period_us
         self._next_probe_us = max(self._next_probe_us, now_us - period_us) + period_us
         if self._next_probe_us <= now_us:
@@ -230,7 +240,7 @@
         actions.append(SendMessage(alive[target].facts.address, ping))
 
     def _end_probe(self, now_us: int, actions: list[Action]) -> None:
-        """Suspects the target of a probe that got no ack."""
+        """Suspect the target of the open probe, which got no ack."""
         if self._probe is None:
             return
         name = self._probe.target
@@ -241,7 +251,7 @@
             self.table.set(now_us, GossipMessage(name, Status.SUSPECT, member.incarnation, member.facts), actions)
 
     def _rejoin(self, now_us: int, actions: list[Action]) -> None:
-        """Contacts seeds and members that are gone, wherever nobody is known to be alive."""
+        """Contact seeds and members that are gone at addresses where no live member is known."""
         if now_us < self._next_rejoin_us:
             return
         self._next_rejoin_us = now_us + REJOIN_INTERVAL_PERIODS * self.config.probe_period_us
@@ -262,7 +272,7 @@
             return
         sender = next((name for name, member in self.members.items() if member.facts.address == address), "")
         actions.append(SendMessage(address, Ack(message.sequence, self.table.updates_for(sender))))
-        if not sender:  # it knows an earlier run of this member, which has not met it yet
+        if not sender:  # the sender knows an earlier run of this member, but this run does not know the sender yet
             actions.append(SendMessage(address, self._join()))
 
     def _on_ping_request(self, now_us: int, address: str, message: PingRequest, actions: list[Action]) -> None:
--- a/hollyridge/membership/swim_events.py
+++ b/hollyridge/membership/swim_events.py
@@ -1,4 +1,4 @@
-"""What failure detection is configured with, what it is notified of, and the actions that it returns."""
+"""Configuration, events and actions of failure detection."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 class SwimConfig(NamedTuple):
-    """Pace and size of failure detection.
+    """Timing and capacity of failure detection.
 
     Attributes:
-        probe_period_us: Between two probes.
-        ack_timeout_us: After which a probe is repeated by way of others; below half of the period.
-        max_members: Others that are kept; further ones are ignored.
+        probe_period_us: Interval between probes, in microseconds.
+        ack_timeout_us: Time without an ack after which indirect probes are sent, in microseconds; less than half of the
+            probe period.
+        max_members: Largest number of other members; further ones are ignored.
     """
 
     probe_period_us: int
@@ -22,14 +23,14 @@
 
 
 class MessageReceived(NamedTuple):
-    """A message from a holder of the fleet's key."""
+    """A message from a holder of the fleet's key has arrived from `address` (host:port)."""
 
     address: str
     message: Message
 
 
 class FactsChanged(NamedTuple):
-    """This member states other facts about itself from now on."""
+    """This member publishes other facts about itself from now on."""
 
     facts: MemberFacts
 
@@ -43,14 +44,14 @@
 
 
 class SendMessage(NamedTuple):
-    """A message is to be sent."""
+    """A message has to be sent to `address` (host:port)."""
 
     address: str
     message: Message
 
 
 class MemberChanged(NamedTuple):
-    """What is known about a member has changed; `restarted` if it is another run of it."""
+    """The known state of a member has changed; `restarted` is set if the member is in another run."""
 
     name: str
     status: Status
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -173,7 +173,7 @@
 
     def end_proxy(self, uid: str) -> None:
         """Ends the lease on a proxy whose connection has ended."""
-        self.lease_manager.handle(self.loop.clock(), leases.ProxyEnded(uid))
+        self.lease_manager.handle(self.loop.clock(), leases.ProxyDisconnected(uid))
 
     def owned(self, now_us: int, uid: str) -> bool:
         """Tells whether a command to this proxy may be sent, and counts those withheld."""
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Members on a simulated network that loses messages, is partitioned and pauses processes."""
+"""Fleet members on a simulated network with packet loss, partitions and paused processes."""
 
 import heapq
 from random import Random
@@ -8,18 +8,18 @@
 
 MS = 1000  # microseconds
 DELAY_US = 5 * MS
-PACE = SwimConfig(probe_period_us=200 * MS, ack_timeout_us=60 * MS)
+CONFIG = SwimConfig(probe_period_us=200 * MS, ack_timeout_us=60 * MS)
 
 
 class SimulatedFleet:
-    """Runs members on virtual time.
+    """A simulation of members in virtual time. Times are in microseconds.
 
     Attributes:
-        loss: Fraction of all messages that is lost.
-        partitions: Pairs (sender, recipient) between which nothing passes.
-        paused_until: By member, the end of a pause of its process.
-        changes: (time, observer, `MemberChanged`) of all that was observed.
-        sent: Number of messages.
+        loss: Fraction of all messages that are lost.
+        partitions: Pairs (sender, recipient) between which all messages are lost.
+        paused_until: End of the pause of a member's process, by member.
+        changes: Tuples (time, observer, `MemberChanged`) of all changes.
+        sent: Number of messages sent.
     """
 
     def __init__(self, count, seed=1, loss=0.0):
@@ -38,7 +38,7 @@
 
     def start(self, name, run_id="r0"):
         facts = MemberFacts(name, run_id, services=(("clone", f"127.0.0.1:{len(name)}"),))
-        self.members[name] = Swim(name, facts, PACE, Random(f"{name}{run_id}"), ("m0", "m1"))
+        self.members[name] = Swim(name, facts, CONFIG, Random(f"{name}{run_id}"), ("m0", "m1"))
         self._schedule(self.now_us, "tick", name, self.members[name])
 
     def handle(self, name, event):
@@ -52,19 +52,19 @@
         until_us = self.now_us + round(seconds * 1e6)
         while self._events and self._events[0][0] <= until_us:
             self.now_us, _, kind, name, content = heapq.heappop(self._events)
-            self._play(kind, name, content)
+            self._deliver(kind, name, content)
         self.now_us = until_us
 
     def view_of(self, name):
         return {other: member.status.name for other, member in self.members[name].members.items()}
 
-    def everyone_sees_all_alive(self):
+    def all_members_see_all_alive(self):
         return all(
             self.view_of(name) == {other: "ALIVE" for other in self.members if other != name} for name in self.members
         )
 
     def declared_gone(self, since_us=0):
-        """(Time, observer, member) of all verdicts."""
+        """Return tuples (time, observer, member), one for each time that an observer declared a member gone."""
         return [
             (at_us, observer, change.name)
             for at_us, observer, change in self.changes
@@ -80,7 +80,7 @@
         if (sender, action.address) not in self.partitions and self.rng.random() >= self.loss:
             self._schedule(self.now_us + DELAY_US, "message", action.address, (sender, action.message))
 
-    def _play(self, kind, name, content):
+    def _deliver(self, kind, name, content):
         member = self.members.get(name)
         if self.paused_until.get(name, 0) > self.now_us:
             self._schedule(self.paused_until[name], kind, name, content)
@@ -88,7 +88,7 @@
             return
         elif kind == "tick":
             self.handle(name, Tick())
-            due_us = min(member.next_deadline_us(), self.now_us + PACE.probe_period_us)
+            due_us = min(member.next_deadline_us(), self.now_us + CONFIG.probe_period_us)
             self._schedule(max(self.now_us + MS, due_us), "tick", name, member)
         else:
             self.handle(name, MessageReceived(*content))
--- a/tests/membership/test_membership_fencing.py
+++ b/tests/membership/test_membership_fencing.py
@@ -1,4 +1,4 @@
-"""Which messages a proxy accepts."""
+"""Acceptance of messages by a proxy, by their fencing tokens."""
 
 from hollyridge.membership.fencing import FencingChecker
 
--- a/tests/membership/test_membership_leases.py
+++ b/tests/membership/test_membership_leases.py
@@ -1,7 +1,7 @@
-"""Leases: who takes a proxy, when a lease ends, and when proxies move."""
+"""Grants and expiry of leases, and moves of proxies."""
 
 from hollyridge.membership.leases import (
-    FALLBACK_REST_LEASES,
+    FALLBACK_HOLD_LEASES,
     ClaimsReceived,
     ForwardProxy,
     LeaseConfig,
@@ -10,7 +10,7 @@
     MembersChanged,
     MemberState,
     ProxyAsked,
-    ProxyEnded,
+    ProxyDisconnected,
     ReleaseProxy,
     StaleToken,
     Tick,
@@ -34,7 +34,7 @@
     return next(f"gw-{k}" for k in range(99) if preferred_owner(f"gw-{k}", "", members) == owner)
 
 
-def test_each_proxy_is_granted_by_one_and_forwarded_there_by_all_others():
+def test_one_member_grants_each_proxy_and_all_others_forward_to_it():
     granted = dict.fromkeys("abc", 0)
     managers = [manager_of(name) for name in "abc"]
     for number in range(300):
@@ -47,7 +47,7 @@
     assert min(granted.values()) > 70
 
 
-def test_a_fallback_request_is_granted_and_rests_for_a_while():
+def test_a_fallback_request_is_granted_and_its_proxy_stays_for_a_while():
     uid = uid_preferring("b", THREE)
     manager = manager_of("a")
     assert manager.handle(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
@@ -57,10 +57,10 @@
         now_us += 1_000_000
         manager.handle(now_us, TokenAcknowledged(uid, 2))
     assert actions == [ReleaseProxy(uid, "handed over", "b")]
-    assert now_us >= FALLBACK_REST_LEASES * LEASE.duration_us
+    assert now_us >= FALLBACK_HOLD_LEASES * LEASE.duration_us
 
 
-def test_a_lapsed_lease_stops_commands_before_any_tick():
+def test_an_expired_lease_stops_commands_before_any_tick():
     manager = manager_of("a", ALONE)
     manager.handle(0, ProxyAsked("gw", "", 7, False))
     assert manager.may_order(LEASE.duration_us, "gw")
@@ -92,18 +92,18 @@
 def test_the_end_of_a_connection_ends_the_lease():
     manager = manager_of("a", ALONE)
     manager.handle(3, ProxyAsked("gw", "", 9, False))
-    manager.handle(5, ProxyEnded("gw"))
+    manager.handle(5, ProxyDisconnected("gw"))
     assert manager.fencing_token("gw") == 0
 
 
 class BusyManager:
-    """Member `a` of two that holds all its proxies, which go on acknowledging."""
+    """Member `a` of two, which holds leases on all its proxies; they keep acknowledging."""
 
     def __init__(self):
         self.manager = manager_of("a", TWO)
         self.uids = [f"gw-{k}" for k in range(400) if preferred_owner(f"gw-{k}", "", TWO) == "a"]
         self.now_us = 0
-        self.releases = []  # of each tick
+        self.releases = []  # list of releases for each tick
         for uid in self.uids:
             self.manager.handle(0, ProxyAsked(uid, "", 1, False))
 
@@ -129,13 +129,13 @@
             self.pass_time(1)
 
 
-def test_a_flapping_member_moves_nobody():
+def test_a_flapping_member_moves_no_proxy():
     busy = BusyManager()
     busy.flap()
     assert not any(busy.releases)
 
 
-def test_a_member_that_comes_back_gets_its_proxies_in_steps():
+def test_proxies_move_to_a_returning_member_in_steps():
     busy = BusyManager()
     busy.flap()
     assert not any(busy.releases)
@@ -148,7 +148,7 @@
     assert max(map(len, busy.releases)) <= 0.1 * len(busy.uids) + 1
 
 
-def test_claims_of_others_change_no_lease():
+def test_claims_of_other_members_change_no_lease():
     manager = manager_of("a", TWO)
     uid = uid_preferring("a", TWO)
     manager.handle(0, ProxyAsked(uid, "", 5, False))
--- a/tests/membership/test_membership_member_table.py
+++ b/tests/membership/test_membership_member_table.py
@@ -1,4 +1,4 @@
-"""What a member believes of the updates that it is sent."""
+"""Validation and limits of the updates that a member receives and sends."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 from hollyridge.membership.messages import GossipMessage, Join, MemberFacts, Ping, Status
 from hollyridge.membership.swim import MessageReceived, Swim, SwimConfig
 
-IMPOSSIBLE_UPDATES = [
+IMPLAUSIBLE_UPDATES = [
     GossipMessage("m1", Status.GONE, 1 << 40, MemberFacts("m1", "r0")),
     GossipMessage("m0", Status.GONE, 1 << 40, MemberFacts("m0", "r0")),
     GossipMessage("x", 0, -1, MemberFacts("x", "r")),
@@ -17,8 +17,8 @@
 ]
 
 
-@pytest.mark.parametrize("update", IMPOSSIBLE_UPDATES)
-def test_impossible_updates_are_rejected(update):
+@pytest.mark.parametrize("update", IMPLAUSIBLE_UPDATES)
+def test_implausible_updates_are_rejected(update):
     fleet = SimulatedFleet(3)
     fleet.run(5)
     member = fleet.members["m0"]
--- a/tests/membership/test_membership_rendezvous.py
+++ b/tests/membership/test_membership_rendezvous.py
@@ -1,4 +1,4 @@
-"""Weights and zones in the choice of a proxy's owner."""
+"""Influence of weights and zones on the preferred owner of a proxy."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     return sum(preferred_owner(uid, zone, members) == member for uid in UIDS) / len(UIDS)
 
 
-def test_a_member_of_three_times_the_weight_owns_three_fifths():
+def test_a_member_with_three_times_the_weight_owns_three_fifths():
     assert 0.56 < fraction_of("a", "", {**THREE, "a": MemberState("", 3.0, 0)}) < 0.64
 
 
@@ -21,5 +21,5 @@
 
 
 @pytest.mark.parametrize("members", [{}, {"a": MemberState("", 1.0, 0, accepts_proxies=False)}])
-def test_nobody_owns_where_nobody_accepts(members):
+def test_no_member_is_preferred_if_none_accepts_proxies(members):
     assert preferred_owner("gw", "", members) == ""
