--- a/hollyridge/peers/__init__.py
+++ b/hollyridge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Communication between the assigners of one fleet: sealed packets, datagrams, and membership carried out."""
+"""Communication between the assigners of one fleet: encrypted packets, UDP transport and the membership service."""
--- a/hollyridge/peers/datagram_transport.py
+++ b/hollyridge/peers/datagram_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between assigners, on gevent."""
+"""UDP transport between assigners, on gevent."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 from hollyridge.peers.codec import MAX_PACKET_BYTES
 
-READ_BYTES = MAX_PACKET_BYTES + 1  # one more shows that a datagram is too long
-ERROR_PAUSE_S = 0.01  # after a failed read: an unreachable peer's ICMP error surfaces there, and may do so in a row
+READ_BYTES = MAX_PACKET_BYTES + 1  # the additional byte reveals that a datagram is too long
+# Pause after a failed read. The ICMP errors of unreachable peers are raised by reads, possibly many in a row.
+ERROR_PAUSE_S = 0.01
 
 
 class DatagramTransport:
     """A bound UDP socket and the greenlet that reads it, until `stop`.
 
     Attributes:
-        host: Address that it is bound to.
-        port: Port that it is bound to.
-        unsent: Datagrams that could not be sent.
+        host: Address to which the socket is bound.
+        port: Port to which the socket is bound.
+        unsent: Number of datagrams that could not be sent.
     """
 
     def __init__(self, host: str, port: int, on_datagram: Callable[[str, bytes], None]) -> None:
-        """Binds the socket and starts reading.
+        """Bind the socket and start reading.
 
         Args:
             host: Address to bind to, IPv4 or IPv6.
-            port: Port to bind to, 0 for any free one.
-            on_datagram: Called with address (host:port) and content of each datagram.
+            port: Port to bind to, 0 for any free port.
+            on_datagram: Called with the sender's address (host:port) and the content of each datagram.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is already in use.
         """
         self._on_datagram = on_datagram
         self._socket = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
@@ -41,7 +42,7 @@
         self._reader = gevent.spawn(self._read)
 
     def send(self, address: str, raw: bytes) -> None:
-        """Sends a datagram to host:port; one that can't be sent is lost, as any may be."""
+        """Send a datagram to host:port; if that fails, count the datagram and drop it, as UDP may lose any datagram."""
         host, _, port = address.rpartition(":")
         try:
             self._socket.sendto(raw, (host.strip("[]"), int(port)))
@@ -49,7 +50,7 @@
             self.unsent += 1
 
     def stop(self) -> None:
-        """Stops reading and closes the socket."""
+        """Stop reading and close the socket."""
         self._reader.kill(block=False)
         self._socket.close()
 
--- a/hollyridge/peers/estimate_exchange.py
+++ b/hollyridge/peers/estimate_exchange.py
@@ -1,4 +1,7 @@
-"""Sharing of what assigners learn about tasks, so that one that takes over proxies knows the sizes of its tasks."""
+"""Exchange of learned estimates between assigners.
+
+An assigner that takes over proxies thereby knows the capacities of their tasks.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
 from hollyridge.membership.messages import SharedEstimates
 from hollyridge.store import learned_estimates
 
-ESTIMATES_PER_MESSAGE = 100  # with the names of tasks they fit into a packet
-DIGITS = 4  # that estimates are rounded to on the wire
+ESTIMATES_PER_MESSAGE = 100  # so many estimates, with the names of their tasks, fit into a packet
+DIGITS = 4  # decimal places to which estimates are rounded on the wire
 US_PER_MS = 1000
 
 
 class TaskLookup(NamedTuple):
-    """The names of tasks.
+    """Look-ups between names and indices of tasks.
 
     Attributes:
-        name_of: Name of the task with this index.
-        index_of: Index of the task with this name, None if there is none.
+        name_of: Function that returns the name of the task with the given index.
+        index_of: Function that returns the index of the task with the given name, None if there is none.
     """
 
     name_of: Callable[[int], str]
@@ -27,9 +30,9 @@
 
 
 class EstimateExchange:
-    """Reads estimates from the decision module for peers, and feeds it those of peers.
+    """Export of the decision module's estimates to peers, and import of the peers' estimates.
 
-    A decision module without estimates shares none and takes none.
+    A decision module without estimates neither exports nor imports any.
     """
 
     def __init__(self, engine: Engine, tasks: TaskLookup) -> None:
@@ -37,18 +40,18 @@
         self._tasks = tasks
 
     def outgoing(self) -> Iterator[SharedEstimates]:
-        """Yields the messages that carry all estimates of this assigner."""
+        """Yield messages with all estimates of this assigner."""
         learned = getattr(self._engine.assigner, "learned_estimates", None)
         estimates, push_price = learned() if learned is not None else ([], 0.0)
         for start in range(0, len(estimates), ESTIMATES_PER_MESSAGE):
             rows = tuple(
-                (self._tasks.name_of(estimate.task), *(round(figure, DIGITS) for figure in estimate[1:]))
+                (self._tasks.name_of(estimate.task), *(round(value, DIGITS) for value in estimate[1:]))
                 for estimate in estimates[start : start + ESTIMATES_PER_MESSAGE]
             )
             yield SharedEstimates(rows, round(push_price, DIGITS), 0)
 
-    def take(self, now_us: int, message: SharedEstimates) -> int:
-        """Submits what is credible of a peer's estimates to the engine; returns how many."""
+    def import_estimates(self, now_us: int, message: SharedEstimates) -> int:
+        """Submit the plausible estimates of a peer to the engine and return their number."""
         learned = getattr(self._engine.assigner, "learned_estimates", None)
         if learned is None:
             return 0
--- a/hollyridge/peers/ownership.py
+++ b/hollyridge/peers/ownership.py
@@ -1,4 +1,4 @@
-"""What the server of a protocol asks of the assigners that share the fleet: whether a proxy is ours."""
+"""Ownership of proxies as seen by the protocol servers."""
 
 from __future__ import annotations
 
@@ -10,9 +10,11 @@
 
 
 class ProxyOwnership:
-    """Ownership of one server's proxies, by `peers` (None: no fleet is shared and each proxy is served).
+    """Ownership of the proxies of one protocol server.
 
-    `zone_name` gives the name of a zone's index.
+    Attributes:
+        peers: Peer service of this assigner; None if the fleet is not shared and every proxy is served.
+        zone_name: Function that returns the name of the zone with the given index.
     """
 
     def __init__(self, peers: PeerService | None, zone_name: Callable[[int], str]) -> None:
@@ -25,10 +27,10 @@
         return self.peers is not None
 
     def request_lease(self, uid: str, zone: int, request: OwnershipRequest) -> LeaseGranted | StaleToken | ForwardProxy:
-        """Claim a proxy: whether it is ours, and under which fencing token."""
+        """Request the lease on a proxy and return the decision of the lease manager."""
         return self.peers.request_lease(uid, self.zone_name(zone), request.number, request.insist)
 
     def release(self, uid: str) -> None:
-        """The proxy has left."""
+        """End the lease on a proxy whose connection has ended."""
         if self.peers is not None:
             self.peers.end_proxy(uid)
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -1,4 +1,4 @@
-"""Carries out what membership and leases decide, for one assigner that shares its fleet."""
+"""Service that carries out the decisions of membership and leases for one assigner of a shared fleet."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 from hollyridge.peers.estimate_exchange import EstimateExchange, TaskLookup
 from hollyridge.peers.status_page import peers_page
 
-CLAIMS_PER_MESSAGE = 200  # with the longest uids they fit into a packet
-MIN_SLEEP_S = 0.002  # between two ticks: what is due together is done together
-LONG_AGO_US = -1 << 60  # since when this assigner counts as alive: it never waits for itself to settle
+CLAIMS_PER_MESSAGE = 200  # so many claims fit into a packet even with the longest uids
+MIN_SLEEP_S = 0.002  # minimum interval between ticks, so that one tick handles all work due at about the same time
+LONG_AGO_US = -1 << 60  # time since which this assigner counts as alive: it never waits for itself to settle
 US_PER_S = 1e6
 
 
 class PeerConfig(NamedTuple):
-    """How one assigner takes part in a shared fleet.
+    """Configuration of one assigner as a member of a shared fleet.
 
     Attributes:
-        name: Its name, unique in the fleet.
+        name: Name of the assigner, unique in the fleet.
         listen: Host and port of its datagram socket.
-        known_as: Address (host:port) by which peers reach it.
-        seeds: Addresses of some peers.
-        secret: The fleet's key.
-        zone: Its zone.
-        weight: Its share of the proxies, relative to the other members.
-        pace: Pace of failure detection.
-        lease: Durations of leases.
-        services: Addresses of its protocol servers by service name.
+        known_as: Address (host:port) at which peers reach the assigner.
+        seeds: Addresses (host:port) of some peers.
+        secret: Key of the fleet.
+        zone: Zone of the assigner.
+        weight: Share of the proxies, relative to the other members.
+        pace: Configuration of failure detection.
+        lease: Configuration of leases.
+        services: Pairs of service name and address (host:port), one for each protocol server of the assigner.
     """
 
     name: str
@@ -62,18 +62,18 @@
 
 
 class PeerService:
-    """One assigner's part in a shared fleet.
+    """Membership and proxy leases of one assigner in a shared fleet.
 
-    Protocol servers call `request_lease`, `acknowledge_token`, `end_proxy` and `address_of`; the engine asks `owned`
-    before each command.
+    Protocol servers call `request_lease`, `acknowledge_token`, `end_proxy` and `address_of`. The engine calls
+    `permits_command` before each command.
 
     Attributes:
-        config: What it was started with.
-        guard: Seals and opens its packets.
+        config: Configuration of this assigner.
+        guard: Encryption and verification of packets.
         swim: Failure detection.
         lease_manager: Leases on proxies.
-        send: Puts a packet on the wire, given address and content; set by whoever owns the transport.
-        stopped: Ends `run`.
+        send: Function that sends a packet, given address (host:port) and content; set by the owner of the transport.
+        stopped: Whether `run` has to return.
         counts: Totals for the status page.
     """
 
@@ -98,17 +98,17 @@
         self.lease_manager = LeaseManager(config.name, config.lease)
         self.stopped = False
         self.counts = dict.fromkeys(("packets_in", "packets_out", "bad_packets", "withheld", "borrowed"), 0)
-        self.engine.may_command = self.owned
+        self.engine.may_command = self.permits_command
         self._estimates = EstimateExchange(loop.engine, tasks)
         self._alive_since_us: dict[str, int] = {}
         self._next_claims_us = 0
 
     def begin(self) -> None:
-        """Makes this assigner a member of its own fleet; to be called before proxies are served."""
+        """Make this assigner a member of its own fleet; has to be called before proxies are served."""
         self._update_members(self.loop.clock())
 
     def run(self) -> None:
-        """Blocks until `stopped` is set."""
+        """Run the periodic work until `stopped` is set."""
         while not self.stopped:
             now_us = self.loop.clock()
             self.tick(now_us)
@@ -116,7 +116,11 @@
             self.loop.sleep(max(MIN_SLEEP_S, (due_us - now_us) / US_PER_S))
 
     def tick(self, now_us: int) -> None:
-        """Does what is due: probes, expired leases, moves, and claims and estimates once in a lease's duration."""
+        """Do all work that is due.
+
+        That is probes, expiry of leases, moves of proxies and, once per lease duration, the broadcast of estimates and
+        claims.
+        """
         self._carry_out(now_us, self.swim.handle(now_us, swim.Tick()))
         self._release(self.lease_manager.handle(now_us, leases.Tick()))
         if now_us >= self._next_claims_us:
@@ -125,12 +129,15 @@
             self._broadcast(self._claims())
 
     def leave(self) -> None:
-        """Announces a planned shutdown, so that peers need not detect it."""
+        """Announce a planned shutdown, so that peers need not detect it."""
         self.stopped = True
         self._carry_out(self.loop.clock(), self.swim.handle(self.loop.clock(), swim.LeaveRequested()))
 
     def drain(self, on: bool = True) -> None:
-        """Takes no more proxies and hands over those held, some in each period; or, with `on` false, ends that."""
+        """Start draining, or end it if `on` is False.
+
+        A draining assigner accepts no more proxies and hands over those that it holds, some in each period.
+        """
         now_us = self.loop.clock()
         self.lease_manager.draining = on
         facts = self.swim.facts._replace(draining=on)
@@ -138,7 +145,7 @@
         self._update_members(now_us)
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
-        """Processes a datagram from this address (host:port)."""
+        """Process a datagram from the given address (host:port)."""
         self.counts["packets_in"] += 1
         try:
             opened = self.guard.open(raw)
@@ -153,41 +160,41 @@
     def request_lease(
         self, uid: str, zone: str, fencing_token: int, fallback_request: bool
     ) -> LeaseGranted | StaleToken | ForwardProxy:
-        """Decides who is to own a proxy that asks.
+        """Decide which member should own a proxy that requests a lease.
 
         Args:
-            uid: The proxy.
-            zone: Its zone.
-            fencing_token: Number of its request. A client that can't number its requests has 0; it is served here,
-                as it could not be forwarded either.
-            fallback_request: Whether it could not reach the member that it was forwarded to.
+            uid: Name of the proxy.
+            zone: Zone of the proxy.
+            fencing_token: Number of the proxy's request, 0 for a client that does not number its requests. Such a
+                client is served by this assigner, because it could not be forwarded either.
+            fallback_request: Whether the proxy could not reach the member that it was forwarded to.
         """
         event = ProxyAsked(uid, zone, fencing_token, fallback_request or not fencing_token)
         (action,) = self.lease_manager.handle(self.loop.clock(), event)
         return action
 
     def acknowledge_token(self, uid: str, fencing_token: int) -> None:
-        """Renews the lease on a proxy that has acknowledged, or ends it if its newest request went elsewhere."""
+        """Renew the lease on a proxy that has acknowledged, or end it if its newest request went to another member."""
         event = leases.TokenAcknowledged(uid, fencing_token)
         self._release(self.lease_manager.handle(self.loop.clock(), event))
 
     def end_proxy(self, uid: str) -> None:
-        """Ends the lease on a proxy whose connection has ended."""
+        """End the lease on a proxy whose connection has ended."""
         self.lease_manager.handle(self.loop.clock(), leases.ProxyDisconnected(uid))
 
-    def owned(self, now_us: int, uid: str) -> bool:
-        """Tells whether a command to this proxy may be sent, and counts those withheld."""
+    def permits_command(self, now_us: int, uid: str) -> bool:
+        """Return whether a command to this proxy may be sent, and count the commands withheld."""
         is_owned = self.lease_manager.may_order(now_us, uid)
         self.counts["withheld"] += not is_owned
         return is_owned
 
     def address_of(self, name: str, service: str) -> str:
-        """Returns a member's address for a service, such as `sasp`; empty if unknown."""
+        """Return a member's address (host:port) for a service such as `sasp`; empty if unknown."""
         member = self.swim.members.get(name)
         return dict(member.facts.services).get(service, "") if member is not None else ""
 
     def status(self) -> dict[str, Any]:
-        """Returns the content of the page `/peers`."""
+        """Return the content of the page `/peers`."""
         counts = {**self.counts, **self.swim.counts, **self.lease_manager.counts, **self.guard.counts}
         return peers_page(self.loop.clock(), self.swim, self.lease_manager, counts)
 
@@ -219,7 +226,7 @@
         now_us = self.loop.clock()
         message = opened.message
         if isinstance(message, SharedEstimates):
-            self.counts["borrowed"] += self._estimates.take(now_us, message)
+            self.counts["borrowed"] += self._estimates.import_estimates(now_us, message)
         elif isinstance(message, ClaimedProxies):
             event = leases.ClaimsReceived(opened.name, message.claims, message.starts_list)
             self.lease_manager.handle(now_us, event)
@@ -243,9 +250,9 @@
             self._update_members(now_us)
 
     def _update_members(self, now_us: int) -> None:
-        """Hands the members that are alive to the lease manager.
+        """Pass the live members to the lease manager.
 
-        A suspected member keeps its place until it is declared gone.
+        A suspected member counts as alive until it is declared gone.
         """
         alive = self.swim.alive()
         self._alive_since_us = {name: self._alive_since_us.get(name, now_us) for name in alive}
@@ -264,7 +271,7 @@
         self.lease_manager.handle(now_us, leases.MembersChanged(members))
 
     def _release(self, actions: list[leases.Action]) -> None:
-        """Closes the streams of proxies whose lease has ended."""
+        """Close the streams of proxies whose lease has ended."""
         for action in actions:
             if not isinstance(action, ReleaseProxy):
                 continue
--- a/hollyridge/peers/replay_window.py
+++ b/hollyridge/peers/replay_window.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-WINDOW_PACKETS = 1024  # numbers below the highest that may still arrive: far more than a network reorders
+WINDOW_PACKETS = 1024  # window of numbers that may still arrive out of order: far more than a network reorders
 WINDOW_MASK = (1 << WINDOW_PACKETS) - 1
 
 
 class ReplayWindow:
-    """The packet numbers of one run that have arrived; a sliding window as in IPsec (RFC 4303, section 3.4.3).
+    """Sliding window over the received packet numbers of one run, as in IPsec (RFC 4303, section 3.4.3).
 
     Attributes:
-        highest: Highest number that has arrived.
-        bits: Bit `k` is set if number `highest - k` has arrived.
+        highest: Highest number received.
+        bits: Bitmap whose bit `k` is set if number `highest - k` has been received.
     """
 
     __slots__ = ("bits", "highest")
@@ -20,11 +20,11 @@
         self.highest = 0
         self.bits = 0
 
-    def first_time(self, number: int) -> bool:
-        """Marks a number as arrived; False if it had arrived before, or is too old to tell.
+    def mark_received(self, number: int) -> bool:
+        """Mark a number as received; return False if it was received before or is below the window.
 
         >>> window = ReplayWindow()
-        >>> [window.first_time(number) for number in (1, 3, 2, 3, 5000, 3, 4999)]
+        >>> [window.mark_received(number) for number in (1, 3, 2, 3, 5000, 3, 4999)]
         [True, True, True, False, True, False, True]
         """
         if number > self.highest:
--- a/hollyridge/peers/status_page.py
+++ b/hollyridge/peers/status_page.py
@@ -1,4 +1,7 @@
-"""The page `/peers`: members, leases and disagreements as one assigner sees them. Its keys are a format."""
+"""The status page `/peers`: members, leases and conflicting claims as one assigner sees them.
+
+The keys of the page are a published format.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 from hollyridge.membership.member_table import Member
 from hollyridge.membership.swim import Swim
 
-MAX_DISAGREEMENTS = 100  # shown; more of them have the same cause
-RUN_ID_DIGITS = 8  # shown, enough to tell runs apart
+MAX_DISAGREEMENTS = 100  # shown on the page; further ones have the same cause
+RUN_ID_DIGITS = 8  # shown on the page, enough to distinguish runs
 US_PER_S = 1e6
 
 
 def peers_page(now_us: int, swim: Swim, leases: LeaseManager, counts: dict[str, int]) -> dict[str, Any]:
-    """Builds the page."""
+    """Return the content of the page."""
     members = {
         name: _member_entry(now_us, member, len(leases.claims.get(name, ())))
         for name, member in sorted(swim.members.items())
--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -1,4 +1,4 @@
-"""Three assigners that share a fleet, on loopback sockets."""
+"""Assigners that share a fleet, on loopback sockets."""
 
 import socket as plain
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 class AssignerFleet:
-    """Assigners that share a fleet, on loopback sockets, with their agents and clients."""
+    """A fleet shared by several assigners on loopback sockets, with their agents and clients."""
 
     def __init__(self, folder, count=3):
         self.folder = folder
@@ -64,7 +64,7 @@
         agent.register([Member.at(f"127.{1 + k % 3}.0.{k + 1}", 9000, f"t{k} run=a up=100") for k in range(4)])
 
     def kill(self, number):
-        """Stops it without an announcement to its peers."""
+        """Stop an assigner without an announcement to its peers."""
         service = self.services[number]
         self.services[number] = None
         service.peers.leave = lambda: None
@@ -72,11 +72,13 @@
         service.stop()
         self.jobs[number].join(2)
 
-    def gateway(self, kind, uid, zone=1, **how):
-        at = {ChpGateway: 2, SaspGateway: 0}[kind]
-        addresses = [("127.0.0.1", ports[at]) for ports in self.ports]
-        link = dict(source=f"127.{zone}.0.200", **({"zmq": zmq} if at else {"connect": socket.create_connection}))
-        client = kind(addresses, uid, METHODS, how=link, sleep=gevent.sleep, **how)
+    def gateway(self, gateway_class, uid, zone=1, **options):
+        port_index = {ChpGateway: 2, SaspGateway: 0}[gateway_class]
+        addresses = [("127.0.0.1", ports[port_index]) for ports in self.ports]
+        connection_options = dict(
+            source=f"127.{zone}.0.200", **({"zmq": zmq} if port_index else {"connect": socket.create_connection})
+        )
+        client = gateway_class(addresses, uid, METHODS, how=connection_options, sleep=gevent.sleep, **options)
         client.job = gevent.spawn(client.run)
         self.clients.append(client)
         return client
--- a/tests/peers/conftest.py
+++ b/tests/peers/conftest.py
@@ -1,11 +1,11 @@
-"""The fixture of assigners on sockets."""
+"""Fixture with three assigners on loopback sockets."""
 
 import pytest
 from assigner_fleet import AssignerFleet
 
 
 @pytest.fixture
-def three(tmp_path):
-    fleet = AssignerFleet(tmp_path)
-    yield fleet
-    fleet.stop()
+def fleet(tmp_path):
+    assigners = AssignerFleet(tmp_path)
+    yield assigners
+    assigners.stop()
--- a/tests/peers/test_peers_codec.py
+++ b/tests/peers/test_peers_codec.py
@@ -1,4 +1,4 @@
-"""Packets under a fleet's key: accepted once, only from members, only from runs that are still running."""
+"""Packets encrypted with a fleet's key: accepted once, only from members, only from active runs."""
 
 import os
 from random import Random
@@ -11,7 +11,7 @@
 KEY = bytes(range(32))
 
 
-def acquainted_guards():
+def verified_guards():
     first, second = (PacketGuard(KEY, name, Random(name).randbytes) for name in "ab")
     for one, other in ((first, second), (second, first)):
         challenge = other.open(one.seal(Join(()))).answer
@@ -20,13 +20,13 @@
 
 
 def test_a_packet_of_a_member_is_opened():
-    a, b = acquainted_guards()
+    a, b = verified_guards()
     raw = a.seal(Ping(1, "b", (GossipMessage("a", 0, 3, MemberFacts("127.0.0.1:1", "r")),)))
     assert b.open(raw).message.updates[0].facts.address == "127.0.0.1:1"
 
 
 def test_a_packet_is_accepted_once():
-    a, b = acquainted_guards()
+    a, b = verified_guards()
     raw = a.seal(Ping(1, "b", (GossipMessage("a", 0, 3, MemberFacts("127.0.0.1:1", "r")),)))
     b.open(raw)
     with pytest.raises(PeerError, match="received before"):
@@ -34,18 +34,18 @@
 
 
 def test_holders_of_different_keys_reject_each_other():
-    a, b = acquainted_guards()
-    stranger = PacketGuard(bytes(32), "c", os.urandom)
-    for guard, packet in ((stranger, a.seal(Join(()))), (b, stranger.seal(Join(())))):
+    a, b = verified_guards()
+    outsider = PacketGuard(bytes(32), "c", os.urandom)
+    for guard, packet in ((outsider, a.seal(Join(()))), (b, outsider.seal(Join(())))):
         with pytest.raises(PeerError):
             guard.open(packet)
 
 
-def test_own_packets_that_come_back_are_rejected():
-    a, _ = acquainted_guards()
-    own = a.seal(Join(()))
+def test_own_packets_are_rejected():
+    a, _ = verified_guards()
+    own_packet = a.seal(Join(()))
     with pytest.raises(PeerError):
-        a.open(own)
+        a.open(own_packet)
 
 
 def test_a_short_key_is_rejected():
@@ -54,10 +54,10 @@
 
 
 def test_packets_of_an_older_run_are_not_accepted_after_a_restart():
-    a, b = acquainted_guards()
+    a, b = verified_guards()
     recorded = [a.seal(ClaimedProxies((("gw", 7),), True)) for _ in range(3)]
     b.open(recorded[0])
-    restarted = PacketGuard(KEY, "b", Random("b2").randbytes)  # it has received nothing yet
+    restarted = PacketGuard(KEY, "b", Random("b2").randbytes)  # this run has received nothing yet
     for raw in recorded:
         opened = restarted.open(raw)
         assert opened.message is None
@@ -78,7 +78,7 @@
     ],
 )
 def test_damaged_packets_are_rejected(damage):
-    a, b = acquainted_guards()
+    a, b = verified_guards()
     damaged = damage(a.seal(Ping(1, "b", ())))
     with pytest.raises(PeerError):
         b.open(damaged)
@@ -86,7 +86,7 @@
 
 
 def test_sealed_packets_with_invalid_content_are_rejected():
-    a, b = acquainted_guards()
+    a, b = verified_guards()
     for content in (b"", b"\x93\x63\xa1a\x90", b"\x93\x02\xa1a\x93\x01\x02\x03", b"\x93\x02\xa1b\x93\x01\xa1b\x90"):
         a.number += 1
         header = HEADER.pack(b"HRP1", a.run_id, a.number)
--- a/tests/peers/test_peers_datagram_transport.py
+++ b/tests/peers/test_peers_datagram_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams on loopback."""
+"""UDP transport on loopback sockets."""
 
 import pytest
 from assigner_fleet import wait_for
@@ -29,18 +29,18 @@
     assert receiver.received == [(f"127.0.0.1:{sender.port}", b"content")]
 
 
-def test_a_datagram_that_is_too_long_is_seen_to_be(sender, receiver):
+def test_the_receiver_can_detect_a_datagram_that_is_too_long(sender, receiver):
     sender.send(f"127.0.0.1:{receiver.port}", b"x" * (MAX_PACKET_BYTES + 100))
     assert wait_for(lambda: receiver.received)
     assert len(receiver.received[0][1]) > MAX_PACKET_BYTES
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:0", "127.0.0.1:x", "nowhere", "127.0.0.1:99999"])
-def test_what_can_not_be_sent_is_counted(sender, address):
+def test_datagrams_that_can_not_be_sent_are_counted(sender, address):
     sender.send(address, b"content")
     assert sender.unsent == 1
 
 
-def test_a_taken_address_is_an_error(receiver):
+def test_binding_to_an_address_in_use_fails(receiver):
     with pytest.raises(OSError, match="in use"):
         DatagramTransport("127.0.0.1", receiver.port, lambda address, raw: None)
--- a/tests/peers/test_peers_settings.py
+++ b/tests/peers/test_peers_settings.py
@@ -1,4 +1,4 @@
-"""Faults of the section `[peers]`."""
+"""Messages for invalid settings in the section `[peers]`."""
 
 import pytest
 from assigner_fleet import EXAMPLES, KEY
@@ -6,7 +6,7 @@
 from hollyridge.settings import assigner
 from hollyridge.settings.ini import FaultsError
 
-FAULTY = [
+INVALID_SETTINGS = [
     ({"listen": "nowhere"}, "listen: address:port"),
     ({"seeds": "127.0.0.1:1"}, "listen: missing"),
     ({"listen": "127.0.0.1:5", "key": "none"}, "key: No such file"),
@@ -17,8 +17,8 @@
 ]
 
 
-@pytest.mark.parametrize(("settings", "fault"), FAULTY)
-def test_faulty_settings_are_named(tmp_path, settings, fault):
+@pytest.mark.parametrize(("settings", "fault"), INVALID_SETTINGS)
+def test_invalid_settings_are_named(tmp_path, settings, fault):
     (tmp_path / "short").write_text("00ff")
     (tmp_path / "good").write_text(KEY.hex())
     settings = {key: str(tmp_path / value) if key == "key" else value for key, value in settings.items()}
--- a/tests/peers/test_peers_takeover.py
+++ b/tests/peers/test_peers_takeover.py
@@ -1,4 +1,4 @@
-"""Takeovers, simulated, and the figures by which they are judged."""
+"""Simulated takeovers and the metrics that evaluate them."""
 
 from assigner_fleet import EXAMPLES
 
@@ -6,17 +6,17 @@
 from hollyridge.lab.experiments import takeover
 
 
-def test_failing_assigners_leave_no_proxy_orphaned_for_long_nor_commanded_by_two():
-    found = [
+def test_failing_assigners_leave_no_proxy_without_owner_for_long_nor_commanded_by_two():
+    results = [
         takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), seed, front)
         for seed, front in ((1, "clone"), (2, "sasp"), (5, "sasp"))
     ]
-    summary = takeover.summary(found)
+    summary = takeover.summary(results)
     assert summary["orphaned"] > 0
     assert summary["doubly_ordered"] == summary["rules_broken"] == 0
     assert summary["orphaned_max_s"] < 5
-    again = takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), 1, "clone")
-    assert again == found[0]
+    repeated = takeover.play(str(EXAMPLES / "fleet" / "takeover.ini"), 1, "clone")
+    assert repeated == results[0]
 
 
 def test_commands_by_two_assigners_are_found():
