--- a/hollyridge/otlp/errors.py
+++ b/hollyridge/otlp/errors.py
@@ -1,4 +1,4 @@
-"""The error that a request is answered with, and the statuses of HTTP and gRPC that go with it."""
+"""Exception for rejected requests, with the HTTP and gRPC status codes of the response."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     HTTPStatus.TOO_MANY_REQUESTS: "Too Many Requests",
     HTTPStatus.SERVICE_UNAVAILABLE: "Service Unavailable",
 }
-# Codes of google.rpc.Code in the body of an error, as the OTLP specification asks for.
+# Values of google.rpc.Code for the body of an error response, which the OTLP specification requires.
 GRPC_INVALID_ARGUMENT = 3
 GRPC_RESOURCE_EXHAUSTED = 8
 
 
 class BadRequestError(HollyridgeError):
-    """A request that is rejected.
+    """A request is rejected.
 
     Attributes:
-        status: The HTTP status of the answer.
-        retry_after_us: How long the sender has to wait before it tries again (429 only).
+        status: HTTP status of the response.
+        retry_after_us: Time that the sender has to wait before a retry, in microseconds; only for status 429.
     """
 
     def __init__(self, status: HTTPStatus, reason: str, retry_after_us: int = 0) -> None:
@@ -39,5 +39,5 @@
 
     @property
     def grpc_code(self) -> int:
-        """The code for the body of the answer."""
+        """Return the code for the body of the response."""
         return GRPC_RESOURCE_EXHAUSTED if self.status == HTTPStatus.TOO_MANY_REQUESTS else GRPC_INVALID_ARGUMENT
--- a/hollyridge/otlp/http_server.py
+++ b/hollyridge/otlp/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server below the receiver: connections, TLS, and requests and responses as typed values."""
+"""HTTP server of the receiver: connections, TLS, and typed requests and responses."""
 
 from __future__ import annotations
 
@@ -15,12 +15,21 @@
 
 JSON = "application/json"
 PROTOBUF = "application/x-protobuf"
-PRINCIPAL_KEY = "hollyridge.principal"  # in the WSGI environment, the common name of the client's certificate
+PRINCIPAL_KEY = "hollyridge.principal"  # key of the client certificate's common name in the WSGI environment
 LOOPBACK_PREFIXES = ("127.", "::1")
 
 
 class HttpRequest(NamedTuple):
-    """What of a request decides how it is handled; `principal` is empty without TLS."""
+    """The parts of a request that determine its handling.
+
+    Attributes:
+        method: HTTP method.
+        path: Path of the URL.
+        content_type: Media type of the body, without parameters.
+        peer: IP address of the client.
+        principal: Common name of the client's certificate; empty without TLS.
+        environ: WSGI environment.
+    """
 
     method: str
     path: str
@@ -31,7 +40,7 @@
 
     @classmethod
     def from_environ(cls, environ: dict) -> HttpRequest:
-        """Read a WSGI environment."""
+        """Create a request from its WSGI environment."""
         return cls(
             environ.get("REQUEST_METHOD", ""),
             environ.get("PATH_INFO", ""),
@@ -43,17 +52,17 @@
 
     @property
     def is_json(self) -> bool:
-        """Whether the body is JSON; answers are in the encoding of the request."""
+        """Return whether the body is JSON; a response has the encoding of its request."""
         return self.content_type == JSON
 
     @property
     def is_local(self) -> bool:
-        """Whether the client runs on this machine."""
+        """Return whether the client runs on this machine."""
         return self.peer.startswith(LOOPBACK_PREFIXES)
 
 
 class HttpResponse(NamedTuple):
-    """An answer."""
+    """The response to a request."""
 
     status: HTTPStatus
     content_type: str
@@ -62,7 +71,7 @@
 
 
 def send(response: HttpResponse, start_response: Callable) -> list[bytes]:
-    """Answer a WSGI request."""
+    """Send the response to a WSGI request and return its body."""
     headers = [
         ("Content-Type", response.content_type),
         ("Content-Length", str(len(response.body))),
@@ -76,15 +85,15 @@
     address: tuple[str, int],
     application: Callable[[dict, Callable], list[bytes]],
     max_connections: int,
-    secure: Callable[[socket.socket], socket.socket] | None,
+    wrap_tls: Callable[[socket.socket], socket.socket] | None,
 ) -> WSGIServer:
-    """A server that is not started yet; `secure` makes each connection a TLS one."""
-    server_class = WSGIServer if secure is None else tls_server_class(secure)
+    """Create a server without starting it; `wrap_tls` wraps accepted sockets in TLS, None means plain HTTP."""
+    server_class = WSGIServer if wrap_tls is None else tls_server_class(wrap_tls)
     return server_class(address, application, log=None, error_log=None, spawn=Pool(max_connections))
 
 
-def tls_server_class(secure: Callable[[socket.socket], socket.socket]) -> type[WSGIServer]:
-    """A server whose connections `secure` makes TLS ones, with the principal in each request's environment."""
+def tls_server_class(wrap_tls: Callable[[socket.socket], socket.socket]) -> type[WSGIServer]:
+    """Return a server class that wraps connections in TLS and adds the principal to each request's environment."""
 
     class TlsHandler(WSGIHandler):
         def get_environ(self) -> dict:
@@ -95,7 +104,7 @@
 
         def handle(self, sock: socket.socket, address: tuple) -> None:
             try:
-                sock = secure(sock)
+                sock = wrap_tls(sock)
             except OSError:
                 sock.close()
                 return
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -1,7 +1,7 @@
-"""The receiver of reports: `POST /v1/metrics` in OTLP, `GET` of pages such as `/status`, `POST` of operators' actions.
+"""Receiver of load reports: `POST /v1/metrics` in OTLP, `GET` of pages such as `/status`, `POST` of operator actions.
 
-Errors are answered as the OTLP specification has them: 400 for what cannot be read, 413 for too much, 429 with a time
-after which to retry for a source that exceeds its share, partial success for data points that do not count.
+Error responses follow the OTLP specification: 400 for a body that can't be read, 413 for a body that is too large, 429
+with a retry time for a source that exceeds its share, and partial success for data points that do not count.
 """
 
 from __future__ import annotations
@@ -34,14 +34,15 @@
 METRICS_PATH = "/v1/metrics"
 MAX_QUOTED_PATH_CHARS = 80
 MAX_QUOTED_METHOD_CHARS = 16
-FAIR_SHARE_PERIOD_US = 1_000_000  # the budget of points is stated for a second
-POINTS_PER_YIELD = 500  # data points between two turns of other greenlets
-KEEP_ALIVE_STATUSES = (HTTPStatus.OK, HTTPStatus.TOO_MANY_REQUESTS)  # else the rest of the body may be unread
+FAIR_SHARE_PERIOD_US = 1_000_000  # the budget of data points is configured per second
+POINTS_PER_YIELD = 500  # data points processed before other greenlets may run
+# Statuses that keep the connection open. With any other status part of the body may be unread.
+KEEP_ALIVE_STATUSES = (HTTPStatus.OK, HTTPStatus.TOO_MANY_REQUESTS)
 OPEN_ACCESS = AccessControl(False, ())
 
 
 class OtlpConfig(NamedTuple):
-    """Settings of the receiver; `points_per_s` is the budget of all sources together."""
+    """Configuration of the receiver; `points_per_s` is the data point budget of all sources together."""
 
     host: str
     port: int
@@ -52,36 +53,37 @@
 
 
 class Page(NamedTuple):
-    """What `GET` of a path answers; `write` returns None while there is nothing to show."""
+    """A page served by `GET`; `render` returns its body, or None while there is nothing to show."""
 
     content_type: str
-    write: Callable[[], bytes | None]
+    render: Callable[[], bytes | None]
 
 
 class HttpOptions(NamedTuple):
-    """What the server offers beside metrics, and to whom.
+    """Pages, actions, access control and TLS of the server.
 
     Attributes:
-        pages: Answers of `GET` by path.
-        actions: Effects of `POST` by path, for known principals, or without keys from the same machine.
-        access: Who may report what.
-        secure: Makes a connection a TLS one; None for plain HTTP.
+        pages: Pages by path, for `GET`.
+        actions: Functions by path, for `POST`. Known principals may call them, or, without keys, clients on the same
+            machine.
+        access: Access control for reports and actions.
+        wrap_tls: Function that wraps an accepted socket in TLS; None for plain HTTP.
     """
 
     pages: dict[str, Page]
     actions: dict[str, Callable[[], None]]
     access: AccessControl = OPEN_ACCESS
-    secure: Callable[[socket.socket], socket.socket] | None = None
+    wrap_tls: Callable[[socket.socket], socket.socket] | None = None
 
 
 class MetricsServer:
-    """The receiver.
+    """HTTP server that receives load reports and serves pages and operator actions.
 
     Args:
-        loop: Its engine is given the data points; its clock is used.
+        loop: Event loop with the clock and with the engine that receives the data points.
         config: Address and limits.
-        names: Look-ups of what reports name.
-        options: Pages, actions, access and TLS.
+        names: Look-ups of the names in reports.
+        options: Pages, actions, access control and TLS.
         log: A structlog logger.
     """
 
@@ -104,11 +106,15 @@
         self.cumulative = CumulativeState(loop.engine.limits.max_series)
         self.fair_share = FairShareLimiter(config.points_per_s, FAIR_SHARE_PERIOD_US, config.max_connections)
         self.counts = dict.fromkeys(("requests", "points", "rejected", "bad", "slowed"), 0)
-        self.uncounted: dict[str, int] = {}  # data points that did not count, by reason
-        self.server = create_server((config.host, config.port), self.serve, config.max_connections, options.secure)
+        self.uncounted: dict[str, int] = {}  # number of data points that did not count, by reason
+        self.server = create_server((config.host, config.port), self.serve, config.max_connections, options.wrap_tls)
 
     def start(self) -> int:
-        """Listen; returns the port. Raises OSError if the address is taken."""
+        """Start listening and return the port.
+
+        Raises:
+            OSError: The address is already in use.
+        """
         self.server.start()
         self.log.info("server_started", protocol="otlp", host=self.config.host, port=self.server.server_port)
         return self.server.server_port
@@ -118,7 +124,7 @@
         self.server.stop(timeout=0)
 
     def serve(self, environ: dict, start_response: Callable) -> list[bytes]:
-        """The WSGI application."""
+        """Handle a request, as a WSGI application."""
         request = HttpRequest.from_environ(environ)
         try:
             response = self.respond(request)
@@ -127,7 +133,11 @@
         return send(response, start_response)
 
     def respond(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request; raises BadRequestError."""
+        """Return the response to a request.
+
+        Raises:
+            BadRequestError: The request is rejected.
+        """
         if request.path in self.pages and request.method == "GET":
             return self.show_page(self.pages[request.path])
         if request.path in self.actions and request.method == "POST":
@@ -135,7 +145,7 @@
         return HttpResponse(HTTPStatus.OK, request.content_type, self.receive_metrics(request))
 
     def error_response(self, request: HttpRequest, error: BadRequestError) -> HttpResponse:
-        """Count and log a rejected request; returns its answer."""
+        """Count and log a rejected request and return its response."""
         headers: list[tuple[str, str]] = []
         if error.status == HTTPStatus.TOO_MANY_REQUESTS:
             self.counts["slowed"] += 1
@@ -151,14 +161,22 @@
 
     @staticmethod
     def show_page(page: Page) -> HttpResponse:
-        """Answer with a page."""
-        body = page.write()
+        """Return the response with a page.
+
+        Raises:
+            BadRequestError: The page has nothing to show yet.
+        """
+        body = page.render()
         if body is None:
             raise BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE, "nothing is known yet")
         return HttpResponse(HTTPStatus.OK, page.content_type, body)
 
     def run_action(self, request: HttpRequest) -> HttpResponse:
-        """Do what an operator asks for, if they may."""
+        """Run an operator action and return the response.
+
+        Raises:
+            BadRequestError: The client is not allowed to run actions.
+        """
         denial = self.access.known(request.principal)
         if denial:
             raise BadRequestError(HTTPStatus.FORBIDDEN, denial)
@@ -169,7 +187,11 @@
         return HttpResponse(HTTPStatus.OK, JSON, b"{}")
 
     def receive_metrics(self, request: HttpRequest) -> bytes:
-        """Read and count a report; returns the body of the answer."""
+        """Read a report, pass its data points to the engine and return the body of the response.
+
+        Raises:
+            BadRequestError: The report is rejected.
+        """
         encoding = body_encoding(request)
         source = request.principal or request.peer
         retry_after_us = self.fair_share.retry_after_us(self.loop.clock(), source)
@@ -185,7 +207,7 @@
         return serialize(response, request.is_json)
 
     def names_for(self, principal: str) -> AttributeNames:
-        """Look-ups that reject zones and proxies which this principal may not report for."""
+        """Return look-ups that reject the zones and proxies for which this principal may not report."""
         if self.access.open:
             return self.names
         zone = self.names.zone
@@ -198,7 +220,7 @@
     def count_points(
         self, export: ExportMetricsServiceRequest, request: HttpRequest, source: str
     ) -> ExportMetricsServiceResponse:
-        """Hand each data point to the engine; returns what was rejected, and why."""
+        """Pass each data point to the engine and return the response with the rejected points, by reason."""
         now_us = self.loop.clock()
         rejected: dict[str, int] = {}
         total = 0
@@ -207,7 +229,7 @@
             reason = point if isinstance(point, str) else self.loop.engine.report(now_us, point)
             if reason:
                 self.uncounted[reason] = self.uncounted.get(reason, 0) + 1
-                if reason != ALREADY_COUNTED:  # a retry after a lost answer is a success to its sender
+                if reason != ALREADY_COUNTED:  # for the sender, a retry after a lost response is a success
                     rejected[reason] = rejected.get(reason, 0) + 1
             if total % POINTS_PER_YIELD == 0:
                 gevent.sleep(0)
@@ -218,13 +240,17 @@
         return export_response(rejected)
 
     def status(self) -> dict:
-        """Counters for the status page; the keys are the page's."""
+        """Return the counters for the status page, whose keys are a published format."""
         sources = len(self.fair_share.sources)
         return {**self.counts, "why": self.uncounted, "senders": sources, **self.fair_share.counts}
 
 
 def body_encoding(request: HttpRequest) -> BodyEncoding:
-    """Check that a request is one for metrics; raises BadRequestError."""
+    """Check that a request sends metrics and return the encoding of its body.
+
+    Raises:
+        BadRequestError: The path, method, media type or content encoding is not supported.
+    """
     if request.path != METRICS_PATH:
         raise BadRequestError(HTTPStatus.NOT_FOUND, f"nothing at {request.path[:MAX_QUOTED_PATH_CHARS]}")
     if request.method != "POST":
@@ -239,7 +265,7 @@
 
 
 def export_response(rejected: dict[str, int]) -> ExportMetricsServiceResponse:
-    """The answer to a report; partial success if points were rejected."""
+    """Return the response to a report, with a partial success if data points were rejected."""
     response = ExportMetricsServiceResponse()
     if rejected:
         reasons = ", ".join(f"{reason}: {count}" for reason, count in sorted(rejected.items()))
@@ -249,5 +275,5 @@
 
 
 def serialize(message: Message, as_json: bool) -> bytes:
-    """Encode an answer in the encoding of its request."""
+    """Encode a response as JSON or, if `as_json` is False, as protobuf."""
     return json_format.MessageToJson(message).encode() if as_json else message.SerializeToString()
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -1,16 +1,19 @@
-"""Reads OTLP metrics as data points: names to indices, cumulative sums to increases. No sockets, no clock.
+"""Conversion of OTLP metrics to data points, without sockets and without a clock.
+
+Names are converted to indices and cumulative sums to increases.
 
 | metric | kind | attributes | meaning |
 | --- | --- | --- | --- |
-| `hollyridge.tries` | sum | proxy, zone, task, method | attempts that ended |
+| `hollyridge.tries` | sum | proxy, zone, task, method | attempts that have ended |
 | `hollyridge.tries.failed` | sum | the same | attempts that failed |
-| `hollyridge.tries.time` | sum, s | the same | duration of successful attempts, summed |
-| `hollyridge.rpcs` | sum | proxy, method | RPCs offered, retries and rejected ones included |
-| `hollyridge.rpcs.unanswered` | sum | the same | RPCs admitted that got no answer |
-| `hollyridge.task.util` | gauge | task | part of its cores in use |
+| `hollyridge.tries.time` | sum, s | the same | total duration of successful attempts |
+| `hollyridge.rpcs` | sum | proxy, method | RPCs offered, including retries and rejected RPCs |
+| `hollyridge.rpcs.unanswered` | sum | the same | admitted RPCs that got no answer |
+| `hollyridge.task.util` | gauge | task | fraction of the task's cores in use |
 | `hollyridge.task.queue` | gauge | task | RPCs waiting |
 
-`task` is `host:port` as registered. `service.instance.id` of the resource names the source.
+`task` is the `host:port` with which the task is registered. The resource attribute `service.instance.id` names the
+source.
 """
 
 from __future__ import annotations
@@ -35,15 +38,18 @@
 }
 CUMULATIVE = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
-MAX_SOURCE_CHARS = 64  # of a name that a source gives itself
-NOT_ALLOWED = -1  # the index of a zone or proxy that the source may not report for
-# Reasons for which a data point does not count; they are keys of the status page and part of answers.
+MAX_SOURCE_CHARS = 64  # longest prefix used of a name that a source gives itself
+NOT_ALLOWED = -1  # index of a zone or proxy for which the source may not report
+# Reasons for which a data point does not count. They are keys of the status page and part of responses.
 ALREADY_COUNTED = "counted before"
 NOT_THIS_SENDER = "not for this sender"
 
 
 class AttributeNames(NamedTuple):
-    """Look-ups of indices by name; each returns None for unknown names, `NOT_ALLOWED` for others' names."""
+    """Look-ups of indices by name.
+
+    Each returns None for an unknown name, and `NOT_ALLOWED` for a name for which the source may not report.
+    """
 
     zone: Callable[[str], int | None]
     task: Callable[[str], int | None]
@@ -52,15 +58,21 @@
 
 
 class Labels(NamedTuple):
-    """What a data point is about, as indices: `place` is (zone, task) or (proxy, method), as in DataPoint."""
+    """The labels of a data point, as in `DataPoint`.
+
+    Attributes:
+        source: Name of the source.
+        subject: Indices of zone and task or, for RPCs, of proxy and method.
+        method: Index of the method.
+    """
 
     source: str
-    place: tuple[int, int]
+    subject: tuple[int, int]
     method: int
 
 
 class RunningTotal(NamedTuple):
-    """The newest point of a cumulative series; times in nanoseconds of the source's clock."""
+    """The newest point of a cumulative series. Times are in nanoseconds of the source's clock."""
 
     start_ns: int
     end_ns: int
@@ -68,16 +80,16 @@
 
 
 class Increase(NamedTuple):
-    """What was added to a cumulative series since `start_ns`."""
+    """The increase of a cumulative series since `start_ns`."""
 
     value: float
     start_ns: int
 
 
 class CumulativeState:
-    """Running totals of cumulative series, to compute increases.
+    """Running totals of cumulative series, used to compute increases.
 
-    A start time that has moved means that the source has restarted. A total that fell without it is invalid.
+    A changed start time means that the source has restarted. A total that decreases without a restart is invalid.
     """
 
     def __init__(self, max_series: int) -> None:
@@ -85,7 +97,7 @@
         self.totals: dict[tuple, RunningTotal] = {}
 
     def increase(self, key: tuple, total: RunningTotal) -> Increase | str:
-        """Take the newest total of a series; returns the increase, or the reason for which it does not count."""
+        """Store the newest total of a series and return the increase, or the reason for which it does not count."""
         previous = self.totals.get(key)
         if previous is not None and previous.start_ns == total.start_ns:
             if total.end_ns <= previous.end_ns:
@@ -104,13 +116,13 @@
 def read_points(
     request: ExportMetricsServiceRequest, peer: str, names: AttributeNames, cumulative: CumulativeState
 ) -> Iterator[DataPoint | str]:
-    """Each data point of a request, or the reason for which it does not count.
+    """Yield each data point of a request, or the reason for which it does not count.
 
     Args:
         request: The decoded request.
-        peer: Address of the sender; names the source if the request does not.
-        names: Look-ups as this sender may use them.
-        cumulative: Running totals, updated.
+        peer: Address of the sender, used as the name of the source if the request has none.
+        names: Look-ups with the restrictions for this sender.
+        cumulative: Running totals, which are updated.
     """
     for resource in request.resource_metrics:
         attributes = string_attributes(resource.resource.attributes)
@@ -123,18 +135,18 @@
 def read_metric(
     metric: Metric, source: str, names: AttributeNames, cumulative: CumulativeState
 ) -> Iterator[DataPoint | str]:
-    """Each data point of a metric, or the reason for which it does not count."""
-    form = metric.WhichOneof("data")
-    if form is None:
+    """Yield each data point of a metric, or the reason for which it does not count."""
+    data_type = metric.WhichOneof("data")
+    if data_type is None:
         return
-    data = getattr(metric, form)
+    data = getattr(metric, data_type)
     kind = METRICS.get(metric.name)
     if kind is None:
         yield from ["unknown metric"] * len(data.data_points)
-    elif form != ("gauge" if kind in LOADS else "sum"):
+    elif data_type != ("gauge" if kind in LOADS else "sum"):
         yield from ["wrong kind of metric"] * len(data.data_points)
     else:
-        temporality = data.aggregation_temporality if form == "sum" else DELTA
+        temporality = data.aggregation_temporality if data_type == "sum" else DELTA
         read_labels = LABEL_READERS[kind]
         for point in data.data_points:
             labels = read_labels(string_attributes(point.attributes), source, names)
@@ -144,23 +156,23 @@
 def read_point(
     point: NumberDataPoint, kind: Kind, temporality: int, labels: Labels, cumulative: CumulativeState
 ) -> DataPoint | str:
-    """One data point with its value as an increase, or the reason for which it does not count."""
+    """Return a data point with its value as an increase, or the reason for which it does not count."""
     value = float(point.as_int) if point.HasField("as_int") else point.as_double
     start_ns = point.start_time_unix_nano
     end_ns = point.time_unix_nano
     if temporality == CUMULATIVE:
-        key = (labels.source, kind, labels.place, labels.method)
+        key = (labels.source, kind, labels.subject, labels.method)
         increase = cumulative.increase(key, RunningTotal(start_ns, end_ns, value))
         if isinstance(increase, str):
             return increase
         value, start_ns = increase
     elif temporality != DELTA:
         return "no temporality"
-    return DataPoint(labels.source, kind, labels.place, labels.method, value, start_ns, end_ns)
+    return DataPoint(labels.source, kind, labels.subject, labels.method, value, start_ns, end_ns)
 
 
 def rpc_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
-    """Labels of what a proxy reports about a method."""
+    """Return the labels of a proxy's report about the RPCs of a method, or the reason for which it does not count."""
     proxy = names.proxy(attributes.get("proxy", ""))
     if proxy is None:
         return "unknown proxy"
@@ -173,7 +185,7 @@
 
 
 def load_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
-    """Labels of a task's load; it counts for no zone."""
+    """Return the labels of a task's load, which has no zone, or the reason for which it does not count."""
     task = names.task(attributes.get("task", ""))
     if task is None:
         return "unknown task"
@@ -181,7 +193,10 @@
 
 
 def attempt_labels(attributes: dict[str, str], source: str, names: AttributeNames) -> Labels | str:
-    """Labels of attempts at a task from a zone. A proxy that is named makes the source a finer one."""
+    """Return the labels of attempts at a task from a zone, or the reason for which they do not count.
+
+    If the attributes name a proxy, its name is appended to that of the source.
+    """
     task = names.task(attributes.get("task", ""))
     if task is None:
         return "unknown task"
@@ -210,5 +225,5 @@
 
 
 def string_attributes(pairs: Iterable[KeyValue]) -> dict[str, str]:
-    """The attributes whose value is a string."""
+    """Return the attributes with string values."""
     return {pair.key: pair.value.string_value for pair in pairs if pair.value.HasField("string_value")}
--- a/hollyridge/otlp/request_body.py
+++ b/hollyridge/otlp/request_body.py
@@ -1,4 +1,7 @@
-"""Reads and decodes the body of a request: length, timeout, gzip, protobuf or JSON. Each fault has an HTTP status."""
+"""Reading and decoding of request bodies: length, timeout, gzip, protobuf and JSON.
+
+Each fault is reported with an HTTP status.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +16,32 @@
 
 from hollyridge.otlp.errors import BadRequestError
 
-MAX_INFLATION = 8  # a decompressed body may be this many times the limit on a body as sent
-MAX_JSON_DEPTH = 32  # nesting of messages; metrics need less than ten levels
-THREAD_MIN_BYTES = 64 * 1024  # bodies from this size on are decoded in a thread: one call would hold up all streams
-GZIP_WINDOW_BITS = 31  # zlib's way to say: the largest window, with a gzip header
+MAX_INFLATION = 8  # limit on a decompressed body, as a multiple of the limit on a body as sent
+MAX_JSON_DEPTH = 32  # limit on nested messages; metrics need fewer than ten levels
+THREAD_MIN_BYTES = 64 * 1024  # bodies of at least this size are decoded in a thread, so as not to block all streams
+GZIP_WINDOW_BITS = 31  # selects the largest window and a gzip header in zlib
 
 
 class BodyLimits(NamedTuple):
-    """The size of a body as sent, and the time that it may take to arrive."""
+    """Limits on the size of a body as sent and on the time that it takes to arrive."""
 
     max_bytes: int
     timeout_s: float
 
 
 class BodyEncoding(NamedTuple):
-    """How a body is encoded."""
+    """The encoding of a body."""
 
     gzipped: bool
     is_json: bool
 
 
 def read_body(environ: dict, limits: BodyLimits) -> bytes:
-    """Read the body of a WSGI request; raises BadRequestError."""
+    """Read the body of a WSGI request.
+
+    Raises:
+        BadRequestError: The body has no length, is too large, is incomplete or does not arrive in time.
+    """
     length = content_length(environ)
     if length > limits.max_bytes:
         raise BadRequestError(
@@ -55,7 +62,11 @@
 
 
 def content_length(environ: dict) -> int:
-    """The length as stated, -1 for a chunked body; raises BadRequestError if there is neither."""
+    """Return the length in the request's header, -1 for a chunked body.
+
+    Raises:
+        BadRequestError: The body is not chunked and has no valid length.
+    """
     try:
         length = int(environ.get("CONTENT_LENGTH") or -1)
     except ValueError:
@@ -66,7 +77,11 @@
 
 
 def decode_body(raw: bytes, encoding: BodyEncoding, max_body_bytes: int) -> ExportMetricsServiceRequest:
-    """Decode a body, a large one in a thread of the pool; raises BadRequestError."""
+    """Decode a body, in a thread of the pool if it is large.
+
+    Raises:
+        BadRequestError: The body is invalid or too large.
+    """
     max_bytes = MAX_INFLATION * max_body_bytes
     if len(raw) >= THREAD_MIN_BYTES:
         return gevent.get_hub().threadpool.apply(parse, (raw, encoding, max_bytes))
@@ -74,7 +89,11 @@
 
 
 def parse(raw: bytes, encoding: BodyEncoding, max_bytes: int) -> ExportMetricsServiceRequest:
-    """Decode a body, `max_bytes` long at most once decompressed; raises BadRequestError."""
+    """Decode a body that has at most `max_bytes` after decompression.
+
+    Raises:
+        BadRequestError: The body is invalid or too large.
+    """
     body = decompress(raw, max_bytes) if encoding.gzipped else raw
     try:
         if encoding.is_json:
@@ -87,7 +106,11 @@
 
 
 def decompress(raw: bytes, max_bytes: int) -> bytes:
-    """Decompress gzip without ever holding more than `max_bytes`; raises BadRequestError."""
+    """Decompress gzip while holding at most `max_bytes` and one more byte of output.
+
+    Raises:
+        BadRequestError: The body is not valid gzip, is incomplete or is too large.
+    """
     decompressor = zlib.decompressobj(wbits=GZIP_WINDOW_BITS)
     try:
         body = decompressor.decompress(raw, max_bytes + 1)
--- a/hollyridge/otlp/sender.py
+++ b/hollyridge/otlp/sender.py
@@ -1,4 +1,4 @@
-"""A small sender of OTLP metrics over HTTP, for proxies and tasks that report to an assigner."""
+"""Small sender of OTLP metrics over HTTP, for proxies and tasks that report to an assigner."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class Figure(NamedTuple):
-    """One data point: a gauge without `start_ns`, else a delta sum. Times in nanoseconds since the Unix epoch."""
+    """A data point of a metric: a gauge if `start_ns` is None, otherwise a delta sum.
+
+    Times are in nanoseconds since the Unix epoch.
+    """
 
     name: str
     value: float
@@ -28,24 +31,26 @@
     start_ns: int | None = None
 
 
-def request_of(source: str, figures: Iterable[Figure]) -> ExportMetricsServiceRequest:
-    """The request that reports these data points for a source; each metric has the kind of its first point."""
+def request_of(source: str, points: Iterable[Figure]) -> ExportMetricsServiceRequest:
+    """Return the request that reports data points of a source; the first point of a metric determines its kind."""
     request = ExportMetricsServiceRequest()
     resource = request.resource_metrics.add()
     resource.resource.attributes.add(key="service.instance.id").value.string_value = source
     scope = resource.scope_metrics.add()
     metrics: dict[str, object] = {}
-    for figure in figures:
-        metric = metrics.get(figure.name)
+    for metric_point in points:
+        metric = metrics.get(metric_point.name)
         if metric is None:
-            metric = metrics[figure.name] = scope.metrics.add(name=figure.name)
-            if figure.start_ns is not None:
+            metric = metrics[metric_point.name] = scope.metrics.add(name=metric_point.name)
+            if metric_point.start_ns is not None:
                 metric.sum.aggregation_temporality = DELTA
-        data = metric.gauge if figure.start_ns is None else metric.sum
+        data = metric.gauge if metric_point.start_ns is None else metric.sum
         point = data.data_points.add(
-            as_double=figure.value, time_unix_nano=figure.end_ns, start_time_unix_nano=figure.start_ns or 0
+            as_double=metric_point.value,
+            time_unix_nano=metric_point.end_ns,
+            start_time_unix_nano=metric_point.start_ns or 0,
         )
-        for key, value in figure.attributes.items():
+        for key, value in metric_point.attributes.items():
             point.attributes.add(key=key).value.string_value = value
     return request
 
@@ -53,11 +58,11 @@
 def post(
     connection: http.client.HTTPConnection, request: ExportMetricsServiceRequest, packed: bool = True
 ) -> tuple[int, ExportMetricsServiceResponse | None]:
-    """Send a request, with gzip if `packed`; returns the HTTP status and, for 200, the answer.
+    """Send a request, by default with gzip, and return the HTTP status and, for status 200, the decoded response.
 
     Raises:
         OSError: The connection failed.
-        http.client.HTTPException: The answer is not valid HTTP.
+        http.client.HTTPException: The response is not valid HTTP.
     """
     body = request.SerializeToString()
     headers = {"Content-Type": "application/x-protobuf"}
@@ -65,8 +70,8 @@
         body = gzip.compress(body, GZIP_LEVEL)
         headers["Content-Encoding"] = "gzip"
     connection.request("POST", "/v1/metrics", body, headers)
-    answer = connection.getresponse()
-    raw = answer.read()
-    if answer.status != HTTPStatus.OK:
-        return answer.status, None
-    return answer.status, ExportMetricsServiceResponse.FromString(raw)
+    response = connection.getresponse()
+    raw = response.read()
+    if response.status != HTTPStatus.OK:
+        return response.status, None
+    return response.status, ExportMetricsServiceResponse.FromString(raw)
--- a/tests/otlp/test_otlp_reading.py
+++ b/tests/otlp/test_otlp_reading.py
@@ -1,4 +1,4 @@
-"""Data points from OTLP metrics: labels, cumulative sums, and the reasons for which a point does not count."""
+"""Conversion of OTLP metrics to data points: labels, cumulative sums and reasons for which a point does not count."""
 
 import pytest
 
@@ -17,8 +17,8 @@
 LOAD = {"task": "10.0.0.1:80"}
 
 
-def read(*figures, source="s", cumulative=None):
-    return list(read_points(request_of(source, figures), "10.9.9.9", NAMES, cumulative or CumulativeState(10)))
+def read(*metric_points, source="s", cumulative=None):
+    return list(read_points(request_of(source, metric_points), "10.9.9.9", NAMES, cumulative or CumulativeState(10)))
 
 
 COUNTED = [
@@ -32,22 +32,22 @@
 ]
 
 
-@pytest.mark.parametrize(("figure", "point"), COUNTED)
-def test_each_metric_is_read_as_a_data_point_of_its_kind(figure, point):
-    assert read(figure) == [point]
+@pytest.mark.parametrize(("metric_point", "point"), COUNTED)
+def test_each_metric_is_read_as_a_data_point_of_its_kind(metric_point, point):
+    assert read(metric_point) == [point]
 
 
 def test_attempts_without_a_method_count_for_the_first():
-    place = {"zone": "sahab", "task": "10.0.0.1:80"}
-    assert read(Figure("hollyridge.tries", 5.0, place, 20, 10))[0].method == 0
+    attributes = {"zone": "sahab", "task": "10.0.0.1:80"}
+    assert read(Figure("hollyridge.tries", 5.0, attributes, 20, 10))[0].method == 0
 
 
-def test_a_proxy_that_is_named_makes_the_source_of_attempts_a_finer_one():
-    figure = Figure("hollyridge.tries", 5.0, {**ATTEMPT, "proxy": "p" * 100}, 20, 10)
-    assert read(figure, source="x" * 100)[0].source == "x" * 64 + "/" + "p" * 64
+def test_the_proxy_of_attempts_is_appended_to_their_source():
+    metric_point = Figure("hollyridge.tries", 5.0, {**ATTEMPT, "proxy": "p" * 100}, 20, 10)
+    assert read(metric_point, source="x" * 100)[0].source == "x" * 64 + "/" + "p" * 64
 
 
-def test_a_request_that_names_no_source_counts_for_its_peer():
+def test_the_source_of_a_request_without_a_source_name_is_its_peer():
     request = request_of("s", [Figure("hollyridge.rpcs", 5.0, RPC, 20, 10)])
     request.resource_metrics[0].resource.Clear()
     assert next(read_points(request, "10.9.9.9", NAMES, CumulativeState(10))).source == "10.9.9.9"
@@ -68,9 +68,9 @@
 ]
 
 
-@pytest.mark.parametrize(("figure", "reason"), REJECTED)
-def test_a_point_that_does_not_count_gives_the_reason(figure, reason):
-    assert read(figure) == [reason]
+@pytest.mark.parametrize(("metric_point", "reason"), REJECTED)
+def test_a_point_that_does_not_count_gives_the_reason(metric_point, reason):
+    assert read(metric_point) == [reason]
 
 
 def cumulative_request(value, start_ns, end_ns, temporality=CUMULATIVE):
@@ -88,12 +88,12 @@
     assert [(point.value, point.start_ns, point.end_ns) for point in points] == [(5.0, 10, 20), (3.0, 20, 30)]
 
 
-def test_a_start_that_moved_is_a_restart_of_the_source():
+def test_a_changed_start_time_is_a_restart_of_the_source():
     points = read_cumulative(CumulativeState(10), (5.0, 10, 20), (2.0, 25, 30))
     assert [(point.value, point.start_ns, point.end_ns) for point in points] == [(5.0, 10, 20), (2.0, 25, 30)]
 
 
-def test_a_total_that_was_counted_or_fell_does_not_count():
+def test_a_total_that_was_already_counted_or_decreases_does_not_count():
     points = read_cumulative(CumulativeState(10), (5.0, 10, 20), (5.0, 10, 20), (4.0, 10, 30))
     assert points[1:] == ["counted before", "no sensible figure"]
 
--- a/tests/otlp/test_otlp_request_body.py
+++ b/tests/otlp/test_otlp_request_body.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: lengths, timeouts, gzip, protobuf and JSON; each fault has its status."""
+"""Request bodies: length, timeout, gzip, protobuf and JSON, and the HTTP status of each fault."""
 
 import gzip
 import io
@@ -74,21 +74,21 @@
     assert decode_body(raw, encoding, 1000) == EXPORT
 
 
-def test_a_large_body_is_decoded_alike_in_a_thread():
-    figures = [Figure("hollyridge.rpcs", 3.0, {"proxy": f"gw-{k}"}, 20, 10) for k in range(2000)]
-    export = request_of("gw-1", figures)
+def test_a_large_body_is_decoded_in_a_thread_with_the_same_result():
+    metric_points = [Figure("hollyridge.rpcs", 3.0, {"proxy": f"gw-{k}"}, 20, 10) for k in range(2000)]
+    export = request_of("gw-1", metric_points)
     raw = export.SerializeToString()
     assert len(raw) >= THREAD_MIN_BYTES
     assert decode_body(raw, PLAIN, len(raw)) == export
 
 
 def nested_json(depth):
-    """A request with an attribute that is a list in a list, so many levels deep."""
+    """Return a request with an attribute that consists of `depth` nested lists."""
     value = b'{"arrayValue":{"values":[' * depth + b'{"intValue":"1"}' + b"]}}" * depth
     return b'{"resourceMetrics":[{"resource":{"attributes":[{"key":"a","value":' + value + b"}]}}]}"
 
 
-def test_json_of_a_sensible_depth_is_decoded():
+def test_json_within_the_depth_limit_is_decoded():
     assert decode_body(nested_json(3), JSON, 1000).resource_metrics[0].resource.attributes[0].key == "a"
 
 
