--- a/hollyridge/client/__init__.py
+++ b/hollyridge/client/__init__.py
@@ -1,6 +1,6 @@
-"""The client library: one surface, two protocols.
+"""Client library for proxies, with one interface for both protocols.
 
-`SaspGateway` and `ChpGateway` hold the same tables, `Reporter` sends load reports.
+`SaspGateway` and `ChpGateway` receive the tables of a proxy by SASP and CHP. `Reporter` sends load reports.
 """
 
 from hollyridge.client.chp import ChpGateway
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -1,4 +1,4 @@
-"""A gateway whose tables come by CHP."""
+"""Gateway that receives its tables by CHP."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 
 from hollyridge.chp.client import Subscriber
 from hollyridge.chp.proxy_replicas import ProxyReplicas, ReplicaTables
-from hollyridge.client.gateway import Gateway, RedirectedError, several
+from hollyridge.client.gateway import Gateway, RedirectedError, address_list
 from hollyridge.errors import HollyridgeError
 
-STALE_HEARTBEATS = 2  # a session stands while a heartbeat of its own subtree is not older than so many
-SILENCE_MARGIN_S = 0.5  # beside `max_missing_heartbeats` heartbeats
-FIRST_REPLY_HEARTBEATS = 2  # where other assigners know of this proxy, they may answer at once
+# A session is active while the last heartbeat of the own subtree is less than this many heartbeat intervals old.
+STALE_HEARTBEATS = 2
+HEARTBEAT_TIMEOUT_MARGIN_S = 0.5  # added to the duration of `max_missing_heartbeats` heartbeats
+# Heartbeat intervals to wait for a first reply if other assigners know this proxy: those may answer at once.
+FIRST_REPLY_HEARTBEATS = 2
 
 
 class HeartbeatTimeoutError(HollyridgeError):
-    """No heartbeat of the proxy's own subtree for too long: the session is over."""
+    """No heartbeat of the proxy's own subtree has arrived in time, which ends the session."""
 
 
 class ChpGateway(Gateway):
-    """A gateway of a CHP server.
+    """Gateway that is a client of a CHP server.
 
-    A session ends when more than `max_missing_heartbeats` heartbeats are missing; the next one keeps what is held and
-    asks for what has changed.
+    A session ends when more than `max_missing_heartbeats` heartbeats are missing. The next session keeps the tables and
+    requests only changes.
     """
 
-    silences = (HeartbeatTimeoutError,)
+    timeout_errors = (HeartbeatTimeoutError,)
 
     def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
         self,
@@ -37,19 +39,20 @@
         before: Callable[[int], None] = lambda lines: None,
         **options: object,
     ) -> None:
-        """Make a gateway without a session.
+        """Create a gateway without a session.
 
         Args:
-            address: Of an assigner, or a list of several: when one doesn't answer, the next is asked.
+            address: Host and port of an assigner, or a list of several such pairs. If an assigner does not answer, the
+                gateway connects to the next one.
             uid: Name of the proxy.
             methods: Names of the methods.
             how: Options of `Subscriber` (zmq, context, source, on_receive, keys).
-            max_missing_heartbeats: Heartbeats that may be missing.
-            before: Called with the number of lines before tables are replaced.
-            options: Those of `Gateway`.
+            max_missing_heartbeats: Number of heartbeats that may be missing before a session ends.
+            before: Function that is called with the number of lines before tables are replaced.
+            options: Options of `Gateway`.
         """
         super().__init__(uid, methods, **options)
-        self.addresses = several(address)
+        self.addresses = address_list(address)
         self.assigner_count = len(self.addresses)
         self.how = how or {}
         self.max_missing_heartbeats = max_missing_heartbeats
@@ -60,7 +63,7 @@
         self.versions: dict[str, int] = {}
 
     def session(self) -> None:
-        """One session, until it ends."""
+        """Run one session until it ends."""
         subscriber = Subscriber(
             self.addresses[self.assigner_index],
             self.uid,
@@ -78,10 +81,10 @@
                     self.alive()
                     self.heartbeat_s = subscriber.heartbeat_s
                 else:
-                    self.session_stands = False
-                    self._check_silence(subscriber)
+                    self.session_active = False
+                    self._check_heartbeats(subscriber)
         finally:
-            subscriber.close()  # here and not in `hang_up`: its sockets belong to this thread
+            subscriber.close()  # not closed in `disconnect`, because the sockets belong to this thread
 
     def _take(self, tables: ReplicaTables | None) -> None:
         redirect = self.client.redirect()
@@ -92,13 +95,13 @@
             self.versions = tables.versions
             self.replace_tables(tables.lines, tables.levels)
 
-    def _check_silence(self, subscriber: Subscriber) -> None:
-        patience_s = self.max_missing_heartbeats * subscriber.heartbeat_s + SILENCE_MARGIN_S
+    def _check_heartbeats(self, subscriber: Subscriber) -> None:
+        timeout_s = self.max_missing_heartbeats * subscriber.heartbeat_s + HEARTBEAT_TIMEOUT_MARGIN_S
         if self.fencing.accepted_token and not subscriber.joined:
-            patience_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
-        if subscriber.silent_for > patience_s:
+            timeout_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
+        if subscriber.silent_for > timeout_s:
             raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
 
     def hang_up(self) -> None:
-        """Let the session end."""
+        """End the session after its current step."""
         self.subscriber = None
--- a/hollyridge/client/recorded_names.py
+++ b/hollyridge/client/recorded_names.py
@@ -1,8 +1,9 @@
-"""Names by which recordings and logs know errors, whatever their classes are called."""
+"""Stable names of error classes in recordings and logs."""
 
 from __future__ import annotations
 
-# Recordings hold the reason a session ended with the error's name: these stay, whatever the classes are called.
+# Recordings hold the reason for which a session ended, with the name of the error. These names remain the same when the
+# classes are renamed.
 RECORDED_NAMES = {
     "hollyridge.chp.values.ChpError": "CloneError",
     "hollyridge.client.chp.HeartbeatTimeoutError": "SilenceError",
@@ -12,10 +13,10 @@
 
 
 def recorded_name(error: Exception) -> str:
-    """The name by which recordings know the class of an error.
+    """Return the name of an error's class in recordings.
 
     >>> recorded_name(OSError("reset"))
     'OSError'
     """
-    kind = type(error)
-    return RECORDED_NAMES.get(f"{kind.__module__}.{kind.__qualname__}", kind.__name__)
+    error_type = type(error)
+    return RECORDED_NAMES.get(f"{error_type.__module__}.{error_type.__qualname__}", error_type.__name__)
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -1,6 +1,6 @@
-"""Load reports of a proxy: what it saw of tasks and methods, summed by period and sent over OTLP.
+"""Load reports of a proxy: measurements of tasks and methods, summed per period and sent over OTLP.
 
-Summing needs no I/O; `send` and `run` post.
+Only `send` and `run` do I/O.
 """
 
 from __future__ import annotations
@@ -14,12 +14,18 @@
 from hollyridge.otlp.sender import Figure, post, request_of
 
 HTTP_TIMEOUT_S = 2
-SEND_ATTEMPTS = 2  # a report that is received twice counts once
+SEND_ATTEMPTS = 2  # a repeated attempt is safe, because a report that is received twice counts once
 RETRY_SLEEP_S = 0.3
 
 
 class AttemptSums:
-    """Attempts at one task and method: how many, how many of them failed, and the seconds that the others took."""
+    """Sums over the attempts at one task and method.
+
+    Attributes:
+        attempts: Number of attempts.
+        failed: Number of failed attempts.
+        seconds: Total duration of the successful attempts, in seconds.
+    """
 
     __slots__ = ("attempts", "failed", "seconds")
 
@@ -30,7 +36,12 @@
 
 
 class RpcSums:
-    """RPCs of one method: how many were received, and how many that were admitted got no answer."""
+    """Sums over the RPCs of one method.
+
+    Attributes:
+        received: Number of RPCs received.
+        unanswered: Number of admitted RPCs that got no answer.
+    """
 
     __slots__ = ("received", "unanswered")
 
@@ -40,12 +51,14 @@
 
 
 class Reporter:
-    """Reports for the proxy `uid` in `zone`.
+    """Load reports of one proxy.
 
-    `add_attempt`, `add_rpc` and `set_load` may be called from anywhere in its own thread.
+    `add_attempt`, `add_rpc` and `set_load` may be called from any code that runs in the reporter's own thread.
 
     Attributes:
-        lost: Reports that could not be sent.
+        uid: Name of the proxy.
+        zone: Zone of the proxy.
+        lost_reports: Number of reports that could not be sent.
     """
 
     def __init__(self, uid: str, zone: str) -> None:
@@ -54,10 +67,10 @@
         self.attempts: dict[tuple[str, str], AttemptSums] = defaultdict(AttemptSums)
         self.rpcs: dict[str, RpcSums] = defaultdict(RpcSums)
         self.loads: dict[str, dict[str, float]] = {}
-        self.lost = 0
+        self.lost_reports = 0
 
     def add_rpc(self, method: str, unanswered: bool = False) -> None:
-        """An RPC was received; or, called again, one that was admitted got no answer."""
+        """Count an RPC as received or, in a second call with `unanswered`, as admitted without an answer."""
         sums = self.rpcs[method]
         if unanswered:
             sums.unanswered += 1
@@ -65,21 +78,30 @@
             sums.received += 1
 
     def add_attempt(self, task: str, method: str, ok: bool, seconds: float) -> None:
-        """An attempt at a task has ended."""
+        """Count an attempt at a task that has ended.
+
+        Args:
+            task: Address (`host:port`) of the task.
+            method: Name of the method.
+            ok: Whether the attempt succeeded.
+            seconds: Duration of the attempt, in seconds.
+        """
         sums = self.attempts[task, method]
         sums.attempts += 1
         sums.failed += not ok
         sums.seconds += seconds if ok else 0.0
 
-    def set_load(self, task: str, **figures: float) -> None:
-        """The load that a task's answer carried: util, queue."""
-        self.loads[task] = figures
+    def set_load(self, task: str, **values: float) -> None:
+        """Store the load that an answer of a task contained, as the keyword arguments `util` and `queue`."""
+        self.loads[task] = values
+
+    def figures(self, begin_ns: int, end_ns: int) -> list[Figure]:
+        """Return the data points summed since the last call and start new sums.
 
-    def figures(self, begun: int, end: int) -> list[Figure]:
-        """What was summed since the last call; times in ns since the epoch.
+        The period begins at `begin_ns` and ends at `end_ns`, in nanoseconds since the Unix epoch.
 
         >>> reporter = Reporter("gw-1", "abdali"); reporter.add_attempt("127.0.0.1:80", "read", True, 0.25)
-        >>> [(figure.name, figure.value) for figure in reporter.figures(0, 10)]
+        >>> [(point.name, point.value) for point in reporter.figures(0, 10)]
         [('hollyridge.tries', 1.0), ('hollyridge.tries.failed', 0.0), ('hollyridge.tries.time', 0.25)]
         >>> reporter.figures(10, 20)
         []
@@ -90,19 +112,19 @@
         self.attempts = defaultdict(AttemptSums)
         self.rpcs = defaultdict(RpcSums)
         self.loads = {}
-        found = []
+        points = []
         for (task, method), sums in attempts.items():
-            place = {"proxy": self.uid, "zone": self.zone, "task": task, "method": method}
-            found.append(Figure("hollyridge.tries", sums.attempts, place, end, begun))
-            found.append(Figure("hollyridge.tries.failed", sums.failed, place, end, begun))
-            found.append(Figure("hollyridge.tries.time", sums.seconds, place, end, begun))
+            attributes = {"proxy": self.uid, "zone": self.zone, "task": task, "method": method}
+            points.append(Figure("hollyridge.tries", sums.attempts, attributes, end_ns, begin_ns))
+            points.append(Figure("hollyridge.tries.failed", sums.failed, attributes, end_ns, begin_ns))
+            points.append(Figure("hollyridge.tries.time", sums.seconds, attributes, end_ns, begin_ns))
         for method, sums in rpcs.items():
-            place = {"proxy": self.uid, "method": method}
-            found.append(Figure("hollyridge.rpcs", sums.received, place, end, begun))
-            found.append(Figure("hollyridge.rpcs.unanswered", sums.unanswered, place, end, begun))
+            attributes = {"proxy": self.uid, "method": method}
+            points.append(Figure("hollyridge.rpcs", sums.received, attributes, end_ns, begin_ns))
+            points.append(Figure("hollyridge.rpcs.unanswered", sums.unanswered, attributes, end_ns, begin_ns))
         for task, load in loads.items():
-            found += [Figure(f"hollyridge.task.{name}", value, {"task": task}, end) for name, value in load.items()]
-        return found
+            points += [Figure(f"hollyridge.task.{name}", value, {"task": task}, end_ns) for name, value in load.items()]
+        return points
 
     def send(
         self,
@@ -111,7 +133,16 @@
         sleep: Callable[[float], None] = time.sleep,
         connection: Callable = http.client.HTTPConnection,
     ) -> bool:
-        """Post a report; again the same if that fails. False, and `lost` grows, if both fail."""
+        """Send a report, with one repeated attempt after a failure, and return whether it was received.
+
+        A report that could not be sent is counted in `lost_reports`.
+
+        Args:
+            address: Host and port of the receiver.
+            figures: Data points of the report.
+            sleep: Function that sleeps for the given number of seconds.
+            connection: Function that creates an HTTP connection.
+        """
         request = request_of(self.uid, figures)
         for _ in range(SEND_ATTEMPTS):
             http_connection = connection(*address, timeout=HTTP_TIMEOUT_S)
@@ -124,7 +155,7 @@
             if status == HTTPStatus.OK:
                 return True
             sleep(RETRY_SLEEP_S)
-        self.lost += 1
+        self.lost_reports += 1
         return False
 
     def run(
@@ -135,12 +166,20 @@
         sleep: Callable[[float], None] = time.sleep,
         **options: Callable,
     ) -> None:
-        """Report each `period` seconds to an assigner's OTLP address until `stopped()`; `options` are of `send`."""
-        begun = time.time_ns()
+        """Send a report in each period until `stopped()` returns True.
+
+        Args:
+            address: Host and port of the assigner's OTLP receiver.
+            period: Interval between reports, in seconds.
+            stopped: Function that returns whether to stop.
+            sleep: Function that sleeps for the given number of seconds.
+            options: Further options of `send`.
+        """
+        begin_ns = time.time_ns()
         while not stopped():
             sleep(period)
-            end = time.time_ns()
-            figures = self.figures(begun, end)
-            begun = end
+            end_ns = time.time_ns()
+            figures = self.figures(begin_ns, end_ns)
+            begin_ns = end_ns
             if figures:
                 self.send(address, figures, sleep, **options)
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -1,4 +1,4 @@
-"""A gateway whose tables come by SASP."""
+"""Gateway that receives its tables by SASP."""
 
 from __future__ import annotations
 
@@ -6,54 +6,54 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from hollyridge.client.gateway import Gateway, RedirectedError, several
+from hollyridge.client.gateway import Gateway, RedirectedError, address_list
 from hollyridge.sasp import codec
 from hollyridge.sasp.client import HeartbeatTimeoutError, HeldWeights, LoadBalancerClient, RefusedError
 from hollyridge.sasp.ownership_extension import Owned, Redirected, read_reply
 
-HEARTBEATS_PER_LEASE = 4  # heartbeats in a lease
-FIRST_REPLY_PART = 3  # an assigner of a shared fleet has to answer at first within a lease divided by this
+HEARTBEATS_PER_LEASE = 4  # heartbeats sent during one lease
+FIRST_REPLY_DIVISOR = 3  # an assigner of a shared fleet has to send its first reply within the lease divided by this
 DEFAULT_TIMEOUT_S = 5.0
 NOT_OWNED = Owned(0, 0.0)
 
 
 class SaspTables(Gateway):
-    """What a gateway does with SASP's messages, wherever they come from.
+    """Base class of SASP gateways, which applies SASP messages independently of the transport.
 
     Attributes:
-        groups: The group that each method goes by.
-        held: The weights held, by group.
-        own: Who owns the proxy in this session, with a token of 0 if that is not known.
-        lease: Seconds, of the last owner that had one; 0 if none had.
+        groups: SASP group by method.
+        held: Weights received, by group.
+        ownership: Owner of the proxy in this session, with a token of 0 if the owner is unknown.
+        last_lease_s: Duration of the last known lease, in seconds; 0 if there was none.
     """
 
     groups: dict[str, str]
     held: HeldWeights
     own: Owned
-    silences = (HeartbeatTimeoutError, TimeoutError)
-    lease = 0.0
+    timeout_errors = (HeartbeatTimeoutError, TimeoutError)
+    last_lease_s = 0.0
 
-    def patience(self, usual: float) -> float:
-        """Seconds that a first answer may take: not long where other assigners know of this proxy."""
-        return min(usual, self.lease / FIRST_REPLY_PART) if self.lease else usual
+    def patience(self, default: float) -> float:
+        """Return the timeout for the first reply, in seconds, which is short if other assigners know this proxy."""
+        return min(default, self.last_lease_s / FIRST_REPLY_DIVISOR) if self.last_lease_s else default
 
     def begin(self) -> int:
-        """Begin a session; the number of its request for an owner."""
+        """Begin a session and return the number of its ownership request."""
         self.held.new_stream()
         self.own = NOT_OWNED
         return self.fencing.next_token()
 
     def take(self, message: codec.SendWeights) -> None:
-        """Apply a message, unless its sender is not to be obeyed.
+        """Apply a message, unless its fencing token is refused.
 
         Raises:
-            RedirectedError: Another assigner should be asked.
+            RedirectedError: The assigner redirects to another one.
         """
-        ownership = read_reply(message.groups)
-        if isinstance(ownership, Redirected):
-            raise RedirectedError(ownership.address)
-        self.own = ownership or self.own
-        self.lease = self.own.lease_s or self.lease
+        reply = read_reply(message.groups)
+        if isinstance(reply, Redirected):
+            raise RedirectedError(reply.address)
+        self.own = reply or self.own
+        self.last_lease_s = self.own.lease_s or self.last_lease_s
         if not self.fencing.accepts(self.own.fence):
             return
         self.held.take(message.groups)
@@ -66,7 +66,7 @@
 
 
 class SaspGateway(SaspTables):
-    """A gateway of a SASP server."""
+    """Gateway that is a client of a SASP server."""
 
     def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
         self,
@@ -79,20 +79,21 @@
         before: Callable[[tuple], None] = lambda groups: None,
         **options: object,
     ) -> None:
-        """Make a gateway without a session.
+        """Create a gateway without a session.
 
         Args:
-            address: Of an assigner, or a list of several: when one doesn't answer, the next is asked.
+            address: Host and port of an assigner, or a list of several such pairs. If an assigner does not answer, the
+                gateway connects to the next one.
             uid: Name of the proxy.
             methods: Names of the methods.
-            groups: The group that a method goes by, itself if not named.
+            groups: SASP group by method; the default for a method is the group of the same name.
             how: Options of `LoadBalancerClient` (source, timeout, connect, on_receive, on_send).
-            receive_s: How often a session without changes is noted to stand.
-            before: Called with the groups of a message before it is applied.
-            options: Those of `Gateway`.
+            receive_s: Interval at which a session without changes is recorded as active, in seconds.
+            before: Function that is called with the groups of a message before the message is applied.
+            options: Options of `Gateway`.
         """
         super().__init__(uid, methods, **options)
-        self.addresses = several(address)
+        self.addresses = address_list(address)
         self.assigner_count = len(self.addresses)
         self.how = how or {}
         self.receive_s = receive_s
@@ -103,7 +104,7 @@
         self.version = 0
 
     def session(self) -> None:
-        """One connection, until it ends."""
+        """Run one connection until it ends."""
         number = self.begin()
         how = {**self.how, "timeout": self.patience(self.how.get("timeout", DEFAULT_TIMEOUT_S))}
         client = LoadBalancerClient(self.addresses[self.assigner_index], self.uid, **how)
@@ -111,7 +112,7 @@
         try:
             client.start(dict.fromkeys(self.groups.values()), number=number, insist=self.insists)
         except RefusedError:
-            while client.pushed:  # there may be a redirect among them
+            while client.pushed:  # one of the messages may be a redirect
                 _, message = client.pushed.popleft()
                 self.take(message)
             raise
@@ -136,7 +137,7 @@
             self.take(message)
 
     def hang_up(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the current connection, if any."""
         client = self.client
         self.client = None
         if client is not None:
--- a/hollyridge/membership/lease_events.py
+++ b/hollyridge/membership/lease_events.py
@@ -11,7 +11,7 @@
     """Durations that govern the leases of a fleet, in microseconds.
 
     Attributes:
-        duration_us: Time without an acknowledgement from the proxy after which its lease ends.
+        duration_us: Time without an acknowledgment from the proxy after which its lease ends.
         settle_us: Minimum age of a member before proxies move to it, and of a lease before its proxy moves.
         move_period_us: Interval between two rounds of moves.
     """
@@ -38,7 +38,7 @@
 
 
 class TokenAcknowledged(NamedTuple):
-    """A proxy has sent an acknowledgement.
+    """A proxy has sent an acknowledgment.
 
     Attributes:
         uid: Name of the proxy.
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -75,7 +75,7 @@
         fencing_token: Number of the request for which the lease was granted.
         zone: Zone of the proxy.
         since_us: Time of the grant.
-        renewed_at_us: Time of the proxy's last acknowledgement.
+        renewed_at_us: Time of the proxy's last acknowledgment.
         fallback_at_us: Time of the grant if it answered a fallback request, otherwise `NO_FALLBACK`.
     """
 
--- a/hollyridge/peers/ownership.py
+++ b/hollyridge/peers/ownership.py
@@ -23,7 +23,7 @@
 
     @property
     def shared(self) -> bool:
-        """Whether other assigners share the fleet."""
+        """Return whether other assigners share the fleet."""
         return self.peers is not None
 
     def request_lease(self, uid: str, zone: int, request: OwnershipRequest) -> LeaseGranted | StaleToken | ForwardProxy:
