--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -77,7 +77,7 @@
         try:
             while not self.stopped and self.subscriber is subscriber:
                 self._take(subscriber.step(min(subscriber.heartbeat_s, self.heartbeat_s) / 2))
-                if subscriber.joined and subscriber.silent_for < STALE_HEARTBEATS * subscriber.heartbeat_s:
+                if subscriber.joined and subscriber.silence_s < STALE_HEARTBEATS * subscriber.heartbeat_s:
                     self.alive()
                     self.heartbeat_s = subscriber.heartbeat_s
                 else:
@@ -99,8 +99,8 @@
         timeout_s = self.max_missing_heartbeats * subscriber.heartbeat_s + HEARTBEAT_TIMEOUT_MARGIN_S
         if self.fencing.accepted_token and not subscriber.joined:
             timeout_s = FIRST_REPLY_HEARTBEATS * self.heartbeat_s
-        if subscriber.silent_for > timeout_s:
-            raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silent_for:.1f} s")
+        if subscriber.silence_s > timeout_s:
+            raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silence_s:.1f} s")
 
     def hang_up(self) -> None:
         """End the session after its current step."""
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -57,7 +57,11 @@
         if not self.fencing.accepts(self.own.fence):
             return
         self.held.take(message.groups)
-        tables = {method: self._weights_of(group) for method, group in self.groups.items() if group in self.held.fresh}
+        tables = {
+            method: self._weights_of(group)
+            for method, group in self.groups.items()
+            if group in self.held.received_groups
+        }
         self.replace_tables(tables, {})
 
     def _weights_of(self, group: str) -> dict[str, float]:
--- a/hollyridge/otlp/intake.py
+++ b/hollyridge/otlp/intake.py
@@ -177,10 +177,10 @@
         Raises:
             BadRequestError: The client is not allowed to run actions.
         """
-        denial = self.access.known(request.principal)
+        denial = self.access.check_known(request.principal)
         if denial:
             raise BadRequestError(HTTPStatus.FORBIDDEN, denial)
-        if self.access.open and not request.is_local:
+        if self.access.unrestricted and not request.is_local:
             raise BadRequestError(HTTPStatus.FORBIDDEN, "only from this machine")
         self.actions[request.path]()
         self.log.info("operator_action_run", action=request.path, peer=request.peer)
@@ -208,13 +208,13 @@
 
     def names_for(self, principal: str) -> AttributeNames:
         """Return look-ups that reject the zones and proxies for which this principal may not report."""
-        if self.access.open:
+        if self.access.unrestricted:
             return self.names
         zone = self.names.zone
         proxy = self.names.proxy
         return self.names._replace(
-            zone=lambda name: NOT_ALLOWED if self.access.may_report(principal, name) else zone(name),
-            proxy=lambda name: NOT_ALLOWED if self.access.may_be(principal, name) else proxy(name),
+            zone=lambda name: NOT_ALLOWED if self.access.check_zone(principal, name) else zone(name),
+            proxy=lambda name: NOT_ALLOWED if self.access.check_proxy_name(principal, name) else proxy(name),
         )
 
     def count_points(
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -28,12 +28,12 @@
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
 METRICS = {
-    "hollyridge.tries": Kind.TRIES,
-    "hollyridge.tries.failed": Kind.FAILED,
-    "hollyridge.tries.time": Kind.TIME,
+    "hollyridge.tries": Kind.ATTEMPTS,
+    "hollyridge.tries.failed": Kind.FAILED_ATTEMPTS,
+    "hollyridge.tries.time": Kind.ATTEMPT_TIME,
     "hollyridge.rpcs": Kind.RPCS,
     "hollyridge.rpcs.unanswered": Kind.UNANSWERED,
-    "hollyridge.task.util": Kind.UTIL,
+    "hollyridge.task.util": Kind.UTILIZATION,
     "hollyridge.task.queue": Kind.QUEUE,
 }
 CUMULATIVE = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
@@ -214,12 +214,12 @@
 
 
 LABEL_READERS: dict[Kind, Callable[[dict[str, str], str, AttributeNames], Labels | str]] = {
-    Kind.TRIES: attempt_labels,
-    Kind.FAILED: attempt_labels,
-    Kind.TIME: attempt_labels,
+    Kind.ATTEMPTS: attempt_labels,
+    Kind.FAILED_ATTEMPTS: attempt_labels,
+    Kind.ATTEMPT_TIME: attempt_labels,
     Kind.RPCS: rpc_labels,
     Kind.UNANSWERED: rpc_labels,
-    Kind.UTIL: load_labels,
+    Kind.UTILIZATION: load_labels,
     Kind.QUEUE: load_labels,
 }
 
--- a/tests/otlp/test_otlp_reading.py
+++ b/tests/otlp/test_otlp_reading.py
@@ -22,12 +22,15 @@
 
 
 COUNTED = [
-    (Figure("hollyridge.tries", 5.0, ATTEMPT, 20, 10), DataPoint("s", Kind.TRIES, (1, 4), 1, 5.0, 10, 20)),
-    (Figure("hollyridge.tries.failed", 5.0, ATTEMPT, 20, 10), DataPoint("s", Kind.FAILED, (1, 4), 1, 5.0, 10, 20)),
-    (Figure("hollyridge.tries.time", 5.0, ATTEMPT, 20, 10), DataPoint("s", Kind.TIME, (1, 4), 1, 5.0, 10, 20)),
+    (Figure("hollyridge.tries", 5.0, ATTEMPT, 20, 10), DataPoint("s", Kind.ATTEMPTS, (1, 4), 1, 5.0, 10, 20)),
+    (
+        Figure("hollyridge.tries.failed", 5.0, ATTEMPT, 20, 10),
+        DataPoint("s", Kind.FAILED_ATTEMPTS, (1, 4), 1, 5.0, 10, 20),
+    ),
+    (Figure("hollyridge.tries.time", 5.0, ATTEMPT, 20, 10), DataPoint("s", Kind.ATTEMPT_TIME, (1, 4), 1, 5.0, 10, 20)),
     (Figure("hollyridge.rpcs", 5.0, RPC, 20, 10), DataPoint("s", Kind.RPCS, (2, 1), 1, 5.0, 10, 20)),
     (Figure("hollyridge.rpcs.unanswered", 5.0, RPC, 20, 10), DataPoint("s", Kind.UNANSWERED, (2, 1), 1, 5.0, 10, 20)),
-    (Figure("hollyridge.task.util", 0.5, LOAD, 20), DataPoint("s", Kind.UTIL, (0, 4), 0, 0.5, 0, 20)),
+    (Figure("hollyridge.task.util", 0.5, LOAD, 20), DataPoint("s", Kind.UTILIZATION, (0, 4), 0, 0.5, 0, 20)),
     (Figure("hollyridge.task.queue", 3.0, LOAD, 20), DataPoint("s", Kind.QUEUE, (0, 4), 0, 3.0, 0, 20)),
 ]
 
