--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -34,9 +34,9 @@
         address: tuple[str, int] | list[tuple[str, int]],
         uid: str,
         methods: list[str],
-        how: dict | None = None,
+        client_options: dict | None = None,
         max_missing_heartbeats: float = 3.0,
-        before: Callable[[int], None] = lambda lines: None,
+        before_update: Callable[[int], None] = lambda lines: None,
         **options: object,
     ) -> None:
         """Create a gateway without a session.
@@ -46,17 +46,17 @@
                 gateway connects to the next one.
             uid: Name of the proxy.
             methods: Names of the methods.
-            how: Options of `Subscriber` (zmq, context, source, on_receive, keys).
+            client_options: Options of `Subscriber` (zmq, context, source, on_receive, keys).
             max_missing_heartbeats: Number of heartbeats that may be missing before a session ends.
-            before: Function that is called with the number of lines before tables are replaced.
+            before_update: Function that is called with the number of lines before tables are replaced.
             options: Options of `Gateway`.
         """
         super().__init__(uid, methods, **options)
         self.addresses = address_list(address)
         self.assigner_count = len(self.addresses)
-        self.how = how or {}
+        self.client_options = client_options or {}
         self.max_missing_heartbeats = max_missing_heartbeats
-        self.before = before
+        self.before_update = before_update
         self.client = ProxyReplicas(uid, methods, self.fencing)
         self.subscriber: Subscriber | None = None
         self.heartbeat_s = 1.0
@@ -71,7 +71,7 @@
             client=self.client,
             clock=self.clock,
             insist=self.insists,
-            **self.how,
+            **self.client_options,
         )
         self.subscriber = subscriber
         try:
@@ -91,7 +91,7 @@
         if redirect is not None:
             raise RedirectedError(redirect.address)
         if tables is not None:
-            self.before(sum(map(len, tables.lines.values())))
+            self.before_update(sum(map(len, tables.lines.values())))
             self.versions = tables.versions
             self.replace_tables(tables.lines, tables.levels)
 
@@ -102,6 +102,6 @@
         if subscriber.silence_s > timeout_s:
             raise HeartbeatTimeoutError(f"no heartbeat for {subscriber.silence_s:.1f} s")
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the session after its current step."""
         self.subscriber = None
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -149,7 +149,7 @@
         self.stopped = False
         self.end_reason = ""
         self.sessions = 0
-        self.watch: Callable[[bool], None] = lambda begins: None
+        self.on_session_change: Callable[[bool], None] = lambda begins: None
 
     # Interface for users.
 
@@ -200,7 +200,7 @@
     def stop(self) -> None:
         """End the session and let `run` return."""
         self.stopped = True
-        self.hang_up()
+        self.disconnect()
 
     # Interface for protocols.
 
@@ -211,7 +211,7 @@
         """
         raise NotImplementedError
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the current session, if any."""
 
     def replace_tables(
@@ -252,14 +252,14 @@
                 self._choose_assigner(end.timed_out)
                 failed = 1 if self.clock() - began > LONG_SESSION_S else failed + 1
             if not self.stopped:
-                self.sleep(MIN_RETRY_SLEEP_S + self.wait(failed))
+                self.sleep(MIN_RETRY_SLEEP_S + self.retry_delay_s(failed))
 
     def _run_session(self) -> SessionEnd:
         self.sessions += 1
         self.session_was_active = False
         end = SessionEnd()
         try:
-            self.watch(True)
+            self.on_session_change(True)
             self.session()
             self.end_reason = "closed"
         except RedirectedError as redirect:
@@ -270,12 +270,12 @@
             end = SessionEnd(timed_out=isinstance(error, self.timeout_errors))
             self.end_reason = f"{recorded_name(error)}: {error}"
         self.session_active = False
-        self.hang_up()
-        self.watch(False)
+        self.disconnect()
+        self.on_session_change(False)
         return end
 
     @staticmethod
-    def wait(failed: int) -> float:
+    def retry_delay_s(failed: int) -> float:
         """Return the random delay before the next session, in seconds, which grows with the number of failed ones."""
         state = RetryCallState(None, None, (), {})
         state.attempt_number = min(failed, MAX_BACKOFF_ATTEMPTS)
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from hollyridge.otlp.sender import Figure, post, request_of
+from hollyridge.otlp.sender import MetricPoint, build_export_request, post
 
 HTTP_TIMEOUT_S = 2
 SEND_ATTEMPTS = 2  # a repeated attempt is safe, because a report that is received twice counts once
@@ -95,15 +95,15 @@
         """Store the load that an answer of a task contained, as the keyword arguments `util` and `queue`."""
         self.loads[task] = values
 
-    def figures(self, begin_ns: int, end_ns: int) -> list[Figure]:
+    def metric_points(self, begin_ns: int, end_ns: int) -> list[MetricPoint]:
         """Return the data points summed since the last call and start new sums.
 
         The period begins at `begin_ns` and ends at `end_ns`, in nanoseconds since the Unix epoch.
 
         >>> reporter = Reporter("gw-1", "abdali"); reporter.add_attempt("127.0.0.1:80", "read", True, 0.25)
-        >>> [(point.name, point.value) for point in reporter.figures(0, 10)]
+        >>> [(point.name, point.value) for point in reporter.metric_points(0, 10)]
         [('hollyridge.tries', 1.0), ('hollyridge.tries.failed', 0.0), ('hollyridge.tries.time', 0.25)]
-        >>> reporter.figures(10, 20)
+        >>> reporter.metric_points(10, 20)
         []
         """
         attempts = self.attempts
@@ -115,21 +115,23 @@
         points = []
         for (task, method), sums in attempts.items():
             attributes = {"proxy": self.uid, "zone": self.zone, "task": task, "method": method}
-            points.append(Figure("hollyridge.tries", sums.attempts, attributes, end_ns, begin_ns))
-            points.append(Figure("hollyridge.tries.failed", sums.failed, attributes, end_ns, begin_ns))
-            points.append(Figure("hollyridge.tries.time", sums.seconds, attributes, end_ns, begin_ns))
+            points.append(MetricPoint("hollyridge.tries", sums.attempts, attributes, end_ns, begin_ns))
+            points.append(MetricPoint("hollyridge.tries.failed", sums.failed, attributes, end_ns, begin_ns))
+            points.append(MetricPoint("hollyridge.tries.time", sums.seconds, attributes, end_ns, begin_ns))
         for method, sums in rpcs.items():
             attributes = {"proxy": self.uid, "method": method}
-            points.append(Figure("hollyridge.rpcs", sums.received, attributes, end_ns, begin_ns))
-            points.append(Figure("hollyridge.rpcs.unanswered", sums.unanswered, attributes, end_ns, begin_ns))
+            points.append(MetricPoint("hollyridge.rpcs", sums.received, attributes, end_ns, begin_ns))
+            points.append(MetricPoint("hollyridge.rpcs.unanswered", sums.unanswered, attributes, end_ns, begin_ns))
         for task, load in loads.items():
-            points += [Figure(f"hollyridge.task.{name}", value, {"task": task}, end_ns) for name, value in load.items()]
+            points += [
+                MetricPoint(f"hollyridge.task.{name}", value, {"task": task}, end_ns) for name, value in load.items()
+            ]
         return points
 
     def send(
         self,
         address: tuple[str, int],
-        figures: list[Figure],
+        metric_points: list[MetricPoint],
         sleep: Callable[[float], None] = time.sleep,
         connection: Callable = http.client.HTTPConnection,
     ) -> bool:
@@ -139,11 +141,11 @@
 
         Args:
             address: Host and port of the receiver.
-            figures: Data points of the report.
+            metric_points: Data points of the report.
             sleep: Function that sleeps for the given number of seconds.
             connection: Function that creates an HTTP connection.
         """
-        request = request_of(self.uid, figures)
+        request = build_export_request(self.uid, metric_points)
         for _ in range(SEND_ATTEMPTS):
             http_connection = connection(*address, timeout=HTTP_TIMEOUT_S)
             try:
@@ -179,7 +181,7 @@
         while not stopped():
             sleep(period)
             end_ns = time.time_ns()
-            figures = self.figures(begin_ns, end_ns)
+            metric_points = self.metric_points(begin_ns, end_ns)
             begin_ns = end_ns
-            if figures:
-                self.send(address, figures, sleep, **options)
+            if metric_points:
+                self.send(address, metric_points, sleep, **options)
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -17,7 +17,7 @@
 NOT_OWNED = Owned(0, 0.0)
 
 
-class SaspTables(Gateway):
+class SaspGatewayBase(Gateway):
     """Base class of SASP gateways, which applies SASP messages independently of the transport.
 
     Attributes:
@@ -29,18 +29,18 @@
 
     groups: dict[str, str]
     held: HeldWeights
-    own: Owned
+    ownership: Owned
     timeout_errors = (HeartbeatTimeoutError, TimeoutError)
     last_lease_s = 0.0
 
-    def patience(self, default: float) -> float:
+    def first_reply_timeout(self, default: float) -> float:
         """Return the timeout for the first reply, in seconds, which is short if other assigners know this proxy."""
         return min(default, self.last_lease_s / FIRST_REPLY_DIVISOR) if self.last_lease_s else default
 
-    def begin(self) -> int:
+    def begin_session(self) -> int:
         """Begin a session and return the number of its ownership request."""
         self.held.new_stream()
-        self.own = NOT_OWNED
+        self.ownership = NOT_OWNED
         return self.fencing.next_token()
 
     def take(self, message: codec.SendWeights) -> None:
@@ -52,9 +52,9 @@
         reply = read_reply(message.groups)
         if isinstance(reply, Redirected):
             raise RedirectedError(reply.address)
-        self.own = reply or self.own
-        self.last_lease_s = self.own.lease_s or self.last_lease_s
-        if not self.fencing.accepts(self.own.fence):
+        self.ownership = reply or self.ownership
+        self.last_lease_s = self.ownership.lease_s or self.last_lease_s
+        if not self.fencing.accepts(self.ownership.fence):
             return
         self.held.take(message.groups)
         tables = {
@@ -69,7 +69,7 @@
         return {f"{member.host}:{member.port}": float(entry.weight) for member, entry in entries.items()}
 
 
-class SaspGateway(SaspTables):
+class SaspGateway(SaspGatewayBase):
     """Gateway that is a client of a SASP server."""
 
     def __init__(  # noqa: PLR0913, PLR0917 - a library's public constructor, used with keywords
@@ -78,9 +78,9 @@
         uid: str,
         methods: list[str],
         groups: dict[str, str] | None = None,
-        how: dict | None = None,
+        client_options: dict | None = None,
         receive_s: float = 1.0,
-        before: Callable[[tuple], None] = lambda groups: None,
+        before_update: Callable[[tuple], None] = lambda groups: None,
         **options: object,
     ) -> None:
         """Create a gateway without a session.
@@ -91,17 +91,17 @@
             uid: Name of the proxy.
             methods: Names of the methods.
             groups: SASP group by method; the default for a method is the group of the same name.
-            how: Options of `LoadBalancerClient` (source, timeout, connect, on_receive, on_send).
+            client_options: Options of `LoadBalancerClient` (source, timeout, connect, on_receive, on_send).
             receive_s: Interval at which a session without changes is recorded as active, in seconds.
-            before: Function that is called with the groups of a message before the message is applied.
+            before_update: Function that is called with the groups of a message before the message is applied.
             options: Options of `Gateway`.
         """
         super().__init__(uid, methods, **options)
         self.addresses = address_list(address)
         self.assigner_count = len(self.addresses)
-        self.how = how or {}
+        self.client_options = client_options or {}
         self.receive_s = receive_s
-        self.before = before
+        self.before_update = before_update
         self.groups = {method: (groups or {}).get(method, method) for method in methods}
         self.held = HeldWeights()
         self.client: LoadBalancerClient | None = None
@@ -109,9 +109,12 @@
 
     def session(self) -> None:
         """Run one connection until it ends."""
-        number = self.begin()
-        how = {**self.how, "timeout": self.patience(self.how.get("timeout", DEFAULT_TIMEOUT_S))}
-        client = LoadBalancerClient(self.addresses[self.assigner_index], self.uid, **how)
+        number = self.begin_session()
+        client_options = {
+            **self.client_options,
+            "timeout": self.first_reply_timeout(self.client_options.get("timeout", DEFAULT_TIMEOUT_S)),
+        }
+        client = LoadBalancerClient(self.addresses[self.assigner_index], self.uid, **client_options)
         self.client = client
         try:
             client.start(dict.fromkeys(self.groups.values()), number=number, insist=self.insists)
@@ -124,7 +127,7 @@
         heartbeat_at = self.clock()
         while not self.stopped:
             self._receive(client)
-            lease_s = self.own.lease_s
+            lease_s = self.ownership.lease_s
             if lease_s and self.clock() - heartbeat_at >= lease_s / HEARTBEATS_PER_LEASE:
                 heartbeat_at = self.clock()
                 client.timeout = lease_s / 2
@@ -132,15 +135,15 @@
             self.alive()
 
     def _receive(self, client: LoadBalancerClient) -> None:
-        lease_s = self.own.lease_s
+        lease_s = self.ownership.lease_s
         pushed = client.receive(min(self.receive_s, lease_s / HEARTBEATS_PER_LEASE) if lease_s else self.receive_s)
         if pushed is not None:
             number, message = pushed
-            self.before(message.groups)
+            self.before_update(message.groups)
             self.version = number
             self.take(message)
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """Close the current connection, if any."""
         client = self.client
         self.client = None
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -16,9 +16,9 @@
     LeaseConfig,
     LeaseGranted,
     LeaseManager,
+    LeaseRequested,
     MembersChanged,
     MemberState,
-    ProxyAsked,
     ReleaseProxy,
     Tick,
     TokenAcknowledged,
@@ -114,7 +114,7 @@
     def _on_ask(self, name: str, plea: bool) -> None:
         """The proxy asks; the other end of its old stream does not know that it is gone."""
         self.asks -= 1
-        for effect in self.owners[name].handle(self.now, ProxyAsked(UID, "", self.judge.next_token(), plea)):
+        for effect in self.owners[name].handle(self.now, LeaseRequested(UID, "", self.judge.next_token(), plea)):
             if isinstance(effect, LeaseGranted):
                 self.stream = name
                 self.in_flight.append(Update(name, self.run[name], effect.fencing_token))
@@ -122,7 +122,7 @@
     def _on_order(self, name: str) -> None:
         self.orders -= 1
         owners = self.owners[name]
-        if owners.may_order(self.now, UID):
+        if owners.may_send_commands(self.now, UID):
             self.in_flight.append(Update(name, self.run[name], owners.fencing_token(UID)))
 
     def _on_hear(self) -> None:
--- a/hollyridge/lab/stand_ins/command_handler.py
+++ b/hollyridge/lab/stand_ins/command_handler.py
@@ -71,10 +71,10 @@
     def do_leave(self, name: str, far: list[int]) -> None:
         """End a proxy's stream if it goes to one of these assigners."""
         if name in self.proxies and self.proxies[name].gateway.assigner_index in far:
-            self.proxies[name].hang_up()
+            self.proxies[name].disconnect()
 
     def do_break(self, name: str) -> None:
         """End the stream to the assigner, of one proxy or of all."""
         for proxy in list(self.proxies.values()):
             if name in ("", proxy.uid):
-                proxy.hang_up()
+                proxy.disconnect()
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hollyridge.client import ChpGateway
-from hollyridge.client.sasp import HEARTBEATS_PER_LEASE, SaspTables
+from hollyridge.client.sasp import HEARTBEATS_PER_LEASE, SaspGatewayBase
 from hollyridge.lab.stand_ins.proxy import Proxy
 from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
 from hollyridge.lab.stand_ins.streams import FrameQueue, SimulatedStream
@@ -28,12 +28,12 @@
 class SeededBackoff:
     """Backoff between sessions, drawn from the proxy's own generator."""
 
-    def wait(self, failed: int) -> float:
+    def retry_delay_s(self, failed: int) -> float:
         """Seconds before the next attempt after so many failed in a row."""
         return self.rng.random() * min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(failed, MAX_BACKOFF_DOUBLINGS))
 
 
-class VirtualSaspGateway(SeededBackoff, SaspTables):
+class VirtualSaspGateway(SeededBackoff, SaspGatewayBase):
     """A SASP gateway on a simulated connection to one of the assigners."""
 
     def __init__(self, simulation: Simulation, proxy: Proxy, **terms: object) -> None:
@@ -58,7 +58,7 @@
         if process.service is None:
             raise ConnectionError("nobody listens")
         frames = FrameQueue(self.simulation.world)
-        question = self.begin()
+        question = self.begin_session()
         stream = self.stream = SimulatedStream(process, self.proxy.host, frames.put)
         heartbeat = codec.SetBalancer(self.uid, BALANCER_HEALTH, int(BalancerFlags.PUSH | BalancerFlags.NO_CHANGE))
         self._open(stream, heartbeat, question)
@@ -87,7 +87,7 @@
             raise RefusedError(message.code)
         return replied, message
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the connection, if there is one."""
         stream, self.stream = self.stream, None
         if stream is not None:
@@ -113,7 +113,7 @@
         self.last_number = REGISTRATION_NUMBER
         self.last_sent_s = gateway.clock()
         self.answered = False
-        self.first_answer_s = gateway.patience(FIRST_ANSWER_S)
+        self.first_answer_s = gateway.first_reply_timeout(FIRST_ANSWER_S)
 
     def run(self) -> None:
         """Read frames until the stream ends or the gateway stops."""
@@ -129,7 +129,7 @@
             self._keep_heartbeat()
 
     def _wait_s(self) -> float | None:
-        lease_s = self.gateway.own.lease_s
+        lease_s = self.gateway.ownership.lease_s
         if lease_s:
             return lease_s / HEARTBEATS_PER_LEASE
         return None if self.answered else self.first_answer_s
@@ -141,7 +141,7 @@
             self.gateway.alive()
 
     def _keep_heartbeat(self) -> None:
-        lease_s = self.gateway.own.lease_s
+        lease_s = self.gateway.ownership.lease_s
         waited_s = self.gateway.clock() - self.last_sent_s
         limit_s = lease_s / 2 if self.last_number > REGISTRATION_NUMBER else self.first_answer_s
         if not self.answered and waited_s >= limit_s:
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -18,7 +18,7 @@
 from hollyridge.lab.stand_ins.clients import Clients
 from hollyridge.lab.stand_ins.proxy_plan import ProxyPlan
 from hollyridge.lab.stand_ins.task_connection import TaskConnection
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 
 RECEIVE_S = 0.5  # how often a SASP stream without news is known to stand
 READ_POLL_S = 0.05  # how often one that has stopped reading looks whether it may go on
@@ -146,7 +146,7 @@
                 "applied", proxy=self.uid, assigner=changed.assigner_index, asked=changed.fencing.accepted_token
             )
         )
-        gateway.watch = self._on_session
+        gateway.on_session_change = self._on_session
         return gateway
 
     def open(self, front: str, standing: list[str]) -> Gateway:
@@ -164,7 +164,7 @@
             "zmq": zmq,
             "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
-        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **terms)
+        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before_update=self.apply, **terms)
 
     def _open_sasp(self, terms: dict) -> Gateway:
         connection_options = {
@@ -179,7 +179,7 @@
             {method.name: method.group for method in self.methods},
             connection_options,
             receive_s=RECEIVE_S,
-            before=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
+            before_update=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
             **terms,
         )
 
@@ -212,9 +212,9 @@
         while self.stalled_until > self.world.now():
             self.world.sleep((self.stalled_until - self.world.now()) / 1e6)
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the stream to the assigner, if there is one."""
-        self.gateway.hang_up()
+        self.gateway.disconnect()
 
     def _close_unused(self, gateway: Gateway) -> None:
         """Close connections to tasks that no table has any more."""
@@ -236,9 +236,9 @@
         """A connection to the task at this address."""
         return TaskConnection(task)
 
-    def send_report(self, figures: list[Figure]) -> None:
+    def send_report(self, metric_points: list[MetricPoint]) -> None:
         """Send a load report to the assigner that it goes to."""
-        self.reporter.send(self.plan.otlp[self.gateway.assigner_index], figures, gevent.sleep)
+        self.reporter.send(self.plan.otlp[self.gateway.assigner_index], metric_points, gevent.sleep)
 
     # RPCs.
 
@@ -306,15 +306,15 @@
         while not self.down:
             self.world.sleep(period_s)
             end = self.wall()
-            figures = self.reporter.figures(begun, end)
+            metric_points = self.reporter.metric_points(begun, end)
             begun = end
-            if figures:
+            if metric_points:
                 delay_s = self.report_delay_s + self.rng.uniform(0, REPORT_JITTER_S)
-                self.world.later(delay_s, self._post, figures)
+                self.world.later(delay_s, self._post, metric_points)
 
-    def _post(self, figures: list[Figure]) -> None:
+    def _post(self, metric_points: list[MetricPoint]) -> None:
         if not self.down and self.gateway.assigner_index not in self.unreachable_assigners:
-            self.send_report(figures)
+            self.send_report(metric_points)
 
     # Its end.
 
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -15,7 +15,7 @@
 from hollyridge.lab.stand_ins.sockets import Network
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.world import VirtualWorld
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 
 if TYPE_CHECKING:
     from hollyridge.service import Service
@@ -44,7 +44,7 @@
     def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
         """Whether the process gets no turn now; if so, `call` runs when it gets one again."""
 
-    def report(self, source: str, figures: list[Figure]) -> None:
+    def report(self, source: str, figures: list[MetricPoint]) -> None:
         """Take a load report."""
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
--- a/hollyridge/membership/lease_events.py
+++ b/hollyridge/membership/lease_events.py
@@ -21,7 +21,7 @@
     move_period_us: int
 
 
-class ProxyAsked(NamedTuple):
+class LeaseRequested(NamedTuple):
     """A proxy requests a lease.
 
     Attributes:
@@ -121,5 +121,5 @@
     second: str
 
 
-Event = Union[ProxyAsked, TokenAcknowledged, ProxyDisconnected, MembersChanged, ClaimsReceived, Tick]
+Event = Union[LeaseRequested, TokenAcknowledged, ProxyDisconnected, MembersChanged, ClaimsReceived, Tick]
 Action = Union[LeaseGranted, StaleToken, ForwardProxy, ReleaseProxy]
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -29,8 +29,8 @@
     ForwardProxy,
     LeaseConfig,
     LeaseGranted,
+    LeaseRequested,
     MembersChanged,
-    ProxyAsked,
     ProxyDisconnected,
     ReleaseProxy,
     StaleToken,
@@ -49,9 +49,9 @@
     "LeaseConfig",
     "LeaseGranted",
     "LeaseManager",
+    "LeaseRequested",
     "MemberState",
     "MembersChanged",
-    "ProxyAsked",
     "ProxyDisconnected",
     "ReleaseProxy",
     "StaleToken",
@@ -116,7 +116,7 @@
         """Process one event and return the actions to carry out, in order."""
         return self._HANDLERS[type(event)](self, now_us, event)
 
-    def may_order(self, now_us: int, uid: str) -> bool:
+    def may_send_commands(self, now_us: int, uid: str) -> bool:
         """Return whether a command to this proxy may be sent now.
 
         A lease that has expired while the process was paused counts as ended immediately, before any `Tick`.
@@ -140,7 +140,7 @@
                 claimed_by[uid] = member
         return found
 
-    def _on_lease_requested(self, now_us: int, event: ProxyAsked) -> list[Action]:
+    def _on_lease_requested(self, now_us: int, event: LeaseRequested) -> list[Action]:
         lease = self.held.get(event.uid)
         if lease is not None and event.fencing_token < lease.fencing_token:
             self.counts["stale"] += 1
@@ -244,7 +244,7 @@
         return was_unreachable and now_us - lease.fallback_at_us < hold_us
 
     _HANDLERS: ClassVar[Mapping[type, Callable[[LeaseManager, int, Any], list[Action]]]] = {
-        ProxyAsked: _on_lease_requested,
+        LeaseRequested: _on_lease_requested,
         TokenAcknowledged: _on_token_acknowledged,
         ProxyDisconnected: _on_proxy_disconnected,
         MembersChanged: _on_members_changed,
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -27,7 +27,7 @@
 
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
-METRICS = {
+KIND_BY_METRIC = {
     "hollyridge.tries": Kind.ATTEMPTS,
     "hollyridge.tries.failed": Kind.FAILED_ATTEMPTS,
     "hollyridge.tries.time": Kind.ATTEMPT_TIME,
@@ -140,7 +140,7 @@
     if data_type is None:
         return
     data = getattr(metric, data_type)
-    kind = METRICS.get(metric.name)
+    kind = KIND_BY_METRIC.get(metric.name)
     if kind is None:
         yield from ["unknown metric"] * len(data.data_points)
     elif data_type != ("gauge" if kind in LOADS else "sum"):
--- a/hollyridge/otlp/sender.py
+++ b/hollyridge/otlp/sender.py
@@ -18,7 +18,7 @@
 GZIP_LEVEL = 1  # reports are small and frequent: speed matters more than size
 
 
-class Figure(NamedTuple):
+class MetricPoint(NamedTuple):
     """A data point of a metric: a gauge if `start_ns` is None, otherwise a delta sum.
 
     Times are in nanoseconds since the Unix epoch.
@@ -31,7 +31,7 @@
     start_ns: int | None = None
 
 
-def request_of(source: str, points: Iterable[Figure]) -> ExportMetricsServiceRequest:
+def build_export_request(source: str, points: Iterable[MetricPoint]) -> ExportMetricsServiceRequest:
     """Return the request that reports data points of a source; the first point of a metric determines its kind."""
     request = ExportMetricsServiceRequest()
     resource = request.resource_metrics.add()
@@ -56,7 +56,7 @@
 
 
 def post(
-    connection: http.client.HTTPConnection, request: ExportMetricsServiceRequest, packed: bool = True
+    connection: http.client.HTTPConnection, request: ExportMetricsServiceRequest, use_gzip: bool = True
 ) -> tuple[int, ExportMetricsServiceResponse | None]:
     """Send a request, by default with gzip, and return the HTTP status and, for status 200, the decoded response.
 
@@ -66,7 +66,7 @@
     """
     body = request.SerializeToString()
     headers = {"Content-Type": "application/x-protobuf"}
-    if packed:
+    if use_gzip:
         body = gzip.compress(body, GZIP_LEVEL)
         headers["Content-Encoding"] = "gzip"
     connection.request("POST", "/v1/metrics", body, headers)
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -16,8 +16,8 @@
     LeaseConfig,
     LeaseGranted,
     LeaseManager,
+    LeaseRequested,
     MemberState,
-    ProxyAsked,
     ReleaseProxy,
     StaleToken,
 )
@@ -169,7 +169,7 @@
                 client is served by this assigner, because it could not be forwarded either.
             fallback_request: Whether the proxy could not reach the member that it was forwarded to.
         """
-        event = ProxyAsked(uid, zone, fencing_token, fallback_request or not fencing_token)
+        event = LeaseRequested(uid, zone, fencing_token, fallback_request or not fencing_token)
         (action,) = self.lease_manager.handle(self.loop.clock(), event)
         return action
 
@@ -184,7 +184,7 @@
 
     def permits_command(self, now_us: int, uid: str) -> bool:
         """Return whether a command to this proxy may be sent, and count the commands withheld."""
-        is_owned = self.lease_manager.may_order(now_us, uid)
+        is_owned = self.lease_manager.may_send_commands(now_us, uid)
         self.counts["withheld"] += not is_owned
         return is_owned
 
--- a/tests/chp/test_chp_server.py
+++ b/tests/chp/test_chp_server.py
@@ -20,7 +20,7 @@
         list(GROUPS),
         sleep=gevent.sleep,
         receive_s=0.2,
-        how=dict(source="127.1.0.78", connect=gevent.socket.create_connection),
+        client_options=dict(source="127.1.0.78", connect=gevent.socket.create_connection),
     )
     sasp_gateway.job, sasp_gateway.close = gevent.spawn(sasp_gateway.run), sasp_gateway.stop
     r.clients.append(sasp_gateway)
@@ -106,7 +106,7 @@
     agent, quick = r.agent(), open_gateway(r, "quick", zone=2)
     stuck = open_gateway(r, "stuck")
     assert wait_for(lambda: hosts(quick) == hosts(stuck) == {1, 2, 3, 4})
-    stuck.before = lambda lines: gevent.sleep(30)
+    stuck.before_update = lambda lines: gevent.sleep(30)
     many_members = r.members(4) + [m._replace(port=p) for m in r.members(4) for p in range(9001, 9030)]
     for _ in range(6):
         agent.register(many_members)
--- a/tests/chp_rig.py
+++ b/tests/chp_rig.py
@@ -20,7 +20,7 @@
         uid,
         list(GROUPS),
         sleep=gevent.sleep,
-        how=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **options),
+        client_options=dict(zmq=zmq, context=r.context, source=f"127.{zone}.0.77", **options),
     )
     gateway.job = gevent.spawn(gateway.run)
     gateway.close = gateway.stop
--- a/tests/limits/test_limits_flood.py
+++ b/tests/limits/test_limits_flood.py
@@ -7,7 +7,7 @@
 from service_rig import attempts_point
 
 from hollyridge.lab.experiments.flood import flood
-from hollyridge.otlp.sender import post, request_of
+from hollyridge.otlp.sender import build_export_request, post
 
 
 def test_a_flood_over_sockets_does_not_limit_a_light_source(rig):
@@ -27,7 +27,7 @@
                 )
                 for figure_index in range(40 if sender == "loud" else 2)
             ]
-            statuses[sender].append(post(connection, request_of(f"{sender}-{request_index % 3}", figures))[0])
+            statuses[sender].append(post(connection, build_export_request(f"{sender}-{request_index % 3}", figures))[0])
             connection.close()
             gevent.sleep(gap_s)
 
--- a/tests/membership/test_membership_leases.py
+++ b/tests/membership/test_membership_leases.py
@@ -7,9 +7,9 @@
     LeaseConfig,
     LeaseGranted,
     LeaseManager,
+    LeaseRequested,
     MembersChanged,
     MemberState,
-    ProxyAsked,
     ProxyDisconnected,
     ReleaseProxy,
     StaleToken,
@@ -38,7 +38,7 @@
     granted = dict.fromkeys("abc", 0)
     managers = [manager_of(name) for name in "abc"]
     for number in range(300):
-        event = ProxyAsked(f"gw-{number}", "", 1, False)
+        event = LeaseRequested(f"gw-{number}", "", 1, False)
         answers = {manager.name: manager.handle(0, event)[0] for manager in managers}
         owners = [name for name, answer in answers.items() if isinstance(answer, LeaseGranted)]
         assert len(owners) == 1
@@ -50,8 +50,8 @@
 def test_a_fallback_request_is_granted_and_its_proxy_stays_for_a_while():
     uid = uid_preferring("b", THREE)
     manager = manager_of("a")
-    assert manager.handle(0, ProxyAsked(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
-    assert manager.handle(0, ProxyAsked(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
+    assert manager.handle(0, LeaseRequested(uid, "", 1, False)) == [ForwardProxy(uid, "b")]
+    assert manager.handle(0, LeaseRequested(uid, "", 2, True)) == [LeaseGranted(uid, 2)]
     now_us = 0
     while not (actions := manager.handle(now_us, Tick())):
         now_us += 1_000_000
@@ -62,36 +62,36 @@
 
 def test_an_expired_lease_stops_commands_before_any_tick():
     manager = manager_of("a", ALONE)
-    manager.handle(0, ProxyAsked("gw", "", 7, False))
-    assert manager.may_order(LEASE.duration_us, "gw")
-    assert not manager.may_order(LEASE.duration_us + 1, "gw")
+    manager.handle(0, LeaseRequested("gw", "", 7, False))
+    assert manager.may_send_commands(LEASE.duration_us, "gw")
+    assert not manager.may_send_commands(LEASE.duration_us + 1, "gw")
     assert manager.handle(LEASE.duration_us + 1, Tick()) == [ReleaseProxy("gw", "its lease ran out")]
 
 
 def test_commands_need_a_lease():
     manager = manager_of("a", ALONE)
-    manager.handle(0, ProxyAsked("gw", "", 7, False))
-    assert not manager.may_order(0, "other")
+    manager.handle(0, LeaseRequested("gw", "", 7, False))
+    assert not manager.may_send_commands(0, "other")
 
 
 def test_a_newer_token_ends_the_lease():
     manager = manager_of("a", ALONE)
-    manager.handle(0, ProxyAsked("gw", "", 7, False))
+    manager.handle(0, LeaseRequested("gw", "", 7, False))
     assert manager.handle(1, TokenAcknowledged("gw", 7)) == []
     assert manager.handle(2, TokenAcknowledged("gw", 8))[0].reason == "another orders it"
-    assert not manager.may_order(2, "gw")
+    assert not manager.may_send_commands(2, "gw")
 
 
 def test_a_stale_token_changes_nothing():
     manager = manager_of("a", ALONE)
-    manager.handle(3, ProxyAsked("gw", "", 9, False))
-    assert manager.handle(4, ProxyAsked("gw", "", 8, True)) == [StaleToken("gw")]
+    manager.handle(3, LeaseRequested("gw", "", 9, False))
+    assert manager.handle(4, LeaseRequested("gw", "", 8, True)) == [StaleToken("gw")]
     assert manager.fencing_token("gw") == 9
 
 
 def test_the_end_of_a_connection_ends_the_lease():
     manager = manager_of("a", ALONE)
-    manager.handle(3, ProxyAsked("gw", "", 9, False))
+    manager.handle(3, LeaseRequested("gw", "", 9, False))
     manager.handle(5, ProxyDisconnected("gw"))
     assert manager.fencing_token("gw") == 0
 
@@ -105,7 +105,7 @@
         self.now_us = 0
         self.releases = []  # list of releases for each tick
         for uid in self.uids:
-            self.manager.handle(0, ProxyAsked(uid, "", 1, False))
+            self.manager.handle(0, LeaseRequested(uid, "", 1, False))
 
     def add_third(self):
         self.manager.handle(self.now_us, MembersChanged({**TWO, "c": MemberState("", 1.0, self.now_us)}))
@@ -151,17 +151,17 @@
 def test_claims_of_other_members_change_no_lease():
     manager = manager_of("a", TWO)
     uid = uid_preferring("a", TWO)
-    manager.handle(0, ProxyAsked(uid, "", 5, False))
+    manager.handle(0, LeaseRequested(uid, "", 5, False))
     manager.handle(1, ClaimsReceived("b", ((uid, 1 << 60),), True))
     assert manager.disagreements() == [(uid, "a", "b")]
     assert manager.fencing_token(uid) == 5
-    assert manager.may_order(1, uid)
+    assert manager.may_send_commands(1, uid)
 
 
 def test_a_new_list_of_claims_replaces_the_old_one():
     manager = manager_of("a", TWO)
     uid = uid_preferring("a", TWO)
-    manager.handle(0, ProxyAsked(uid, "", 5, False))
+    manager.handle(0, LeaseRequested(uid, "", 5, False))
     manager.handle(1, ClaimsReceived("b", ((uid, 1 << 60),), True))
     assert manager.disagreements() == [(uid, "a", "b")]
     manager.handle(2, ClaimsReceived("b", (), True))
--- a/tests/otlp/test_otlp_request_body.py
+++ b/tests/otlp/test_otlp_request_body.py
@@ -9,10 +9,10 @@
 
 from hollyridge.otlp.errors import BadRequestError
 from hollyridge.otlp.request_body import THREAD_MIN_BYTES, BodyEncoding, BodyLimits, decode_body, read_body
-from hollyridge.otlp.sender import Figure, request_of
+from hollyridge.otlp.sender import MetricPoint, build_export_request
 
 LIMITS = BodyLimits(100, 0.05)
-EXPORT = request_of("gw-1", [Figure("hollyridge.rpcs", 3.0, {"proxy": "gw-1"}, 20, 10)])
+EXPORT = build_export_request("gw-1", [MetricPoint("hollyridge.rpcs", 3.0, {"proxy": "gw-1"}, 20, 10)])
 PLAIN, JSON, GZIP = BodyEncoding(False, False), BodyEncoding(False, True), BodyEncoding(True, False)
 
 
@@ -75,8 +75,8 @@
 
 
 def test_a_large_body_is_decoded_in_a_thread_with_the_same_result():
-    metric_points = [Figure("hollyridge.rpcs", 3.0, {"proxy": f"gw-{k}"}, 20, 10) for k in range(2000)]
-    export = request_of("gw-1", metric_points)
+    metric_points = [MetricPoint("hollyridge.rpcs", 3.0, {"proxy": f"gw-{k}"}, 20, 10) for k in range(2000)]
+    export = build_export_request("gw-1", metric_points)
     raw = export.SerializeToString()
     assert len(raw) >= THREAD_MIN_BYTES
     assert decode_body(raw, PLAIN, len(raw)) == export
--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -78,7 +78,9 @@
         connection_options = dict(
             source=f"127.{zone}.0.200", **({"zmq": zmq} if port_index else {"connect": socket.create_connection})
         )
-        client = gateway_class(addresses, uid, METHODS, how=connection_options, sleep=gevent.sleep, **options)
+        client = gateway_class(
+            addresses, uid, METHODS, client_options=connection_options, sleep=gevent.sleep, **options
+        )
         client.job = gevent.spawn(client.run)
         self.clients.append(client)
         return client
--- a/tests/peers/test_peers_clients.py
+++ b/tests/peers/test_peers_clients.py
@@ -64,10 +64,10 @@
         "gw",
         METHODS,
         sleep=gevent.sleep,
-        how=dict(source="127.1.0.9", connect=socket.create_connection),
+        client_options=dict(source="127.1.0.9", connect=socket.create_connection),
     )
     chp_client = ChpGateway(
-        ("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, how=dict(source="127.1.0.9", zmq=zmq)
+        ("127.0.0.1", ports[2]), "gx", METHODS, sleep=gevent.sleep, client_options=dict(source="127.1.0.9", zmq=zmq)
     )
     jobs = [gevent.spawn(gateway.run) for gateway in (sasp_client, chp_client)]
     assert wait_for(lambda: sasp_client.table_for("read-chapter") and chp_client.table_for("read-chapter"))
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -12,7 +12,7 @@
 import structlog
 from gevent import socket
 
-from hollyridge.otlp.sender import Figure, post, request_of
+from hollyridge.otlp.sender import MetricPoint, build_export_request, post
 from hollyridge.sasp.client import HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 from hollyridge.service import Service
@@ -82,7 +82,7 @@
         connection = http.client.HTTPConnection("127.0.0.1", self.otlp, timeout=5)
         connection._create_connection = socket.create_connection  # the service runs in greenlets of this process
         try:
-            return post(connection, request_of(source, figures), packed)
+            return post(connection, build_export_request(source, figures), packed)
         finally:
             connection.close()
 
@@ -125,4 +125,6 @@
 def attempts_point(r, value=10.0, start_s=0.0, end=1.0, **labels):
     attributes = {"proxy": "gw-1", "zone": "abdali", "task": "127.1.0.1:9000", "method": "read-chapter", **labels}
     base_ns = 1_700_000_000_000_000_000
-    return Figure("hollyridge.tries", value, attributes, base_ns + round(end * 1e9), base_ns + round(start_s * 1e9))
+    return MetricPoint(
+        "hollyridge.tries", value, attributes, base_ns + round(end * 1e9), base_ns + round(start_s * 1e9)
+    )
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -13,7 +13,7 @@
 from zmq import auth
 
 from hollyridge.keys.curve import client_keys
-from hollyridge.otlp.sender import post, request_of
+from hollyridge.otlp.sender import build_export_request, post
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar, RefusedError
 from hollyridge.sasp.codec import Member
 from hollyridge.settings import assigner
@@ -133,7 +133,7 @@
         keys.authority.issue_cert(common_name=name).configure_cert(context)
         connection._context = context
         try:
-            status, answer = post(connection, request_of("x", points))
+            status, answer = post(connection, build_export_request("x", points))
             return status, answer.partial_success.rejected_data_points
         finally:
             connection.close()
