--- a/hollyridge/__init__.py
+++ b/hollyridge/__init__.py
@@ -1,1 +1,1 @@
-"""hollyridge: an assigner that tells proxies which tasks their RPCs go to."""
+"""hollyridge: an assigner that sends proxies the weighted tasks for their RPCs."""
--- a/hollyridge/errors.py
+++ b/hollyridge/errors.py
@@ -1,8 +1,8 @@
-"""The root of the errors that this project raises on purpose."""
+"""Base class of the errors that this project raises on purpose."""
 
 
 class HollyridgeError(Exception):
-    """Something that was asked for or came in can't be used; the message says what was wrong and where.
+    """Error about a request or input that cannot be used; the message describes the fault and its location.
 
-    Each package derives its own errors from this class, so that a caller can tell them from faults of the program.
+    Each package derives its own errors from this class, so that callers can distinguish them from programming errors.
     """
