--- a/hollyridge/cli/__init__.py
+++ b/hollyridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `hollyridge`."""
+"""Command line of `hollyridge`."""
--- a/hollyridge/cli/common.py
+++ b/hollyridge/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, messages and JSON output."""
+"""Exit codes, error messages and JSON output that all commands share."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 class ExitCode(IntEnum):
     """Exit codes of all commands."""
 
-    FINE = 0
-    FAILED = 1  # a rule was broken, or what was asked for could not be had
-    BAD_INPUT = 2  # settings, scenarios or options are wrong
+    SUCCESS = 0
+    FAILED = 1  # a rule was broken, or the requested result is not available
+    BAD_INPUT = 2  # settings, scenarios or options are invalid
     ADDRESS_TAKEN = 3
     DECISION_MODULE_FAILED = 4
 
 
 def fail(message: str, code: ExitCode = ExitCode.BAD_INPUT) -> NoReturn:
-    """Print a message on standard error and exit."""
+    """Print a message on standard error and exit with the code."""
     click.echo(message, err=True)
     sys.exit(code)
 
@@ -37,7 +37,7 @@
 
 
 def print_result(result: dict[str, Any], as_json: bool) -> None:
-    """Print a result as one JSON object, or a line a key."""
+    """Print a result as one JSON object, or as one line per key."""
     if as_json:
         click.echo(msgspec.json.encode(result))
     else:
@@ -45,9 +45,9 @@
 
 
 def comma_separated(text: str) -> tuple[str, ...]:
-    """The words between commas.
+    """Return the non-empty parts of a comma-separated list.
 
     >>> comma_separated("sasp,clone"), comma_separated("")
     (('sasp', 'clone'), ())
     """
-    return tuple(word for word in text.split(",") if word)
+    return tuple(part for part in text.split(",") if part)
--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -1,4 +1,4 @@
-"""`hollyridge day`: plays a day on real sockets, prints what it came to, writes the page."""
+"""`hollyridge day`: plays a day on real sockets, prints its results and writes the report page."""
 
 from __future__ import annotations
 
@@ -21,27 +21,29 @@
 
 RULES = {
     1: "no proxy left without a line",
-    2: "no effect twice",
-    3: "drains kept",
-    4: "no cold task pushed over",
+    2: "no RPC takes effect twice",
+    3: "no RPCs to draining tasks after the grace",
+    4: "no cold task overloaded",
     5: "short queue, few messages",
 }
-BAR_LENGTH = 1000
-LOG_LINES = 3  # of each process, shown when a day could not be played
-LOG_LINE_LENGTH = 300
+BAR_LENGTH = 1000  # steps of the progress bar
+LOG_LINES = 3  # last lines of each process, printed when a day could not be played
+LOG_LINE_LENGTH = 300  # characters
 
 
 class LiveOptions(NamedTuple):
     """Options of a day on real sockets.
 
     Attributes:
-        report: The folder to keep recordings in, with a page; None to keep nothing.
-        seed: In place of the scenario's.
-        policy: Another decision module of the laboratory.
-        fronts: Protocols in place of the scenario's, with commas.
+        scenario_path: File of the scenario.
+        report: Folder for the recordings and the report page; None to keep nothing.
+        seed: Seed that replaces the scenario's own.
+        policy: Name of a decision module of the laboratory that replaces the service's own.
+        fronts: Comma-separated protocols that replace the scenario's own.
+        as_json: Whether to print the result as JSON.
     """
 
-    script: str
+    scenario_path: str
     report: str | None
     seed: int | None
     policy: str
@@ -50,18 +52,18 @@
 
 
 def play(options: LiveOptions) -> ExitCode:
-    """Play a day and print what it came to; returns the exit code."""
+    """Play a day, print its results and return the exit code."""
     fronts = comma_separated(options.fronts)
     if not set(fronts) <= PROTOCOLS:
-        click.echo("--fronts: sasp, clone, or both with a comma", err=True)
+        click.echo(f"--fronts: found {options.fronts!r}, expected sasp, clone or sasp,clone", err=True)
         return ExitCode.BAD_INPUT
     try:
-        loaded = scenario.load(options.script, fronts=fronts)
+        loaded = scenario.load(options.scenario_path, fronts=fronts)
     except FaultsError as error:
-        print_problems(options.script, error)
+        print_problems(options.scenario_path, error)
         return ExitCode.BAD_INPUT
     if options.policy and options.policy not in POLICIES:
-        click.echo(f"--policy: one of {', '.join(POLICIES)}", err=True)
+        click.echo(f"--policy: found {options.policy!r}, expected one of {', '.join(POLICIES)}", err=True)
         return ExitCode.BAD_INPUT
     if options.report is None:
         with tempfile.TemporaryDirectory(prefix="hollyridge-day-") as folder:
@@ -69,7 +71,7 @@
     folder = Path(options.report)
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.glob("*.jsonl")):
-        click.echo(f"--report: {folder} holds recordings already; name another folder", err=True)
+        click.echo(f"--report: {folder} already contains recordings, expected a folder without *.jsonl files", err=True)
         return ExitCode.BAD_INPUT
     return _run(loaded, folder, options)
 
@@ -85,7 +87,7 @@
     if options.report is not None:
         _write_report(folder, loaded, outcome)
     kept = all(verdict.kept for verdict in outcome.verdicts) and not outcome.parity[1]
-    return ExitCode.FINE if kept else ExitCode.FAILED
+    return ExitCode.SUCCESS if kept else ExitCode.FAILED
 
 
 def _play_with_bar(loaded: scenario.Scenario, folder: Path, options: LiveOptions) -> Outcome:
@@ -104,7 +106,7 @@
 
 
 def _print_logs(folder: Path) -> None:
-    """Print the last lines that each process logged."""
+    """Print the last lines of each process log."""
     for log in sorted(folder.glob("*.log")):
         for line in log.read_text(errors="replace").splitlines()[-LOG_LINES:]:
             click.echo(f"{log.name}: {line[:LOG_LINE_LENGTH]}", err=True)
@@ -117,8 +119,8 @@
     click.echo(f"report: {write(folder, loaded, outcome)}", err=True)
 
 
-def show(outcome: Outcome, as_json: bool, both: bool) -> None:
-    """Print what a day came to; `both` tells that proxies spoke both protocols."""
+def show(outcome: Outcome, as_json: bool, both_protocols: bool) -> None:
+    """Print the results of a day; `both_protocols` adds the comparison of the protocols' tables."""
     kept = sum(verdict.kept for verdict in outcome.verdicts)
     broken = len(outcome.verdicts) - kept
     if as_json:
@@ -132,7 +134,7 @@
             f"rule {verdict.rule} {'kept  ' if verdict.kept else 'BROKEN'} {verdict.nearest:6.1%} of the limit  "
             f"{RULES[verdict.rule]}: {verdict.where}"
         )
-    if both:
+    if both_protocols:
         compared, differ, where = outcome.parity
         click.echo(f"parity: {compared} tables compared, {differ} differ{': ' + where if where else ''}")
     click.echo(f"rules: {kept} kept, {broken} broken")
@@ -141,9 +143,7 @@
 def _show_figures(figures: dict) -> None:
     by_method = ", ".join(f"{name} {fraction:.3f}" for name, fraction in figures["by_method"].items())
     click.echo(
-        f"RPCs {figures['rpcs']}, ok {figures['ok']}, tries {figures['tries']}; criticality in time "
+        f"RPCs {figures['rpcs']}, ok {figures['ok']}, attempts {figures['tries']}; criticality served in time "
         f"{figures['served']:.3f}, worst 10 s {figures['worst_10s']:.3f}; {by_method}"
     )
-    click.echo(
-        f"orders: {figures['decisions_sent']} decisions, {figures['messages']} messages, {figures['lines']} lines"
-    )
+    click.echo(f"sent: {figures['decisions_sent']} decisions, {figures['messages']} messages, {figures['lines']} lines")
--- a/hollyridge/cli/fleet.py
+++ b/hollyridge/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`hollyridge fleet`: who owns which proxies, since when, under which numbers, and where members disagree."""
+"""`hollyridge fleet`: owners of proxies, their leases and fencing tokens, and disagreements between members."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from hollyridge.cli.solve import fetch
 
 KEY_BYTES = 32
-KEY_MODE = 0o600  # for its owner only
+KEY_MODE = 0o600  # readable and writable for its owner only
 
 
 @click.command()
 @click.argument("assigners", nargs=-1)
-@click.option("--drain", "action", flag_value="drain", help="Have this assigner hand over its proxies, step by step.")
-@click.option("--undrain", "action", flag_value="undrain", help="Let it take proxies again.")
-@click.option("--new-key", type=click.Path(), help="Write a key for a new fleet to this file, and do nothing else.")
+@click.option("--drain", "action", flag_value="drain", help="Hand over the proxies of these assigners, step by step.")
+@click.option("--undrain", "action", flag_value="undrain", help="Allow these assigners to own proxies again.")
+@click.option("--new-key", type=click.Path(), help="Write a key for a new fleet to this file and exit.")
 @click.option("--json", "as_json", is_flag=True)
 def fleet(assigners: tuple[str, ...], action: str | None, new_key: str | None, as_json: bool) -> None:
-    """Show the shared fleet as ASSIGNERS (http://ADDRESS:PORT, their OTLP addresses) see it.
+    """Show the view that each of ASSIGNERS has of the shared fleet.
 
-    Exit code 1 if one does not answer, or two say that they own one proxy.
+    ASSIGNERS are OTLP addresses in the form http://ADDRESS:PORT. The exit code is 1 if an assigner does not answer or
+    if two assigners report that they own the same proxy.
     """
     if new_key:
         _write_key(new_key)
         return
     if not assigners:
-        raise click.UsageError("name an assigner at the least, or --new-key")
-    views, silent = _ask(assigners, action)
+        raise click.UsageError("no assigner given, expected at least one ASSIGNERS address or --new-key")
+    views, silent = _fetch_views(assigners, action)
     owned_twice = _owned_twice(views)
     if as_json:
         click.echo(msgspec.json.encode({"assigners": views, "silent": silent, "owned_twice": owned_twice}))
@@ -40,11 +41,11 @@
         _show(views, owned_twice)
     for line in silent:
         click.echo(line, err=True)
-    sys.exit(ExitCode.FAILED if silent or owned_twice else ExitCode.FINE)
+    sys.exit(ExitCode.FAILED if silent or owned_twice else ExitCode.SUCCESS)
 
 
 def _write_key(path: str) -> None:
-    """Write a new key to a file that is not there yet."""
+    """Write a new key to a file that must not exist yet."""
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_MODE)
     except OSError as error:
@@ -53,8 +54,8 @@
         out.write(secrets.token_hex(KEY_BYTES) + "\n")
 
 
-def _ask(assigners: tuple[str, ...], action: str | None) -> tuple[dict[str, dict], list[str]]:
-    """What each assigner answers, by its name, after the action; and why others did not."""
+def _fetch_views(assigners: tuple[str, ...], action: str | None) -> tuple[dict[str, dict], list[str]]:
+    """Run the action on each assigner; return their views by name, and an error line for each that did not answer."""
     views: dict[str, dict] = {}
     silent: list[str] = []
     for url in assigners:
@@ -69,7 +70,7 @@
 
 
 def _owned_twice(views: dict[str, dict]) -> dict[str, list[str]]:
-    """Proxies that more than one assigner says it owns, with their names."""
+    """Return the names of the owners of each proxy that more than one assigner reports to own."""
     owners: dict[str, list[str]] = {}
     for name, view in sorted(views.items()):
         for uid in view["owns"]:
@@ -81,20 +82,20 @@
     for name, view in sorted(views.items()):
         _show_view(name, view)
     for uid, names in sorted(owned_twice.items()):
-        click.echo(f"{uid}: {' and '.join(names)} both say they own it; it obeys the higher number")
+        click.echo(f"{uid}: {' and '.join(names)} both report that they own it; it obeys the higher fencing token")
 
 
 def _show_view(name: str, view: dict) -> None:
-    click.echo(f"{name} (run {view['run']}) owns {len(view['owns'])}" + (", hands over" if view["drains"] else ""))
+    click.echo(f"{name} (run {view['run']}) owns {len(view['owns'])}" + (", draining" if view["drains"] else ""))
     for other, member in view["members"].items():
         click.echo(
             f"  sees {other:<12} {member['status']:<8} incarnation {member['incarnation']:<4} for "
-            f"{member['since_s']:.0f} s, says it owns {member['claims']}" + (", drains" if member["drains"] else "")
+            f"{member['since_s']:.0f} s, reports {member['claims']} owned" + (", draining" if member["drains"] else "")
         )
     for uid, owned in view["owns"].items():
         click.echo(
-            f"  {uid:<24} number {owned['fence']:<20} for {owned['since_s']:>8.1f} s, heard "
-            f"{owned['heard_s']:.1f} s ago" + (", by a plea" if owned["plea"] else "")
+            f"  {uid:<24} token {owned['fence']:<20} for {owned['since_s']:>8.1f} s, renewed "
+            f"{owned['heard_s']:.1f} s ago" + (", by a fallback request" if owned["plea"] else "")
         )
     for uid, one, other in view["disagreements"]:
-        click.echo(f"  disagreement: {one} and {other} both say they own {uid}")
+        click.echo(f"  disagreement: {one} and {other} both report that they own {uid}")
--- a/hollyridge/cli/main.py
+++ b/hollyridge/cli/main.py
@@ -1,7 +1,7 @@
-"""`hollyridge`: serve, check, day, and the groups of other commands.
+"""`hollyridge`: the commands serve, check and day, and the other commands and groups.
 
-Exit codes: 0 fine, 1 a rule was broken, 2 faulty settings or words, 3 an address is taken, 4 the decision module gave
-up.
+Exit codes: 0 success, 1 a rule was broken, 2 invalid settings or arguments, 3 an address is in use, 4 the decision
+module failed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def load(path: str) -> assigner.ServiceConfig:
-    """The settings in a file; prints what is wrong with them and exits otherwise."""
+    """Load settings from a file; if they are invalid, print their faults and exit."""
     try:
         return assigner.load(path)
     except FaultsError as error:
@@ -39,18 +39,18 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="hollyridge")
 def main() -> None:
-    """A control service that publishes weights to plain proxies."""
+    """Run and test a control service that publishes weights to plain proxies."""
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Check the settings in FILE; names every fault by section and key."""
+    """Check the settings in FILE and print every fault with its section and key."""
     config = load(file)
     groups = len(config.groups())
     click.echo(
-        f"{file}: fine; {len(config.methods)} methods in {groups} groups, "
-        f"{len(config.zones)} zones, {groups} entries to a proxy for each line"
+        f"{file}: valid; {len(config.methods)} methods in {groups} groups, "
+        f"{len(config.zones)} zones, {groups} entries per line for each proxy"
     )
 
 
@@ -62,12 +62,12 @@
 
 
 def run(config: assigner.ServiceConfig, path: str, decision_module: Callable | None = None) -> None:
-    """Run an assigner until it is stopped by a signal; exits with a code of `ExitCode` where it can't.
+    """Run an assigner until a signal stops it; on failure, exit with a code of `ExitCode`.
 
     Args:
-        config: The settings that were read from `path`, which SIGHUP reads again.
-        path: The settings file.
-        decision_module: In place of the service's own.
+        config: Settings that were read from `path`.
+        path: Settings file, which is read again at SIGHUP.
+        decision_module: Decision module that replaces the service's own.
     """
     from hollyridge.core.engine import DecisionModuleError
     from hollyridge.decisions.assigner import Assigner
@@ -78,7 +78,7 @@
     try:
         service.run()
     except DecisionModuleError as error:
-        log.error("decision_module_failed", error=str(error))  # noqa: TRY400 - the error says all, without a trace
+        log.error("decision_module_failed", error=str(error))  # noqa: TRY400 - the message is complete without a traceback
         service.stop()
         sys.exit(ExitCode.DECISION_MODULE_FAILED)
     log.info("service_stopped", **service.status())
@@ -91,23 +91,23 @@
         service = Service(config, log, decision_module)
         service.start()
     except ValueError as error:
-        log.error("keys_rejected", error=str(error))  # noqa: TRY400 - the error says all, without a trace
+        log.error("keys_rejected", error=str(error))  # noqa: TRY400 - the message is complete without a traceback
         sys.exit(ExitCode.BAD_INPUT)
     except OSError as error:
-        log.error("service_start_failed", error=str(error))  # noqa: TRY400 - the error says all, without a trace
+        log.error("service_start_failed", error=str(error))  # noqa: TRY400 - the message is complete without a traceback
         sys.exit(ExitCode.ADDRESS_TAKEN)
     return service
 
 
 def _handle_signals(service: Service, path: str, log: structlog.BoundLogger) -> None:
-    """Read the settings again at SIGHUP, stop at SIGTERM and SIGINT."""
+    """Install handlers that reload the settings at SIGHUP and stop the service at SIGTERM and SIGINT."""
     import gevent
 
     def reload() -> None:
         try:
             service.reload(assigner.load(path))
-        except (FaultsError, OSError, ValueError) as error:  # what was in force stays
-            log.error("configuration_reload_failed", error=str(error))  # noqa: TRY400 - the error says all
+        except (FaultsError, OSError, ValueError) as error:  # the current settings stay in force
+            log.error("configuration_reload_failed", error=str(error))  # noqa: TRY400 - no traceback needed
 
     gevent.signal_handler(signal.SIGHUP, reload)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -116,17 +116,17 @@
 
 @main.command()
 @click.argument("script", type=click.Path())
-@click.option("--report", type=click.Path(file_okay=False), help="Keep recordings here, with a page.")
-@click.option("--seed", type=int, help="Instead of the script's own.")
-@click.option("--policy", default="", help="Another decision module of the laboratory, to compare with.")
-@click.option("--fronts", default="", help="In place of the script's: sasp, clone, or both: sasp,clone.")
+@click.option("--report", type=click.Path(file_okay=False), help="Write recordings and a report page to this folder.")
+@click.option("--seed", type=int, help="Seed that replaces the scenario's own.")
+@click.option("--policy", default="", help="Decision module of the laboratory that replaces the service's own.")
+@click.option("--fronts", default="", help="Protocols that replace the scenario's own: sasp, clone or sasp,clone.")
 @click.option("--json", "as_json", is_flag=True, help="Print verdicts and figures as one JSON object.")
-def day(  # noqa: PLR0913, PLR0917 - click passes each option
+def day(  # noqa: PLR0913, PLR0917 - click passes each option as an argument
     script: str, report: str | None, seed: int | None, policy: str, fronts: str, as_json: bool
 ) -> None:
     """Play the day in SCRIPT against a real assigner process on loopback.
 
-    Checks the five rules from what passed on the sockets. Exit code 0 only if all were kept.
+    Checks the five rules on the recorded traffic of the sockets. The exit code is 0 only if all rules were kept.
     """
     from gevent import monkey
 
--- a/hollyridge/cli/simulated_day.py
+++ b/hollyridge/cli/simulated_day.py
@@ -20,12 +20,13 @@
     """Options of a simulated day.
 
     Attributes:
-        seed: In place of the scenario's.
-        record: The file to keep the recording in.
-        policy: Another decision module of the laboratory.
-        ties: Shuffles what is due at the same moment, by this seed.
-        cost: Whether to measure what the day costs.
-        report: The folder to write a page to.
+        seed: Seed that replaces the scenario's own.
+        record: File for the recording.
+        policy: Name of a decision module of the laboratory that replaces the service's own.
+        ties: Seed by which events that are due at the same time are shuffled.
+        cost: Whether to measure the cost of the day.
+        report: Folder for the report page.
+        as_json: Whether to print the result as JSON.
     """
 
     seed: int | None
@@ -38,7 +39,7 @@
 
 
 def play_simulated(scenario: Scenario, options: SimulatedOptions) -> ExitCode:
-    """Play a day and print what it came to; returns the exit code."""
+    """Play a day, print its results and return the exit code."""
     try:
         outcome = _play(scenario, options)
     except DayError as error:
@@ -51,7 +52,7 @@
         folder = Path(options.report)
         folder.mkdir(parents=True, exist_ok=True)
         click.echo(f"report: {write(folder, scenario, outcome)}", err=True)
-    return ExitCode.FINE if all(verdict.kept for verdict in outcome.verdicts) else ExitCode.FAILED
+    return ExitCode.SUCCESS if all(verdict.kept for verdict in outcome.verdicts) else ExitCode.FAILED
 
 
 def _play(scenario: Scenario, options: SimulatedOptions) -> Outcome:
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -1,4 +1,4 @@
-"""`hollyridge solve`: weights for a described fleet, what binds, what moves."""
+"""`hollyridge solve`: weights for a described fleet, the limits of the plan, and its changes to current tables."""
 
 from __future__ import annotations
 
@@ -17,51 +17,52 @@
     from hollyridge.solver.fleet import Fleet
     from hollyridge.solver.planner import Plan
 
-TIMEOUT_S = 5
-MAX_ANSWER_BYTES = 1 << 24
+TIMEOUT_S = 5  # of a request to an assigner
+MAX_RESPONSE_BYTES = 1 << 24
 HTTP_OK = 200
 
 
-def fetch(url: str, path: str, verb: str = "GET") -> bytes:
-    """What an assigner answers at its OTLP address.
+def fetch(url: str, path: str, method: str = "GET") -> bytes:
+    """Return the response of an assigner to a request at its OTLP address.
 
     Raises:
-        OSError: It can't be reached.
-        ValueError: It has nothing there, or `url` is no such address.
+        OSError: The assigner cannot be reached.
+        ValueError: The response is not OK or not HTTP, or `url` has another form than http://ADDRESS:PORT.
     """
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname or parts.port is None:
-        raise ValueError("http://ADDRESS:PORT is wanted")
+        raise ValueError("the address is invalid, expected http://ADDRESS:PORT")
     connection = HTTPConnection(parts.hostname, parts.port, timeout=TIMEOUT_S)
     try:
-        connection.request(verb, path, headers={"Content-Length": "0"} if verb == "POST" else {})
-        answer = connection.getresponse()
-        status, body = answer.status, answer.read(MAX_ANSWER_BYTES) if answer.status == HTTP_OK else b""
+        connection.request(method, path, headers={"Content-Length": "0"} if method == "POST" else {})
+        response = connection.getresponse()
+        status, body = response.status, response.read(MAX_RESPONSE_BYTES) if response.status == HTTP_OK else b""
     except HTTPException as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
     finally:
         connection.close()
     if status != HTTP_OK:
-        raise ValueError(f"nothing at {path} (status {status})")
+        raise ValueError(f"{path}: HTTP status {status}, expected {HTTP_OK}")
     return body
 
 
 def _fetch_fleet(url: str) -> bytes:
-    """What the assigner there knows of its fleet."""
+    """Return the description that an assigner gives of its fleet."""
     try:
         return fetch(url, "/fleet")
     except ValueError as error:
-        raise ValueError(f"no description yet, reports of busy tasks must have come ({error})") from None
+        raise ValueError(f"no description yet, reports of busy tasks must arrive first ({error})") from None
 
 
 @click.command()
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True)
 def solve(file: str, as_json: bool) -> None:
-    """Weights within capacity for the fleet that FILE describes.
+    """Plan weights within capacity for the fleet that FILE describes.
 
-    Shows tables by zone, what binds, what one more task would do, and what moves against the tables held now. FILE may
-    be http://ADDRESS:PORT, an assigner's OTLP address: then what that assigner knows now is taken.
+    Shows the tables by zone, the limits of the plan, the effect of one more task, and the changes to the current
+    tables. FILE may also be an assigner's OTLP address in the form http://ADDRESS:PORT; the fleet is then described by
+    that assigner.
     """
     fleet, plan, groups, took_s = _plan(file)
     rows = _table_rows(fleet, plan, groups)
@@ -72,7 +73,7 @@
 
 
 def _plan(file: str) -> tuple[Fleet, Plan, dict[str, list[int]], float]:
-    """The fleet, its plan, its tasks by name, and the seconds it took; exits where there is no plan."""
+    """Return the fleet, its plan, its tasks by group and the duration in seconds; exit if there is no plan."""
     from hollyridge.core.solver_service import load_solver_library
     from hollyridge.settings.fleet_file import load, read_text
     from hollyridge.settings.ini import FaultsError
@@ -85,21 +86,21 @@
             fleet, deadline, groups = read_text(_fetch_fleet(file), file)
         else:
             fleet, deadline, groups = load(file)
-        begun = time.monotonic()
+        started = time.monotonic()
         load_solver_library()
         plan = plan_of(fleet, deadline)
-        return fleet, plan, groups, time.monotonic() - begun
+        return fleet, plan, groups, time.monotonic() - started
     except FaultsError as error:
         print_problems(file, error)
         sys.exit(ExitCode.BAD_INPUT)
     except (OSError, ValueError) as error:
         fail(f"{file}: {error}", ExitCode.FAILED)
     except (InvalidFleetError, SolverTimeoutError) as error:
-        fail(f"{file}: no plan, tables stay as they are: {error}", ExitCode.FAILED)
+        fail(f"{file}: no plan, the current tables are kept: {error}", ExitCode.FAILED)
 
 
 def _table_rows(fleet: Fleet, plan: Plan, groups: dict[str, list[int]]) -> list[dict]:
-    """A row for each zone and group of tasks that its table lists."""
+    """Return a row for each zone and each group of tasks that its table lists."""
     rows = []
     for number, zone in enumerate(fleet.zones):
         table, shares = plan.tables[number], plan.shares[number]
@@ -120,7 +121,7 @@
 
 
 def _result(fleet: Fleet, plan: Plan, rows: list[dict], took_s: float) -> dict:
-    """The result as `--json` has it."""
+    """Return the result as `--json` prints it."""
     served = {
         zone.name: {method.name: round(fraction, 4) for method, fraction in zip(fleet.methods, fractions)}
         for zone, fractions in zip(fleet.zones, plan.served)
@@ -146,6 +147,6 @@
         click.echo(reason)
     moves = plan.moves
     click.echo(
-        f"moves: {moves.opened} connections opened, {moves.closed} closed, {moves.lines} lines; handshakes take up to "
-        f"{moves.handshakes:.0%} of a task's room; gain {plan.gain:.0%}; {took_s * 1e3:.0f} ms"
+        f"moves: {moves.opened} connections opened, {moves.closed} closed, {moves.lines} lines changed; "
+        f"handshakes use up to {moves.handshakes:.0%} of a task's capacity; gain {plan.gain:.0%}; {took_s * 1e3:.0f} ms"
     )
