--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -1,9 +1,9 @@
-"""What a push costs by each protocol: bytes, messages, time until the last proxy holds it, CPU, memory.
+"""Benchmark of a push by each protocol: bytes, messages, time until the last proxy has received it, CPU and memory.
 
     .venv/bin/python benchmarks/fronts.py --front clone --proxies 130 --tasks 114 [--slow 0.1] [--json]
 
-Joins all proxies, then drains one task and, later, adds ten in each zone. `--slow` is the share of proxies that read
-slowly.
+All proxies join; then one task is drained, and later ten tasks are added in each zone. `--slow` is the fraction of
+proxies that read slowly.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 import click
 import msgspec
-from proxy_group import GroupSpec, ProxyGroup, Question, run_group
+from proxy_group import ExpectedTables, GroupSpec, ProxyGroup, run_group
 from service_process import TASK_PORT, Service, members, name_of, print_result, running_service, usage_of
 
 from hollyridge.lab.stand_ins.ports import free_ports
 from hollyridge.sasp.client import MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-START_S = 2.0  # until the assigner listens
-SETTLE_S = 1.0  # until the members' list has settled
-QUIET_S = 3.0  # before each push, so that the one before it is over
-IDLE_S = 5.0  # over which the CPU at rest is measured
+START_S = 2.0  # wait until the assigner listens
+SETTLE_S = 1.0  # wait until the list of members is complete
+PAUSE_S = 3.0  # pause before each push, so that the previous push is complete
+IDLE_S = 5.0  # measurement time of the CPU at rest
 JOIN_TIMEOUT_S = 60.0
 PUSH_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.01
@@ -34,16 +34,16 @@
 PROXIES_PER_PROCESS = 125
 ZONE_OCTETS = (1, 2, 3)
 NEW_TASKS_PER_ZONE = 10
-ANY_TABLE = Question({}, "")
+ANY_TABLE = ExpectedTables({}, "")
 
 
 class Received(NamedTuple):
-    """What all proxies have received so far.
+    """Total of what all proxies have received so far.
 
     Attributes:
-        complete_s: Time until every quick proxy held what it should; -1 if one did not in time.
+        complete_s: Time until every fast proxy held the expected tables, in seconds; -1 after a timeout.
         received_bytes: Bytes of all messages.
-        messages: Their number.
+        messages: Number of messages.
     """
 
     complete_s: float
@@ -52,28 +52,28 @@
 
 
 class PushBenchmark:
-    """Measures pushes of one assigner to groups of proxies."""
+    """Measurement of pushes from one assigner to groups of proxies."""
 
     def __init__(self, service: Service, groups: list[ProxyGroup]) -> None:
         self.service = service
         self.groups = groups
 
-    def wait_until_complete(self, question: Question, timeout_s: float, since_s: float) -> Received:
-        """Ask all groups until their proxies hold what they should, or the time is over."""
+    def wait_until_complete(self, expected: ExpectedTables, timeout_s: float, since_s: float) -> Received:
+        """Query all groups until their proxies hold the expected tables, or until the timeout."""
         while True:
-            answers = [group.ask(question) for group in self.groups]
-            complete = all(answer.complete for answer in answers)
+            states = [group.query(expected) for group in self.groups]
+            complete = all(state.complete for state in states)
             if complete or time.monotonic() - since_s > timeout_s:
                 return Received(
                     round(time.monotonic() - since_s, 3) if complete else -1.0,
-                    sum(answer.received_bytes for answer in answers),
-                    sum(answer.messages for answer in answers),
+                    sum(state.received_bytes for state in states),
+                    sum(state.messages for state in states),
                 )
             time.sleep(POLL_INTERVAL_S)
 
-    def measure(self, name: str, change: Callable[[], object], expected: Question) -> dict:
-        """Make a change and measure its push; keys of the result begin with the name."""
-        time.sleep(QUIET_S)
+    def measure(self, name: str, change: Callable[[], object], expected: ExpectedTables) -> dict:
+        """Make a change and measure its push; the keys of the result start with the name."""
+        time.sleep(PAUSE_S)
         before = self.wait_until_complete(ANY_TABLE, 0, time.monotonic())
         cpu_before_s = usage_of(self.service.pid).cpu_s
         since_s = time.monotonic()
@@ -88,7 +88,7 @@
         }
 
     def idle_cpu_share(self) -> float:
-        """CPU of the assigner while nothing changes, as a share of a core."""
+        """Return the CPU use of the assigner while nothing changes, as a share of a core."""
         started_s = time.monotonic()
         cpu_before_s = usage_of(self.service.pid).cpu_s
         time.sleep(IDLE_S)
@@ -97,7 +97,7 @@
 
 
 def group_specs(front: str, port: int, proxies: int, slow: float) -> list[GroupSpec]:
-    """Spread proxies over processes, each with the same share of slow ones."""
+    """Divide the proxies into groups, one per process, each with the same fraction of slow proxies."""
     specs = []
     for first in range(0, proxies, PROXIES_PER_PROCESS):
         count = min(PROXIES_PER_PROCESS, proxies - first)
@@ -106,7 +106,7 @@
 
 
 def new_members() -> dict[str, list[Member]]:
-    """The tasks that are added, by the second octet of their zone."""
+    """Return the added tasks, by the second octet of their zone's addresses."""
     return {
         str(octet): [
             Member.at(f"127.{octet}.1.{number}", TASK_PORT, "run=b up=100")
@@ -117,22 +117,22 @@
 
 
 def measure_pushes(benchmark: PushBenchmark, registrar: MemberRegistrar, registered: list[Member]) -> dict:
-    """Drain one task, then add ten in each zone, and measure both."""
+    """Drain one task, then add ten tasks in each zone, and measure both pushes."""
     drained = registered[0]
     drained_name = name_of(drained)
     added = new_members()
     present = {octet: [name_of(member) for member in zone_members] for octet, zone_members in added.items()}
     all_added = [member for zone_members in added.values() for member in zone_members]
     return {
-        **benchmark.measure("drain", lambda: registrar.quiesce([drained]), Question({}, drained_name)),
-        **benchmark.measure("ten_a_zone", lambda: registrar.register(all_added), Question(present, drained_name)),
+        **benchmark.measure("drain", lambda: registrar.quiesce([drained]), ExpectedTables({}, drained_name)),
+        **benchmark.measure("ten_a_zone", lambda: registrar.register(all_added), ExpectedTables(present, drained_name)),
     }
 
 
 def front_counts(service: Service, front: str) -> dict:
-    """The counters of a protocol's server from the status page."""
-    with urllib.request.urlopen(f"http://127.0.0.1:{service.ports.otlp}/status", timeout=STATUS_TIMEOUT_S) as answer:
-        return msgspec.json.decode(answer.read())[front]
+    """Return the counters of a protocol's server from the status page."""
+    with urllib.request.urlopen(f"http://127.0.0.1:{service.ports.otlp}/status", timeout=STATUS_TIMEOUT_S) as response:
+        return msgspec.json.decode(response.read())[front]
 
 
 def run(front: str, proxies: int, tasks: int, lines_per_s: float, slow: float) -> dict:
@@ -169,12 +169,12 @@
 @click.option("--tasks", default=114)
 @click.option("--lines-per-s", default=100000.0)
 @click.option("--slow", default=0.0)
-@click.option("--crowd", default="", hidden=True, help="Be a group of proxies; the program starts these itself.")
+@click.option("--crowd", default="", hidden=True, help="Run a group of proxies; used by the benchmark itself.")
 @click.option("--json", "as_json", is_flag=True)
 def main(  # noqa: PLR0913, PLR0917 - click passes each option as an argument
     front: str, proxies: int, tasks: int, lines_per_s: float, slow: float, crowd: str, as_json: bool
 ) -> None:
-    """Measure what pushes cost by one protocol."""
+    """Measure the cost of pushes by one protocol."""
     if crowd:
         run_group(crowd)
         return
--- a/benchmarks/joins.py
+++ b/benchmarks/joins.py
@@ -1,4 +1,4 @@
-"""How fast proxies join: many SASP load balancers connect to one assigner at once; when does each hold a table?
+"""Benchmark of joining: many SASP load balancers connect to one assigner at once, until each of them holds a table.
 
 .venv/bin/python benchmarks/joins.py --proxies 130 --tasks 114 [--json]
 """
@@ -16,14 +16,14 @@
 
 from hollyridge.sasp.client import LoadBalancerClient, MemberRegistrar
 
-START_S = 1.5  # until the assigner listens
-SETTLE_S = 1.0  # until the members' list has settled
-TIMEOUT_S = 60.0  # for a table to arrive
-LAST_FRAMES_S = 2.0  # that a proxy stays connected after its table arrived
+START_S = 1.5  # wait until the assigner listens
+SETTLE_S = 1.0  # wait until the list of members is complete
+TIMEOUT_S = 60.0  # maximum wait for a table
+LAST_FRAMES_S = 2.0  # time that a proxy stays connected after its table has arrived
 
 
 class Join(NamedTuple):
-    """A proxy that holds a table: when it arrived, from the start of all, and its lines."""
+    """Arrival of a proxy's table: seconds since the start of the benchmark, and number of lines."""
 
     after_s: float
     lines: int
@@ -33,8 +33,8 @@
     """Proxies that join at once.
 
     Attributes:
-        joins: Those that hold a table.
-        received_bytes: Bytes of all frames that they received.
+        joins: Tables that have arrived so far.
+        received_bytes: Bytes of all received frames.
     """
 
     def __init__(self, ports: Ports) -> None:
@@ -44,7 +44,7 @@
         self.started_s = time.monotonic()
 
     def count_bytes(self, raw: bytes) -> None:
-        """Count a received frame."""
+        """Add the size of a received frame."""
         self.received_bytes += len(raw)
 
     def join(self, number: int) -> None:
@@ -64,7 +64,7 @@
         client.receive(LAST_FRAMES_S)
 
     def run(self, proxies: int) -> None:
-        """Let all proxies join."""
+        """Connect all proxies at once and wait for them."""
         gevent.joinall([gevent.spawn(self.join, number) for number in range(proxies)])
 
 
@@ -74,7 +74,7 @@
 @click.option("--lines-per-s", default=3000.0)
 @click.option("--json", "as_json", is_flag=True)
 def main(proxies: int, tasks: int, lines_per_s: float, as_json: bool) -> None:
-    """Start an assigner, let all proxies join at once, and print how long that took."""
+    """Start an assigner, connect all proxies at once, and print the times until their tables arrive."""
     with running_service(lines_per_s) as service:
         gevent.sleep(START_S)
         registrar = MemberRegistrar(("127.0.0.1", service.ports.sasp), "shelf", connect=socket.create_connection)
@@ -82,7 +82,7 @@
         gevent.sleep(SETTLE_S)
         benchmark = JoinBenchmark(service.ports)
         benchmark.run(proxies)
-    used = resource.getrusage(resource.RUSAGE_CHILDREN)  # of the assigner, which has ended
+    used = resource.getrusage(resource.RUSAGE_CHILDREN)  # use of the assigner's process, which has ended
     times = sorted(join.after_s for join in benchmark.joins)
     result = {
         "proxies": proxies,
--- a/benchmarks/proxy_group.py
+++ b/benchmarks/proxy_group.py
@@ -1,4 +1,4 @@
-"""A process with some of the proxies of a benchmark, which is asked over pipes what they hold and have received."""
+"""Process with a group of the proxies of a benchmark; it reports over pipes which tables they hold and received."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from hollyridge.sasp.client import ConnectionLostError, HeldWeights, LoadBalancerClient
 
 TIMEOUT_S = 60.0  # of a proxy's requests
-SLOW_READ_S = 0.05  # that a slow proxy takes for each message
-SOCKETS_PER_PROXY = 3  # of the CHP protocol
+SLOW_READ_S = 0.05  # time that a slow proxy takes for each message
+SOCKETS_PER_PROXY = 3  # in the CHP protocol
 SPARE_SOCKETS = 100
 PROGRAM = Path(__file__).with_name("fronts.py")
 
 
 class GroupSpec(NamedTuple):
-    """What a group is started with.
+    """Specification of a group.
 
     Attributes:
-        front: The protocol that its proxies speak, `sasp` or `clone`.
-        port: Port of the assigner's server of this protocol.
-        first: Number of its first proxy.
-        count: Its proxies.
-        slow: How many of them read slowly.
+        front: Protocol of the proxies, `sasp` or `clone`.
+        port: Port of the assigner's server for this protocol.
+        first: Number of the first proxy of the group.
+        count: Number of proxies.
+        slow: Number of proxies that read slowly.
     """
 
     front: str
@@ -42,25 +42,25 @@
     slow: int
 
 
-class Question(NamedTuple):
-    """What every quick proxy should hold.
+class ExpectedTables(NamedTuple):
+    """Tables that every fast proxy is expected to hold.
 
     Attributes:
-        present: Tasks that must be in the tables of a zone's proxies, by the second octet of its addresses.
-        absent: A task that must be in no table; empty for none.
+        present: Tasks that must be in the tables of a zone's proxies, by the second octet of the zone's addresses.
+        absent: Task that must be in no table; empty for none.
     """
 
     present: dict[str, list[str]]
     absent: str
 
 
-class Answer(NamedTuple):
+class GroupState(NamedTuple):
     """State of a group.
 
     Attributes:
-        complete: Whether every quick proxy holds a table that is as asked for.
-        received_bytes: What all its proxies have received so far.
-        messages: In how many messages.
+        complete: Whether every fast proxy holds the expected table.
+        received_bytes: Bytes that all proxies have received so far.
+        messages: Number of messages that all proxies have received so far.
     """
 
     complete: bool
@@ -69,7 +69,7 @@
 
 
 class Proxy:
-    """A proxy that speaks one of the protocols and keeps what it holds for the first method."""
+    """Proxy that uses one of the protocols and keeps its table for the first method."""
 
     def __init__(self, number: int, spec: GroupSpec, context: zmq.Context, slow: bool) -> None:
         self.uid = f"gw-{number}"
@@ -83,14 +83,14 @@
         gevent.spawn(self.run_sasp if spec.front == "sasp" else self.run_chp, spec.port)
 
     def count(self, raw: bytes | list[bytes]) -> None:
-        """Count a received message; a slow proxy takes its time over it."""
+        """Count a received message; a slow proxy then waits."""
         self.messages += 1
         self.received_bytes += len(raw) if isinstance(raw, bytes) else sum(map(len, raw))
         if self.slow:
             gevent.sleep(SLOW_READ_S)
 
     def run_sasp(self, port: int) -> None:
-        """Take updates by SASP until the connection ends."""
+        """Receive updates by SASP until the connection ends."""
         client = LoadBalancerClient(
             ("127.0.0.1", port),
             self.uid,
@@ -109,24 +109,24 @@
             return
 
     def run_chp(self, port: int) -> None:
-        """Take updates by CHP until the program ends."""
-        how = {"zmq": zmq, "context": self.context, "source": self.source, "on_receive": self.count}
-        gateway = ChpGateway(("127.0.0.1", port), self.uid, list(METHODS), how, sleep=gevent.sleep)
+        """Receive updates by CHP until the program ends."""
+        options = {"zmq": zmq, "context": self.context, "source": self.source, "on_receive": self.count}
+        gateway = ChpGateway(("127.0.0.1", port), self.uid, list(METHODS), options, sleep=gevent.sleep)
 
-        def keep_tasks(_: ChpGateway) -> None:
+        def store_tasks(_: ChpGateway) -> None:
             self.tasks = set(gateway.table_for(METHODS[0]))
 
-        gateway.on_change(keep_tasks)
+        gateway.on_change(store_tasks)
         gateway.run()
 
-    def holds(self, question: Question) -> bool:
-        """Whether it holds a table that is as asked for."""
-        present = set(question.present.get(str(self.zone_octet), ()))
-        return bool(self.tasks) and question.absent not in self.tasks and present <= self.tasks
+    def holds(self, expected: ExpectedTables) -> bool:
+        """Return whether the proxy holds the expected table."""
+        present = set(expected.present.get(str(self.zone_octet), ()))
+        return bool(self.tasks) and expected.absent not in self.tasks and present <= self.tasks
 
 
 class ProxyGroup:
-    """The handle of a group's process, by which it is asked; the process is killed on leaving the context."""
+    """Handle of a group's process, which is killed on leaving the context."""
 
     def __init__(self, spec: GroupSpec) -> None:
         self.process = subprocess.Popen(
@@ -142,25 +142,25 @@
         self.process.kill()
         self.process.wait()
 
-    def ask(self, question: Question) -> Answer:
-        """Send a question and wait for the answer."""
-        self.process.stdin.write(msgspec.json.encode(question) + b"\n")
+    def query(self, expected: ExpectedTables) -> GroupState:
+        """Send the expected tables and wait for the state of the group."""
+        self.process.stdin.write(msgspec.json.encode(expected) + b"\n")
         self.process.stdin.flush()
-        return msgspec.json.decode(self.process.stdout.readline(), type=Answer)
+        return msgspec.json.decode(self.process.stdout.readline(), type=GroupState)
 
 
 def run_group(raw_spec: str) -> None:
-    """Run the proxies of a group, and answer questions on standard input until it ends."""
+    """Run the proxies of a group, and answer queries from standard input until it is closed."""
     spec = msgspec.json.decode(raw_spec, type=GroupSpec)
     context = zmq.Context()
     context.max_sockets = SOCKETS_PER_PROXY * spec.count + SPARE_SOCKETS
     proxies = [Proxy(spec.first + index, spec, context, index < spec.slow) for index in range(spec.count)]
     for line in FileObject(sys.stdin.buffer, "rb"):
-        question = msgspec.json.decode(line, type=Question)
-        answer = Answer(
-            complete=all(proxy.holds(question) for proxy in proxies if not proxy.slow),
+        expected = msgspec.json.decode(line, type=ExpectedTables)
+        state = GroupState(
+            complete=all(proxy.holds(expected) for proxy in proxies if not proxy.slow),
             received_bytes=sum(proxy.received_bytes for proxy in proxies),
             messages=sum(proxy.messages for proxy in proxies),
         )
-        sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
+        sys.stdout.buffer.write(msgspec.json.encode(state) + b"\n")
         sys.stdout.buffer.flush()
--- a/benchmarks/seeds.py
+++ b/benchmarks/seeds.py
@@ -1,4 +1,4 @@
-"""One scenario over many seeds and decision modules, several days at a time: rules broken and service by module.
+"""Comparison of decision modules on one scenario over many seeds: broken rules and served demand by module.
 
 .venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
 """
@@ -16,23 +16,23 @@
 
 from hollyridge.lab.experiments.day_command import EXIT_CODES_OF_A_DAY
 
-DAY_TIMEOUT_S = 1200  # of real time; days are played live
+DAY_TIMEOUT_S = 1200  # days are played in real time
 MAX_ERROR_CHARACTERS = 300
 RULES = range(1, 6)
-DEFAULT_MODULE = "module"  # how the service's own decision module is shown
+DEFAULT_MODULE = "module"  # shown name of the service's own decision module
 
 
 class Job(NamedTuple):
-    """One day to run; `policy` is empty for the service's own decision module."""
+    """Day to run; `policy` is empty for the service's own decision module."""
 
-    script: str
+    scenario_path: str
     policy: str
     seed: int
 
 
 def play(job: Job) -> dict:
-    """Run a live day in a process of its own; its figures, or the reason under `failed`."""
-    command = [sys.executable, "-m", "hollyridge.cli.main", "day", job.script, "--json", "--seed", str(job.seed)]
+    """Run a live day in its own process; return its figures, or the reason of a failure under `failed`."""
+    command = [sys.executable, "-m", "hollyridge.cli.main", "day", job.scenario_path, "--json", "--seed", str(job.seed)]
     if job.policy:
         command += ["--policy", job.policy]
     process = subprocess.run(command, capture_output=True, timeout=DAY_TIMEOUT_S)
@@ -43,7 +43,7 @@
 
 
 def play_all(jobs: list[Job], at_once: int, out: str | None) -> list[dict]:
-    """Run all days; results are in the order of the jobs and, if asked for, appended to a file as they come."""
+    """Run all days; return the results in the order of the jobs, and append them to the file `out` if given."""
     rows = []
     with ThreadPoolExecutor(at_once) as pool:
         for row in pool.map(play, jobs):
@@ -55,18 +55,18 @@
 
 
 def good_days(rows: list[dict], policy: str) -> list[dict]:
-    """A module's days that could be run."""
+    """Return the days of a module that could be played."""
     return [row for row in rows if row["policy"] == policy and "failed" not in row]
 
 
 def verdicts_by_rule(days: list[dict]) -> dict[int, list[dict]]:
-    """The verdicts of all days, by rule."""
+    """Return the verdicts of all days, by rule."""
     verdicts = [verdict for day in days for verdict in day["rules"]]
     return {rule: [verdict for verdict in verdicts if verdict["rule"] == rule] for rule in RULES}
 
 
 def summary_line(rows: list[dict], policy: str) -> str:
-    """One line on a module: service, updates, and the rules."""
+    """Return one line with the served demand, updates and rules of a module."""
     days = good_days(rows, policy)
     failed = sum(row["policy"] == policy for row in rows) - len(days)
     verdicts = verdicts_by_rule(days)
@@ -84,7 +84,7 @@
 
 
 def comparison_line(rows: list[dict], base: str, policy: str) -> str:
-    """One line on how a module compares with the base on the seeds that both have run."""
+    """Return one line that compares a module with the base on the seeds that both have played."""
     base_served = {day["seed"]: day["served"] for day in good_days(rows, base)}
     gaps = [base_served[day["seed"]] - day["served"] for day in good_days(rows, policy) if day["seed"] in base_served]
     return (
@@ -98,9 +98,9 @@
 @click.option("--seeds", default=20)
 @click.option("--policies", default="")
 @click.option("--at-once", default=6)
-@click.option("--out", type=click.Path(dir_okay=False), help="All results, a JSON line each.")
+@click.option("--out", type=click.Path(dir_okay=False), help="Append all results to this file, one JSON line each.")
 def main(script: str, seeds: int, policies: str, at_once: int, out: str | None) -> None:
-    """Run SCRIPT live with each decision module and seed; print a line for each module, then the comparisons."""
+    """Run SCRIPT live with each decision module and seed; print a line per module, then the comparisons."""
     names = policies.split(",")
     jobs = [Job(script, policy, seed) for seed in range(1, seeds + 1) for policy in names]
     rows = play_all(jobs, at_once, out)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,9 @@
-"""CPU and memory of an assigner over a time: idle, or with proxies that report each second.
+"""Benchmark of an assigner's CPU and memory over time, idle or with proxies that report each second.
 
     .venv/bin/python benchmarks/soak.py --seconds 600 --proxies 130 --tasks 114 [--json]
 
-With --proxies 0 it is idle. Tasks answer in times that are drawn by a seed and drift, so that weights keep moving.
+With --proxies 0 the assigner is idle. The latencies of tasks are drawn by a seed and drift, so that weights keep
+changing.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 
 LINES_PER_S = 9000
-START_S = 1.5  # until the assigner listens
-WARM_UP_S = 10.0  # until all proxies hold tables and report
+START_S = 1.5  # wait until the assigner listens
+WARM_UP_S = 10.0  # wait until all proxies hold tables and report
 SAMPLING_INTERVAL_S = 10
 REPORT_INTERVAL_S = 1.0
 TIMEOUT_S = 60.0  # of a proxy's requests
@@ -34,28 +35,28 @@
 
 
 def http_connection(ports: Ports) -> http.client.HTTPConnection:
-    """A connection to the assigner's intake and status page that lets other greenlets run while it waits."""
+    """Return a connection for reports and the status page that lets other greenlets run while it waits."""
     connection = http.client.HTTPConnection("127.0.0.1", ports.otlp, timeout=HTTP_TIMEOUT_S)
     connection._create_connection = socket.create_connection
     return connection
 
 
 class Proxy:
-    """A proxy that takes updates and reports on some tasks each second.
+    """Proxy that receives updates and reports on some tasks each second.
 
     Attributes:
-        messages: Updates received.
-        lines: Their lines.
+        messages: Number of received updates.
+        lines: Number of lines in them.
     """
 
     def __init__(self, number: int, ports: Ports, tasks: list[str], latencies_s: list[float]) -> None:
-        """Connect the proxy and let it run until the program ends.
+        """Connect the proxy and run it until the program ends.
 
         Args:
-            number: Its number, which gives its zone and its seed.
-            ports: Where the assigner listens.
+            number: Number of the proxy, which determines its zone and seed.
+            ports: Ports of the assigner.
             tasks: Names of the tasks.
-            latencies_s: Latency of each task; the benchmark changes it in place.
+            latencies_s: Latency of each task, in seconds; the benchmark changes the list in place.
         """
         self.uid = f"gw-{number}"
         self.zone = number % len(ZONES)
@@ -69,7 +70,7 @@
         gevent.spawn(self.report)
 
     def receive(self) -> None:
-        """Take updates until the connection ends."""
+        """Receive updates until the connection ends."""
         client = LoadBalancerClient(
             ("127.0.0.1", self.ports.sasp),
             self.uid,
@@ -86,7 +87,7 @@
             return
 
     def figures_of(self, task: int, start_ns: int, end_ns: int) -> list[Figure]:
-        """Draw what this proxy has seen of a task in a period."""
+        """Draw the figures of a task in a period, as this proxy measures them."""
         name = self.tasks[task]
         attributes = {"proxy": self.uid, "zone": ZONES[self.zone], "task": name, "method": METHODS[0]}
         attempts = self.rng.randrange(1, 6)
@@ -107,8 +108,8 @@
         return [*figures, Figure("hollyridge.rpcs", RPCS_PER_REPORT, attributes, end_ns, start_ns)]
 
     def report(self) -> None:
-        """Report each second until the program ends; a report that can't be sent is dropped."""
-        gevent.sleep(self.rng.random())  # so that proxies do not report in step
+        """Send a report each second until the program ends; a report that cannot be sent is dropped."""
+        gevent.sleep(self.rng.random())  # so that proxies do not all report at the same time
         connection = http_connection(self.ports)
         start_ns = time.time_ns()
         while True:
@@ -123,10 +124,10 @@
 
 
 def sample_usage(pid: int, seconds: int, latencies_s: list[float], rng: Random) -> list[Usage]:
-    """Sample a process every ten seconds, and let the tasks' latencies drift after each sample.
+    """Sample the resource use of a process every ten seconds, and change the tasks' latencies after each sample.
 
     Returns:
-        The usage at the start and at each sample.
+        Resource use at the start and at each sample.
     """
     started_s = time.monotonic()
     samples = [usage_of(pid)]
@@ -138,7 +139,7 @@
 
 
 def status_of(ports: Ports) -> dict:
-    """The assigner's status page."""
+    """Return the assigner's status page."""
     connection = http_connection(ports)
     connection.request("GET", "/status")
     return msgspec.json.decode(connection.getresponse().read())
@@ -150,7 +151,7 @@
 @click.option("--tasks", default=114)
 @click.option("--json", "as_json", is_flag=True)
 def main(seconds: int, proxies: int, tasks: int, as_json: bool) -> None:
-    """Run an assigner with proxies for some time and print the resources that it used."""
+    """Run an assigner with proxies for some time and print its use of resources."""
     with running_service(LINES_PER_S) as service:
         gevent.sleep(START_S)
         rng = Random(1)
