--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do all: `make day` plays a bad day against a real assigner, `make test` passes the tests.
+# `make day` plays the bad day against a real assigner, `make serve` runs one on loopback, `make test` runs lint and tests.
 PY = .venv/bin/python
 
 .PHONY: day test serve
