--- a/hollyridge/cli/fleet.py
+++ b/hollyridge/cli/fleet.py
@@ -33,15 +33,15 @@
         return
     if not assigners:
         raise click.UsageError("no assigner given, expected at least one ASSIGNERS address or --new-key")
-    views, silent = _fetch_views(assigners, action)
+    views, error_lines = _fetch_views(assigners, action)
     owned_twice = _owned_twice(views)
     if as_json:
-        click.echo(msgspec.json.encode({"assigners": views, "silent": silent, "owned_twice": owned_twice}))
+        click.echo(msgspec.json.encode({"assigners": views, "silent": error_lines, "owned_twice": owned_twice}))
     else:
         _show(views, owned_twice)
-    for line in silent:
+    for line in error_lines:
         click.echo(line, err=True)
-    sys.exit(ExitCode.FAILED if silent or owned_twice else ExitCode.SUCCESS)
+    sys.exit(ExitCode.FAILED if error_lines or owned_twice else ExitCode.SUCCESS)
 
 
 def _write_key(path: str) -> None:
@@ -57,7 +57,7 @@
 def _fetch_views(assigners: tuple[str, ...], action: str | None) -> tuple[dict[str, dict], list[str]]:
     """Run the action on each assigner; return their views by name, and an error line for each that did not answer."""
     views: dict[str, dict] = {}
-    silent: list[str] = []
+    error_lines: list[str] = []
     for url in assigners:
         try:
             if action:
@@ -65,8 +65,8 @@
             view = msgspec.json.decode(fetch(url, "/peers"))
             views[view["name"]] = view
         except (OSError, ValueError, msgspec.DecodeError) as error:
-            silent.append(f"{url}: {error}")
-    return views, silent
+            error_lines.append(f"{url}: {error}")
+    return views, error_lines
 
 
 def _owned_twice(views: dict[str, dict]) -> dict[str, list[str]]:
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -187,7 +187,10 @@
 def sweep(  # noqa: PLR0913, PLR0917 - click passes each option as an argument
     script: str, sizes: str, assigners: str, seed: int, timeout_s: float, out: str | None, as_json: bool
 ) -> None:
-    """Play SCRIPT at several sizes and show the growth of cost, lines and use of the rules' limits."""
+    """Play SCRIPT at several sizes.
+
+    Shows the growth of cost, of lines and of the used part of the rules' limits, and the cost by part of the program.
+    """
     from hollyridge.lab.experiments import sweep as sweeping
 
     try:
--- a/hollyridge/solver/evaluation.py
+++ b/hollyridge/solver/evaluation.py
@@ -22,7 +22,7 @@
         opened: Number of connections that are opened.
         closed: Number of connections that are closed.
         lines: Number of lines that are new, removed or moved.
-        handshakes: Largest fraction of a task's capacity that handshakes use.
+        handshakes: Largest fraction of a task's capacity that the handshakes of new connections use.
     """
 
     opened: int
--- a/hollyridge/solver/flow_model.py
+++ b/hollyridge/solver/flow_model.py
@@ -2,8 +2,8 @@
 
 It is solved in two stages. The first maximizes the served demand by criticality: for each rank of methods the largest
 fraction that every zone can have, and then the rest. The second places the served demand at minimum cost: a cost that
-rises with utilization, plus the cost of crossing zones. The handshakes of new connections count as load. Work is
-measured in fractions of the total demand, so that no solution depends on units.
+rises with utilization, plus the cost of crossing zones and of new connections, whose handshakes also count as load.
+Work is measured in fractions of the total demand, so that no solution depends on units.
 """
 
 from __future__ import annotations
--- a/hollyridge/solver/placement.py
+++ b/hollyridge/solver/placement.py
@@ -12,11 +12,11 @@
 from hollyridge.solver.flow_model import FlowModel
 from hollyridge.solver.task_classes import TaskClass
 
-MIN_SPREAD_FRACTION = 0.03  # of a zone's work, divided among all lines so that none is idle
-MIN_REMAINING_FRACTION = 0.1  # of a full task's capacity that still counts as free
-MAX_FILL = 0.99  # for the reserve for bursts, which grows without bound towards 1
+MIN_SPREAD_FRACTION = 0.03  # part of a zone's work that is divided among all lines so that none is idle
+MIN_REMAINING_FRACTION = 0.1  # part of a full task's capacity that still counts as free
+MAX_FILL = 0.99  # bound in the formula of the reserve for bursts, which grows without bound towards 1
 SATURATED_FILL = 0.999  # fill from which a class counts as full
-NEGLIGIBLE_FRACTION = 1e-6  # of the total demand; a smaller value is the solver's tolerance, not a flow
+NEGLIGIBLE_FRACTION = 1e-6  # of the total demand; a smaller value is within the solver's tolerance, not a flow
 ROUNDING_GUARD = 1e-9  # keeps a whole number that is slightly too large from being rounded up
 FILL_DIGITS = 9  # digits by which fills are compared; smaller differences are rounding errors
 
--- a/hollyridge/solver/planner.py
+++ b/hollyridge/solver/planner.py
@@ -78,13 +78,13 @@
 
     Attributes:
         deadline_s: Time limit of each solution, in seconds.
-        last: Last good plan; None before the first.
+        last_plan: Last good plan; None before the first.
         counts: Totals for the status page.
     """
 
     def __init__(self, deadline_s: float) -> None:
         self.deadline_s = deadline_s
-        self.last: Plan | None = None
+        self.last_plan: Plan | None = None
         self.counts = dict.fromkeys(("solved", "late", "nonsense"), 0)
 
     def take(self, fleet: Fleet) -> Plan | None:
@@ -95,13 +95,13 @@
             return self._fall_back("nonsense", str(error))
         except SolverTimeoutError as error:
             return self._fall_back("late", f"late: {error}")
-        self.last = plan
+        self.last_plan = plan
         self.counts["solved"] += 1
         return plan
 
     def _fall_back(self, counter: str, reason: str) -> Plan | None:
         self.counts[counter] += 1
-        return self.last._replace(stale_reason=reason) if self.last is not None else None
+        return self.last_plan._replace(stale_reason=reason) if self.last_plan is not None else None
 
 
 def _table(fleet: Fleet, zone: int, work: dict[int, float]) -> dict[int, float]:
--- a/tests/solver/test_solver_planner.py
+++ b/tests/solver/test_solver_planner.py
@@ -42,7 +42,8 @@
 def test_plans_are_within_a_twentieth_of_an_exhaustive_search():
     """The search tries each split of two zones' work over three tasks in steps of a twentieth.
 
-    The optimum itself is not required, because the plan leaves out lines that are too small.
+    None may cost less by more than a twentieth. The plan may cost more than the optimum, because it leaves out lines
+    that are too small.
     """
     for seed in range(8):
         rng = Random(seed)
@@ -66,8 +67,8 @@
     assert max(plan.utilization.values()) <= fleet.target_utilization
     assert plan.moves.opened > 0
     connections_to_all = sum(
-        zone.proxy_count * sum(i not in held for i, task in enumerate(fleet.tasks) if task.accepts_requests)
-        for zone, held in zip(fleet.zones, fleet.current_tables)
+        zone.proxy_count * sum(i not in current for i, task in enumerate(fleet.tasks) if task.accepts_requests)
+        for zone, current in zip(fleet.zones, fleet.current_tables)
     )
     assert plan.moves.opened < connections_to_all
     low = next(k for k, m in enumerate(fleet.methods) if m.criticality == 2)
