--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -19,7 +19,7 @@
 from gevent import socket
 from service_process import METHODS, ZONES, Ports, Usage, members, name_of, print_result, running_service, usage_of
 
-from hollyridge.otlp.sender import Figure, post, request_of
+from hollyridge.otlp.sender import MetricPoint, build_export_request, post
 from hollyridge.sasp.client import ConnectionLostError, LoadBalancerClient, MemberRegistrar
 
 LINES_PER_S = 9000
@@ -86,26 +86,26 @@
         except ConnectionLostError:
             return
 
-    def figures_of(self, task: int, start_ns: int, end_ns: int) -> list[Figure]:
+    def figures_of(self, task: int, start_ns: int, end_ns: int) -> list[MetricPoint]:
         """Draw the figures of a task in a period, as this proxy measures them."""
         name = self.tasks[task]
         attributes = {"proxy": self.uid, "zone": ZONES[self.zone], "task": name, "method": METHODS[0]}
         attempts = self.rng.randrange(1, 6)
         spent_s = attempts * self.latencies_s[task] * self.rng.uniform(0.7, 1.4)
         return [
-            Figure("hollyridge.tries", attempts, attributes, end_ns, start_ns),
-            Figure("hollyridge.tries.failed", 0, attributes, end_ns, start_ns),
-            Figure("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
-            Figure("hollyridge.task.util", self.rng.uniform(0.4, 0.7), {"task": name}, end_ns),
+            MetricPoint("hollyridge.tries", attempts, attributes, end_ns, start_ns),
+            MetricPoint("hollyridge.tries.failed", 0, attributes, end_ns, start_ns),
+            MetricPoint("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
+            MetricPoint("hollyridge.task.util", self.rng.uniform(0.4, 0.7), {"task": name}, end_ns),
         ]
 
-    def next_report(self, start_ns: int, end_ns: int) -> list[Figure]:
+    def next_report(self, start_ns: int, end_ns: int) -> list[MetricPoint]:
         """Draw the report of a period on some of the tasks."""
-        figures: list[Figure] = []
+        figures: list[MetricPoint] = []
         for task in self.rng.sample(range(len(self.tasks)), min(TASKS_PER_REPORT, len(self.tasks))):
             figures += self.figures_of(task, start_ns, end_ns)
         attributes = {"proxy": self.uid, "method": METHODS[0]}
-        return [*figures, Figure("hollyridge.rpcs", RPCS_PER_REPORT, attributes, end_ns, start_ns)]
+        return [*figures, MetricPoint("hollyridge.rpcs", RPCS_PER_REPORT, attributes, end_ns, start_ns)]
 
     def report(self) -> None:
         """Send a report each second until the program ends; a report that cannot be sent is dropped."""
@@ -118,7 +118,7 @@
             figures = self.next_report(start_ns, end_ns)
             start_ns = end_ns
             try:
-                post(connection, request_of(self.uid, figures))
+                post(connection, build_export_request(self.uid, figures))
             except (OSError, http.client.HTTPException):
                 connection.close()
 
