--- a/hollyridge/core/solver_service.py
+++ b/hollyridge/core/solver_service.py
@@ -47,7 +47,7 @@
     saved_stdout = os.dup(STDOUT)
     os.dup2(STDERR, STDOUT)
     try:
-        linear_program.library()
+        linear_program.shared_solver()
     finally:
         os.dup2(saved_stdout, STDOUT)
         os.close(saved_stdout)
@@ -87,7 +87,7 @@
         if fleet is None:
             self.counts["unknown"] += 1
             return
-        plan = self.apply(self.planner.take, (fleet,))
+        plan = self.apply(self.planner.plan_for, (fleet,))
         if plan is None or plan.stale_reason:
             reason = plan.stale_reason if plan is not None else "there is no earlier plan"
             self.log.warning("solver_plan_failed", reason=reason)
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -36,7 +36,7 @@
 from hollyridge.sessions.session_tracker import SessionTracker
 from hollyridge.settings.fleet_file import write
 from hollyridge.settings.service_config import ServiceConfig
-from hollyridge.solver.engine_adapter import fleet_of, without_the_gone
+from hollyridge.solver.engine_adapter import fleet_of, without_removed_tasks
 
 MAX_CACHED_NAMES = 100_000  # task names in load reports whose parsed keys are cached
 
@@ -261,7 +261,7 @@
             return None
         zones = tuple(zone._replace(name=name) for zone, name in zip(fleet.zones, self.settings.zone_names))
         tasks = tuple(task._replace(name=self.task_name(i)) for i, task in enumerate(fleet.tasks))
-        return write(without_the_gone(fleet._replace(zones=zones, tasks=tasks))).encode()
+        return write(without_removed_tasks(fleet._replace(zones=zones, tasks=tasks))).encode()
 
     # Start and stop.
 
--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -87,7 +87,7 @@
     return Zone(str(zone), len(proxies), (demand,), demand * latency_s / max(len(proxies), 1))
 
 
-def without_the_gone(fleet: Fleet) -> Fleet:
+def without_removed_tasks(fleet: Fleet) -> Fleet:
     """Return the fleet with only the tasks that accept requests or are still in a table, renumbered."""
     kept = [
         i
--- a/hollyridge/solver/linear_program.py
+++ b/hollyridge/solver/linear_program.py
@@ -22,7 +22,7 @@
 
 
 @cache
-def library() -> highspy.Highs:
+def shared_solver() -> highspy.Highs:
     """Return the solver instance that the whole process shares; it holds one program at a time.
 
     It is shared because each new instance prints a banner on standard output.
@@ -103,7 +103,7 @@
         return np.array(self._highs.getSolution().col_value)
 
     def _build(self) -> highspy.Highs:
-        highs = library()
+        highs = shared_solver()
         highs.clear()
         options = {
             "output_flag": False,
--- a/hollyridge/solver/planner.py
+++ b/hollyridge/solver/planner.py
@@ -87,7 +87,7 @@
         self.last_plan: Plan | None = None
         self.counts = dict.fromkeys(("solved", "late", "nonsense"), 0)
 
-    def take(self, fleet: Fleet) -> Plan | None:
+    def plan_for(self, fleet: Fleet) -> Plan | None:
         """Return a new plan, or else the last good one with a reason, or None if the current tables must be kept."""
         try:
             plan = solve(fleet, self.deadline_s, with_reasons=False)
--- a/tests/solver/test_solver_engine_adapter.py
+++ b/tests/solver/test_solver_engine_adapter.py
@@ -86,4 +86,4 @@
         report_second(module, now, **change)
     fleet = fleet_of(module, now, 0.05, math.inf)
     if fleet is not None:
-        assert Planner(1.0).take(fleet) is not None
+        assert Planner(1.0).plan_for(fleet) is not None
--- a/tests/solver/test_solver_fleet.py
+++ b/tests/solver/test_solver_fleet.py
@@ -33,9 +33,9 @@
 def test_the_last_plan_is_kept_while_a_fleet_is_invalid(change):
     invalid = invalid_fleet(change)
     planner = Planner(1.0)
-    assert planner.take(invalid) is None
-    first = planner.take(VALID)
-    again = planner.take(invalid)
+    assert planner.plan_for(invalid) is None
+    first = planner.plan_for(VALID)
+    again = planner.plan_for(invalid)
     assert again.tables == first.tables
     assert "t0" in again.stale_reason
     assert not first.stale_reason
--- a/tests/solver/test_solver_linear_program.py
+++ b/tests/solver/test_solver_linear_program.py
@@ -16,9 +16,9 @@
     with pytest.raises(linear_program.SolverTimeoutError):
         solve(fleet, 1e-4)
     planner = Planner(20.0)
-    first = planner.take(fleet)
+    first = planner.plan_for(fleet)
     planner.deadline_s = 1e-4
-    late = planner.take(fleet)
+    late = planner.plan_for(fleet)
     assert late.tables == first.tables
     assert late.stale_reason.startswith("late")
 
@@ -27,8 +27,8 @@
     """The library's clock is not reset between solutions: with half a second used in total, every plan was late."""
     rng = Random(2)
     fleet = fleet_of_tasks([(k % 3, rng.uniform(8, 12), 1.0) for k in range(60)], [100, 90, 80])
-    planner, started = Planner(0.1), linear_program.library().getRunTime()
-    while linear_program.library().getRunTime() - started < 0.2:
-        planner.take(fleet)
+    planner, started = Planner(0.1), linear_program.shared_solver().getRunTime()
+    while linear_program.shared_solver().getRunTime() - started < 0.2:
+        planner.plan_for(fleet)
     assert planner.counts["late"] == 0
     assert planner.counts["solved"] > 10
