--- a/hollyridge/benchlink/wire.py
+++ b/hollyridge/benchlink/wire.py
@@ -16,7 +16,8 @@
 
 BATCH_HEAD = struct.Struct("<IdI")  # body length in bytes, clock in seconds, batch number
 REPLY_HEAD = struct.Struct("<III")  # body length in bytes, number of records, batch number
-ENTRY = struct.Struct("<IBBHBfd")  # one task of an endpoint list
+# Entry of a task in an endpoint list: id, zone, hardware kind, cell, state, listed weight, start time in seconds.
+ENTRY = struct.Struct("<IBBHBfd")
 MAX_BATCH_BYTES = 1 << 28  # a longer batch is an error of the bench and is rejected before reading its body
 MAX_CLOCK_S = 1e12
 
@@ -93,6 +94,7 @@
     return int(code), layout  # the keys are plain integers, because looking up enumeration members is slower
 
 
+# The decoders and encoders of `AssignerInstance` name the fields of each record.
 EVENT_LAYOUTS = dict(
     [
         _layout(EventCode.ENLIST, "Q", BYTES_TAIL, "I"),
@@ -157,17 +159,17 @@
 
 
 def _unpack_tail(body: bytes, offset: int, layout: RecordLayout) -> tuple[object, int]:
-    """Return the tail that begins at an offset, and the offset of its end."""
+    """Return the tail that starts at an offset, and the offset of its end."""
     (count,) = layout.count.unpack_from(body, offset)
-    begin = offset + layout.count.size
-    end = begin + count * TAIL_ITEM_BYTES[layout.tail]
+    start = offset + layout.count.size
+    end = start + count * TAIL_ITEM_BYTES[layout.tail]
     if end > len(body):
         raise WireError(f"{layout.name} record ends at offset {end}, beyond its frame of {len(body)} bytes")
     if layout.tail == BYTES_TAIL:
-        return body[begin:end], end
+        return body[start:end], end
     if layout.tail == FLOATS_TAIL:
-        return struct.unpack_from(f"<{count}f", body, begin), end
-    return tuple(ENTRY.iter_unpack(body[begin:end])), end
+        return struct.unpack_from(f"<{count}f", body, start), end
+    return tuple(ENTRY.iter_unpack(body[start:end])), end
 
 
 def pack(code: int, fields: tuple, layouts: Mapping[int, RecordLayout]) -> bytes:
--- a/hollyridge/decisions/admission.py
+++ b/hollyridge/decisions/admission.py
@@ -61,9 +61,16 @@
     def update(self, now_us: int, zone: int, overload_score: float, capacity_fraction: float, busy: bool) -> None:
         """Move a zone's level by one period's step.
 
-        While the fleet is busy, the level falls to its capacity. In an overload it falls further, but only once
-        reports can show the effect of the previous cut. It rises quickly up to the fleet's capacity and slowly
-        beyond it.
+        While the zone's tasks are busy, the level falls to the fleet's capacity. In an overload it falls further, but
+        only once reports can show the effect of the previous cut. It rises quickly up to the fleet's capacity and
+        slowly beyond it.
+
+        Args:
+            now_us: Current time.
+            zone: Zone of the proxies.
+            overload_score: Score of the zone, as returned by `Estimates.overload_score`.
+            capacity_fraction: Part of the offered RPCs that the fleet can answer.
+            busy: The tasks of the zone's table have no idle capacity.
         """
         fraction = self.fraction[zone]
         healthy = not busy or overload_score < OVERLOADED
--- a/hollyridge/decisions/assigner.py
+++ b/hollyridge/decisions/assigner.py
@@ -1,4 +1,4 @@
-"""The assigner: all decisions about the tasks that its proxies send to, and the share of each task.
+"""The assigner: all decisions about which tasks its proxies send to, and in what proportions.
 
 It is called as `Assigner(config, seed).decide(now_us, events) -> commands`, once for all events of one moment, and has
 no other input or output. Events, commands and `AssignerConfig` are in `hollyridge.interface`. Each other module of
@@ -241,7 +241,7 @@
         self.tables.update_separation(overloaded, self.admission.sheddable_methods, attempts, failed)
 
     def _marginal_costs(self, latency_us: list[list[float]], tasks: list[int]) -> list[dict[int, float]]:
-        """Return the marginal cost by zone of proxies and task."""
+        """Return the marginal cost in microseconds, by zone of proxies and task."""
         task_zone = self.endpoints.zone
         utilization = self.estimates.mean_utilization
         cost_us = self.weights.marginal_cost_us
--- a/hollyridge/decisions/backlog.py
+++ b/hollyridge/decisions/backlog.py
@@ -7,7 +7,7 @@
 from hollyridge.interface import Ack, AssignerConfig, Command, RequestAck
 
 MICROSECONDS_PER_SECOND = 1e6
-SOFT_LIMIT_DIVISOR = 2  # non-urgent lines fill half of the maximum backlog and half of what leaves within the grace
+SOFT_LIMIT_DIVISOR = 2  # non-urgent lines may fill half of the maximum backlog, and half of what leaves in the grace
 SOFT_LIMIT_PERIODS = 2  # report periods at the channel's pace; lines that wait longer answer outdated reports
 MAX_ACK_GAP = 4  # multiple of (longest transit + report period) without an ack after which the channel counts as lost
 LOST_CHANNEL_PACE_DIVISOR = 8  # lines on a lost channel count as delivered at 1/8 of the channel's pace
@@ -118,7 +118,7 @@
                 self.message_times_us.setdefault(proxy, deque()).append(now_us)
 
     def request_ack(self, sent_before: float) -> list[Command]:
-        """End a batch and request its acknowledgement unless the batch is empty.
+        """End a batch and return the request for its acknowledgement, or no command if the batch is empty.
 
         Args:
             sent_before: Value of `sent` before the batch.
--- a/hollyridge/decisions/estimates.py
+++ b/hollyridge/decisions/estimates.py
@@ -229,7 +229,7 @@
         return lateness + failed / attempts / OVERLOAD_FAILURE_RATIO
 
     def has_idle_capacity(self, weights: dict[int, float]) -> bool:
-        """Return whether the tasks of a table that just reported are less than busy on average, by weight."""
+        """Return whether a table's newly reported tasks are below `BUSY_UTILIZATION` on average, by weight."""
         return (
             sum(
                 weight * (BUSY_UTILIZATION - self.utilization[task])
--- a/hollyridge/decisions/publisher.py
+++ b/hollyridge/decisions/publisher.py
@@ -128,8 +128,8 @@
     def _can_delay(self, number: int, removed: list[int], batch: Batch) -> bool:
         """Return whether removals may wait for further removals, which saves overhead and messages.
 
-        They may behind a long queue, where the delay costs nothing, or if few messages are left; but not if they
-        would remove the table's last line.
+        They may wait behind a long queue, where the delay costs nothing, or while few messages are left. They may not
+        wait if they would remove the table's last line.
         """
         table = self.tables[number]
         if not batch.may_delay or len(removed) >= len(table.weights):
--- a/hollyridge/decisions/tables.py
+++ b/hollyridge/decisions/tables.py
@@ -183,7 +183,7 @@
         """Return the commands that bind proxies to the tables they wait for, as far as these fit into the channel.
 
         Proxies that wait for their first table go first and, after some time, may exceed the soft limit, because the
-        tables they hold may list removed tasks.
+        tables that they still hold from an earlier stream may list removed tasks.
         """
         commands: list[Command] = []
         for binding in sorted(self.pending, key=lambda binding: not self._is_first_binding(binding)):
--- a/hollyridge/interface/events.py
+++ b/hollyridge/interface/events.py
@@ -85,7 +85,7 @@
 
 
 class Ack(NamedTuple):
-    """Acknowledgement that a proxy has applied all messages up to this mark, the last one in `apply_time_us`."""
+    """Acknowledgement of all messages up to a mark; the proxy applied the last of them in `apply_time_us`."""
 
     proxy: int
     mark: int
--- a/hollyridge/platform_settings/assigner_config.py
+++ b/hollyridge/platform_settings/assigner_config.py
@@ -49,10 +49,10 @@
 
 def _read_methods(reader: SettingsReader) -> tuple[MethodConfig, ...]:
     same_zone_flags = reader.names("family_info.class_own_zone")
-    announced = int(reader.number("profiles.count"))
+    method_count = int(reader.number("profiles.count"))
     return tuple(
         _read_method(reader, f"profiles.{index}.", index < len(same_zone_flags) and same_zone_flags[index] == "true")
-        for index in range(max(0, min(announced, MAX_METHODS)))
+        for index in range(max(0, min(method_count, MAX_METHODS)))
     )
 
 
--- a/tests/decisions/test_decisions_backlog.py
+++ b/tests/decisions/test_decisions_backlog.py
@@ -49,8 +49,8 @@
     backlog = BacklogEstimator(bootstrap())
     for proxy in range(3):
         backlog.reserve(START, [proxy], 96)
-        (order,) = backlog.request_ack(backlog.sent - 100)
-    backlog.acknowledge(START, api.Ack(0, order.mark, SECOND // 5))
+        (mark,) = backlog.request_ack(backlog.sent - 100)
+    backlog.acknowledge(START, api.Ack(0, mark.mark, SECOND // 5))
     assert backlog.sent - backlog.delivered == 0  # all lines before that mark count as delivered
     backlog.limit_delivered(150.0)
     assert backlog.sent - backlog.delivered == 150.0
