--- a/hollyridge/core/decision_log.py
+++ b/hollyridge/core/decision_log.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-MAX_CHANGES_PER_CAUSE = 40  # in one log line, so that the line of a large decision stays readable
+MAX_CHANGES_PER_CAUSE = 40  # further changes are left out, so that the log line of a large decision stays readable
 WEIGHT_DIGITS = 4  # decimal places of a logged weight
 
 # Causes of a change. They are keys of the log line (docs/operators.md).
@@ -39,7 +39,7 @@
 
 
 class DecisionLog:
-    """Writer of these log lines.
+    """Writer of the log lines of decisions.
 
     Args:
         is_closed: Returns whether a task must not be sent to.
@@ -65,6 +65,7 @@
         )
 
     def _changes_by_cause(self, now_us: int, commands: list[Command]) -> dict[str, list[tuple]]:
+        """Return rows of (table, task, weight), (proxy, table) or (table, mask of methods, amount) by cause."""
         changes: dict[str, list[tuple]] = {}
         for command in commands:
             if type(command) is SetWeight:
--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -50,7 +50,7 @@
 
 MAX_PROXY_INDICES = 65_535  # the interface numbers proxies in 16 bits
 SERIES_EXPIRY_PERIODS = 60  # report periods without a data point after which a series is dropped
-LOGGED_ENDPOINTS = 20  # entries in the log line of an endpoint list update
+LOGGED_ENDPOINTS = 20  # maximum number of entries in the log line of an endpoint list update
 
 COUNTERS = (  # keys of the status page
     "decisions",
@@ -92,7 +92,7 @@
         seed: Seed of the decision module's random numbers.
         limits: Limits that the engine itself enforces.
         source: Maintainer of the endpoint list.
-        now: The time, in microseconds of the clock from which all later calls take theirs.
+        now: Current time, in microseconds. The times of all later calls are of the same clock.
         log: The logger.
         make_assigner: Factory of the decision module, called with the configuration and the seed:
             `decisions.Assigner` or a baseline of the laboratory.
@@ -153,7 +153,7 @@
         self.decision_number = 0
         self.has_decided = False
         self.ran_at = now
-        self.next_collect_at = now + config.report_period_us
+        self.next_collect_at_us = now + config.report_period_us
 
     @property
     def update_builder(self) -> UpdateBuilder:
@@ -307,19 +307,19 @@
             self.update_endpoints(now_us, members.Tick())
 
     def _collect_reports(self, now_us: int) -> None:
-        if now_us < self.next_collect_at:
+        if now_us < self.next_collect_at_us:
             return
         for event in self.reports.collect(now_us):
             self.submit(now_us, event)
         period_us = self.config.report_period_us
-        self.next_collect_at = max(self.next_collect_at + period_us, now_us + period_us // 2)
+        self.next_collect_at_us = max(self.next_collect_at_us + period_us, now_us + period_us // 2)
 
     def _may_send(self, now_us: int, proxy: int) -> bool:
         """Return whether this assigner still owns a proxy, whose lease may have run out while an update waited."""
         return self.may_command is None or self.may_command(now_us, self.proxy_details[proxy].name)
 
     def _next_run_at(self, now_us: int) -> int:
-        times = [self.next_collect_at, self.endpoint_source.next_deadline(now_us), self.queue.due]
+        times = [self.next_collect_at_us, self.endpoint_source.next_deadline(now_us), self.queue.due]
         if self.endpoint_source.settled:
             times.append(self.event_queue.next_timer())
         return min(at for at in times if at is not None)
--- a/hollyridge/core/event_loop.py
+++ b/hollyridge/core/event_loop.py
@@ -12,8 +12,8 @@
 from hollyridge.core.engine import Engine
 
 CLOCK_OFFSET_US = 1_000_000_000  # us added to the monotonic clock, since the interface reads time 0 as long past
-MAX_RUN_US = 60_000_000  # upper end of the histogram
-RUN_DIGITS = 3  # significant digits of the histogram
+MAX_RUN_US = 60_000_000  # upper end of the histogram of run durations
+RUN_DIGITS = 3  # significant digits of that histogram
 US_PER_S = 1e6
 
 
--- a/hollyridge/core/failure_recovery.py
+++ b/hollyridge/core/failure_recovery.py
@@ -15,7 +15,7 @@
 
 MAX_FAILURES = 3  # tolerated within the window
 FAILURE_WINDOW_US = 60_000_000
-LOGGED_FRAMES = 3  # parts from the end of the traceback in the log line
+LOGGED_FRAMES = 3  # number of entries from the end of the traceback that are logged
 
 
 class DecisionModuleError(HollyridgeError):
--- a/hollyridge/core/stream_server.py
+++ b/hollyridge/core/stream_server.py
@@ -20,7 +20,7 @@
     Attributes:
         number: Number of the connection, never reused.
         sock: Socket of the connection.
-        closed: Reason why it was closed, or empty while it is open.
+        close_reason: Reason why it was closed, or empty while it is open.
         proxy: Index of the proxy that joined on it, or -1.
     """
 
--- a/hollyridge/core/update_dispatcher.py
+++ b/hollyridge/core/update_dispatcher.py
@@ -14,8 +14,8 @@
 from hollyridge.store.table_versions import TableStore
 
 TABLE_VERSIONS_KEPT = 64  # a proxy that lags by more versions gets the whole table, not the differences
-MAX_LATENCY_US = 60_000_000  # upper end of the histogram
-LATENCY_DIGITS = 3  # significant digits of the histogram
+MAX_LATENCY_US = 60_000_000  # upper end of the histogram of latencies
+LATENCY_DIGITS = 3  # significant digits of that histogram
 
 
 class UpdateDispatcher:
@@ -55,7 +55,7 @@
         commands: list[Command],
         servers: Mapping[int, ProtocolServer],
     ) -> UpdateBatch:
-        """Queue the updates that follow from the commands of a decision.
+        """Queue the updates that follow from the commands of a decision; return them and the refused commands.
 
         Args:
             now_us: The time, in microseconds.
@@ -77,7 +77,7 @@
         self, now_us: int, servers: Mapping[int, ProtocolServer], may_send: Callable[[int, int], bool]
     ) -> None:
         """Send the updates that are due. Drop and count those that `may_send` forbids."""
-        while (update := self.queue.take(now_us)) is not None:
+        while (update := self.queue.take_due(now_us)) is not None:
             server = servers.get(update.proxy)
             if server is None:
                 continue
--- a/hollyridge/delivery/paced_queue.py
+++ b/hollyridge/delivery/paced_queue.py
@@ -48,9 +48,9 @@
 
     >>> queue = PacedQueue(lines_per_s=10, overhead_lines=1, max_lines=100)
     >>> queue.put(0, ProxyUpdate(4, 1, 0, (), (), (), -1), 1, 5)
-    >>> queue.take(199_999), queue.due
+    >>> queue.take_due(199_999), queue.due
     (None, 200000)
-    >>> queue.take(200_000).proxy, queue.waiting_lines
+    >>> queue.take_due(200_000).proxy, queue.waiting_lines
     (4, 0.0)
     """
 
@@ -60,7 +60,7 @@
         self.max_lines = max_lines
         self.queue: OrderedDict[int, QueuedUpdate] = OrderedDict()  # by proxy
         self.waiting_lines = 0.0
-        self.free_at = 0  # time at which the channel has sent all that was taken
+        self.free_at_us = 0  # time, in microseconds, at which the channel will have sent all that was taken
         self.merged_updates = 0
         self.overflows = 0
         self.lost_lines = 0
@@ -82,7 +82,7 @@
         cost = lines + overhead
         self.overflows += self.waiting_lines + cost > self.max_lines
         if not self.queue:
-            self.free_at = max(self.free_at, now_us)
+            self.free_at_us = max(self.free_at_us, now_us)
         self.queue[update.proxy] = QueuedUpdate(update, cost, max(full_lines, lines) + overhead)
         self.waiting_lines += cost
         self.peak_lines = max(self.peak_lines, round(self.waiting_lines))
@@ -103,22 +103,22 @@
         if not self.queue:
             return None
         first = next(iter(self.queue.values()))
-        return self.free_at + round(first.lines * self.us_per_line)
+        return self.free_at_us + round(first.lines * self.us_per_line)
 
     def charge(self, now_us: int, lines: float) -> None:
         """Account for lines that were sent in a reply, bypassing the queue. Waiting updates are delayed as much."""
-        self.free_at = max(self.free_at, now_us) + round(lines * self.us_per_line)
+        self.free_at_us = max(self.free_at_us, now_us) + round(lines * self.us_per_line)
 
-    def take(self, now_us: int) -> ProxyUpdate | None:
+    def take_due(self, now_us: int) -> ProxyUpdate | None:
         """Remove and return the next update if it is due, else return None."""
         due = self.due
         if due is None or now_us < due:
             return None
         _, first = self.queue.popitem(last=False)
         self.waiting_lines = max(0.0, self.waiting_lines - first.lines) if self.queue else 0.0
-        self.free_at = due  # not `now_us`, since a sender that woke late must not slow the pace
+        self.free_at_us = due  # not `now_us`, since a sender that woke late must not slow the pace
         if now_us - due > MAX_LAG_US:
-            self.free_at = now_us  # a sender that was stalled must not send all missed updates at once
+            self.free_at_us = now_us  # a sender that was stalled must not send all missed updates at once
         return first.update
 
     def discard(self, proxy: int) -> int:
--- a/tests/core/test_core_engine.py
+++ b/tests/core/test_core_engine.py
@@ -26,9 +26,9 @@
         rig.engine.update_endpoints(rig.now, event)
         rig.run(0.5)
     assert all(not held & {rig.task("t1"), 2} for held in rig.held_tasks().values())
-    late = rig.engine.join(rig.now, rig.server, "late", 0, 5.0)
+    late_proxy = rig.engine.join(rig.now, rig.server, "late", 0, 5.0)
     rig.run(2)
-    assert rig.held_tasks()[late] == {0, 3, 4, 5}
+    assert rig.held_tasks()[late_proxy] == {0, 3, 4, 5}
 
 
 def test_a_task_restarted_under_the_same_address_gets_a_slow_start():
@@ -37,10 +37,10 @@
         for k in range(6):
             rig.report_traffic(k, zone=k % 2)
         rig.run(1)
-    warm = rig.server.tables[0][0]
+    warm_weight = rig.server.tables[0][0]
     rig.register({"t0": ("run=b up=0.1", 0)}, stream=2)
     rig.run(1.5)
-    assert rig.server.tables[0].get(0, 0.0) < warm * 0.6
+    assert rig.server.tables[0].get(0, 0.0) < warm_weight * 0.6
     assert rig.engine.endpoint_source.restarts == 1
 
 
@@ -81,14 +81,14 @@
     for k in range(3):
         rig.engine.update_endpoints(rig.now, Quiesced(1, (f"t{k}",), True))
         rig.run(0.3)
-        events, waits = rig.engine.assigner.last_events, rig.engine.queue.waiting_lines
+        events, waiting_lines = rig.engine.assigner.last_events, rig.engine.queue.waiting_lines
         assert type(events[-1]) is api.QueueDepth
         assert sum(type(event) is api.QueueDepth for event in events) == 1
         assert (
             rig.engine.assigner.backlog.sent - rig.engine.assigner.backlog.delivered >= events[-1].waiting_lines - 1e-6
         )
     assert rig.engine.queue.merged_updates > 0
-    assert waits > 0
+    assert waiting_lines > 0
 
 
 def test_a_failure_of_the_decision_module_is_logged_and_the_engine_continues():
--- a/tests/core/test_core_persistence.py
+++ b/tests/core/test_core_persistence.py
@@ -21,7 +21,7 @@
 
 
 def trained_assigner():
-    """Return a decision module that has learned that one of four tasks has half the capacity, and the time."""
+    """Return a decision module that has learned that one of four tasks has half the capacity of the others."""
     module, now = started_assigner(), START
     for _ in range(10):
         now += SECOND
--- a/tests/delivery/test_delivery_paced_queue.py
+++ b/tests/delivery/test_delivery_paced_queue.py
@@ -19,7 +19,7 @@
     for k in range(50):
         queue.put(0, update(k, 7), 7, 7)
     for now in range(0, SECOND, 1000):
-        while (sent := queue.take(now)) is not None:
+        while (sent := queue.take_due(now)) is not None:
             departures.append((now, sent.proxy))
     assert [p for _, p in departures] == list(range(50))
     assert departures[0][0] == 10_000
@@ -34,7 +34,7 @@
             value = store.put(number, 0, {task: float(number) for task in range(3)})
             queue.put(number, ProxyUpdate(proxy, number, number, (), ((0, value),), ((0, 3),), mark), 3, 6)
     assert queue.waiting_lines == 3 * (10 + 1 + 6)  # not 28 each: one overhead and one mark
-    sent = [queue.take(SECOND) for _ in range(3)]
+    sent = [queue.take_due(SECOND) for _ in range(3)]
     assert [merged.proxy for merged in sent] == [7, 8, 9]
     assert {merged.mark for merged in sent} == {5}
     assert all(dict(merged.tables[0][1].lines) == {0: 2.0, 1: 2.0, 2: 2.0} for merged in sent)
@@ -56,7 +56,7 @@
     assert queue.merged_updates > 300
     sent_tables, sent_marks = {}, {}
     while queue.due is not None:
-        sent = queue.take(queue.due)
+        sent = queue.take_due(queue.due)
         sent_tables.setdefault(sent.proxy, {}).update(sent.tables)
         sent_marks[sent.proxy] = max(sent.mark, sent_marks.get(sent.proxy, -1))
     assert sent_tables == expected_tables
@@ -70,7 +70,7 @@
     assert queue.discard(1) == 1
     assert queue.waiting_lines == 8
     assert queue.lost_lines == 8
-    assert queue.take(SECOND).proxy == 2
+    assert queue.take_due(SECOND).proxy == 2
 
 
 def test_a_sender_that_was_stalled_does_not_burst():
@@ -78,6 +78,6 @@
     for k in range(100):
         queue.put(0, update(k, 10), 10, 10)
     sent = 0
-    while queue.take(5 * SECOND) is not None:
+    while queue.take_due(5 * SECOND) is not None:
         sent += 1
     assert sent <= 2
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -122,7 +122,7 @@
     return False
 
 
-def attempts_point(r, value=10.0, start_s=0.0, end=1.0, **labels):
+def attempts_point(assigner_rig, value=10.0, start_s=0.0, end=1.0, **labels):
     attributes = {"proxy": "gw-1", "zone": "abdali", "task": "127.1.0.1:9000", "method": "read-chapter", **labels}
     base_ns = 1_700_000_000_000_000_000
     return MetricPoint(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -31,41 +31,42 @@
 @pytest.mark.parametrize(("figures", "rejected", "counted"), REPORTS)
 @pytest.mark.parametrize("packed", [True, False])
 def test_each_report_counts_once_and_rejected_points_are_stated(rig, figures, rejected, counted, packed):
-    r = rig(assigner__report_period_s=30)
-    r.agent()
+    assigner_rig = rig(assigner__report_period_s=30)
+    assigner_rig.agent()
     for _repetition in range(2):  # a report repeated after a lost response succeeds and counts once
-        status, response = r.report(figures(r), packed=packed)
+        status, response = assigner_rig.report(figures(assigner_rig), packed=packed)
         assert status == 200
         assert response.partial_success.rejected_data_points == rejected
         assert bool(response.partial_success.error_message) == bool(rejected)
-    assert sum(e.attempts for e in r.engine.reports.collect(0) if hasattr(e, "attempts")) == counted
+    assert sum(e.attempts for e in assigner_rig.engine.reports.collect(0) if hasattr(e, "attempts")) == counted
 
 
 def test_malformed_http_requests_get_their_status_and_are_counted(rig):
-    r = rig(otlp__body_most_bytes=20000, otlp__body_s=0.5)
-    kind, bomb = "application/x-protobuf", gzip.compress(b"\0" * 10_000_000)
+    assigner_rig = rig(otlp__body_most_bytes=20000, otlp__body_s=0.5)
+    content_type, bomb = "application/x-protobuf", gzip.compress(b"\0" * 10_000_000)
     cases = [
-        ("POST", "/v1/metrics", b"\xff\xff\xff", dict(Content_Type=kind), 400),
+        ("POST", "/v1/metrics", b"\xff\xff\xff", dict(Content_Type=content_type), 400),
         ("POST", "/v1/metrics", b"{", dict(Content_Type="application/json"), 400),
         ("POST", "/v1/metrics", b"", dict(Content_Type="text/plain"), 415),
-        ("POST", "/v1/traces", b"", dict(Content_Type=kind), 404),
+        ("POST", "/v1/traces", b"", dict(Content_Type=content_type), 404),
         ("GET", "/v1/metrics", b"", {}, 405),
-        ("POST", "/v1/metrics", b"x" * 20001, dict(Content_Type=kind), 413),
-        ("POST", "/v1/metrics", bomb, dict(Content_Type=kind, Content_Encoding="gzip"), 413),
-        ("POST", "/v1/metrics", b"no gzip", dict(Content_Type=kind, Content_Encoding="gzip"), 400),
-        ("POST", "/v1/metrics", b"x", dict(Content_Type=kind, Content_Length="100"), 408),
+        ("POST", "/v1/metrics", b"x" * 20001, dict(Content_Type=content_type), 413),
+        ("POST", "/v1/metrics", bomb, dict(Content_Type=content_type, Content_Encoding="gzip"), 413),
+        ("POST", "/v1/metrics", b"no gzip", dict(Content_Type=content_type, Content_Encoding="gzip"), 400),
+        ("POST", "/v1/metrics", b"x", dict(Content_Type=content_type, Content_Length="100"), 408),
     ]
     for method, path, body, headers, status in cases:
-        assert r.http(method, path, body, **headers)[0] == status, (method, path, headers)
-    assert r.http("POST", "/v1/metrics", b"{}", Content_Type="application/json")[0] == 200
-    assert json.loads(r.http("GET", "/status")[1])["otlp"]["bad"] == len(cases)
+        assert assigner_rig.http(method, path, body, **headers)[0] == status, (method, path, headers)
+    assert assigner_rig.http("POST", "/v1/metrics", b"{}", Content_Type="application/json")[0] == 200
+    assert json.loads(assigner_rig.http("GET", "/status")[1])["otlp"]["bad"] == len(cases)
 
 
 def test_a_sender_above_the_rate_limit_gets_status_429(rig):
-    r = rig(otlp__points_per_s=10, assigner__report_period_s=30)
-    r.agent()
+    assigner_rig = rig(otlp__points_per_s=10, assigner__report_period_s=30)
+    assigner_rig.agent()
     statuses = [
-        r.report([attempts_point(r, start_s=k, end=k + 1) for k in range(at, at + 15)])[0] for at in range(0, 90, 15)
+        assigner_rig.report([attempts_point(assigner_rig, start_s=k, end=k + 1) for k in range(at, at + 15)])[0]
+        for at in range(0, 90, 15)
     ]
     assert statuses[:2] == [200, 200]
     assert 429 in statuses
@@ -79,16 +80,16 @@
     gevent.sleep(0)  # the hub opens its descriptors in its first iteration
     gc.collect()
     greenlets, descriptors = running_greenlets(), len(os.listdir("/proc/self/fd"))
-    r = Rig(log__status_every_s=30, solver__on=True, clone__listen=f"127.0.0.1:{free_ports(3)}")
-    agent = r.agent()
+    assigner_rig = Rig(log__status_every_s=30, solver__on=True, clone__listen=f"127.0.0.1:{free_ports(3)}")
+    agent = assigner_rig.agent()
     assert len(running_greenlets() - greenlets) > 5
     agent.close()
-    r.service.stop()
-    r.job.join(2)
-    assert r.job.successful()
+    assigner_rig.service.stop()
+    assigner_rig.job.join(2)
+    assert assigner_rig.job.successful()
     assert wait_for(lambda: not running_greenlets() - greenlets, 2), running_greenlets() - greenlets
-    service = weakref.ref(r.service)
-    del r, agent
+    service = weakref.ref(assigner_rig.service)
+    del assigner_rig, agent
     gc.collect()
     assert service() is None
     assert len(os.listdir("/proc/self/fd")) <= descriptors
