--- a/hollyridge/delivery/update_builder.py
+++ b/hollyridge/delivery/update_builder.py
@@ -86,7 +86,7 @@
     """Builder of updates, which holds the commanded tables and the proxies that use each.
 
     Attributes:
-        bindings: Table by method, by proxy.
+        bindings: Number of the table that each proxy uses for each method, by proxy and method.
         users: Proxies of each table, in the order of their bindings.
         ejected: Tasks that are ejected from all tables.
 
@@ -118,7 +118,7 @@
     def build(
         self, now_us: int, decision: int, commands: Iterable[Command], servers: Mapping[int, ServerCapabilities]
     ) -> UpdateBatch:
-        """Execute the commands about tables and build the updates that follow from them.
+        """Execute the commands about tables and return the updates that follow from them.
 
         Args:
             now_us: The value of `decided_at_us` of the updates.
--- a/hollyridge/sessions/session_tracker.py
+++ b/hollyridge/sessions/session_tracker.py
@@ -1,11 +1,11 @@
 """Tracker of the joined load balancers and of the streams that have to be closed.
 
 A load balancer that receives pushes is joined from its registration on. One that polls is joined from its first poll on
-and only while it continues to poll. Its poll interval is a third of the drain grace or of the limit on empty tables,
-whichever is shorter. Once it has not polled for nine tenths of that time, it counts as left and its stream is closed.
-Hence no drain ends while a joined load balancer holds an older table. A stream whose client leaves data unread has the
-same timeout, since its table is as old. A load balancer that was only slow keeps its table, reconnects and gets a new
-one.
+and only while it continues to poll. Its poll interval is a third of the shorter of two limits, the drain grace and the
+limit on empty tables. Once it has not polled for nine tenths of that shorter limit, it counts as left and its stream is
+closed. Hence no drain ends while a joined load balancer holds an older table. A stream whose client leaves data unread
+has the same timeout, since its table is as old. A load balancer that was only slow keeps its table, reconnects and gets
+a new one.
 
 A second stream of the same name takes over from the first, which may be half-open, so that the load balancer need not
 wait for a table. After `MAX_TAKEOVERS` within the drain grace further streams are rejected until the grace has passed,
--- a/hollyridge/store/learned_estimates.py
+++ b/hollyridge/store/learned_estimates.py
@@ -73,7 +73,7 @@
 
 
 def restore_own(state: SavedState, fleet: str, now_ms: int, index_of: Callable[[str], int | None]) -> RestoredEstimates:
-    """Select estimates of this assigner's own last run.
+    """Return the usable estimates of this assigner's own last run.
 
     A state from the future was saved before the clock was set back. Its age is unknown, so it counts as old.
     """
@@ -88,9 +88,9 @@
     push_price: float,
     age_us: int,
     index_of: Callable[[str], int | None],
-    own: Iterable[LearnedEstimate],
+    own_estimates: Iterable[LearnedEstimate],
 ) -> RestoredEstimates:
-    """Select estimates of another assigner, which may be wrong or malicious.
+    """Return the usable estimates of another assigner, which may be wrong or malicious.
 
     Only capacities are used, and only once there are own ones. Each is limited to a factor of `MAX_SHARED_RATIO` around
     the median of the own capacities, and its busy periods to `MAX_SHARED_BUSY_PERIODS`. The peer's push price is never
@@ -101,9 +101,9 @@
         push_price: Push price of the peer.
         age_us: Age of the estimates, in microseconds.
         index_of: Returns the index of a task, given its name, or None if it is not listed.
-        own: Estimates that this assigner has learned itself.
+        own_estimates: Estimates that this assigner has learned itself.
     """
-    own_median = median([estimate.capacity for estimate in own] or [0.0])
+    own_median = median([estimate.capacity for estimate in own_estimates] or [0.0])
     if not own_median:
         return RestoredEstimates(None, {NOTHING_TO_COMPARE: 1})
     limited = []
--- a/hollyridge/store/state_file.py
+++ b/hollyridge/store/state_file.py
@@ -3,8 +3,8 @@
     8 bytes "HRSTATE1" | u32 length | u64 xxh64 of the rest | msgpack of a `SavedState`
 
 A new file is written beside the old one, flushed to the disk and renamed over it, so that a crash at any time leaves
-either the old file or the new one. Later layouts add members with defaults. A file of an unknown layout is rejected.
-The names and the order of members are the format, so they are pinned here independently of the names of attributes.
+either the old file or the new one. Later layouts add fields with defaults. A file of an unknown layout is rejected.
+The names and the order of fields are the format, so they are pinned here independently of the names of attributes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 class TaskEstimate(msgspec.Struct, array_like=True):
     """Estimates of a task by its name (`host:port`), with the values of `interface.LearnedEstimate`.
 
-    It is written as an array, so the order of the members is the format.
+    It is written as an array, so the order of the fields is the format.
     """
 
     name: str
--- a/hollyridge/telemetry/counted_periods.py
+++ b/hollyridge/telemetry/counted_periods.py
@@ -61,7 +61,7 @@
         return key in self.periods
 
     def add_sample(self, now_us: int, key: SeriesKey, sampled_at_ns: int) -> bool:
-        """Count a sample of a gauge series. Return False if it is not newer than the last, or its series not kept."""
+        """Count a sample of a gauge. Return False if it is not newer than the last or if its series is not kept."""
         periods = self._get_or_add(now_us, key)
         if periods is None or (periods and sampled_at_ns < periods[0].end_ns):
             return False
--- a/tests/store/test_store_state_file.py
+++ b/tests/store/test_store_state_file.py
@@ -17,15 +17,15 @@
 
 
 def test_a_file_with_any_damaged_byte_is_rejected():
-    for at in range(len(WHOLE)):
+    for offset in range(len(WHOLE)):
         with pytest.raises(StateFileError):
-            state_file.unpack(WHOLE[:at] + bytes([WHOLE[at] ^ 0x55]) + WHOLE[at + 1 :])
+            state_file.unpack(WHOLE[:offset] + bytes([WHOLE[offset] ^ 0x55]) + WHOLE[offset + 1 :])
 
 
 def test_an_older_layout_is_read_and_a_newer_one_rejected():
     body = state_file._ENCODER.encode({"fleet": "f", "saved": 7, "rows": [["a:1", 2.0, 1.0]], "colour": "red"})
     raw = state_file.HEADER.pack(state_file.MAGIC, len(body), state_file.xxh64_intdigest(body)) + body
-    old = state_file.unpack(raw)  # missing members have their defaults, and unknown ones are ignored
+    old = state_file.unpack(raw)  # missing fields have their defaults, and unknown ones are ignored
     assert old.push_price == 0.0
     assert old.estimates == [TaskEstimate("a:1", 2.0, 1.0, 1.0, 1.0)]
     with pytest.raises(StateFileError, match="layout 9"):
