--- a/hollyridge/decisions/weights.py
+++ b/hollyridge/decisions/weights.py
@@ -9,9 +9,9 @@
 
 MAX_STEP = 0.1  # largest change of a weight per period, relative to the task's size, for all assigners together
 MIN_ATTEMPTS = 6.0  # decayed attempts below which the costs of a zone's proxies are ignored
-MAX_STEP_FACTOR = 1.0  # multiple of the step at which steps are capped
+MAX_STEP_FACTOR = 1.0  # largest step in proportion to a difference of cost, in full steps
 FULL_SPILLOVER = 1.0  # tasks of another zone count as much as those of the own zone
-EFFICIENCY_GAIN = 2  # step of the efficiency per relative difference of cost
+EFFICIENCY_GAIN = 2  # step of the efficiency per relative difference of cost, in full steps
 EFFICIENCY_STEP_DIVISOR = 3  # efficiency moves by a third of a weight's step
 MAX_MIN_SPILLOVER = 0.3  # largest minimum spillover of a zone that lacks tasks
 PROBE_SPILLOVER = 0.02  # minimum spillover to each zone, so that reports about the latency to it continue
@@ -21,7 +21,7 @@
 TARGET_TASKS_FACTOR = 2  # tasks that a zone needs to even out bursts, in sizes of an initial table
 CROSS_ZONE_DELAY_FACTOR = 2  # spillover ends where crossing zones adds half a latency objective of delay
 MIN_HEADROOM = 1.1  # multiple of the mean load up to which a zone keeps its work
-BUSY_HEADROOM = 0.75  # part of a busy task's load up to which a zone keeps its work while all are idle
+BUSY_HEADROOM = 0.75  # part of a busy task's load up to which a zone keeps its work while all zones are idle
 CAPACITY_LOSS_DIVISOR = 2  # a zone with less than 1 / this of its weight usable spills over at once
 MAX_PROPOSAL_LOSS = 0.1  # part of a proposal's weight that may be lost with its tasks before the proposal is void
 
@@ -80,7 +80,7 @@
         """Move the weights of a zone's tasks by one step.
 
         Args:
-            costs: Marginal cost by zone of proxies and task.
+            costs: Marginal cost in microseconds, by zone of proxies and task.
             size: Size by task.
             zone_tasks: The zone's ready tasks.
         """
--- a/hollyridge/registration/members.py
+++ b/hollyridge/registration/members.py
@@ -1,6 +1,6 @@
 """The member registry: the endpoint list as members register, quiesce, deregister and lose their streams.
 
-The list states only whether a process runs, and changes late. The registry decides:
+An endpoint list states only whether a process runs, and it changes late. The registry therefore decides:
 
 - *Restart or reconnection.* A member's label may state `run=` (new at each start) and `up=` (seconds since then). The
   same run on a new stream is a reconnection. Another run, or a label without one, is a restart. A restart mistaken for
--- a/tests/decisions/test_decisions_estimates.py
+++ b/tests/decisions/test_decisions_estimates.py
@@ -31,11 +31,7 @@
         estimates.record_offered_load(api.OfferedLoad(8, 2 * SECOND, period % 2, 0, 0))
         estimates.decay(now)
     assert estimates.attempts_and_failures([0, 1]) == (20.0, 10.0)
-    assert [estimates.offered(p) for p in (0, 1, 2)] == [
-        4.0,
-        4.0,
-        0.0,
-    ]
+    assert [estimates.offered(p) for p in (0, 1, 2)] == [4.0, 4.0, 0.0]
     estimates.decay(now + 5 * SECOND)
     assert estimates.attempts_and_failures([0, 1]) == (0.0, 0.0)
 
--- a/tests/decisions/test_decisions_table_planner.py
+++ b/tests/decisions/test_decisions_table_planner.py
@@ -47,21 +47,7 @@
         range(6), all_methods
     )
     # The failures cause an overload, in which sheddable methods are separated.
-    for failed in (
-        0,
-        0,
-        8,
-        8,
-        8,
-        8,
-        0,
-        0,
-        0,
-        0,
-        0,
-        0,
-        0,
-    ):
+    for failed in (0, 0, 8, 8, 8, 8, 0, 0, 0, 0, 0, 0, 0):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(12)])
         check_tables()
     changed = [entry(0, state=DRAINING), entry(3, state=GONE), entry(13, started_at=rig.now)]
