--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -67,7 +67,7 @@
         self.begun: set[str] = set()
         self.failures: list[str] = []
 
-    def cause(self, name: str, fault: FaultSection) -> None:
+    def run_fault(self, name: str, fault: FaultSection) -> None:
         """Wait for a fault's time and cause it."""
         self.world.sleep(fault.at_s)
         begun = self.world.now()
--- a/hollyridge/lab/environment.py
+++ b/hollyridge/lab/environment.py
@@ -35,13 +35,13 @@
     def spawn(self, call: Callable, *arguments: object) -> object:
         """Run `call` in a greenlet of its own."""
 
-    def later(self, seconds: float, call: Callable, *arguments: object) -> None:
+    def spawn_later(self, seconds: float, call: Callable, *arguments: object) -> None:
         """Run `call` in a greenlet of its own after a while."""
 
     def result(self) -> Result:
         """A value to wait for."""
 
-    def slots(self, count: int) -> AbstractContextManager:
+    def semaphore(self, count: int) -> AbstractContextManager:
         """A semaphore; waiters are served in the order they came."""
 
 
--- a/hollyridge/lab/fleet.py
+++ b/hollyridge/lab/fleet.py
@@ -25,7 +25,7 @@
     """A task of the fleet: its address, and the run of it that is on.
 
     Attributes:
-        born_us: When the run started; 0 for long ago.
+        started_us: When the run started; 0 for long ago.
         up: Whether it runs, as far as the day knows.
     """
 
@@ -34,7 +34,7 @@
     host: str
     port: int = 0
     run: str = ""
-    born_us: int = 0
+    started_us: int = 0
     up: bool = False
 
     @property
@@ -89,7 +89,7 @@
             self.add_task(number % len(self.zones), cold=False)
         for task in self.tasks.values():
             for agent in self.agents:
-                agent.task_running(task.key, task.name, task.run, task.born_us)
+                agent.task_running(task.key, task.name, task.run, task.started_us)
         for agent in self.agents:
             self.environment.wait_for_sync(agent)
         self._start_proxies()
@@ -129,7 +129,7 @@
     def notify_agents(self, method: Callable[..., None], *arguments: object, silent: bool = False) -> None:
         """Call this method of each agent, at the time that it notices; later where a task fell silent."""
         for agent in self.agents:
-            self.world.later(self._notice_s(silent), method, agent, *arguments)
+            self.world.spawn_later(self._notice_s(silent), method, agent, *arguments)
 
     def _notice_s(self, silent: bool) -> float:
         low_ms, high_ms = self.scenario.day.silent_notice_ms if silent else self.scenario.day.notice_ms
@@ -137,7 +137,7 @@
 
     def notify_running(self, task: FleetTask) -> None:
         """Let the agents notice that a task runs."""
-        self.notify_agents(Agent.task_running, task.key, task.name, task.run, task.born_us)
+        self.notify_agents(Agent.task_running, task.key, task.name, task.run, task.started_us)
 
     # Tasks.
 
@@ -176,7 +176,7 @@
             task.port = int(started.get(timeout=TASK_START_S).rpartition(":")[2])
         except TimeoutError:
             raise DayError(f"task {task.name} did not start") from None
-        task.born_us = self.world.now() if cold else 0
+        task.started_us = self.world.now() if cold else 0
         task.up = True
 
     def _task_build(self) -> dict:
--- a/hollyridge/lab/stand_ins/__init__.py
+++ b/hollyridge/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""What stands in for the real things: tasks, proxies, their agent, and the live and the simulated world."""
+"""Stand-ins for tasks, proxies and agents, and the live and the simulated environment that they run in."""
--- a/hollyridge/lab/stand_ins/assigner.py
+++ b/hollyridge/lab/stand_ins/assigner.py
@@ -1,4 +1,4 @@
-"""An assigner with another decision module: `python -m hollyridge.lab.stand_ins.assigner POLICY FILE.ini`."""
+"""Assigner process with another decision module: `python -m hollyridge.lab.stand_ins.assigner POLICY FILE.ini`."""
 
 import sys
 
--- a/hollyridge/lab/stand_ins/clients.py
+++ b/hollyridge/lab/stand_ins/clients.py
@@ -1,4 +1,4 @@
-"""The clients beside a stand-in proxy: RPCs at random times, with the clients' own retries."""
+"""Clients of a stand-in proxy, which send RPCs at random times and retry them."""
 
 from __future__ import annotations
 
@@ -12,27 +12,33 @@
 if TYPE_CHECKING:
     from hollyridge.lab.stand_ins.proxy import Proxy
 
-MIN_RATE = 1e-6  # RPCs a second where a fault took all traffic away
-WORK_SIGMA = 0.6  # of the lognormal distribution of an RPC's work
-WORK_MEAN = 1.197  # the mean of that distribution
-RETRY_PAUSE_S = 0.05  # before the first retry; doubles
-ORDERED_RETRIES = (0, 1, 1, 2)  # attempts more, by what the assigner orders (see `Gateway.level_for`)
-ON_PROOF_ONLY = 1  # the order by which an RPC is sent again only if it never ran
-MIN_ATTEMPT_S = 0.05  # no attempt is begun with less time left
+MIN_RATE = 1e-6  # RPCs per second, so that a fault that removes all traffic leaves a positive rate
+WORK_SIGMA = 0.6  # sigma of the lognormal distribution of an RPC's work
+WORK_MEAN = 1.197  # mean of that distribution
+RETRY_BASE_PAUSE_S = 0.05  # base of the pauses before retries, doubled after each attempt
+RETRIES_BY_MODE = (0, 1, 1, 2)  # number of additional attempts, by retry mode (see `Gateway.level_for`)
+RETRY_IF_NOT_RUN = 1  # retry mode in which an RPC is only sent again if it certainly never ran
+MIN_ATTEMPT_S = 0.05  # minimum time left of the deadline for another attempt
 IDEMPOTENT = "idempotent"
 
 
 @lru_cache(maxsize=8)
 def key_popularity(keys: int, zipf: float) -> list[float]:
-    """Cumulative weights of the keys by rank."""
+    """Return the cumulative weights of the keys by rank, for a Zipf distribution with exponent `zipf`."""
     return list(accumulate(rank**-zipf for rank in range(1, keys + 1)))
 
 
 class Clients:
-    """Send RPCs through one proxy until it is down."""
+    """Clients that send RPCs through one proxy."""
 
     def __init__(self, proxy: Proxy, rate: float, incarnation: int) -> None:
-        """`rate` is in RPCs a second; `incarnation` keeps tokens apart from those before a restart."""
+        """Create the clients of a proxy.
+
+        Args:
+            proxy: The proxy.
+            rate: Mean rate, in RPCs per second.
+            incarnation: Part of every token that distinguishes it from tokens before a restart of the proxy.
+        """
         self.proxy = proxy
         self.world = proxy.world
         self.rng = proxy.rng
@@ -59,8 +65,12 @@
         return self.rng.choices(range(keys), cum_weights=key_popularity(keys, self.plan.zipf))[0]
 
     def _send(self, method: int, work_us: float, key: int) -> None:
-        """Send one RPC, with a client's retries: after any failure where that is safe, else only after proof."""
-        plan, begun_s = self.plan.methods[method], self.proxy.seconds()
+        """Send one RPC and retry it as a client does.
+
+        An idempotent RPC is retried after any failure. Any other is retried only if it certainly never ran, unless the
+        clients are reckless.
+        """
+        plan, begun_s = self.plan.methods[method], self.proxy.now_s()
         self.last_token += 1
         token = f"{self.proxy.uid}.{self.incarnation}.{self.last_token}"
         call = rpc.Call(0, self.proxy.uid, method, token, work_us, key)
@@ -71,11 +81,11 @@
             attempts += 1
             if not self._may_retry(plan.repeats, outcome, attempts):
                 break
-            pause_s = self.rng.uniform(0.5, 1.5) * RETRY_PAUSE_S * 2**attempts
-            if self.proxy.seconds() + pause_s >= deadline_s:
+            pause_s = self.rng.uniform(0.5, 1.5) * RETRY_BASE_PAUSE_S * 2**attempts
+            if self.proxy.now_s() + pause_s >= deadline_s:
                 break
             self.world.sleep(pause_s)
-        took_us = round((self.proxy.seconds() - begun_s) * 1e6)
+        took_us = round((self.proxy.now_s() - begun_s) * 1e6)
         self.proxy.record(
             "done", proxy=self.proxy.uid, method=method, ok=outcome == rpc.OK, took=took_us, tries=attempts
         )
@@ -86,7 +96,7 @@
         return repeats == IDEMPOTENT or outcome in (rpc.NOT_SENT, rpc.PUSHED_BACK) or self.plan.reckless
 
     def _attempt(self, call: rpc.Call, deadline_s: float) -> int:
-        """One attempt of the client, which the proxy may repeat as the assigner orders."""
+        """Make one attempt of the client, which the proxy may repeat according to the retry mode."""
         proxy, name = self.proxy, self.plan.methods[call.method].name
         proxy.wait_while_stalled()
         proxy.reporter.add_rpc(name)
@@ -94,10 +104,10 @@
         outcome = rpc.PUSHED_BACK
         if self.rng.random() < admitted:
             outcome = proxy.send(call, deadline_s)
-            for _ in range(ORDERED_RETRIES[retry]):
+            for _ in range(RETRIES_BY_MODE[retry]):
                 never_ran = outcome in (rpc.PUSHED_BACK, rpc.NOT_SENT)
-                too_late = proxy.seconds() + MIN_ATTEMPT_S >= deadline_s
-                if outcome == rpc.OK or (not never_ran and retry == ON_PROOF_ONLY) or too_late:
+                too_late = proxy.now_s() + MIN_ATTEMPT_S >= deadline_s
+                if outcome == rpc.OK or (not never_ran and retry == RETRY_IF_NOT_RUN) or too_late:
                     break
                 outcome = proxy.send(call, deadline_s)
         if outcome not in (rpc.OK, rpc.PUSHED_BACK, rpc.NOT_SENT):
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -1,4 +1,4 @@
-"""The client libraries' gateways, and the agent's registrar, on simulated connections."""
+"""Gateways of the client libraries and the agent's registrar, on simulated connections."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 BACKOFF_BASE_S = 0.1
 MAX_BACKOFF_S = 1.5
 MAX_BACKOFF_DOUBLINGS = 5
-FIRST_ANSWER_S = 5.0  # how long the first answer may take where no lease shortens it
-BALANCER_HEALTH = 0x7F  # the highest that SASP's SetLBState message has
-REGISTRATION_NUMBER = 3  # the registration is the third message of a stream
+FIRST_ANSWER_TIMEOUT_S = 5.0  # timeout of the first answer if no lease shortens it
+BALANCER_HEALTH = 0x7F  # maximum of SASP's SetLBState message
+REGISTRATION_NUMBER = 3  # message number of the registration, the third message of a stream
 
 
 class SeededBackoff:
-    """Backoff between sessions, drawn from the proxy's own generator."""
+    """Backoff between sessions, drawn from the proxy's own random generator."""
 
     def wait(self, failed: int) -> float:
-        """Seconds before the next attempt after so many failed in a row."""
+        """Return the seconds before the next attempt, after `failed` consecutive failures."""
         return self.rng.random() * min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(failed, MAX_BACKOFF_DOUBLINGS))
 
 
 class VirtualSaspGateway(SeededBackoff, SaspTables):
-    """A SASP gateway on a simulated connection to one of the assigners."""
+    """SASP gateway on a simulated connection to one of the assigners."""
 
-    def __init__(self, simulation: Simulation, proxy: Proxy, **terms: object) -> None:
-        super().__init__(proxy.uid, proxy.names, **terms)
+    def __init__(self, simulation: Simulation, proxy: Proxy, **options: object) -> None:
+        super().__init__(proxy.uid, proxy.names, **options)
         self.simulation = simulation
         self.proxy = proxy
         self.held = HeldWeights()
@@ -47,27 +47,27 @@
         self.groups = {method.name: method.group for method in proxy.methods}
 
     def session(self) -> None:
-        """One connection, until it ends.
+        """Open a connection and serve it until it ends.
 
         Raises:
             ConnectionError: The assigner is down.
-            RefusedError: It refused the registration.
-            HeartbeatTimeoutError: It did not answer in time.
+            RefusedError: The assigner refused the registration.
+            HeartbeatTimeoutError: The assigner did not answer in time.
         """
         process = self.simulation.processes[self.assigner_index]
         if process.service is None:
             raise ConnectionError("nobody listens")
         frames = FrameQueue(self.simulation.world)
-        question = self.begin()
+        request_number = self.begin()
         stream = self.stream = SimulatedStream(process, self.proxy.host, frames.put)
         heartbeat = codec.SetBalancer(self.uid, BALANCER_HEALTH, int(BalancerFlags.PUSH | BalancerFlags.NO_CHANGE))
-        self._open(stream, heartbeat, question)
+        self._open(stream, heartbeat, request_number)
         _Session(self, stream, frames, heartbeat).run()
 
-    def _open(self, stream: SimulatedStream, heartbeat: codec.Message, question: int) -> None:
+    def _open(self, stream: SimulatedStream, heartbeat: codec.Message, request_number: int) -> None:
         groups = tuple(codec.MembersOf(Group(self.uid, name), ()) for name in dict.fromkeys(self.groups.values()))
         self.send(stream, 1, heartbeat)
-        self.send(stream, 2, ownership_extension.write_request(self.uid, question, self.insists))
+        self.send(stream, 2, ownership_extension.write_request(self.uid, request_number, self.insists))
         self.send(stream, REGISTRATION_NUMBER, codec.Register(True, groups))
 
     def send(self, stream: SimulatedStream, number: int, message: codec.Message) -> None:
@@ -77,30 +77,31 @@
         stream.send_to_server(frame)
 
     def receive(self, frame: bytes) -> tuple[int, codec.Message]:
-        """Record and decode a frame, and apply the weights that it brings."""
+        """Record and decode a frame, and apply its weights if it has any."""
         self.proxy.record.frame("heard", self.uid, self.proxy.stream, frame)
-        replied, message = codec.decode(frame)
+        reply_to, message = codec.decode(frame)
         if isinstance(message, codec.SendWeights):
             self.proxy.apply(sum(len(group.weights) for group in message.groups))
             self.take(message)
-        elif getattr(message, "code", 0) and replied == REGISTRATION_NUMBER:
+        elif getattr(message, "code", 0) and reply_to == REGISTRATION_NUMBER:
             raise RefusedError(message.code)
-        return replied, message
+        return reply_to, message
 
     def hang_up(self) -> None:
-        """End the connection, if there is one."""
+        """Close the connection, if there is one."""
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
 
 
 class _Session:
-    """Reads one SASP connection and keeps its heartbeat.
+    """Session on one SASP connection: reads its frames and sends heartbeats.
 
     Attributes:
         last_number: Number of the last message sent.
-        last_sent_s: When it was sent.
-        answered: Whether its answer has arrived.
+        last_sent_s: Time of the last message sent, in seconds.
+        answered: Whether the last message sent was answered.
+        first_answer_timeout_s: Timeout of the first answer, in seconds.
     """
 
     def __init__(
@@ -113,7 +114,7 @@
         self.last_number = REGISTRATION_NUMBER
         self.last_sent_s = gateway.clock()
         self.answered = False
-        self.first_answer_s = gateway.patience(FIRST_ANSWER_S)
+        self.first_answer_timeout_s = gateway.patience(FIRST_ANSWER_TIMEOUT_S)
 
     def run(self) -> None:
         """Read frames until the stream ends or the gateway stops."""
@@ -132,18 +133,18 @@
         lease_s = self.gateway.own.lease_s
         if lease_s:
             return lease_s / HEARTBEATS_PER_LEASE
-        return None if self.answered else self.first_answer_s
+        return None if self.answered else self.first_answer_timeout_s
 
     def _on_frame(self, frame: bytes) -> None:
-        replied, message = self.gateway.receive(frame)
-        self.answered = self.answered or replied >= self.last_number
-        if replied >= REGISTRATION_NUMBER or isinstance(message, codec.SendWeights):
+        reply_to, message = self.gateway.receive(frame)
+        self.answered = self.answered or reply_to >= self.last_number
+        if reply_to >= REGISTRATION_NUMBER or isinstance(message, codec.SendWeights):
             self.gateway.alive()
 
     def _keep_heartbeat(self) -> None:
         lease_s = self.gateway.own.lease_s
         waited_s = self.gateway.clock() - self.last_sent_s
-        limit_s = lease_s / 2 if self.last_number > REGISTRATION_NUMBER else self.first_answer_s
+        limit_s = lease_s / 2 if self.last_number > REGISTRATION_NUMBER else self.first_answer_timeout_s
         if not self.answered and waited_s >= limit_s:
             raise HeartbeatTimeoutError("no answer in time")
         if lease_s and waited_s >= lease_s / HEARTBEATS_PER_LEASE and self.answered:
@@ -154,14 +155,14 @@
 
 
 class VirtualChpGateway(SeededBackoff, ChpGateway):
-    """The client library's own CHP gateway, on simulated sockets."""
+    """CHP gateway of the client library, on simulated sockets."""
 
 
 class VirtualRegistrar(MemberRegistrar):
-    """The agent's connection: requests are taken and answered at once."""
+    """Registrar of the agent, whose requests the assigner answers immediately."""
 
     def __init__(self, process: AssignerProcess, fleet: str, agent: str, stream_number: int) -> None:
-        """Connect; `agent` and `stream_number` name the stream in recordings."""
+        """Connect; `agent` and `stream_number` identify the stream in recordings."""
         self.record = process.simulation.record
         self.agent = agent
         self.group = Group(fleet, "tasks")
@@ -172,7 +173,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the stream stands at both ends."""
+        """Return whether the stream is open at both ends."""
         return self.stream.open and not self.lost
 
     def _on_frame(self, frame: bytes | None) -> None:
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -1,4 +1,4 @@
-"""The real environment of a day: each assigner in a process of its own, stand-ins in others, sockets on loopback."""
+"""Live environment of a day: each assigner in its own process, stand-ins in others, sockets on loopback."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from hollyridge.lab.stand_ins.worker_handle import WorkerHandle
 from hollyridge.lab.stand_ins.world import LiveWorld
 
-CHP_PORTS = 3  # in a row
+CHP_PORTS = 3  # consecutive
 SYNC_TIMEOUT_S = 5
 START_ATTEMPTS, START_PAUSE_S = 200, 0.05
 END_TIMEOUT_S = 5
@@ -33,20 +33,22 @@
 
 
 class LiveEnvironment:
-    """Where a day is played in real time.
+    """Environment that plays a day in real time.
 
     Attributes:
-        failures: What makes the day's result worthless, once it has ended.
-        relay: Stands between the assigners of a shared fleet.
+        ports: (SASP, OTLP, first CHP port) of each assigner.
+        failures: Failures that invalidate the day's result, complete once it has ended.
+        start_count: Number of assigner processes started so far.
+        relay: Relay between the assigners of a shared fleet; None if they share nothing.
     """
 
     def __init__(self, scenario: Scenario, folder: Path, policy: str = "") -> None:
         """Prepare a day.
 
         Args:
-            scenario: What is played.
-            folder: For recordings, logs and settings files.
-            policy: Another decision module of the laboratory; empty for the service's own.
+            scenario: Scenario to play.
+            folder: Directory for recordings, logs and settings files.
+            policy: Name of the laboratory's decision module to use; empty for that of the service.
         """
         self.scenario = scenario
         self.folder = folder
@@ -62,7 +64,7 @@
         self.workers: list[WorkerHandle] = []
         self.failures: list[str] = []
         self.assigners: list[subprocess.Popen | None] = [None] * count
-        self.starts = 0
+        self.start_count = 0
         self.relay: Relay | None = None
         if scenario.fleet.shared:
             self._start_relay(count)
@@ -78,11 +80,11 @@
         return self.folder / f"assigner-{number}.ini"
 
     def _write_settings(self, number: int) -> None:
-        """Write an assigner's settings: the scenario's, with its overrides and this environment's addresses."""
+        """Write an assigner's settings: those of the scenario with its overrides and this environment's addresses."""
         parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
         parser.read(self.scenario.path.parent / self.scenario.day.settings)
         sasp, otlp, chp = self.ports[number]
-        overrides = [(*place, value) for place, value in self.scenario.overrides.items()]
+        overrides = [(*location, value) for location, value in self.scenario.overrides.items()]
         for section, key, value in (
             *overrides,
             ("sasp", "listen", f"127.0.0.1:{sasp}"),
@@ -100,15 +102,15 @@
             parser.write(out)
 
     def _set_peers(self, parser: configparser.ConfigParser, number: int) -> None:
-        known = [f"127.0.0.1:{port}" for port in self.relay.known]
+        relay_addresses = [f"127.0.0.1:{port}" for port in self.relay.relay_ports]
         zones = self.scenario.config.zone_names
         if not parser.has_section("peers"):
             parser.add_section("peers")
         parser["peers"].update(
             listen=f"127.0.0.1:{self.peers[number]}",
-            known_as=known[number],
+            known_as=relay_addresses[number],
             name=f"a{number}",
-            seeds=", ".join(known),
+            seeds=", ".join(relay_addresses),
             key=str((self.folder / "fleet.key").resolve()),
             zone=zones[number % len(zones)],
         )
@@ -116,17 +118,17 @@
     # Workers and agents.
 
     def start_worker(self, name: str, on_message: Callable[[dict], None]) -> WorkerHandle:
-        """Start a process for stand-ins; `on_message` takes what it has to tell."""
+        """Start a process for stand-ins; `on_message` is called with each message from it."""
         self.workers.append(WorkerHandle(self.folder, name, on_message))
         return self.workers[-1]
 
     def agent(self, number: int) -> Agent:
-        """The agent of one assigner."""
+        """Start the agent of one assigner."""
         address = "127.0.0.1", self.ports[number][0]
         return Agent(address, self.scenario.config.sasp.fleet, self.record, number=number)
 
     def wait_for_sync(self, agent: Agent) -> None:
-        """Wait until an agent has registered the first tasks."""
+        """Wait until an agent has registered the initial tasks."""
         agent.synced.wait(SYNC_TIMEOUT_S)
 
     # Assigners.
@@ -135,18 +137,18 @@
         """Start one assigner and wait until it listens.
 
         Raises:
-            DayError: It has ended.
+            DayError: The process ended instead.
         """
-        self.starts += 1
+        self.start_count += 1
         program = ["-m", "hollyridge.cli.main", "serve"]
         if self.policy:
             program = ["-m", "hollyridge.lab.stand_ins.assigner", self.policy]
-        with open(self.folder / f"assigner-{number}-{self.starts}.log", "wb") as log:
+        with open(self.folder / f"assigner-{number}-{self.start_count}.log", "wb") as log:
             assigner = subprocess.Popen([sys.executable, *program, str(self._settings_path(number))], stderr=log)
         self.assigners[number] = assigner
         for _ in range(START_ATTEMPTS):
             if assigner.poll() is not None:
-                raise DayError(f"the assigner ended with {assigner.returncode}")
+                raise DayError(f"assigner {number} exited with status {assigner.returncode} while it started")
             try:
                 socket.create_connection(("127.0.0.1", self.ports[number][1]), timeout=1).close()
                 break
@@ -159,41 +161,41 @@
         self.assigners[number].wait()
 
     def stall_assigner(self, number: int, seconds: float) -> None:
-        """Give one assigner no turn for a while; its sockets stay open."""
-        stalled = self.assigners[number]
-        stalled.send_signal(signal.SIGSTOP)
+        """Stall one assigner for this time; its sockets stay open."""
+        assigner = self.assigners[number]
+        assigner.send_signal(signal.SIGSTOP)
         gevent.sleep(seconds)
-        if stalled.poll() is None:
-            stalled.send_signal(signal.SIGCONT)
+        if assigner.poll() is None:
+            assigner.send_signal(signal.SIGCONT)
 
     def cut_peers(self, pairs: set[tuple[int, int]], lost: float) -> None:
-        """Pass no datagram from the first to the second of these assigners, and lose this fraction of the others."""
+        """Drop datagrams between these (sender, receiver) pairs, and the fraction `lost` of all others."""
         if self.relay is not None:
             self.relay.cut, self.relay.lost = pairs, lost
 
     # The day.
 
     def play(self, day: Day) -> int:
-        """Let the day pass; returns when it began (us).
+        """Play the day and return its start, in microseconds.
 
         Raises:
-            DayError: It could not be played as scripted.
+            DayError: The day could not be played as the scenario describes it.
         """
         day.set_up()
-        begun = now_us()
-        jobs = [gevent.spawn(day.cause, name, fault) for name, fault in self.scenario.faults.items()]
+        started_us = now_us()
+        jobs = [gevent.spawn(day.run_fault, name, fault) for name, fault in self.scenario.faults.items()]
         length_s = self.scenario.day.length_s
-        while (passed_s := (now_us() - begun) / 1e6) < length_s:
-            day.on_progress(min(1.0, passed_s / length_s))
+        while (elapsed_s := (now_us() - started_us) / 1e6) < length_s:
+            day.on_progress(min(1.0, elapsed_s / length_s))
             gevent.sleep(PROGRESS_INTERVAL_S)
             if day.failures:
                 raise DayError("; ".join(day.failures))
         day.on_progress(1.0)
         gevent.killall(jobs)
-        return begun
+        return started_us
 
     def recorded(self) -> list[dict]:
-        """All records of the day, by time, with what the assigners logged of their state."""
+        """Return all records of the day, in order of time, with the states that the assigners logged."""
         self.record.flush()
         return sorted([*read_all(self.folder), *self._states()], key=lambda row: row["t"])
 
@@ -209,7 +211,7 @@
         return rows
 
     def end(self) -> None:
-        """Stop all processes, those of the stand-ins first."""
+        """Stop all processes, those of stand-ins first."""
         for worker in self.workers[::-1]:
             worker.end()
         for assigner in self.assigners:
@@ -224,14 +226,14 @@
         try:
             code = assigner.wait(timeout=END_TIMEOUT_S)
             if code:
-                self.failures.append(f"the assigner ended with {code}")
+                self.failures.append(f"an assigner exited with status {code} on SIGTERM, expected 0")
         except subprocess.TimeoutExpired:
             assigner.kill()
             assigner.wait()
-            self.failures.append("the assigner did not end on SIGTERM")
+            self.failures.append(f"an assigner did not exit within {END_TIMEOUT_S} s of SIGTERM")
 
 
 def _state_record(number: int, core: dict) -> dict:
-    """The record that a simulated assigner's state would have."""
+    """Return the record that a simulated assigner would write of this state."""
     state = {key: core[key] for key in STATE}
     return {"k": "state", "t": core["at"] - CLOCK_OFFSET_US, "assigner": number, **state, **core["module"]}
--- a/hollyridge/lab/stand_ins/ports.py
+++ b/hollyridge/lab/stand_ins/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback for live environments."""
+"""Search for free ports on loopback, for live environments."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port that was free just now."""
+    """Return a port that was free at the time of the call."""
     with socket.socket(socket.AF_INET, kind) as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 def free_ports(count: int) -> int:
-    """The first of so many free ports in a row.
+    """Return the first of `count` consecutive free ports.
 
     Raises:
-        DayError: None were found.
+        DayError: No such ports were found.
     """
     for _ in range(ATTEMPTS):
         first = free_port()
         if _are_free(range(first, first + count)):
             return first
-    raise DayError("no free ports in a row")
+    raise DayError(f"{count} consecutive free ports on 127.0.0.1 were not found in {ATTEMPTS} attempts")
 
 
 def _are_free(ports: range) -> bool:
@@ -36,6 +36,6 @@
             probe = probes.enter_context(socket.socket())
             try:
                 probe.bind(("127.0.0.1", port))
-            except (OSError, OverflowError):  # taken, or above the last port
+            except (OSError, OverflowError):  # in use, or above the highest port number
                 return False
     return True
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -1,4 +1,4 @@
-"""A stand-in proxy: holds tables, sends its clients' RPCs, reports what it met, and has a real proxy's faults."""
+"""Stand-in proxy: holds tables, sends its clients' RPCs, sends load reports, and has the faults of a real proxy."""
 
 from __future__ import annotations
 
@@ -20,37 +20,41 @@
 from hollyridge.lab.stand_ins.task_connection import TaskConnection
 from hollyridge.otlp.sender import Figure
 
-RECEIVE_S = 0.5  # how often a SASP stream without news is known to stand
-READ_POLL_S = 0.05  # how often one that has stopped reading looks whether it may go on
+RECEIVE_INTERVAL_S = 0.5  # interval after which the gateway confirms that an idle SASP stream is open
+READ_POLL_INTERVAL_S = 0.05  # interval at which a proxy that has stopped reading checks whether it may read again
 MIN_TIMEOUT_S = 0.01
-MIN_LEFT_S = 0.001  # of an RPC's time, behind a slow link
-AVOID_S = (2.0, 4.0)  # how long an outlier is avoided
+MIN_REMAINING_S = 0.001  # minimum timeout of a call after the delay of a slow link
+AVOID_S = (2.0, 4.0)  # range of the time for which an outlier is avoided
 REPORT_JITTER_S = 0.1
 
 
 class Connection(Protocol):
-    """A connection to one task, real or simulated."""
+    """Connection to one task, real or simulated."""
 
     def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
-        """Send an RPC; returns its outcome and answer."""
+        """Send an RPC and return its outcome and answer."""
 
     def close(self) -> None:
         """Close the connection, if it is open."""
 
 
 class Proxy:
-    """A proxy with its clients. Sockets and clock are real here; `VirtualProxy` simulates them.
+    """A proxy with its clients, on real sockets and a real clock; `VirtualProxy` simulates these.
 
     Attributes:
-        stream: Counts the streams to assigners, for recordings.
-        in_flight: RPCs without an answer, by task.
-        rate_factors: What faults multiply the clients' RPCs by, by cause.
-        unreachable_zones: Second octets of addresses that no RPC reaches.
-        unreachable_assigners: Assigners that no stream or report reaches.
-        link_faults: By second octet of addresses: seconds more each way, fraction lost.
-        report_delay_s: How much later reports leave.
-        reading_stopped: Whether it reads nothing from its stream.
-        read_delay_s: How much longer it takes to read an update.
+        stream: Number of the current stream to an assigner, for recordings.
+        in_flight: Number of RPCs without an answer, by task.
+        consecutive_failures: Number of consecutive failures, by task.
+        avoid_until: End of the time for which an outlier is avoided, in seconds, by task.
+        down: Whether the proxy has stopped.
+        stalled_until: End of the current stall, in microseconds.
+        rate_factors: Factors by which faults multiply the clients' rate, by cause.
+        unreachable_zones: Second octets of the addresses that RPCs do not reach.
+        unreachable_assigners: Indices of the assigners that streams and reports do not reach.
+        link_faults: (additional one-way delay in seconds, fraction lost), by second octet of addresses.
+        report_delay_s: Additional delay of load reports, in seconds.
+        reading_stopped: Whether the proxy reads nothing from its stream.
+        read_delay_s: Additional time to read an update, in seconds.
     """
 
     FAULT_ATTRIBUTES: ClassVar[frozenset[str]] = frozenset(
@@ -64,7 +68,7 @@
         }
     )
 
-    def __init__(  # noqa: PLR0913 - what the command that starts a proxy says, by name
+    def __init__(  # noqa: PLR0913 - the keywords of the command that starts a proxy
         self,
         world: World,
         uid: str,
@@ -81,16 +85,16 @@
         """Start a proxy.
 
         Args:
-            world: Time and waiting.
-            uid: Its name.
-            host: The address it connects from.
-            zone: Where it is.
-            rate: RPCs a second of its clients.
-            plan: What it goes by.
-            standing: The tasks of its first table.
-            seed: Of its own randomness.
-            record: Takes what happens.
-            home: The assigner that it dials first.
+            world: Clock and scheduler.
+            uid: Name of the proxy.
+            host: Address that it connects from.
+            zone: Name of its zone.
+            rate: Rate of its clients, in RPCs per second.
+            plan: Configuration that it shares with the other proxies of its protocol.
+            standing: Addresses of the tasks in its first table.
+            seed: Seed of its random generator.
+            record: Recorder of its events.
+            home: Index of the assigner that it connects to first.
         """
         self.world = world
         self.uid = uid
@@ -104,14 +108,14 @@
         self.stream = 0
         self.connections: dict[str, Connection] = {}
         self.in_flight: dict[str, int] = defaultdict(int)
-        self.failed: dict[str, int] = defaultdict(int)  # in a row, by task
+        self.consecutive_failures: dict[str, int] = defaultdict(int)
         self.avoid_until: dict[str, float] = {}
         self.reporter = Reporter(uid, zone)
         self.down = False
         self.stalled_until = 0
         self.rate_factors: dict[str, float] = {}
         self._clear_faults()
-        self.gateway = self._open_gateway(standing, home)
+        self.gateway = self._make_gateway(standing, home)
         self.clients = Clients(self, rate, seed)
         self.jobs = [world.spawn(job) for job in (self.gateway.run, self.clients.run, self._report)]
 
@@ -123,13 +127,13 @@
         self.reading_stopped = False
         self.read_delay_s = 0.0
 
-    def _record_start(self, zone: str, standing: list[str]) -> None:
+    def _record_start(self, zone: str, first_table: list[str]) -> None:
         groups = list(dict.fromkeys(method.group for method in self.methods))
         self.record(
             "standing",
             proxy=self.uid,
             zone=zone,
-            tasks=standing,
+            tasks=first_table,
             groups=groups,
             names=self.names,
             front=self.plan.front,
@@ -137,8 +141,8 @@
 
     # Streams to assigners.
 
-    def _open_gateway(self, standing: list[str], home: int) -> Gateway:
-        gateway = self.open(self.plan.front, standing)
+    def _make_gateway(self, first_table: list[str], home: int) -> Gateway:
+        gateway = self.create_gateway(self.plan.front, first_table)
         gateway.assigner_index = home % gateway.assigner_count
         gateway.on_change(self._close_unused)
         gateway.on_change(
@@ -149,24 +153,24 @@
         gateway.watch = self._on_session
         return gateway
 
-    def open(self, front: str, standing: list[str]) -> Gateway:
-        """The gateway for one protocol, with a first table of `standing`."""
-        terms = {
-            "standing": dict.fromkeys(standing, 1.0),
+    def create_gateway(self, front: str, first_table: list[str]) -> Gateway:
+        """Return a gateway for one protocol, with the tasks of its first table."""
+        options = {
+            "standing": dict.fromkeys(first_table, 1.0),
             "pick": self.plan.pick,
             "rng": self.rng,
             "sleep": gevent.sleep,
         }
         if front == "sasp":
-            return self._open_sasp(terms)
+            return self._create_sasp_gateway(options)
         connection_options = {
             "source": self.host,
             "zmq": zmq,
             "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
-        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **terms)
+        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **options)
 
-    def _open_sasp(self, terms: dict) -> Gateway:
+    def _create_sasp_gateway(self, options: dict) -> Gateway:
         connection_options = {
             "source": self.host,
             "on_receive": lambda raw: self.record.frame("heard", self.uid, self.stream, raw),
@@ -178,9 +182,9 @@
             self.names,
             {method.name: method.group for method in self.methods},
             connection_options,
-            receive_s=RECEIVE_S,
+            receive_s=RECEIVE_INTERVAL_S,
             before=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
-            **terms,
+            **options,
         )
 
     def _on_session(self, begins: bool) -> None:
@@ -197,54 +201,54 @@
         )
 
     def apply(self, lines: int) -> None:
-        """Take the time that an update of so many lines takes to read and apply."""
+        """Wait for the time that reading and applying an update of this many lines takes."""
         self.world.sleep(self.plan.apply_us * lines / 1e6 + self.read_delay_s)
         while self.reading_stopped:
-            self.world.sleep(READ_POLL_S)
+            self.world.sleep(READ_POLL_INTERVAL_S)
         self.wait_while_stalled()
 
     def pause(self, seconds: float) -> None:
-        """Get no turn for a while."""
+        """Stall the proxy for this time."""
         self.stalled_until = self.world.now() + round(seconds * 1e6)
 
     def wait_while_stalled(self) -> None:
-        """Wait for a turn."""
+        """Wait until the current stall is over."""
         while self.stalled_until > self.world.now():
             self.world.sleep((self.stalled_until - self.world.now()) / 1e6)
 
     def hang_up(self) -> None:
-        """End the stream to the assigner, if there is one."""
+        """Close the stream to the assigner, if there is one."""
         self.gateway.hang_up()
 
     def _close_unused(self, gateway: Gateway) -> None:
-        """Close connections to tasks that no table has any more."""
+        """Close the connections to tasks that are no longer in any table."""
         used = {task for lines in gateway.tables.values() for task in lines}
         for task in [task for task in self.connections if task not in used and not self.in_flight[task]]:
             self.connections.pop(task).close()
 
-    # What a simulated proxy has otherwise.
+    # Clocks and connections, which a simulated proxy replaces.
 
-    def seconds(self) -> float:
-        """Monotonic time."""
+    def now_s(self) -> float:
+        """Return the monotonic time in seconds."""
         return self.world.now() / 1e6
 
-    def wall(self) -> int:
-        """Time of day (ns)."""
+    def wall_clock_ns(self) -> int:
+        """Return the time of day in nanoseconds."""
         return time.time_ns()
 
     def dial(self, task: str) -> Connection:
-        """A connection to the task at this address."""
+        """Return a connection to the task at this address."""
         return TaskConnection(task)
 
     def send_report(self, figures: list[Figure]) -> None:
-        """Send a load report to the assigner that it goes to."""
+        """Send a load report to the current assigner."""
         self.reporter.send(self.plan.otlp[self.gateway.assigner_index], figures, gevent.sleep)
 
     # RPCs.
 
     def send(self, call: rpc.Call, deadline_s: float) -> int:
-        """One attempt at an RPC, by a line of the method's table; returns its outcome."""
-        now, name = self.seconds(), self.names[call.method]
+        """Make one attempt of an RPC at a task of the method's table, and return its outcome."""
+        now, name = self.now_s(), self.names[call.method]
         avoid = {task for task, until in self.avoid_until.items() if until > now}
         task = self.gateway.pick(name, self.in_flight.__getitem__, avoid)
         if task is None:
@@ -257,42 +261,42 @@
         self.in_flight[task] += 1
         outcome, answer = self._call_over_link(self.connections[task], task.split(".")[1], call, timeout_s)
         self.in_flight[task] -= 1
-        self.reporter.add_attempt(task, name, outcome == rpc.OK, self.seconds() - now)
+        self.reporter.add_attempt(task, name, outcome == rpc.OK, self.now_s() - now)
         self._count_failures(task, outcome, now)
         if answer is not None:
             self.reporter.set_load(task, util=answer.util, queue=answer.queue)
         return outcome
 
     def _count_failures(self, task: str, outcome: int, begun_s: float) -> None:
-        """Avoid a task for a while that failed too often in a row."""
+        """Count consecutive failures of a task, and avoid it for a while once there are too many."""
         if outcome == rpc.OK:
-            self.failed[task] = 0
+            self.consecutive_failures[task] = 0
             return
-        self.failed[task] += 1
+        self.consecutive_failures[task] += 1
         limit = self.plan.outlier_after
-        if limit and self.failed[task] >= limit:
-            self.failed[task] = 0
+        if limit and self.consecutive_failures[task] >= limit:
+            self.consecutive_failures[task] = 0
             self.avoid_until[task] = begun_s + self.rng.uniform(*AVOID_S)
 
     def _call_over_link(
-        self, connection: Connection, octet: str, call: rpc.Call, timeout_s: float
+        self, connection: Connection, zone_octet: str, call: rpc.Call, timeout_s: float
     ) -> tuple[int, rpc.Answer | None]:
-        """Call over the link to a zone, with its faults.
+        """Call a task over the link to its zone, which may be faulty.
 
-        What is lost is lost on the way there or on the way back; what comes back too late has run.
+        A loss affects the RPC or its answer. An RPC whose answer arrives too late has run.
         """
-        delay_s, lost = self.link_faults.get(octet, (0.0, self.plan.lost))
-        if octet in self.unreachable_zones or (lost and self.rng.random() < lost):
+        delay_s, lost = self.link_faults.get(zone_octet, (0.0, self.plan.lost))
+        if zone_octet in self.unreachable_zones or (lost and self.rng.random() < lost):
             self.world.sleep(timeout_s)
             return rpc.NO_ANSWER, None
         if not (delay_s or lost):
             return connection.call(call, timeout_s)
-        begun_s = self.seconds()
+        begun_s = self.now_s()
         self.world.sleep(min(delay_s, timeout_s))
-        left_s = timeout_s - 2 * delay_s
-        outcome, answer = connection.call(call, max(left_s, MIN_LEFT_S))
-        remaining_s = begun_s + timeout_s - self.seconds()
-        if answer is not None and (left_s <= 0 or self.rng.random() < lost):
+        time_left_s = timeout_s - 2 * delay_s
+        outcome, answer = connection.call(call, max(time_left_s, MIN_REMAINING_S))
+        remaining_s = begun_s + timeout_s - self.now_s()
+        if answer is not None and (time_left_s <= 0 or self.rng.random() < lost):
             outcome, answer = rpc.NO_ANSWER, None
         self.world.sleep(remaining_s if outcome == rpc.NO_ANSWER else min(delay_s, remaining_s))
         return outcome, answer
@@ -302,24 +306,22 @@
     def _report(self) -> None:
         period_s = self.plan.period_us / 1e6
         self.world.sleep(self.rng.uniform(0, period_s))
-        begun = self.wall()
+        begun = self.wall_clock_ns()
         while not self.down:
             self.world.sleep(period_s)
-            end = self.wall()
+            end = self.wall_clock_ns()
             figures = self.reporter.figures(begun, end)
             begun = end
             if figures:
                 delay_s = self.report_delay_s + self.rng.uniform(0, REPORT_JITTER_S)
-                self.world.later(delay_s, self._post, figures)
+                self.world.spawn_later(delay_s, self._post, figures)
 
     def _post(self, figures: list[Figure]) -> None:
         if not self.down and self.gateway.assigner_index not in self.unreachable_assigners:
             self.send_report(figures)
 
-    # Its end.
-
     def stop(self) -> None:
-        """End at once."""
+        """Stop immediately."""
         self.down = True
         self.gateway.stop()
         gevent.killall([job for job in self.jobs if job is not None], block=False)
--- a/hollyridge/lab/stand_ins/proxy_plan.py
+++ b/hollyridge/lab/stand_ins/proxy_plan.py
@@ -1,4 +1,4 @@
-"""What a proxy and the clients beside it go by: the part of a scenario that is the same for all of one protocol."""
+"""Configuration that all proxies of one protocol and their clients share. It is sent to worker processes as JSON."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 
 
 class MethodPlan(msgspec.Struct, frozen=True):
-    """What clients know of a method.
+    """Configuration of a method.
 
     Attributes:
-        group: Whose table its RPCs go by.
-        repeats: Whether it is idempotent, tokened or non-idempotent.
-        share: Of the RPCs.
-        work_us: Mean work.
+        name: Name of the method.
+        group: Group whose table its RPCs use.
+        repeats: Effect of repeated attempts: "idempotent", "tokened" or "non-idempotent".
+        share: Share of the RPCs, relative to the other methods.
+        work_us: Mean work of an RPC, in microseconds of one core.
+        deadline_us: Deadline of an RPC after its start, in microseconds.
     """
 
     name: str
@@ -24,20 +26,24 @@
 
 
 class ProxyPlan(msgspec.Struct, frozen=True):
-    """What a proxy goes by.
+    """Configuration of a proxy and its clients.
 
     Attributes:
-        front: The protocol it speaks, sasp or clone.
-        sasp: Addresses of the assigners by SASP; `otlp` and `clone` alike.
-        pick: How it picks among the lines of a table.
-        outlier_after: Failures in a row after which a task is avoided for a while; 0 for never.
-        apply_us: Time to apply one line of a table.
+        methods: Methods in the order of the settings.
+        front: Protocol between proxy and assigner, "sasp" or "clone" (CHP).
+        sasp: (host, port) of each assigner for SASP.
+        otlp: (host, port) of each assigner for load reports.
+        clone: (host, port) of each assigner for CHP.
+        pick: Algorithm that picks a line of a table (see `Picker`).
+        outlier_after: Consecutive failures after which a task is avoided for a while; 0 for never.
+        apply_us: Time to apply one line of a table, in microseconds.
         lost: Fraction of the RPCs and answers between zones that are lost.
-        client_retries: Retries of the clients beside the proxy.
+        client_retries: Maximum number of retries by a client.
         reckless: Whether clients retry RPCs that may have taken effect.
-        try_share: Fraction of the time left that one attempt may take.
-        keys: Number of keys that RPCs have, 0 for none; `zipf` is the exponent of their popularity.
-        period_us: Time between two load reports.
+        try_share: Maximum duration of an attempt, as a fraction of the time left until the deadline.
+        keys: Number of distinct keys of RPCs; 0 for RPCs without keys.
+        zipf: Exponent of the Zipf distribution of the keys.
+        period_us: Report period, in microseconds.
     """
 
     methods: list[MethodPlan]
--- a/hollyridge/lab/stand_ins/rpc.py
+++ b/hollyridge/lab/stand_ins/rpc.py
@@ -1,4 +1,4 @@
-"""RPCs between stand-in proxies and tasks: length-framed msgpack, many at once on a connection."""
+"""Protocol of RPCs between stand-in proxies and tasks: length-prefixed msgpack, many calls at once per connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-OK, ERROR, PUSHED_BACK, NO_ANSWER, NOT_SENT = range(5)  # outcomes; the last two are never sent
+OK, ERROR, PUSHED_BACK, NO_ANSWER, NOT_SENT = range(5)  # outcomes; the last two never occur in an answer
 NO_KEY = -1
 SIZE = struct.Struct(">I")
 MAX_MESSAGE_BYTES = 4096
@@ -19,9 +19,12 @@
     """An RPC.
 
     Attributes:
-        number: Counts the calls of a connection; its answer has it too.
-        work: What it costs, in microseconds of one core.
-        key: What it is about, for caches.
+        number: Number of the call on its connection, repeated in the answer.
+        proxy: Uid of the sending proxy.
+        method: Index of the method.
+        token: Token that identifies repeated attempts of one RPC.
+        work: Work that it requires, in microseconds of one core.
+        key: Key that the RPC accesses, for caches.
     """
 
     number: int
@@ -33,7 +36,14 @@
 
 
 class Answer(msgspec.Struct, array_like=True):
-    """An answer, with the load that the task tells."""
+    """An answer, with the load that the task reports.
+
+    Attributes:
+        number: Number of the call.
+        outcome: Outcome of the call, as one of the constants above.
+        util: Utilization of the task, as a fraction.
+        queue: Number of RPCs in the task's queue.
+    """
 
     number: int
     outcome: int
@@ -47,17 +57,17 @@
 
 
 def send(sock: socket.socket, message: Call | Answer) -> None:
-    """Send one message; OSError if the connection is broken."""
+    """Send one message; raise OSError if the connection is broken."""
     raw = _ENCODER.encode(message)
     sock.sendall(SIZE.pack(len(raw)) + raw)
 
 
 def receive(sock: socket.socket, calls: bool) -> Iterator[Call | Answer]:
-    """Messages until the stream ends: calls, or else answers.
+    """Yield messages until the stream ends: calls if `calls` is set, else answers.
 
     Raises:
         OSError: The connection broke.
-        ValueError: What came is no message.
+        ValueError: The received bytes are no valid message.
     """
     decode = (_CALLS if calls else _ANSWERS).decode
     buffer = b""
@@ -66,7 +76,7 @@
         while len(buffer) >= SIZE.size:
             size = SIZE.unpack_from(buffer)[0]
             if size > MAX_MESSAGE_BYTES:
-                raise ValueError(f"a message of {size} bytes")
+                raise ValueError(f"RPC message has {size} bytes, expected at most {MAX_MESSAGE_BYTES}")
             end = SIZE.size + size
             if len(buffer) < end:
                 break
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -1,4 +1,4 @@
-"""The simulated process of one assigner: the real service on simulated sockets, clock, disk and peers' datagrams."""
+"""Simulated process of one assigner: the real service on a simulated clock, network and disk."""
 
 from __future__ import annotations
 
@@ -21,19 +21,22 @@
 from hollyridge.settings.service_config import PeerAddress, ServiceConfig
 from hollyridge.telemetry.report_aggregator import LOADS, DataPoint, Kind
 
-STATE_INTERVAL_US = 500_000  # how often the assigner's status is recorded
-CONNECTION_CHECK_S = 0.1  # how often connections are checked, as the real server does
-MIN_TURN_US = 500  # the engine runs at most once in this time
-SIMULATED_KEY = b"simulated" * 4  # of the shared fleet
+STATE_INTERVAL_US = 500_000  # between two records of the assigner's status
+CONNECTION_CHECK_S = 0.1  # interval between checks of the connections, as in the real server
+MIN_RUN_INTERVAL_US = 500  # minimum time between two runs of the engine
+SIMULATED_KEY = b"simulated" * 4  # key of the shared fleet
 
 
 class SimulatedProcess:
-    """Runs one assigner, and runs it again after it was killed.
+    """Process that runs one assigner and starts it again after it was killed.
 
     Attributes:
         service: The assigner; None while it is down.
-        stalled_until_us: Until when the process gets no turn.
-        disk: Its state file, which outlives it.
+        context: ZeroMQ sockets of the assigner; None if it has opened none.
+        stalled_until_us: End of the current stall, in microseconds.
+        run_number: Number of the engine's next run. A scheduled run with a lower number is obsolete.
+        start_count: Number of starts.
+        saved_state: Content of the state file, which survives a kill.
     """
 
     def __init__(self, simulation: Simulation, number: int) -> None:
@@ -43,22 +46,22 @@
         self.service: Service | None = None
         self.context: Context | None = None
         self.stalled_until_us = 0
-        self.turn = 0  # the engine's next run; one that was planned before it is obsolete
-        self.starts = 0
-        self.disk = b""
+        self.run_number = 0
+        self.start_count = 0
+        self.saved_state = b""
 
     # Start and end.
 
     def start(self) -> None:
         """Start the assigner."""
-        self.starts += 1
+        self.start_count += 1
         service = self._make_service()
         self._attach(service)
         self.service, self.names = service, service.attribute_names()
         if service.chp_server is not None:
             service.chp_server.start()
         if service.solver_service is not None:
-            service.solver_service.apply = lambda call, words: call(*words)
+            service.solver_service.apply = lambda call, arguments: call(*arguments)
         self._attach_disk(service)
         service.start_background()
         self.schedule_engine()
@@ -66,7 +69,7 @@
 
     def _make_service(self) -> Service:
         simulation = self.simulation
-        epoch = f"{self.number:08x}{self.starts:08x}"
+        epoch = f"{self.number:08x}{self.start_count:08x}"
         config = self._config()
         return Service(
             config,
@@ -79,7 +82,7 @@
         )
 
     def _config(self) -> ServiceConfig:
-        """The scenario's settings with this process's addresses."""
+        """Return the scenario's settings with this process's addresses."""
         config, port = copy(self.simulation.scenario.config), self.simulation.first_port(self.number)
         if config.clone.listen:
             config.clone = config.clone.model_copy(update={"listen": f"127.0.0.1:{port}"})
@@ -88,7 +91,7 @@
         return config
 
     def _peer_config(self, config: ServiceConfig) -> PeerConfig | None:
-        """This assigner's part in a shared fleet; None if it shares nothing."""
+        """Return the configuration of this assigner in a shared fleet; None if the fleet is not shared."""
         simulation = self.simulation
         if not simulation.scenario.fleet.shared:
             return None
@@ -105,7 +108,7 @@
         )
 
     def _attach(self, service: Service) -> None:
-        """Let the simulated clock and network drive the service."""
+        """Connect the service to the simulated clock and network."""
         if service.peers is not None:
             service.peers.send = self._send_datagram
         service.loop.wake = self.schedule_engine
@@ -114,13 +117,13 @@
 
     def _attach_disk(self, service: Service) -> None:
         if service.persistence is not None:
-            service.persistence.apply = lambda call, words: call(*words)
+            service.persistence.apply = lambda call, arguments: call(*arguments)
             service.persistence.write = self._write_disk
             service.persistence.read = self._read_disk
             service.persistence.wall_ms = lambda: self.world.now() // 1000
 
     def kill(self) -> None:
-        """Kill the assigner: its connections break, its disk stays."""
+        """Kill the assigner: its connections break, its state file is kept."""
         service, self.service = self.service, None
         self.simulation.status.append(service.status())
         for connection in list(service.sasp_server.streams.values()):
@@ -129,16 +132,16 @@
             self.context.end()
 
     def _open_context(self) -> Context:
-        self.context = Context(self.simulation.network, idle=self._wait_while_stalled)
+        self.context = Context(self.simulation.network, wait_while_stalled=self._wait_while_stalled)
         return self.context
 
     def _write_disk(self, _path: object, raw: bytes) -> None:
-        self.disk = raw
+        self.saved_state = raw
 
     def _read_disk(self, _path: object) -> bytes:
-        if not self.disk:
+        if not self.saved_state:
             raise FileNotFoundError
-        return self.disk
+        return self.saved_state
 
     # Peers.
 
@@ -149,17 +152,17 @@
         if simulation.rng.random() < simulation.peers_lost:
             return
         delay_s = simulation.delay_s(simulation.net.far_ms)
-        self.world.later(delay_s, peer.receive_datagram, simulation.peer_address(self.number), raw)
+        self.world.spawn_later(delay_s, peer.receive_datagram, simulation.peer_address(self.number), raw)
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
-        """Take a datagram of a peer."""
+        """Handle a datagram from a peer."""
         if self.service is not None and not self.defer_if_stalled(self.receive_datagram, address, raw):
             self.service.peers.receive_datagram(address, raw)
 
-    # Turns of the process.
+    # Scheduling.
 
     def _sleep(self, service: Service, seconds: float) -> None:
-        """Sleep for a greenlet of the service, which ends with its assigner."""
+        """Sleep in a greenlet of the service; end the greenlet if the service is no longer running."""
         self.world.sleep(seconds)
         self._wait_while_stalled()
         if self.service is not service:
@@ -170,26 +173,28 @@
             self.world.sleep((self.stalled_until_us - self.world.now()) / US_PER_S)
 
     def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
-        """Whether the process gets no turn now; if so, `call` runs when it gets one again."""
+        """Return whether the process is stalled; if so, run `call` when the stall is over."""
         if self.stalled_until_us <= self.world.now():
             return False
-        self.world.when(self.stalled_until_us, self.world.start, call, arguments)
+        self.world.call_at(self.stalled_until_us, self.world.start_greenlet, call, arguments)
         return True
 
     def schedule_engine(self) -> None:
-        """Run the engine soon, in place of the run that was planned."""
-        self.turn += 1
-        self.world.when(self.world.now() + MIN_TURN_US, self.world.start, self._run_engine, (self.turn,))
+        """Run the engine soon, in place of the run that is scheduled."""
+        self.run_number += 1
+        self.world.call_at(
+            self.world.now() + MIN_RUN_INTERVAL_US, self.world.start_greenlet, self._run_engine, (self.run_number,)
+        )
 
-    def _run_engine(self, turn: int) -> None:
-        if turn != self.turn or self.service is None or self.defer_if_stalled(self._run_engine, turn):
+    def _run_engine(self, run_number: int) -> None:
+        if run_number != self.run_number or self.service is None or self.defer_if_stalled(self._run_engine, run_number):
             return
         due = self.service.engine.run(self.world.now())
-        self.turn += 1
-        next_run = max(due, self.world.now() + MIN_TURN_US)
-        self.world.when(next_run, self.world.start, self._run_engine, (self.turn,))
+        self.run_number += 1
+        next_run = max(due, self.world.now() + MIN_RUN_INTERVAL_US)
+        self.world.call_at(next_run, self.world.start_greenlet, self._run_engine, (self.run_number,))
 
-    # What the real server's own greenlets do.
+    # Tasks of the real server's own greenlets.
 
     def _watch_connections(self, service: Service) -> None:
         """Check connections and record the status until the assigner ends."""
@@ -223,7 +228,7 @@
     # Load reports.
 
     def report(self, source: str, figures: list[Figure]) -> None:
-        """Take a load report, as the OTLP intake does with a decoded one."""
+        """Handle a load report as the OTLP intake handles a decoded one."""
         if self.service is None or self.defer_if_stalled(self.report, source, figures):
             return
         now = self.world.now()
@@ -233,14 +238,14 @@
                 self.service.engine.report(now, point)
 
     def _data_point(self, source: str, figure: Figure) -> DataPoint | None:
-        """The point that a figure stands for; None if it names something unknown."""
+        """Return the data point of a figure; None if a name in it is unknown."""
         names, kind, attributes = self.names, METRICS[figure.name], figure.attributes
         method = names.method(attributes["method"]) if "method" in attributes else 0
         if kind in (Kind.RPCS, Kind.UNANSWERED):
-            place = names.proxy(attributes["proxy"]), method
+            subject = names.proxy(attributes["proxy"]), method
         else:
-            place = names.zone(attributes.get("zone", "")) or 0, names.task(attributes["task"])
-        if None in place:
+            subject = names.zone(attributes.get("zone", "")) or 0, names.task(attributes["task"])
+        if None in subject:
             return None
         start = figure.start_ns or figure.end_ns
-        return DataPoint(source, kind, place, 0 if kind in LOADS else method, figure.value, start, figure.end_ns)
+        return DataPoint(source, kind, subject, 0 if kind in LOADS else method, figure.value, start, figure.end_ns)
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -1,7 +1,7 @@
-"""What the parts of the simulated environment share: clock, network, addresses, and what runs where.
+"""State that the parts of the simulated environment share: clock, network, addresses, tasks and assigner processes.
 
-Streams, proxies, agents and assigner processes need the environment that they run in, and the environment makes all of
-them. They depend on this module only, so that imports go one way.
+Streams, proxies, agents and assigner processes need the environment that they run in, and the environment creates all
+of them. They import this module instead of the environment, so that imports are not circular.
 """
 
 from __future__ import annotations
@@ -23,17 +23,19 @@
 US_PER_S = 1_000_000
 FIRST_ASSIGNER_PORT = 6000
 PORTS_PER_ASSIGNER = 10
-CHP_PORT, SASP_PORT, OTLP_PORT, PEER_PORT = 0, 4, 5, 6  # after the first port of an assigner; CHP takes three
+CHP_PORT, SASP_PORT, OTLP_PORT, PEER_PORT = 0, 4, 5, 6  # offsets from an assigner's first port; CHP uses three
 FIRST_TASK_PORT = 20000
-DELAY_SEED_OFFSET = 7  # keeps the network's generator apart from the day's
+DELAY_SEED_OFFSET = 7  # gives the network another random sequence than the day
 
 
 class AssignerProcess(Protocol):
-    """The process that one assigner runs in, as its clients and peers may use it.
+    """Process of one assigner, as its clients and peers may use it.
 
     Attributes:
+        number: Index of the assigner.
+        simulation: Simulation that the process belongs to.
         service: The assigner; None while it is down.
-        stalled_until_us: Until when the process gets no turn.
+        stalled_until_us: End of the current stall, in microseconds.
     """
 
     number: int
@@ -42,25 +44,26 @@
     stalled_until_us: int
 
     def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
-        """Whether the process gets no turn now; if so, `call` runs when it gets one again."""
+        """Return whether the process is stalled; if so, run `call` when the stall is over."""
 
     def report(self, source: str, figures: list[Figure]) -> None:
-        """Take a load report."""
+        """Handle a load report."""
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
-        """Take a datagram of a peer."""
+        """Handle a datagram from a peer."""
 
 
 class Simulation:
     """Shared state of one simulated day.
 
     Attributes:
-        tasks_by_key: The task that listens at an address.
-        processes: The assigners' processes by number.
-        peers: The same by the address that their peers know them by.
-        peers_cut: Pairs of assigners, from and to, between which no datagram passes.
+        tasks_by_key: Tasks, by the address that they listen at.
+        processes: Processes of the assigners, by number.
+        peers: Processes of the assigners, by the address at which their peers reach them.
+        peers_cut: (sender, receiver) pairs of assigners between which all datagrams are dropped.
         peers_lost: Fraction of the other datagrams that is lost.
         status: Last status of each assigner that was killed or has ended.
+        addresses: [host, port] of each assigner, by protocol.
     """
 
     def __init__(self, scenario: Scenario, policy: str, seed: int, ties: int | None) -> None:
@@ -92,29 +95,29 @@
 
     @staticmethod
     def first_port(number: int) -> int:
-        """The first of an assigner's ports."""
+        """Return the first of an assigner's ports."""
         return FIRST_ASSIGNER_PORT + PORTS_PER_ASSIGNER * number
 
     def peer_address(self, number: int) -> str:
-        """The address that an assigner's peers know it by."""
+        """Return the address at which an assigner's peers reach it."""
         return f"127.0.0.1:{self.first_port(number) + PEER_PORT}"
 
     def delay_s(self, mean_ms: float) -> float:
-        """One network delay, varied by the scenario's jitter."""
+        """Draw one network delay in seconds, varied by the scenario's jitter."""
         return mean_ms / 1e3 * (1 + self.net.jitter * (2 * self.rng.random() - 1))
 
 
 class ErrorLog:
-    """A logger that keeps errors, for they fail the day, and drops everything else."""
+    """Logger that keeps errors, because they fail the day, and drops everything else."""
 
     def __init__(self) -> None:
         self.errors: list[str] = []
 
-    def info(self, event: str, **facts: object) -> None:
+    def info(self, event: str, **fields: object) -> None:
         """Drop the event."""
 
     debug = warning = info
 
-    def error(self, event: str, **facts: object) -> None:
-        """Keep the event with its error."""
-        self.errors.append(f"{event}: {facts.get('error', '')}")
+    def error(self, event: str, **fields: object) -> None:
+        """Store the event with its error."""
+        self.errors.append(f"{event}: {fields.get('error', '')}")
--- a/hollyridge/lab/stand_ins/sockets.py
+++ b/hollyridge/lab/stand_ins/sockets.py
@@ -1,7 +1,7 @@
-"""Simulated ZeroMQ sockets: what the CHP server and the client library use of the library, over a simulated network.
+"""Simulated ZeroMQ sockets over a simulated network, with the calls that the CHP server and the client library use.
 
-ROUTER, DEALER, PUB, SUB, PUSH and PULL behave as the library's own pages describe them. Messages arrive in order, late,
-or not at all where a queue is full or the network is cut; a socket that waits for its peer finds it when it comes back.
+ROUTER, DEALER, PUB, SUB, PUSH and PULL behave as documented by ZeroMQ. Messages arrive in order after a delay, and are
+lost if a queue is full or the network is cut. A socket that waits for its peer is connected when the peer is back.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 
 from hollyridge.lab.stand_ins.world import US_PER_S, VirtualWorld
 
-DEFAULT_HIGH_WATER_MARK = 1000  # messages, as the library has it
-MIN_POLL_S = 1e-6  # time must pass while polling, however little is left
+DEFAULT_HIGH_WATER_MARK = 1000  # messages, the default of ZeroMQ
+MIN_POLL_S = 1e-6  # minimum wait of a poll, because a loop that polls without advancing the clock never ends
 
 
 class Frame(bytes):
-    """One part of a message, which knows where it came from."""
+    """One part of a message, with the address of its sender."""
 
     address = ""
 
     def get(self, name: str) -> str:
-        """A property of the message, as the library's frames have it."""
+        """Return a property of the message, as `zmq.Frame.get` does."""
         return self.address if name == "Peer-Address" else ""
 
 
 class Network:
-    """All sockets by what they are bound or connected to.
+    """All sockets, by the endpoint that they are bound or connected to.
 
     Attributes:
-        bound: The socket that is bound to an endpoint.
-        connected: The sockets that are connected to it, in order.
-        named: Of these, by their identity.
+        bound: The socket that is bound to an endpoint, by endpoint.
+        connected: The sockets that are connected to an endpoint, in order, by endpoint.
+        by_identity: The connected sockets, by (endpoint, identity).
     """
 
     def __init__(self, world: VirtualWorld, delay_s: Callable[[], float]) -> None:
-        """`delay_s` draws the time that one message takes."""
+        """Create a network without sockets; `delay_s` draws the delay of one message, in seconds."""
         self.world = world
         self.delay_s = delay_s
         self.bound: dict[str, Socket] = {}
         self.connected: dict[str, dict[Socket, None]] = defaultdict(dict)
-        self.named: dict[tuple[str, bytes], Socket] = {}
+        self.by_identity: dict[tuple[str, bytes], Socket] = {}
 
 
 class Context:
@@ -54,22 +54,22 @@
         self,
         network: Network,
         cut: Callable[[str], bool] = lambda endpoint: False,
-        idle: Callable[[], None] = lambda: None,
+        wait_while_stalled: Callable[[], None] = lambda: None,
     ) -> None:
-        """Open no socket yet.
+        """Create a context without sockets.
 
         Args:
-            network: Where the sockets are.
-            cut: Whether nothing passes between this process and an endpoint now.
-            idle: Lets time pass while the process gets no turn.
+            network: Network of the sockets.
+            cut: Function that returns whether this process is currently cut off from an endpoint.
+            wait_while_stalled: Function that waits until the process is no longer stalled.
         """
         self.network = network
         self.cut = cut
-        self.idle = idle
+        self.wait_while_stalled = wait_while_stalled
         self.open: list[Socket] = []
 
     def socket(self, kind: int) -> Socket:
-        """A new socket of this kind."""
+        """Return a new socket of this type."""
         self.open.append(Socket(self, kind))
         return self.open[-1]
 
@@ -80,13 +80,14 @@
 
 
 class Socket:
-    """A socket; options and methods are named as the library's.
+    """Simulated socket, whose options and methods are named as those of `zmq.Socket`.
 
     Attributes:
-        queue: Messages that have arrived; `in_flight` more are on their way.
-        available: Set when a message arrives.
-        last_arrival_us: When the last message to a peer arrives: none overtakes another.
-        topics: What a SUB socket has subscribed, and how often.
+        queue: Messages that have arrived.
+        in_flight: Number of messages that were sent to this socket and have not arrived.
+        available: Result that is set when a message arrives.
+        last_arrival_us: Time at which the last message to a peer arrives, so that none overtakes another.
+        topics: Number of subscriptions of a SUB socket, by topic.
     """
 
     sndhwm = rcvhwm = DEFAULT_HIGH_WATER_MARK
@@ -106,34 +107,34 @@
         self.closed = False
 
     def bind(self, endpoint: str) -> None:
-        """Listen; ZMQError if the endpoint is taken."""
+        """Listen; raise ZMQError if the endpoint is in use."""
         if endpoint in self.network.bound:
             raise zmq.ZMQError(errno.EADDRINUSE)
         self.endpoint = endpoint
         self.network.bound[endpoint] = self
 
     def connect(self, endpoint: str) -> None:
-        """Connect to `tcp://source:0;host:port`; the source may be left out."""
+        """Connect to `tcp://source:0;host:port`; the source may be omitted."""
         source, _, target = endpoint.removeprefix("tcp://").rpartition(";")
         self.address = source.rpartition(":")[0] or "127.0.0.1"
         self.endpoint = f"tcp://{target}"
         self.network.connected[self.endpoint][self] = None
-        self.network.named[self.endpoint, self.identity] = self
+        self.network.by_identity[self.endpoint, self.identity] = self
 
     def close(self) -> None:
-        """Close; messages on their way to it are lost."""
+        """Close the socket; messages in flight to it are lost."""
         self.closed = True
         self.network.connected[self.endpoint].pop(self, None)
-        self.network.named.pop((self.endpoint, self.identity), None)
+        self.network.by_identity.pop((self.endpoint, self.identity), None)
         if self.network.bound.get(self.endpoint) is self:
             del self.network.bound[self.endpoint]
 
     def subscribe(self, topic: bytes) -> None:
-        """Receive messages that begin with this topic; may be asked for more than once."""
+        """Subscribe to messages that begin with this topic; subscriptions are counted."""
         self.topics[topic] = self.topics.get(topic, 0) + 1
 
     def unsubscribe(self, topic: bytes) -> None:
-        """Take one subscription back."""
+        """Cancel one subscription of this topic."""
         if self.topics.get(topic, 0) > 1:
             self.topics[topic] -= 1
         else:
@@ -143,11 +144,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more messages fit, at the sender's and the receiver's end together."""
+        """Return whether the sender's and the receiver's queue together are full."""
         return len(self.queue) + self.in_flight >= 2 * self.rcvhwm
 
     def _send_to(self, peer: Socket, parts: list[bytes]) -> None:
-        client = self if self.address else peer  # whose end of the connection a cut is asked for
+        client = self if self.address else peer  # cuts are set at the client's end
         if self.closed or client.context.cut(client.endpoint):
             return
         world, frames = self.network.world, []
@@ -158,7 +159,7 @@
         arrival = world.now() + round(self.network.delay_s() * US_PER_S)
         self.last_arrival_us[peer] = max(self.last_arrival_us.get(peer, 0) + 1, arrival)
         peer.in_flight += 1
-        world.when(self.last_arrival_us[peer], world.start, peer._on_arrival, (frames,))
+        world.call_at(self.last_arrival_us[peer], world.start_greenlet, peer._on_arrival, (frames,))
 
     def _on_arrival(self, frames: list[Frame]) -> None:
         self.in_flight -= 1
@@ -167,10 +168,10 @@
             self.available.set()
 
     def send_multipart(self, parts: list[bytes], flags: int = 0) -> None:
-        """Send a message; sockets other than ROUTER drop it where nobody takes it.
+        """Send a message; sockets other than ROUTER drop it if no peer can receive it.
 
         Raises:
-            zmq.ZMQError: A ROUTER knows no such peer.
+            zmq.ZMQError: The peer of a ROUTER is not connected.
             zmq.Again: The queue of a ROUTER's peer is full.
         """
         if self.kind == zmq.PUB:
@@ -188,7 +189,7 @@
                 self._send_to(peer, parts)
 
     def _route(self, parts: list[bytes]) -> None:
-        peer = self.network.named.get((self.endpoint, bytes(parts[0])))
+        peer = self.network.by_identity.get((self.endpoint, bytes(parts[0])))
         if peer is None:
             raise zmq.ZMQError(errno.EHOSTUNREACH)
         if peer.is_full:
@@ -196,17 +197,17 @@
         self._send_to(peer, parts[1:])
 
     def recv_multipart(self, copy: bool = True) -> list[Frame]:
-        """Wait for the next message."""
-        self.context.idle()
+        """Wait for the next message and return it."""
+        self.context.wait_while_stalled()
         while not self.queue:
             self.available = self.network.world.result()
             self.available.get()
-            self.context.idle()
+            self.context.wait_while_stalled()
         return self.queue.popleft()
 
 
 class Poller:
-    """Waits for messages at several sockets."""
+    """Poller that waits for messages at several sockets."""
 
     def __init__(self, world: VirtualWorld) -> None:
         self.world = world
@@ -217,18 +218,18 @@
         self.socks.append(sock)
 
     def poll(self, timeout_ms: float) -> list[tuple[Socket, int]]:
-        """The sockets with messages; waits for one until the time-out."""
+        """Return the sockets with messages; if there are none, wait for one until the timeout."""
         if not any(sock.queue for sock in self.socks) and timeout_ms > 0:
             first = self.world.result()
             for sock in self.socks:
                 sock.available = first
-            with suppress(TimeoutError):  # then none has a message
+            with suppress(TimeoutError):  # a timeout means that no socket has a message
                 first.get(timeout=max(timeout_ms / 1e3, MIN_POLL_S))
         return [(sock, zmq.POLLIN) for sock in self.socks if sock.queue]
 
 
-class Library:
-    """Takes the place of the library's module in the client library."""
+class ZmqModule:
+    """Replacement of the `zmq` module in the client library."""
 
     DEALER, SUB, PUSH, POLLIN, NOBLOCK = zmq.DEALER, zmq.SUB, zmq.PUSH, zmq.POLLIN, zmq.NOBLOCK
     ZMQError = zmq.ZMQError
@@ -236,6 +237,6 @@
     def __init__(self, world: VirtualWorld) -> None:
         self.world = world
 
-    def Poller(self) -> Poller:  # noqa: N802 - the library's name
-        """A poller."""
+    def Poller(self) -> Poller:  # noqa: N802 - the name in `zmq`
+        """Return a new poller."""
         return Poller(self.world)
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -1,4 +1,4 @@
-"""Simulated SASP connections: frames arrive after a delay, in order, and acknowledgements one round trip later."""
+"""Simulated SASP connections: frames arrive in order after a delay, acknowledgements one round trip later."""
 
 from __future__ import annotations
 
@@ -13,32 +13,35 @@
 
 
 class WakeUp:
-    """Takes the place of the event that a connection's writer waits for: calls the writer instead."""
+    """Replacement of the event that a connection's writer waits for; `set` calls the writer instead."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.set = call
 
     def clear(self) -> None:
-        """Nothing waits, so nothing is reset."""
+        """Do nothing, because no greenlet waits for the event."""
 
 
 class SimulatedStream:
-    """A connection between one client and an assigner, with both of its ends.
+    """Both ends of a connection between a client and an assigner.
 
-    The server has it as the socket of its `Connection`, so `shutdown` and `close` are a socket's.
+    The server uses it as the socket of its `Connection`, therefore it has the methods `shutdown` and `close` of a
+    socket.
 
     Attributes:
-        connection: The server's side.
-        consumed_bytes: What the client has read and acknowledged.
+        connection: Connection object of the server.
+        writer_due: Whether the server's writer is scheduled.
+        consumed_bytes: Number of bytes that the client has read and acknowledged.
+        last_arrival_us: Time at which the last frame arrives, by direction, so that no frame overtakes another.
     """
 
     def __init__(self, process: AssignerProcess, host: str, on_frame: Callable[[bytes | None], None]) -> None:
         """Connect.
 
         Args:
-            process: Where the assigner runs; its service must be up.
-            host: The client's address.
-            on_frame: Called with each frame for the client, and with None at the end.
+            process: Process of the assigner, whose service must be up.
+            host: Address of the client.
+            on_frame: Function that is called with each frame for the client, and with None at the end.
         """
         self.process = process
         self.simulation = process.simulation
@@ -52,14 +55,14 @@
         self.server.streams[self.connection.number] = self.connection
         self.writer_due = False
         self.consumed_bytes = 0
-        self.last_arrival_us = [0, 0]  # by direction: no frame overtakes another
+        self.last_arrival_us = [0, 0]
 
     def shutdown(self, _how: int) -> None:
-        """End the connection as the server does, soon."""
+        """Schedule the end of the connection on behalf of the server."""
         self.simulation.world.spawn(self.close)
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if not self.open:
             return
         self.open = False
@@ -73,7 +76,7 @@
         world, simulation = self.simulation.world, self.simulation
         arrival = world.now() + round(simulation.delay_s(simulation.net.orders_ms) * US_PER_S)
         self.last_arrival_us[direction] = max(self.last_arrival_us[direction] + 1, arrival)
-        world.when(self.last_arrival_us[direction], world.start, call, arguments)
+        world.call_at(self.last_arrival_us[direction], world.start_greenlet, call, arguments)
 
     def send_to_server(self, frame: bytes) -> None:
         """Send a frame from the client."""
@@ -87,7 +90,7 @@
             self.wake_writer()
 
     def wake_writer(self) -> None:
-        """Let the server write what is due, soon and once."""
+        """Schedule the server's writer, unless it is scheduled already."""
         if not self.writer_due:
             self.writer_due = True
             self.simulation.world.spawn(self._write_due)
@@ -124,7 +127,7 @@
             self._deliver(TO_SERVER, self._on_acknowledged, len(frame), marks)
 
     def _on_acknowledged(self, size_bytes: int, marks: list) -> None:
-        """The client has read a frame: what it covers counts as delivered."""
+        """Acknowledge the marks of a frame that the client has read."""
         if not self.open or self.process.defer_if_stalled(self._on_acknowledged, size_bytes, marks):
             return
         self.consumed_bytes += size_bytes
@@ -136,7 +139,7 @@
 
 
 class FrameQueue:
-    """Frames that arrived for a greenlet, which reads them one by one."""
+    """Queue of frames between a simulated stream and the greenlet that reads them."""
 
     def __init__(self, world: VirtualWorld) -> None:
         self.world = world
@@ -149,10 +152,10 @@
         self.available.set()
 
     def get(self, timeout_s: float | None = None) -> bytes | None:
-        """Wait for the next frame.
+        """Wait for the next frame and return it, or None at the end of the stream.
 
         Raises:
-            TimeoutError: None arrived in time.
+            TimeoutError: No frame arrived in time.
         """
         while not self.frames:
             self.available = self.world.result()
--- a/hollyridge/lab/stand_ins/task.py
+++ b/hollyridge/lab/stand_ins/task.py
@@ -1,4 +1,4 @@
-"""A stand-in task: cores and a queue, with the faults that a real task has."""
+"""Stand-in task: cores and a queue, with the faults of a real task."""
 
 from __future__ import annotations
 
@@ -9,28 +9,36 @@
 from hollyridge.lab.environment import World
 from hollyridge.lab.reports.record import Recorder
 from hollyridge.lab.stand_ins import rpc
-from hollyridge.lab.stand_ins.task_model import KeyCache, OverloadBudget, TaskSpec, Utilization, WarmUp, service_us
+from hollyridge.lab.stand_ins.task_model import KeyCache, OverloadBudget, TaskSpec, Utilization, WarmUp, service_time_us
 
 TOKENED, NON_IDEMPOTENT = "tokened", "non-idempotent"
-LOAD_INTERVAL_S = 0.5  # how often the load that answers tell is measured
+LOAD_INTERVAL_S = 0.5  # between two measurements of the load that answers report
 
-Answering = Callable[[rpc.Answer], None]
+AnswerCallback = Callable[[rpc.Answer], None]
 
 
 class Task:
-    """What a task does with RPCs, in whichever environment.
+    """A task that handles RPCs, in the live and the simulated environment alike.
 
     Attributes:
-        connections: Open now.
-        waiting: RPCs in the queue; `held` of them are worked on.
-        utilization: As answers tell it, and the queue's length beside it.
-        silent: The machine is gone without a word: it takes nothing and answers nothing.
-        hung: It works but answers nothing.
-        error_rate: Fraction of the RPCs that fail at once.
-        method_failure: Method, fraction that fails, and whether by silence; empty for none.
-        slowdown: How many times longer work takes.
-        handshake_factor: How many times the work a new connection costs; it takes `connect_delay_s` longer.
-        false_load: How the load in its answers is false (low, zero, stuck, busy), and the fraction reported; or empty.
+        slots: Semaphore of the RPCs that are worked on at once.
+        waiting: Number of RPCs in the queue.
+        in_progress: Number of RPCs and handshakes that are worked on.
+        connections: Number of open connections.
+        down: Whether the run has ended.
+        draining: Whether new RPCs are pushed back.
+        paused_until: End of the current pause, in microseconds.
+        utilization: Utilization that answers report, as a fraction.
+        queue: Length of the queue that answers report.
+        silent: Whether the machine has vanished: it accepts nothing and answers nothing.
+        hung: Whether the task works but does not answer.
+        error_rate: Fraction of the RPCs that fail immediately.
+        method_failure: [method, fraction that fails, whether these stay unanswered]; empty for none.
+        slowdown: Factor of the time that work takes.
+        handshake_factor: Factor of the work of a new connection.
+        connect_delay_s: Additional time to open a connection, in seconds.
+        false_load: [form, reported fraction] of a false load in answers, where the form is "low", "zero", "stuck" or
+            "busy"; empty for none.
     """
 
     FAULT_ATTRIBUTES: ClassVar[frozenset[str]] = frozenset(
@@ -46,7 +54,7 @@
         }
     )
 
-    def __init__(  # noqa: PLR0913 - what the command that starts a task says, by name
+    def __init__(  # noqa: PLR0913 - the keywords of the command that starts a task
         self,
         world: World,
         name: str,
@@ -60,23 +68,23 @@
         effects: dict[str, int],
         record: Recorder,
         seed: int,
-        on_fall: Callable[[Task], None],
+        on_crash: Callable[[Task], None],
     ) -> None:
         """Start a run of a task.
 
         Args:
-            world: Time and waiting.
-            name: Of the task in the fleet.
-            key: The address that it listens at.
-            run: Names this run.
-            build: What it can do.
+            world: Clock and scheduler.
+            name: Name of the task in the fleet.
+            key: Address that it listens at.
+            run: Identifier of this run.
+            build: Specification of the task.
             cold: Whether it has to warm up.
-            kinds: Of each method: tokened, non-idempotent, or other.
-            window: Of each method, how long (us) repeated tokens are dropped.
-            effects: When each token first took effect; shared by the tasks that drop each other's repeats.
-            record: Takes what happens.
-            seed: Of its own faults.
-            on_fall: Called when it falls over.
+            kinds: Effect of repeated attempts, by method: "tokened", "non-idempotent" or another.
+            window: Time for which repeated tokens are dropped, in microseconds, by method.
+            effects: Time at which each token first took effect; shared by the tasks that drop each other's repeats.
+            record: Recorder of its events.
+            seed: Seed of the random generator of its faults.
+            on_crash: Function that is called when the task crashes from overload.
         """
         self.world = world
         self.name = name
@@ -84,7 +92,7 @@
         self.run = run
         self.spec = build
         self.record = record
-        self.on_fall = on_fall
+        self.on_crash = on_crash
         self.warm_up = WarmUp(build, world.now() if cold else None)
         self.budget = OverloadBudget(build, self.warm_up)
         self.cores_in_use = Utilization(build.cores, world.now())
@@ -92,10 +100,10 @@
         self.kinds = kinds
         self.window = window
         self.effects = effects
-        self.chance = Random(seed).random
-        self.slots = world.slots(build.slots)
+        self.draw = Random(seed).random
+        self.slots = world.semaphore(build.slots)
         self.waiting = 0
-        self.held = 0
+        self.in_progress = 0
         self.connections = 0
         self.down = False
         self.draining = False
@@ -122,7 +130,7 @@
             task=self.key,
             run=self.run,
             cold=cold,
-            born=self.warm_up.born_us or 0,
+            born=self.warm_up.started_us or 0,
             cores=self.spec.cores,
             speed=self.spec.speed,
             cold_from=self.spec.cold_from,
@@ -132,19 +140,19 @@
     def _measure_load(self) -> None:
         while not self.down:
             self.world.sleep(LOAD_INTERVAL_S)
-            how, fraction = self.false_load or ("", 1.0)
+            form, fraction = self.false_load or ("", 1.0)
             utilization, queue = self.cores_in_use.read(self.world.now()), self.waiting
-            if how == "busy":
+            if form == "busy":
                 utilization, queue = 1.0, self.spec.queue
-            if how != "stuck":
-                reported = {"zero": 0.0, "low": fraction}.get(how, 1.0)
+            if form != "stuck":
+                reported = {"zero": 0.0, "low": fraction}.get(form, 1.0)
                 self.utilization = utilization * reported
                 self.queue = round(queue * reported)
 
     # Connections.
 
     def connect(self) -> bool:
-        """Take a connection, whose handshake is work; False if no more are taken."""
+        """Accept a connection, whose handshake is work; return False if the limit is reached or the task is down."""
         if self.down or self.connections >= self.spec.connections:
             return False
         self.connections += 1
@@ -153,22 +161,22 @@
         return True
 
     def disconnect(self) -> None:
-        """A connection has ended."""
+        """Count a connection that has ended."""
         self.connections -= 1
 
     # RPCs.
 
-    def take(self, call: rpc.Call, answer: Answering) -> None:
-        """Take an RPC; `answer` is called with its answer, if there is one."""
+    def receive_rpc(self, call: rpc.Call, answer: AnswerCallback) -> None:
+        """Handle an RPC; `answer` is called with its answer, if there is one."""
         if self.down or self.silent:
             return
         used = self.budget.add(self.world.now(), call.work)
         self._record_rpc(call, used)
         if used > 1:
-            self._fall_over()
+            self._crash()
         elif self.draining or self.waiting >= self.spec.queue:
             self._answer(answer, call, rpc.PUSHED_BACK)
-        elif self.error_rate and self.chance() < self.error_rate:
+        elif self.error_rate and self.draw() < self.error_rate:
             self._answer(answer, call, rpc.ERROR)
         elif self._method_fails(call):
             silently = self.method_failure[2]
@@ -189,18 +197,18 @@
             used=round(used, 4),
         )
 
-    def _fall_over(self) -> None:
+    def _crash(self) -> None:
         self.record("fell", task=self.key, run=self.run)
         self.stop("fell")
-        self.on_fall(self)
+        self.on_crash(self)
 
     def _method_fails(self, call: rpc.Call) -> bool:
         if not self.method_failure:
             return False
         method, fraction, _ = self.method_failure
-        return method == call.method and self.chance() < fraction
+        return method == call.method and self.draw() < fraction
 
-    def _handle(self, answer: Answering, call: rpc.Call) -> None:
+    def _handle(self, answer: AnswerCallback, call: rpc.Call) -> None:
         self.waiting += 1
         with self.slots:
             self.waiting -= 1
@@ -211,37 +219,37 @@
         self._answer(answer, call, rpc.OK)
 
     def _work(self, work_us: float) -> None:
-        self.held += 1
+        self.in_progress += 1
         self.cores_in_use.change(self.world.now(), 1)
-        lasts_us = service_us(self.spec, self.warm_up, self.world.now(), work_us, self.held) * self.slowdown
-        self.world.sleep(lasts_us / 1e6)
+        duration_us = (
+            service_time_us(self.spec, self.warm_up, self.world.now(), work_us, self.in_progress) * self.slowdown
+        )
+        self.world.sleep(duration_us / 1e6)
         while self.paused_until > self.world.now():
             self.world.sleep((self.paused_until - self.world.now()) / 1e6)
-        self.held -= 1
+        self.in_progress -= 1
         self.cores_in_use.change(self.world.now(), -1)
 
     def _take_effect(self, call: rpc.Call) -> None:
-        """Take effect as work begins, so that an RPC whose answer is lost has had its effect too."""
-        kind, now = self.kinds[call.method], self.world.now()
-        if kind == TOKENED:
+        """Record the effect of an RPC as its work begins, so that it has taken effect even if the answer is lost."""
+        repeats, now = self.kinds[call.method], self.world.now()
+        if repeats == TOKENED:
             first = self.effects.setdefault(call.token, now)
             if first != now and now - first < self.window[call.method]:
                 return
-        if kind in (TOKENED, NON_IDEMPOTENT):
+        if repeats in (TOKENED, NON_IDEMPOTENT):
             self.record("effect", task=self.key, method=call.method, token=call.token)
 
-    def _answer(self, answer: Answering, call: rpc.Call, outcome: int) -> None:
+    def _answer(self, answer: AnswerCallback, call: rpc.Call, outcome: int) -> None:
         if not (self.hung or self.down or self.silent):
             answer(rpc.Answer(call.number, outcome, self.utilization, self.queue))
 
-    # Its end.
-
-    def stop(self, why: str) -> None:
-        """End at once, as a killed process does."""
+    def stop(self, reason: str) -> None:
+        """End the run immediately, as a killed process does."""
         if not self.down:
             self.down = True
-            self.record("task_down", task=self.key, run=self.run, why=why)
+            self.record("task_down", task=self.key, run=self.run, why=reason)
 
     def pause(self, seconds: float) -> None:
-        """Stand still for a while."""
+        """Pause all work for this time."""
         self.paused_until = self.world.now() + round(seconds * 1e6)
--- a/hollyridge/lab/stand_ins/task_connection.py
+++ b/hollyridge/lab/stand_ins/task_connection.py
@@ -1,4 +1,4 @@
-"""A stand-in proxy's connection to one task, on a real socket."""
+"""Connection of a stand-in proxy to one task, on a real socket."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class TaskConnection:
-    """A connection that is opened at the first call and carries many at once.
+    """Connection that is opened by the first call and carries many calls at once.
 
     Attributes:
-        waiting: The calls without an answer yet, by number.
+        waiting: Results of the calls without an answer, by number.
     """
 
     def __init__(self, task_key: str) -> None:
@@ -33,7 +33,7 @@
             sock.settimeout(None)
         except OSError:
             return self.sock is not None
-        if self.sock is not None:  # another call was quicker
+        if self.sock is not None:  # another call has connected meanwhile
             sock.close()
             return True
         self.sock = sock
@@ -47,11 +47,11 @@
                 if waiter is not None:
                     waiter.set(answer)
         except (OSError, ValueError):
-            pass  # the connection broke: it is closed like one that ended
+            pass  # a broken connection is closed like one that ended
         self.close(sock)
 
     def close(self, sock: gevent.socket.socket | None = None) -> None:
-        """Close the connection, or an older one; calls on it stay without an answer."""
+        """Close the given socket, by default the current one; its calls get no answer."""
         sock = sock or self.sock
         if sock is None:
             return
@@ -63,9 +63,9 @@
         sock.close()
 
     def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
-        """Send an RPC, whose number is set here; returns its outcome and answer.
+        """Set the number of an RPC, send it, and return its outcome and answer.
 
-        The outcome `NOT_SENT` proves that it never ran.
+        The outcome `NOT_SENT` proves that the RPC never ran.
         """
         if not self._connect(min(timeout_s, CONNECT_TIMEOUT_S)):
             return rpc.NOT_SENT, None
--- a/hollyridge/lab/stand_ins/task_server.py
+++ b/hollyridge/lab/stand_ins/task_server.py
@@ -1,4 +1,4 @@
-"""A stand-in task behind a real socket."""
+"""Server that runs a stand-in task on a real socket."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from hollyridge.lab.stand_ins.task import Task
 
 BACKLOG = 256
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0, so that closing resets the connection
 
 
 class TaskServer:
-    """Serves one task's RPCs."""
+    """Server of one task's RPCs."""
 
-    def __init__(self, world: World, name: str, host: str, port: int, **terms: object) -> None:
-        """Listen and start the task; port 0 stands for a free one. `terms` go to `Task`."""
+    def __init__(self, world: World, name: str, host: str, port: int, **options: object) -> None:
+        """Listen and start the task; port 0 selects a free port. `options` are passed to `Task`."""
         self.connections: set[gevent.socket.socket] = set()
         listener = gevent.socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, port))
         listener.listen(BACKLOG)
         bound = listener.getsockname()
-        self.task = Task(world, name, f"{bound[0]}:{bound[1]}", **terms)
+        self.task = Task(world, name, f"{bound[0]}:{bound[1]}", **options)
         self.server = StreamServer(listener, self._serve)
         self.server.start()
 
@@ -38,29 +38,29 @@
         self.connections.add(sock)
 
         def answer(message: rpc.Answer) -> None:
-            with suppress(OSError):  # who asked has gone
+            with suppress(OSError):  # the proxy has disconnected
                 rpc.send(sock, message)
 
         try:
             self.task.world.sleep(self.task.connect_delay_s)
             for call in rpc.receive(sock, calls=True):
-                self.task.take(call, answer)
+                self.task.receive_rpc(call, answer)
                 if self.task.down:
                     self.reset()
         except (OSError, ValueError):
-            pass  # the connection broke, or spoke nonsense: it ends
+            pass  # a connection that broke or sent an invalid message ends
         finally:
             self.connections.discard(sock)
             self.task.disconnect()
             sock.close()
 
-    def stop(self, why: str) -> None:
+    def stop(self, reason: str) -> None:
         """End the task as a killed process does."""
-        self.task.stop(why)
+        self.task.stop(reason)
         self.reset()
 
     def reset(self) -> None:
-        """Reset connections and refuse new ones."""
+        """Reset all connections and refuse new ones."""
         self.server.stop(timeout=0)
         for sock in list(self.connections):
             with suppress(OSError):  # closed already
--- a/hollyridge/lab/stand_ins/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -1,9 +1,9 @@
-"""The simulated environment of a day: one process, a simulated clock and network.
+"""Simulated environment of a day: one process with a simulated clock and network.
 
-Core, decision module, delivery, protocol servers, codecs, client libraries, stand-ins and the day itself are the real
-ones. The same seed gives the same recordings, byte for byte, in any process. What is simulated otherwise: sockets
-(frames are handed over after a delay, in order), reports (points without OTLP's bytes), and TCP's acknowledgements (one
-round trip after a frame was read).
+Core, decision module, delivery, protocol servers, codecs, client libraries, stand-ins and the day itself are the same
+as in the live environment. The same seed gives the same recordings, byte for byte, in any process. Simulated are
+sockets (frames arrive in order after a delay), load reports (passed as data points, without OTLP encoding) and TCP
+acknowledgements (one round trip after a frame was read).
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from hollyridge.lab.stand_ins.simulation import US_PER_S, Simulation
 from hollyridge.lab.stand_ins.virtual_stand_ins import VirtualAgent, VirtualCommandHandler
 
-STEP_S = 0.25  # simulated time between two looks at the day's progress
-MAX_SETUP_S = 60  # simulated time within which fleet and proxies must have started
+STEP_S = 0.25  # simulated time between two checks of the day's progress
+MAX_SETUP_S = 60  # simulated time within which tasks and proxies must have started
 AGENT_SETTLE_S = 1.0
 
 
 class SimulatedEnvironment(Simulation):
-    """Where a day is played under a simulated clock.
+    """Environment that plays a day under a simulated clock.
 
     Attributes:
-        failures: What makes the day's result worthless, once it has ended.
+        failures: Failures that invalidate the day's result, complete once it has ended.
     """
 
     def __init__(
@@ -35,11 +35,12 @@
         """Prepare a day.
 
         Args:
-            scenario: What is played.
-            policy: Another decision module of the laboratory; empty for the service's own.
-            seed: Of the network, the stand-ins and the assigners.
-            ties: Shuffles what is due at the same moment, by this seed (see `VirtualWorld`).
-            record: Where the recording is written at the end.
+            scenario: Scenario to play.
+            policy: Name of the laboratory's decision module to use; empty for that of the service.
+            seed: Seed of the random generators of the network and the assigners.
+            ties: Seed by which calls that are due at the same time are shuffled (see `VirtualWorld`); None for their
+                order of scheduling.
+            record: Path of the file that the recording is written to at the end; None for no file.
         """
         super().__init__(scenario, policy, seed, ties)
         self.record_path = record
@@ -48,15 +49,15 @@
         self.peers = {self.peer_address(process.number): process for process in self.processes}
 
     def start_worker(self, _name: str, on_message: Callable[[dict], None]) -> VirtualCommandHandler:
-        """What runs stand-ins; `on_message` takes what it has to tell."""
+        """Return a runner of stand-ins; `on_message` is called with each message from it."""
         return VirtualCommandHandler(self, on_message)
 
     def agent(self, number: int) -> VirtualAgent:
-        """The agent of one assigner."""
+        """Start the agent of one assigner."""
         return VirtualAgent(self.processes[number])
 
     def wait_for_sync(self, _agent: VirtualAgent) -> None:
-        """Give an agent time to register the first tasks."""
+        """Wait long enough for an agent to register the initial tasks."""
         self.world.sleep(AGENT_SETTLE_S)
 
     def start_assigner(self, number: int) -> None:
@@ -68,42 +69,42 @@
         self.processes[number].kill()
 
     def stall_assigner(self, number: int, seconds: float) -> None:
-        """Give one assigner no turn for a while; its sockets stay open."""
+        """Stall one assigner for this time; its sockets stay open."""
         self.processes[number].stalled_until_us = self.world.now() + round(seconds * US_PER_S)
 
     def cut_peers(self, pairs: set[tuple[int, int]], lost: float) -> None:
-        """Pass no datagram from the first to the second of these assigners, and lose this fraction of the others."""
+        """Drop datagrams between these (sender, receiver) pairs, and the fraction `lost` of all others."""
         self.peers_cut, self.peers_lost = pairs, lost
 
     def play(self, day: Day) -> int:
-        """Let the day pass; returns when it began (us).
+        """Play the day and return its start, in microseconds.
 
         Raises:
-            DayError: It could not be played as scripted.
+            DayError: The day could not be played as the scenario describes it.
         """
-        begun: list[int] = []
+        started_us: list[int] = []
 
         def run_day() -> None:
             day.set_up()
-            begun.append(self.world.now())
+            started_us.append(self.world.now())
             for name, fault in self.scenario.faults.items():
-                self.world.spawn(day.cause, name, fault)
+                self.world.spawn(day.run_fault, name, fault)
 
         self.world.spawn(run_day)
-        passed_s, length_s = 0.0, self.scenario.day.length_s
-        while not begun or (self.world.now() - begun[0]) / US_PER_S < length_s:
-            passed_s += STEP_S
-            self.world.run(passed_s)
+        simulated_s, length_s = 0.0, self.scenario.day.length_s
+        while not started_us or (self.world.now() - started_us[0]) / US_PER_S < length_s:
+            simulated_s += STEP_S
+            self.world.run(simulated_s)
             if day.failures:
                 raise DayError("; ".join(day.failures))
-            if begun:
-                day.on_progress(min(1.0, (self.world.now() - begun[0]) / US_PER_S / length_s))
-            elif passed_s > MAX_SETUP_S:
-                raise DayError("the fleet was never set up")
-        return begun[0]
+            if started_us:
+                day.on_progress(min(1.0, (self.world.now() - started_us[0]) / US_PER_S / length_s))
+            elif simulated_s > MAX_SETUP_S:
+                raise DayError(f"tasks and proxies did not start within {MAX_SETUP_S} s of simulated time")
+        return started_us[0]
 
     def recorded(self) -> list[dict]:
-        """The day's records; they are also written to the recording's file, if one was named."""
+        """Return the records of the day, and write them to the recording's file if there is one."""
         if self.record_path:
             recorder = Recorder(self.record_path)
             for row in self.record.rows:
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -1,4 +1,4 @@
-"""Proxies, tasks and agents of the simulated environment: the real stand-ins on simulated connections."""
+"""Proxies, tasks and agents of the simulated environment: the same stand-ins, on simulated connections."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from hollyridge.lab.stand_ins.gateways import VirtualChpGateway, VirtualRegistrar, VirtualSaspGateway
 from hollyridge.lab.stand_ins.proxy import Proxy
 from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
-from hollyridge.lab.stand_ins.sockets import Context, Library
+from hollyridge.lab.stand_ins.sockets import Context, ZmqModule
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.task_connection import CONNECT_TIMEOUT_S
 from hollyridge.lab.stand_ins.task_model import TaskSpec
 from hollyridge.otlp.sender import Figure
 from hollyridge.sasp.client import ConnectionLostError
 
-AGENT_POLL_S = 0.02
-AGENT_RETRY_S = 0.2
+AGENT_POLL_INTERVAL_S = 0.02
+AGENT_RETRY_DELAY_S = 0.2
 
 
 class VirtualConnection:
-    """A proxy's connection to one task, opened at the first RPC."""
+    """Connection of a proxy to one task, opened by the first RPC."""
 
     def __init__(self, simulation: Simulation, proxy: Proxy, task_key: str) -> None:
         self.simulation = simulation
@@ -38,7 +38,7 @@
         return self.simulation.delay_s(self.one_way_ms)
 
     def _connect(self, task: Task | None, timeout_s: float) -> bool:
-        """Whether `task`, which listens there now, took the connection or has it already."""
+        """Connect to `task`, which listens at the address now, and return whether it is connected."""
         world = self.simulation.world
         if task is not None and task is self.task and not task.down:
             return True
@@ -56,17 +56,17 @@
         return True
 
     def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
-        """Send an RPC; returns its outcome and answer. `NOT_SENT` proves that it never ran."""
+        """Send an RPC and return its outcome and answer. `NOT_SENT` proves that it never ran."""
         world = self.simulation.world
         task = self.simulation.tasks_by_key.get(self.task_key)
         if not self._connect(task, timeout_s):
             return rpc.NOT_SENT, None
         result = world.result()
-        world.later(
+        world.spawn_later(
             self._delay_s(),
-            task.take,
+            task.receive_rpc,
             call,
-            lambda answer: world.later(self._delay_s(), result.set, answer),
+            lambda answer: world.spawn_later(self._delay_s(), result.set, answer),
         )
         try:
             answer = result.get(timeout=timeout_s)
@@ -82,64 +82,69 @@
 
 
 class VirtualProxy(Proxy):
-    """A proxy whose connections, clock and reports are simulated."""
+    """Proxy with simulated connections, clock and load reports."""
 
-    def __init__(self, simulation: Simulation, **terms: object) -> None:
+    def __init__(self, simulation: Simulation, **options: object) -> None:
         self.simulation = simulation
-        super().__init__(simulation.world, record=simulation.record, **terms)
+        super().__init__(simulation.world, record=simulation.record, **options)
 
-    def open(self, front: str, standing: list[str]) -> Gateway:
-        """The gateway for one protocol, with a first table of `standing`."""
+    def create_gateway(self, front: str, first_table: list[str]) -> Gateway:
+        """Return a gateway for one protocol, with the tasks of its first table."""
         simulation = self.simulation
-        terms = {
-            "standing": dict.fromkeys(standing, 1.0),
+        options = {
+            "standing": dict.fromkeys(first_table, 1.0),
             "pick": self.plan.pick,
             "rng": self.rng,
             "sleep": self.world.sleep,
-            "clock": self.seconds,
-            "numbers_from": self.wall() >> 16,
+            "clock": self.now_s,
+            "numbers_from": self.wall_clock_ns() >> 16,
         }
         if front == "sasp":
-            return VirtualSaspGateway(simulation, self, **terms)
+            return VirtualSaspGateway(simulation, self, **options)
         context = Context(
             simulation.network, cut=lambda _endpoint: self.gateway.assigner_index in self.unreachable_assigners
         )
         connection_options = {
             "source": self.host,
-            "zmq": Library(self.world),
+            "zmq": ZmqModule(self.world),
             "context": context,
             "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
         return VirtualChpGateway(
-            simulation.addresses["clone"], self.uid, self.names, connection_options, before=self.apply, **terms
+            simulation.addresses["clone"], self.uid, self.names, connection_options, before=self.apply, **options
         )
 
-    def wall(self) -> int:
-        """Time of day (ns): the simulated clock's."""
+    def wall_clock_ns(self) -> int:
+        """Return the time of the simulated clock in nanoseconds."""
         return self.world.now() * 1000
 
     def dial(self, task: str) -> VirtualConnection:
-        """A connection to the task at this address."""
+        """Return a connection to the task at this address."""
         return VirtualConnection(self.simulation, self, task)
 
     def send_report(self, figures: list[Figure]) -> None:
-        """Hand a load report to the assigner, without OTLP's bytes."""
+        """Pass a load report to the assigner without OTLP encoding."""
         self.simulation.processes[self.gateway.assigner_index].report(self.uid, figures)
 
 
 class VirtualCommandHandler(CommandHandler):
-    """Runs tasks and proxies in this process, on simulated connections."""
+    """Command handler that runs tasks and proxies in this process, on simulated connections."""
 
     def __init__(self, simulation: Simulation, on_message: Callable[[dict], None]) -> None:
-        """`on_message` takes what a worker process would write to its standard output."""
+        """Create a handler without stand-ins.
+
+        Args:
+            simulation: Simulation that the stand-ins run in.
+            on_message: Function that is called with each message that a worker process would write.
+        """
         self.simulation = simulation
         self.on_message = on_message
         self.tasks: dict[str, Task] = {}
         self.proxies: dict[str, VirtualProxy] = {}
         self.effects: dict[str, int] = {}
 
-    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **terms: object) -> None:
-        """Start a task; port 0 stands for a free one."""
+    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **options: object) -> None:
+        """Start a task; port 0 selects a free port."""
         simulation = self.simulation
         if not port:
             simulation.last_task_port += 1
@@ -152,19 +157,19 @@
             build=TaskSpec(**build),
             effects=self.effects,
             record=simulation.record,
-            on_fall=lambda task: self.on_message({"fell": task.name}),
-            **terms,
+            on_crash=lambda task: self.on_message({"fell": task.name}),
+            **options,
         )
         self.tasks[name] = simulation.tasks_by_key[key] = task
         self.on_message({"started": name, "key": key, "run": run})
 
-    def do_proxy(self, **terms: object) -> None:
+    def do_proxy(self, **options: object) -> None:
         """Start a proxy."""
-        self.proxies[terms["uid"]] = VirtualProxy(self.simulation, **terms)
+        self.proxies[options["uid"]] = VirtualProxy(self.simulation, **options)
 
 
 class VirtualAgent(Agent):
-    """The agent of one assigner, on simulated connections."""
+    """Agent of one assigner, on simulated connections."""
 
     def __init__(self, process: AssignerProcess) -> None:
         self.process = process
@@ -173,27 +178,27 @@
         super().__init__(("", 0), fleet, simulation.record, simulation.world.spawn, process.number)
 
     def run(self) -> None:
-        """Keep a stream to the assigner, for ever."""
+        """Keep a stream to the assigner open forever."""
         world = self.process.simulation.world
         while True:
             if self.process.service is None:
-                world.sleep(AGENT_RETRY_S)
+                world.sleep(AGENT_RETRY_DELAY_S)
                 continue
             self.stream += 1
-            client = VirtualRegistrar(self.process, self.fleet, self.who, self.stream)
+            client = VirtualRegistrar(self.process, self.fleet, self.name, self.stream)
             self.registered = {}
-            self.due.set()
+            self.sync_needed.set()
             with suppress(ConnectionLostError):  # recorded below like any other end
                 self._keep_in_sync(client)
-            self.record("stream", who=self.who, stream=self.stream, up=False)
-            world.sleep(AGENT_RETRY_S)
+            self.record("stream", who=self.name, stream=self.stream, up=False)
+            world.sleep(AGENT_RETRY_DELAY_S)
 
     def _keep_in_sync(self, client: VirtualRegistrar) -> None:
         world = self.process.simulation.world
         while client.connected:
             while self.process.stalled_until_us > world.now():
-                world.sleep(AGENT_POLL_S)
-            if self.due.is_set():
-                self.due.clear()
+                world.sleep(AGENT_POLL_INTERVAL_S)
+            if self.sync_needed.is_set():
+                self.sync_needed.clear()
                 self.sync(client)
-            world.sleep(AGENT_POLL_S)
+            world.sleep(AGENT_POLL_INTERVAL_S)
--- a/hollyridge/lab/stand_ins/worker_handle.py
+++ b/hollyridge/lab/stand_ins/worker_handle.py
@@ -1,4 +1,4 @@
-"""The day's end of a worker process."""
+"""Handle by which a day controls a worker process."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class WorkerHandle:
-    """A process that runs stand-ins, spoken to by JSON lines."""
+    """Process that runs stand-ins and exchanges JSON lines with the day."""
 
     def __init__(self, folder: Path, name: str, on_message: Callable[[dict], None]) -> None:
-        """Start the process; its recordings and its log go to the folder."""
+        """Start the process, which writes its recording and its log to the folder."""
         with open(folder / f"{name}.log", "wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "hollyridge.lab.stand_ins.worker_process", str(folder / f"{name}.jsonl")],
@@ -34,18 +34,20 @@
             on_message(msgspec.json.decode(line))
 
     def execute(self, command: str, **arguments: object) -> None:
-        """Have the process carry out a command (see `CommandHandler`).
+        """Send a command to the process (see `CommandHandler`).
 
         Raises:
-            DayError: It has ended.
+            DayError: The process has ended.
         """
         if self.process.poll() is not None:
-            raise DayError("a worker process of stand-ins has ended")
+            raise DayError(
+                f"worker process of stand-ins exited with status {self.process.returncode} before command {command!r}"
+            )
         self.process.stdin.write(msgspec.json.encode({"command": command, **arguments}) + b"\n")
         self.process.stdin.flush()
 
     def end(self) -> None:
-        """Let the process end, and kill it if it does not."""
+        """Close the standard input of the process, which ends it, and kill it if it does not end in time."""
         try:
             self.process.stdin.close()
             self.process.wait(timeout=END_TIMEOUT_S)
--- a/hollyridge/lab/stand_ins/worker_process.py
+++ b/hollyridge/lab/stand_ins/worker_process.py
@@ -1,7 +1,7 @@
-"""A process that runs stand-in tasks or proxies: `python -m hollyridge.lab.stand_ins.worker_process FILE.jsonl`.
+"""Process that runs stand-in tasks or proxies: `python -m hollyridge.lab.stand_ins.worker_process FILE.jsonl`.
 
-Commands come as JSON lines on standard input, messages leave as JSON lines on standard output, and recordings go to the
-file.
+It reads commands as JSON lines from standard input, writes messages as JSON lines to standard output, and appends
+records to the file.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from hollyridge.lab.stand_ins.task_server import TaskServer  # noqa: E402 - after the patch
 from hollyridge.lab.stand_ins.world import LiveWorld  # noqa: E402 - after the patch
 
-LAST_RECORDS_S = 0.01  # for greenlets that end to write what they have
+LAST_RECORDS_S = 0.01  # time for ending greenlets to write their last records
 
 
 class WorkerProcess(CommandHandler):
-    """Runs stand-ins on real sockets."""
+    """Command handler that runs stand-ins on real sockets."""
 
     def __init__(self, path: str) -> None:
-        """Append recordings to the file at `path`."""
+        """Append records to the file at `path`."""
         self.record = Recorder(path)
         self.world = LiveWorld()
         self.tasks: dict[str, TaskServer] = {}
         self.proxies: dict[str, Proxy] = {}
-        self.effects: dict[str, int] = {}  # tokens of the tasks here, which are those of one zone
+        self.effects: dict[str, int] = {}  # shared by the tasks of this process, which are those of one zone
 
-    def tell(self, **facts: object) -> None:
+    def tell(self, **fields: object) -> None:
         """Write a message to the day."""
-        sys.stdout.buffer.write(msgspec.json.encode(facts) + b"\n")
+        sys.stdout.buffer.write(msgspec.json.encode(fields) + b"\n")
         sys.stdout.buffer.flush()
 
     def running_tasks(self) -> list[Task]:
-        """The tasks themselves."""
+        """Return the tasks."""
         return [server.task for server in self.tasks.values()]
 
-    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **terms: object) -> None:
-        """Start a task; port 0 stands for a free one."""
+    def do_task(self, name: str, host: str, port: int, run: str, build: dict, **options: object) -> None:
+        """Start a task; port 0 selects a free port."""
         server = TaskServer(
             self.world,
             name,
@@ -58,19 +58,19 @@
             build=TaskSpec(**build),
             effects=self.effects,
             record=self.record,
-            on_fall=lambda task: self.tell(fell=task.name),
-            **terms,
+            on_crash=lambda task: self.tell(fell=task.name),
+            **options,
         )
         self.tasks[name] = server
         self.tell(started=name, key=server.task.key, run=run)
 
-    def do_proxy(self, uid: str, **terms: object) -> None:
+    def do_proxy(self, uid: str, **options: object) -> None:
         """Start a proxy."""
-        self.proxies[uid] = Proxy(self.world, uid, record=self.record, **terms)
+        self.proxies[uid] = Proxy(self.world, uid, record=self.record, **options)
 
 
 def main() -> None:
-    """Carry out commands until standard input ends."""
+    """Execute commands until standard input ends."""
     worker = WorkerProcess(sys.argv[1])
     for line in FileObject(sys.stdin.buffer, "rb"):
         command = msgspec.json.decode(line)
--- a/hollyridge/lab/stand_ins/world.py
+++ b/hollyridge/lab/stand_ins/world.py
@@ -1,8 +1,8 @@
-"""Time and waiting for stand-ins: real (gevent) or simulated (see `hollyridge.lab.environment.World`).
+"""Clock and scheduler of stand-ins: real (gevent) or simulated (see `hollyridge.lab.environment.World`).
 
-In the simulated world everything runs in one process, as fast as it can: a heap of what is due, and greenlets that wait
-for it. Things due at the same moment happen in the order they were asked for; with `ties` they are shuffled by a seeded
-generator instead, to see whether a result depends on that order.
+The simulated world runs everything in one process, as fast as possible: it has a heap of scheduled calls, and greenlets
+that wait for them. Calls that are due at the same time run in the order in which they were scheduled; with `ties` they
+are shuffled by a seeded generator instead, to show whether a result depends on that order.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 
 
 class LiveWorld:
-    """Wraps gevent: real time."""
+    """World in real time, a wrapper of gevent."""
 
     def now(self) -> int:
-        """Monotonic time (us)."""
+        """Return the monotonic time in microseconds."""
         return now_us()
 
     def sleep(self, seconds: float) -> None:
-        """Let the greenlet sleep."""
+        """Suspend the greenlet."""
         gevent.sleep(max(0.0, seconds))
 
     def spawn(self, call: Callable, *arguments: object) -> gevent.Greenlet:
-        """Run `call` in a greenlet of its own."""
+        """Run `call` in its own greenlet."""
         return gevent.spawn(call, *arguments)
 
-    def later(self, seconds: float, call: Callable, *arguments: object) -> None:
-        """Run `call` in a greenlet of its own after a while."""
+    def spawn_later(self, seconds: float, call: Callable, *arguments: object) -> None:
+        """Run `call` in its own greenlet after a delay."""
         gevent.spawn_later(seconds, call, *arguments)
 
     def result(self) -> LiveResult:
-        """A value to wait for."""
+        """Return a result that greenlets can wait for."""
         return LiveResult()
 
-    def slots(self, count: int) -> gevent.lock.BoundedSemaphore:
-        """A semaphore."""
+    def semaphore(self, count: int) -> gevent.lock.BoundedSemaphore:
+        """Return a semaphore."""
         return gevent.lock.BoundedSemaphore(count)
 
 
 class LiveResult(gevent.event.AsyncResult):
-    """A value to wait for, with the time-out of the standard library."""
+    """Result that raises TimeoutError of the standard library instead of gevent's."""
 
-    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - whatever was set
-        """Wait for the value; TimeoutError after `timeout` seconds."""
+    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - any value may be set
+        """Wait for the value and return it; raise TimeoutError after `timeout` seconds."""
         try:
             return super().get(block, timeout)
         except gevent.Timeout:
@@ -63,104 +63,106 @@
 
 
 class VirtualWorld:
-    """A simulated clock, and the greenlets that wait for it.
+    """Simulated clock and scheduler of greenlets.
 
     >>> world, seen = VirtualWorld(), []
     >>> def walk(name, step):
     ...     for _ in range(2):
     ...         world.sleep(step)
-    ...         seen.append(((world.now() - world.START) // 1000, name))
+    ...         seen.append(((world.now() - world.START_US) // 1000, name))
     >>> _ = world.spawn(walk, "a", 0.002), world.spawn(walk, "b", 0.003)
     >>> world.run(1.0); seen
     [(2, 'a'), (3, 'b'), (4, 'a'), (6, 'b')]
 
     Attributes:
-        at: The time (us).
-        heap: What is due: when, its rank among ties, its number, and the call with its arguments.
-        hub: The greenlet that runs the clock.
+        now_us: Current time, in microseconds.
+        number: Number of calls scheduled so far.
+        scheduled: Heap of scheduled calls as (time in microseconds, rank within that time, number, call, arguments).
+        hub: Greenlet that runs the clock.
+        events: Number of calls run so far.
     """
 
-    START = 1_000_000_000  # us; well above 0, which stands for long ago
+    START_US = 1_000_000_000  # well above 0, which means an unknown start
 
     def __init__(self, ties: int | None = None) -> None:
-        """With `ties`, what is due at the same moment is shuffled by this seed."""
-        self.at = self.START
+        """Create a world; calls due at the same time are shuffled by the seed `ties`, if given."""
+        self.now_us = self.START_US
         self.number = 0
-        self.heap: list[tuple] = []
+        self.scheduled: list[tuple] = []
         self.hub = getcurrent()
-        self.shuffle = Random(ties).random if ties is not None else None
+        self.draw_rank = Random(ties).random if ties is not None else None
         self.events = 0
 
     def now(self) -> int:
-        """The time (us)."""
-        return self.at
+        """Return the time in microseconds."""
+        return self.now_us
 
-    def when(self, moment: int, call: Callable, *arguments: object) -> None:
-        """Call from the clock's own greenlet at this moment; `call` must not wait."""
+    def call_at(self, time_us: int, call: Callable, *arguments: object) -> None:
+        """Schedule `call` at `time_us`; it runs in the greenlet of the clock and must not wait."""
         self.number += 1
-        rank = self.shuffle() if self.shuffle else 0.0
-        heapq.heappush(self.heap, (max(moment, self.at), rank, self.number, call, arguments))
+        rank = self.draw_rank() if self.draw_rank else 0.0
+        heapq.heappush(self.scheduled, (max(time_us, self.now_us), rank, self.number, call, arguments))
 
-    def later(self, seconds: float, call: Callable, *arguments: object) -> None:
-        """Run `call` in a greenlet of its own after a while."""
-        self.when(self._after(seconds), self.start, call, arguments)
+    def spawn_later(self, seconds: float, call: Callable, *arguments: object) -> None:
+        """Run `call` in its own greenlet after a delay."""
+        self.call_at(self._after(seconds), self.start_greenlet, call, arguments)
 
     def spawn(self, call: Callable, *arguments: object) -> None:
-        """Run `call` in a greenlet of its own."""
-        self.when(self.at, self.start, call, arguments)
+        """Run `call` in its own greenlet."""
+        self.call_at(self.now_us, self.start_greenlet, call, arguments)
 
-    def start(self, call: Callable, arguments: tuple) -> None:
-        """Run `call` in a greenlet of its own, at once; for `when`."""
+    def start_greenlet(self, call: Callable, arguments: tuple) -> None:
+        """Run `call` in its own greenlet immediately; to be scheduled with `call_at`."""
         greenlet(call, self.hub).switch(*arguments)
 
     def sleep(self, seconds: float) -> None:
-        """Let the greenlet sleep."""
-        self.when(self._after(seconds), getcurrent().switch)
+        """Suspend the greenlet."""
+        self.call_at(self._after(seconds), getcurrent().switch)
         self.hub.switch()
 
     def _after(self, seconds: float) -> int:
-        return self.at + round(max(0.0, seconds) * US_PER_S)
+        return self.now_us + round(max(0.0, seconds) * US_PER_S)
 
     def run(self, until_s: float) -> None:
-        """Let time pass until so many seconds after the start. What a greenlet raises comes out here."""
+        """Run the clock until `until_s` seconds after the start. Exceptions of greenlets are raised here."""
         self.hub = getcurrent()
-        until = self.START + round(until_s * US_PER_S)
-        while self.heap and self.heap[0][0] <= until:
-            self.at, _, _, call, arguments = heapq.heappop(self.heap)
+        until = self.START_US + round(until_s * US_PER_S)
+        while self.scheduled and self.scheduled[0][0] <= until:
+            self.now_us, _, _, call, arguments = heapq.heappop(self.scheduled)
             self.events += 1
             call(*arguments)
-        self.at = max(self.at, until)
+        self.now_us = max(self.now_us, until)
 
     def result(self) -> VirtualResult:
-        """A value to wait for."""
+        """Return a result that greenlets can wait for."""
         return VirtualResult(self)
 
-    def slots(self, count: int) -> VirtualSlots:
-        """A semaphore; waiters are served in the order they came."""
-        return VirtualSlots(self, count)
+    def semaphore(self, count: int) -> VirtualSemaphore:
+        """Return a semaphore that serves its waiters in the order of their arrival."""
+        return VirtualSemaphore(self, count)
 
 
 class VirtualResult:
-    """A value that is set once, by another greenlet.
+    """Result that another greenlet sets once.
 
     Attributes:
-        waiting: The greenlets that wait for it, each in a list that is emptied when one is woken.
+        waiters: Waiting greenlets, each in a list of one whose element becomes None when the greenlet is resumed.
     """
 
     def __init__(self, world: VirtualWorld) -> None:
         self.world = world
         self.is_set = False
         self.value: Any = None
-        self.waiting: list[list[greenlet | None]] = []
+        self.waiters: list[list[greenlet | None]] = []
 
-    def set(self, value: Any = None) -> None:  # noqa: ANN401 - whatever the waiter expects
-        """Set the value and wake who waits for it; a second call does nothing."""
+    def set(self, value: Any = None) -> None:  # noqa: ANN401 - any value that the waiter expects
+        """Set the value and resume the waiting greenlets; a second call has no effect."""
         if self.is_set:
             return
         self.is_set = True
         self.value = value
-        for waiter in self.waiting:
-            self.world.when(self.world.at, self._wake, waiter)
+        for waiter in self.waiters:
+            self.world.call_at(self.world.now_us, self._wake, waiter)
 
     @staticmethod
     def _wake(waiter: list[greenlet | None]) -> None:
@@ -168,13 +170,13 @@
         if sleeper is not None:
             sleeper.switch()
 
-    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - whatever was set
-        """Wait for the value; TimeoutError after `timeout` seconds."""
+    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - any value may be set
+        """Wait for the value and return it; raise TimeoutError after `timeout` seconds."""
         if not self.is_set:
             waiter = [getcurrent()]
-            self.waiting.append(waiter)
+            self.waiters.append(waiter)
             if timeout is not None:
-                self.world.when(self.world.at + round(timeout * US_PER_S), self._wake, waiter)
+                self.world.call_at(self.world.now_us + round(timeout * US_PER_S), self._wake, waiter)
             self.world.hub.switch()
             if not self.is_set:
                 raise TimeoutError
@@ -183,8 +185,8 @@
     wait = get
 
 
-class VirtualSlots:
-    """A semaphore; waiters are served in the order they came."""
+class VirtualSemaphore:
+    """Semaphore that serves its waiters in the order of their arrival."""
 
     def __init__(self, world: VirtualWorld, count: int) -> None:
         self.world = world
@@ -200,6 +202,6 @@
 
     def __exit__(self, *_error: object) -> None:
         if self.queue:
-            self.world.when(self.world.at, self.queue.popleft().switch)
+            self.world.call_at(self.world.now_us, self.queue.popleft().switch)
         else:
             self.free += 1
--- a/tests/lab/test_lab_faults.py
+++ b/tests/lab/test_lab_faults.py
@@ -98,7 +98,7 @@
     "surge": (
         "for_s=4 size=1.8",
         lambda rows, span: (
-            rate_of(rows, span) > 1.3 * rate_of(rows, (0, span[0])) * span[0] / max(span[0] - VirtualWorld.START, 1)
+            rate_of(rows, span) > 1.3 * rate_of(rows, (0, span[0])) * span[0] / max(span[0] - VirtualWorld.START_US, 1)
         ),
     ),
     "shift": (
--- a/tests/lab/test_lab_task_model.py
+++ b/tests/lab/test_lab_task_model.py
@@ -30,7 +30,7 @@
             effects={},
             record=lambda *a, **k: None,
             seed=k,
-            on_fall=lambda task: None,
+            on_crash=lambda task: None,
         )
         for k in range(tasks)
     }
@@ -48,7 +48,7 @@
                 if number > calls / 10:
                     times.append((world.now() - begun) / SECOND)
 
-            many[name].take(rpc.Call(number, "", 0, "", rng.expovariate(1.0) * SECOND), done)
+            many[name].receive_rpc(rpc.Call(number, "", 0, "", rng.expovariate(1.0) * SECOND), done)
         for task in many.values():
             task.down = True
 
@@ -102,16 +102,16 @@
         effects={},
         record=lambda *a, **k: None,
         seed=1,
-        on_fall=lambda task: None,
+        on_crash=lambda task: None,
     )
     task.handshake_factor = 8.0
 
     def look():
         task.connect()
         world.sleep(0.05)
-        seen.append(task.held)
+        seen.append(task.in_progress)
         world.sleep(0.05)
-        seen.append(task.held)
+        seen.append(task.in_progress)
         task.down = True
 
     world.spawn(look)
