--- a/hollyridge/lab/faults/__init__.py
+++ b/hollyridge/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of a day, by what they strike. The methods' names are the kinds in scenarios and recordings."""
+"""Faults of a day, grouped by what they affect. Public methods are named like the kinds in scenarios and recordings."""
--- a/hollyridge/lab/faults/assigner_faults.py
+++ b/hollyridge/lab/faults/assigner_faults.py
@@ -1,24 +1,24 @@
-"""Faults of assigners: kills, stalls, and cuts between those that share a fleet."""
+"""Faults of assigners: kills, stalls, and lost datagrams between assigners of a shared fleet."""
 
 from __future__ import annotations
 
 from hollyridge.lab.faults.base import MIN_STALL_GAP_S, FaultBase
 from hollyridge.lab.scenario import FaultSection
 
-MAX_PEERS_LOST = 0.9
+MAX_LOST_FRACTION = 0.9
 
 
 class AssignerFaults(FaultBase):
-    """Faults of assigners."""
+    """Methods that cause the faults of assigners."""
 
-    def _struck_assigners(self, fault: FaultSection) -> list[int]:
+    def _affected_assigners(self, fault: FaultSection) -> list[int]:
         if self.assigner_count == 1:
             return [0]
         return sorted(self.sample(list(range(self.assigner_count)), fault.part))
 
     def assigner_killed(self, fault: FaultSection) -> None:
         """Kill assigners and start them again."""
-        numbers = self._struck_assigners(fault)
+        numbers = self._affected_assigners(fault)
         for number in numbers:
             self.kill_assigner(number)
         self.world.sleep(fault.for_s)
@@ -26,9 +26,9 @@
             self.start_assigner(number)
 
     def assigner_stalled(self, fault: FaultSection) -> None:
-        """Give assigners no turn for `size` seconds, again every `extra`; their sockets stay open."""
+        """Stall assigners repeatedly for `size` seconds, with gaps of `extra` seconds; their sockets stay open."""
         end_us = self.world.now() + fault.for_s * 1e6
-        numbers = self._struck_assigners(fault)
+        numbers = self._affected_assigners(fault)
         while self.world.now() < end_us:
             for number in numbers:
                 self.record("stalled", assigner=number, seconds=fault.size)
@@ -36,9 +36,10 @@
             self.world.sleep(fault.size + max(MIN_STALL_GAP_S, fault.extra))
 
     def peers_cut(self, fault: FaultSection) -> None:
-        """Cut assigners of a shared fleet off from each other; proxies reach all as before.
+        """Drop datagrams between assigners of a shared fleet; proxies still reach all assigners.
 
-        `halves`: two halves of them; `one_way`: one is not heard by the others; `lossy`: `size` of all is lost.
+        The form `halves` separates two halves of the assigners, `one_way` drops what one assigner sends to the others,
+        and `lossy` drops the fraction `size` of all datagrams.
         """
         numbers = list(range(self.assigner_count))
         count = len(numbers) // 2 if fault.form == "halves" else 1
@@ -48,7 +49,7 @@
         if fault.form == "halves":
             pairs |= {(receiver, sender) for sender, receiver in pairs}
         if fault.form == "lossy":
-            self.environment.cut_peers(set(), min(MAX_PEERS_LOST, fault.size))
+            self.environment.cut_peers(set(), min(MAX_LOST_FRACTION, fault.size))
         else:
             self.environment.cut_peers(pairs, 0.0)
         self.world.sleep(fault.for_s)
--- a/hollyridge/lab/faults/proxy_faults.py
+++ b/hollyridge/lab/faults/proxy_faults.py
@@ -1,4 +1,4 @@
-"""Faults of proxies: broken and unread streams, late reports, stalls, kills."""
+"""Faults of proxies: broken and unread streams, late load reports, stalls, kills."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ProxyFaults(FaultBase):
-    """Faults of proxies."""
+    """Methods that cause the faults of proxies."""
 
     def streams_broken(self, fault: FaultSection) -> None:
         """Break streams to the assigner."""
@@ -15,18 +15,20 @@
             self.worker_of(uid).execute("break", name=uid)
 
     def unread(self, fault: FaultSection) -> None:
-        """Let proxies read nothing from their streams, which stay open."""
+        """Make proxies stop reading their streams, which stay open."""
         uids = self.sample(list(self.proxies), fault.part)
         during, after = {"reading_stopped": True}, {"reading_stopped": False}
-        self.run_together([(self.set_for_a_while, fault, [self.worker_of(uid)], uid, during, after) for uid in uids])
+        self.run_concurrently(
+            [(self.set_temporarily, fault, [self.worker_of(uid)], uid, during, after) for uid in uids]
+        )
 
     def slow_orders(self, fault: FaultSection) -> None:
-        """Let proxies take `size` seconds to read each update."""
-        self.set_for_a_while(fault, self.proxy_workers, "", {"read_delay_s": fault.size}, {"read_delay_s": 0.0})
+        """Make proxies take `size` seconds to read each update."""
+        self.set_temporarily(fault, self.proxy_workers, "", {"read_delay_s": fault.size}, {"read_delay_s": 0.0})
 
     def late_sums(self, fault: FaultSection) -> None:
-        """Let reports leave `size` seconds later."""
-        self.set_for_a_while(fault, self.proxy_workers, "", {"report_delay_s": fault.size}, {"report_delay_s": 0.0})
+        """Delay load reports by `size` seconds."""
+        self.set_temporarily(fault, self.proxy_workers, "", {"report_delay_s": fault.size}, {"report_delay_s": 0.0})
 
     def proxies_killed(self, fault: FaultSection) -> None:
         """Kill proxies and start them again."""
@@ -36,10 +38,13 @@
         self.restart_proxies(uids)
 
     def proxies_stalled(self, fault: FaultSection) -> None:
-        """Give proxies no turn for `size` seconds, again every `extra`; then they handle all that came at once."""
+        """Stall proxies repeatedly for `size` seconds, with gaps of `extra` seconds.
+
+        After a stall they handle everything that has arrived meanwhile at once.
+        """
         end_us = self.world.now() + fault.for_s * 1e6
         if fault.form == "zone":
-            uids = self.proxies_in(self.zones.index(self.zone_of(fault)))
+            uids = self.proxies_in(self.zones.index(self.affected_zone(fault)))
         else:
             uids = self.sample(list(self.proxies), fault.part)
         while self.world.now() < end_us:
--- a/hollyridge/lab/faults/traffic_faults.py
+++ b/hollyridge/lab/faults/traffic_faults.py
@@ -1,4 +1,4 @@
-"""Changes of traffic: a fleet that grows, a surge, traffic that moves to one zone."""
+"""Changes of traffic: growth of the fleet, a surge, and a shift of traffic to one zone."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class TrafficFaults(FaultBase):
-    """Changes of traffic."""
+    """Methods that cause changes of traffic."""
 
     def grow(self, fault: FaultSection) -> None:
-        """Let the fleet grow to `size` times as many, new ones cold; `extra` of that in traffic follows."""
+        """Grow the fleet by the factor `size` with cold tasks, and traffic by `extra` times the fleet's growth."""
         count = max(1, round((fault.size - 1) * len(self.running_tasks())))
         for added in range(1, count + 1):
             task = self.add_task(added % len(self.zones), cold=True)
@@ -21,14 +21,14 @@
             self.world.sleep(fault.for_s / count)
 
     def surge(self, fault: FaultSection) -> None:
-        """Send `size` times as many RPCs."""
+        """Multiply the rate of RPCs by `size`."""
         self.scale_traffic(fault, fault.size)
         self.world.sleep(fault.for_s)
         self.scale_traffic(fault, 1.0)
 
     def shift(self, fault: FaultSection) -> None:
-        """Move `size` of the other zones' traffic to one zone, for good."""
-        target = self.zones.index(self.zone_of(fault))
+        """Move the fraction `size` of the other zones' traffic to one zone permanently."""
+        target = self.zones.index(self.affected_zone(fault))
         rates = [0.0] * len(self.zones)
         for uid, zone in self.proxies.items():
             rates[zone] += self.proxy_arguments[uid]["rate"]
--- a/hollyridge/lab/faults/zone_faults.py
+++ b/hollyridge/lab/faults/zone_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a zone: it is lost, cut off, or its links are slow."""
+"""Faults of a zone: loss, isolation, and slow links."""
 
 from __future__ import annotations
 
@@ -8,37 +8,44 @@
 
 
 class ZoneFaults(FaultBase):
-    """Faults of a zone."""
+    """Methods that cause the faults of a zone."""
 
     def zone_lost(self, fault: FaultSection) -> None:
-        """Let a zone's tasks die and come back cold; `all`: they fall silent, and its proxies die with them."""
-        zone, all_of_it = self.zone_of(fault), fault.form == "all"
+        """Kill a zone's tasks and restart them cold.
+
+        With the form `all` the tasks' machines vanish instead, and the zone's proxies are killed and restarted too.
+        """
+        zone, whole_zone = self.affected_zone(fault), fault.form == "all"
         tasks = self.running_tasks(zone)
-        proxies = self.proxies_in(self.zones.index(zone)) if all_of_it else []
+        proxies = self.proxies_in(self.zones.index(zone)) if whole_zone else []
         self.kill_proxies(proxies)
-        self.fail_tasks(tasks, silent=all_of_it)
+        self.fail_tasks(tasks, silent=whole_zone)
         self.world.sleep(fault.for_s)
         self.restart_tasks(tasks)
         self.restart_proxies(proxies)
 
     def _links(self, zone: int, others: list[int]) -> list[tuple[Worker, list[str]]]:
-        """Workers of proxies with the far ends of their links (octets), between a zone and others; the zone's first."""
+        """Return the links between a zone and others as (worker of proxies, zone octets of the far ends).
+
+        The first element belongs to the worker of the zone itself.
+        """
         return [
             (self.proxy_workers[zone], [self.zone_octet(other) for other in others]),
             *((self.proxy_workers[other], [self.zone_octet(zone)]) for other in others),
         ]
 
     def zone_cut(self, fault: FaultSection) -> None:
-        """Cut a zone's tasks off from the other zones.
+        """Make a zone's tasks unreachable from the other zones.
 
-        `all`: also the other way round, and streams and reports reach assigners of their own side only. A lone assigner
-        is on the other side; of several each zone has some.
+        With the form `all` tasks of the other zones are unreachable from this zone too, and streams and load reports
+        reach only assigners on the same side. A single assigner is on the side of the other zones; several are
+        distributed over all zones.
         """
-        zone, all_of_it = self.zones.index(self.zone_of(fault)), fault.form == "all"
+        zone, whole_zone = self.zones.index(self.affected_zone(fault)), fault.form == "all"
         links = self._links(zone, [other for other in range(len(self.zones)) if other != zone])
-        for worker, ends in links if all_of_it else links[1:]:
+        for worker, ends in links if whole_zone else links[1:]:
             worker.execute("set", name="", attributes={"unreachable_zones": ends})
-        if all_of_it:
+        if whole_zone:
             self._cut_streams(zone)
         self.world.sleep(fault.for_s)
         for worker, _ in links:
@@ -47,7 +54,7 @@
             worker.execute("set", name="", attributes={"unreachable_assigners": []})
 
     def _cut_streams(self, cut_zone: int) -> None:
-        """Break the streams between a zone and the assigners of the others."""
+        """Break the streams between either side of the cut and the assigners on the other side."""
         numbers = range(self.assigner_count)
         inside = [number for number in numbers if self.assigner_count > 1 and number % len(self.zones) == cut_zone]
         for zone, worker in enumerate(self.proxy_workers):
@@ -57,8 +64,8 @@
                 worker.execute("leave", name=uid, far=far)
 
     def slow_link(self, fault: FaultSection) -> None:
-        """Add `size` seconds each way and lose `extra` of what is sent, between a zone and all others or one."""
-        zone = self.zones.index(self.zone_of(fault))
+        """Add `size` seconds of one-way delay and the loss `extra`, between a zone and all others or one of them."""
+        zone = self.zones.index(self.affected_zone(fault))
         others = [other for other in range(len(self.zones)) if other != zone]
         if fault.form == "pair":
             others = self.rng.sample(others, min(1, len(others)))
