--- a/hollyridge/lab/__init__.py
+++ b/hollyridge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: days with faults, simulated or on real sockets, and checks of the rules from recordings of them."""
+"""Laboratory: days with faults, simulated or on real sockets, and checks of the rules from their recordings."""
--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -1,4 +1,4 @@
-"""Plays a day: a fleet in an environment, faults at their times, then the checks."""
+"""Player of a day: a fleet in an environment, faults at their times, then the checks."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 
 class Outcome(NamedTuple):
-    """What a day came to. Stored as an array: the order of the fields is a format.
+    """Result of a day. It is stored as an array, so the order of the fields is a format.
 
     Attributes:
-        figures: Keys as in `--json`.
-        faults: Name, kind, and when each began and ended (seconds of the day).
-        parity: Tables compared between the protocols, how many differ, and the first that does.
+        verdicts: Verdicts of the rules.
+        figures: Metrics of the day, with the keys of `--json`.
+        faults: Name, kind, start and end of each fault, in seconds of the day.
+        parity: (tables compared between the protocols, tables that differ, description of the first that differs).
     """
 
     verdicts: list[Verdict]
@@ -40,10 +41,12 @@
 class Day(TaskFaults, TrafficFaults, ZoneFaults, ProxyFaults, AssignerFaults):
     """A day in an environment.
 
-    Its methods that are named like kinds of faults cause them; scenarios and recordings know the kinds by these names.
+    Its methods that are named like kinds of faults cause these faults; scenarios and recordings use the same names.
 
     Attributes:
-        failures: Faults that could not be caused: a day without them proves nothing.
+        faults: Faults that have ended, as in `Outcome`.
+        started_faults: Names of the faults that have begun.
+        failures: Failures of faults. They fail the day, because a day without one of its faults proves nothing.
     """
 
     def __init__(
@@ -56,49 +59,49 @@
         """Prepare a day.
 
         Args:
-            scenario: What happens.
-            environment: Where it happens.
-            seed: In place of the scenario's.
-            on_progress: Called with the fraction of the day that has passed.
+            scenario: Scenario to play.
+            environment: Environment to play it in.
+            seed: Seed that replaces the scenario's; None for the scenario's.
+            on_progress: Function that is called with the fraction of the day that has passed.
         """
         super().__init__(scenario, environment, seed)
         self.on_progress = on_progress
         self.faults: list[dict] = []
-        self.begun: set[str] = set()
+        self.started_faults: set[str] = set()
         self.failures: list[str] = []
 
     def run_fault(self, name: str, fault: FaultSection) -> None:
-        """Wait for a fault's time and cause it."""
+        """Wait until the start of a fault and cause it."""
         self.world.sleep(fault.at_s)
-        begun = self.world.now()
+        started_us = self.world.now()
         try:
             self.record("trouble", name=name, trouble=fault.kind, begins=True)
-            self.begun.add(name)
+            self.started_faults.add(name)
             getattr(self, fault.kind)(fault)
-        except Exception as failure:  # whatever went wrong in a fault fails the day, which tells it
-            self.failures.append(f"trouble {name}: {type(failure).__name__}: {failure}")
+        except Exception as failure:  # any error in a fault fails the day, which reports it
+            self.failures.append(f"[trouble {name}] failed: {type(failure).__name__}: {failure}")
         self.record("trouble", name=name, trouble=fault.kind, begins=False)
-        self.faults.append({"name": name, "kind": fault.kind, "begun": begun, "ended": self.world.now()})
+        self.faults.append({"name": name, "kind": fault.kind, "begun": started_us, "ended": self.world.now()})
 
     def play(self) -> Outcome:
-        """Play the day and check what was recorded.
+        """Play the day and check its recording.
 
         Raises:
-            DayError: It could not be played as scripted.
+            DayError: The day could not be played as the scenario describes it.
         """
-        begun = self.world.now()
+        started_us = self.world.now()
         try:
-            begun = self.environment.play(self)
+            started_us = self.environment.play(self)
         finally:
             self.environment.end()
-        missing = set(self.scenario.faults) - self.begun
+        missing = set(self.scenario.faults) - self.started_faults
         self.failures += self.environment.failures
         if missing or self.failures:
-            raise DayError("; ".join(self.failures) or f"troubles that never began: {sorted(missing)}")
+            raise DayError("; ".join(self.failures) or f"faults of the scenario that never began: {sorted(missing)}")
         rows = self.environment.recorded()
         for fault in self.faults:
-            fault["begun"] = (fault["begun"] - begun) / 1e6
-            fault["ended"] = (fault["ended"] - begun) / 1e6
+            fault["begun"] = (fault["begun"] - started_us) / 1e6
+            fault["ended"] = (fault["ended"] - started_us) / 1e6
         return self._outcome(rows)
 
     def _outcome(self, rows: list[dict]) -> Outcome:
@@ -110,7 +113,7 @@
         return Outcome(check(evidence, self.limits()), figures, self.faults, parity)
 
     def methods(self) -> list[dict]:
-        """What the metrics need of each method, in the settings' order."""
+        """Return the properties of each method that the metrics need, in the order of the settings."""
         return [
             {
                 "name": name,
@@ -122,7 +125,7 @@
         ]
 
     def limits(self) -> RuleLimits:
-        """The rules' limits, from the settings."""
+        """Return the limits of the rules, from the settings."""
         promises, channel = self.config.promises, self.config.channel
         return RuleLimits(
             max_empty_us=round(promises.bare_s * 1e6),
--- a/hollyridge/lab/environment.py
+++ b/hollyridge/lab/environment.py
@@ -1,4 +1,4 @@
-"""What a day needs of the environment that it is played in: live on real sockets, or simulated."""
+"""Interface of the environments in which a day is played: live on real sockets, or simulated."""
 
 from __future__ import annotations
 
@@ -10,55 +10,56 @@
 
 
 class DayError(HollyridgeError):
-    """The day could not be played; says why."""
+    """Error that prevents a day from being played; the message states the reason."""
 
 
 class Result(Protocol):
-    """A value that is set once, by another greenlet."""
+    """Result that another greenlet sets once."""
 
-    def set(self, value: Any = None) -> None:  # noqa: ANN401 - whatever the waiter expects
-        """Set the value and wake who waits for it."""
+    def set(self, value: Any = None) -> None:  # noqa: ANN401 - any value that the waiter expects
+        """Set the value and resume the waiting greenlets."""
 
-    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - what was set
-        """Wait for the value; TimeoutError after `timeout` seconds."""
+    def get(self, block: bool = True, timeout: float | None = None) -> Any:  # noqa: ANN401 - any value may be set
+        """Wait for the value and return it; raise TimeoutError after `timeout` seconds."""
 
 
 class World(Protocol):
-    """Time and waiting."""
+    """Clock and scheduler."""
 
     def now(self) -> int:
-        """Monotonic time (us)."""
+        """Return the monotonic time in microseconds."""
 
     def sleep(self, seconds: float) -> None:
-        """Let the greenlet sleep."""
+        """Suspend the greenlet."""
 
     def spawn(self, call: Callable, *arguments: object) -> object:
-        """Run `call` in a greenlet of its own."""
+        """Run `call` in its own greenlet."""
 
     def spawn_later(self, seconds: float, call: Callable, *arguments: object) -> None:
-        """Run `call` in a greenlet of its own after a while."""
+        """Run `call` in its own greenlet after a delay."""
 
     def result(self) -> Result:
-        """A value to wait for."""
+        """Return a result that greenlets can wait for."""
 
     def semaphore(self, count: int) -> AbstractContextManager:
-        """A semaphore; waiters are served in the order they came."""
+        """Return a semaphore that serves its waiters in the order of their arrival."""
 
 
 class Worker(Protocol):
-    """Runs stand-ins."""
+    """Runner of stand-ins."""
 
     def execute(self, command: str, **arguments: object) -> None:
-        """Carry out a command (see `CommandHandler`)."""
+        """Execute a command (see `CommandHandler`)."""
 
 
 class Environment(Protocol):
-    """Where a day is played.
+    """Environment that plays a day.
 
     Attributes:
-        record: Writes a record: `record(kind, key=value, ...)`.
-        addresses: Of the assigners, by protocol and number.
-        failures: What makes the day's result worthless, once it has ended.
+        world: Clock and scheduler.
+        record: Function that writes a record: `record(kind, key=value, ...)`.
+        addresses: [host, port] of each assigner, by protocol.
+        failures: Failures that invalidate the day's result, complete once it has ended.
     """
 
     world: World
@@ -67,13 +68,13 @@
     failures: list[str]
 
     def start_worker(self, name: str, on_message: Callable[[dict], None]) -> Worker:
-        """What runs stand-ins; `on_message` takes what it has to tell."""
+        """Start a runner of stand-ins; `on_message` is called with each message from it."""
 
     def agent(self, number: int) -> Any:  # noqa: ANN401 - the live or the simulated agent
-        """The agent that registers tasks with one assigner."""
+        """Start the agent that registers tasks with one assigner."""
 
     def wait_for_sync(self, agent: Any) -> None:  # noqa: ANN401 - see `agent`
-        """Wait until an agent has registered the first tasks."""
+        """Wait until an agent has registered the initial tasks."""
 
     def start_assigner(self, number: int) -> None:
         """Start one assigner."""
@@ -82,16 +83,16 @@
         """Kill one assigner."""
 
     def stall_assigner(self, number: int, seconds: float) -> None:
-        """Give one assigner no turn for a while; its sockets stay open."""
+        """Stall one assigner for this time; its sockets stay open."""
 
     def cut_peers(self, pairs: set[tuple[int, int]], lost: float) -> None:
-        """Pass no datagram from the first to the second of these assigners, and lose this fraction of the others."""
+        """Drop datagrams between these (sender, receiver) pairs, and the fraction `lost` of all others."""
 
     def play(self, day: Any) -> int:  # noqa: ANN401 - a `Day`, which depends on this module
-        """Let the day pass; returns when it began (us)."""
+        """Play the day and return its start, in microseconds."""
 
     def recorded(self) -> list[dict]:
-        """All records of the day, by time."""
+        """Return all records of the day, in order of time."""
 
     def end(self) -> None:
-        """Stop whatever still runs."""
+        """Stop everything that still runs."""
--- a/hollyridge/lab/fleet.py
+++ b/hollyridge/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a day: starts and stops tasks, proxies and assigners, and lets the agents know late."""
+"""Fleet of a day: starts and stops tasks, proxies and assigners, and notifies the agents after a delay."""
 
 from __future__ import annotations
 
@@ -12,21 +12,26 @@
 from hollyridge.lab.stand_ins.agent import Agent
 from hollyridge.lab.stand_ins.proxy_plan import MethodPlan, ProxyPlan
 
-TASK_START_S = 15  # a task that has not started by then fails the day
-FIRST_TASK_HOST = 10  # in the network of its zone; those below are left to the zone itself
+TASK_START_TIMEOUT_S = 15  # timeout of a task's start, after which the day fails
+FIRST_TASK_HOST = 10  # host number in the network of a zone; lower ones are reserved for the zone itself
 FIRST_PROXY_HOST = 0x8000
-RATE_SPREAD = 0.5  # sigma of the lognormal distribution of the proxies' rates
-STANDING_LINES = 5  # of a proxy that was started again
+RATE_SIGMA = 0.5  # sigma of the lognormal distribution of the proxies' rates
+RESTART_TABLE_LINES = 5  # number of lines in the first table of a restarted proxy
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
 
 
 @dataclass
 class FleetTask:
-    """A task of the fleet: its address, and the run of it that is on.
+    """A task of the fleet, with its address and its current run.
 
     Attributes:
-        started_us: When the run started; 0 for long ago.
-        up: Whether it runs, as far as the day knows.
+        name: Name of the task.
+        zone: Index of its zone.
+        host: Address that it listens at.
+        port: Port that it listens at; 0 before the first start.
+        run: Identifier of the current run.
+        started_us: Start of the run, in microseconds; 0 for a task that was warm at the start.
+        up: Whether the task runs, as far as the day knows.
     """
 
     name: str
@@ -39,7 +44,7 @@
 
     @property
     def key(self) -> str:
-        """Its address."""
+        """Return the address as `host:port`."""
         return f"{self.host}:{self.port}"
 
 
@@ -47,12 +52,12 @@
     """Tasks, proxies, assigners and agents of one day.
 
     Attributes:
-        tasks: By name.
-        proxies: The zone of each proxy.
-        proxy_arguments: What each proxy was started with, to start it again.
-        task_workers: What runs the tasks of each zone.
-        proxy_workers: What runs the proxies of each zone.
-        agents: One for each assigner.
+        tasks: Tasks, by name.
+        proxies: Index of the zone, by uid of the proxy.
+        proxy_arguments: Arguments of the command that started a proxy, by uid, to start it again.
+        task_workers: Workers that run the tasks, by zone.
+        proxy_workers: Workers that run the proxies, by zone.
+        agents: Agents, by number of the assigner.
     """
 
     def __init__(self, scenario: Scenario, environment: Environment, seed: int | None) -> None:
@@ -72,13 +77,13 @@
         self.proxy_workers: list[Worker] = []
         self.agents: list[Agent] = []
         self._starting: dict[str, Result] = {}  # by run
-        self._runs = 0
+        self._run_count = 0
         self._last_task_host = FIRST_TASK_HOST
 
-    # Setting up.
+    # Setup.
 
     def set_up(self) -> None:
-        """Start everything that the scenario has at the day's beginning."""
+        """Start the workers, assigners, agents, tasks and proxies that the day begins with."""
         zones = range(len(self.zones))
         self.task_workers = [self.environment.start_worker(f"tasks-{zone}", self._on_message) for zone in zones]
         self.proxy_workers = [self.environment.start_worker(f"proxies-{zone}", self._on_message) for zone in zones]
@@ -94,40 +99,40 @@
             self.environment.wait_for_sync(agent)
         self._start_proxies()
 
-    def _on_message(self, facts: dict) -> None:
-        """Take what a worker has to tell: a task has started, or fell over."""
-        if "started" in facts:
-            self._starting[facts["run"]].set(facts["key"])
-        elif "fell" in facts:
-            task = self.tasks[facts["fell"]]
+    def _on_message(self, message: dict) -> None:
+        """Handle a message from a worker: a task has started, or crashed from overload."""
+        if "started" in message:
+            self._starting[message["run"]].set(message["key"])
+        elif "fell" in message:
+            task = self.tasks[message["fell"]]
             task.up = False
             self.notify_agents(Agent.task_stopped, task.key, task.run)
 
     def _address(self, zone: int, number: int) -> str:
-        """An address of the zone's first network, which no other stand-in has."""
+        """Return the address with this host number in the zone's first network."""
         network = next(iter(self.config.zones[self.zones[zone]]))
         if not network.subnet_of(LOOPBACK):
-            raise DayError(f"zone {self.zones[zone]}: a day is played on networks of 127.0.0.0/8 only")
+            raise DayError(f"zone {self.zones[zone]}: network {network} found, expected a subnet of {LOOPBACK}")
         return str(network.network_address + number)
 
     def zone_octet(self, zone: int) -> str:
-        """The second octet of the zone's addresses, which tells zones apart."""
+        """Return the second octet of the zone's addresses, which differs between zones."""
         return self._address(zone, 1).split(".")[1]
 
     # Assigners and agents.
 
     def start_assigner(self, number: int) -> None:
-        """Start an assigner, and record that."""
+        """Start an assigner and record the start."""
         self.environment.start_assigner(number)
         self.record("assigner", number=number, up=True)
 
     def kill_assigner(self, number: int) -> None:
-        """Kill an assigner, and record that."""
+        """Kill an assigner and record the kill."""
         self.environment.kill_assigner(number)
         self.record("assigner", number=number, up=False)
 
     def notify_agents(self, method: Callable[..., None], *arguments: object, silent: bool = False) -> None:
-        """Call this method of each agent, at the time that it notices; later where a task fell silent."""
+        """Call a method of each agent after a random notice time, which is longer if a task fell silent."""
         for agent in self.agents:
             self.world.spawn_later(self._notice_s(silent), method, agent, *arguments)
 
@@ -136,7 +141,7 @@
         return self.rng.uniform(low_ms, high_ms) / 1e3
 
     def notify_running(self, task: FleetTask) -> None:
-        """Let the agents notice that a task runs."""
+        """Notify the agents that a task runs."""
         self.notify_agents(Agent.task_running, task.key, task.name, task.run, task.started_us)
 
     # Tasks.
@@ -151,14 +156,14 @@
         return task
 
     def start_task(self, task: FleetTask, cold: bool) -> None:
-        """Start a run of a task, at its old port if it had one.
+        """Start a run of a task, at its previous port if it had one.
 
         Raises:
-            DayError: It did not start in time.
+            DayError: The task did not start in time.
         """
         methods = list(self.config.methods.values())
-        self._runs += 1
-        task.run = f"r{self._runs}"
+        self._run_count += 1
+        task.run = f"r{self._run_count}"
         started = self._starting[task.run] = self.world.result()
         self.task_workers[task.zone].execute(
             "task",
@@ -173,14 +178,14 @@
             seed=self.rng.randrange(1 << 30),
         )
         try:
-            task.port = int(started.get(timeout=TASK_START_S).rpartition(":")[2])
+            task.port = int(started.get(timeout=TASK_START_TIMEOUT_S).rpartition(":")[2])
         except TimeoutError:
-            raise DayError(f"task {task.name} did not start") from None
+            raise DayError(f"task {task.name} at {task.host} did not start within {TASK_START_TIMEOUT_S} s") from None
         task.started_us = self.world.now() if cold else 0
         task.up = True
 
     def _task_build(self) -> dict:
-        """What a new task can do (see `task_model.TaskSpec`); its speed is drawn."""
+        """Return the specification of a new task (see `task_model.TaskSpec`), with a random speed."""
         fleet, promises = self.scenario.fleet, self.config.promises
         return {
             "cores": fleet.cores,
@@ -205,7 +210,7 @@
             self.task_workers[task.zone].execute("kill", name=task.name)
 
     def fail_tasks(self, tasks: list[FleetTask], silent: bool) -> None:
-        """Kill tasks, or let them fall silent; the agents notice."""
+        """Kill tasks, or make them fall silent, and notify the agents."""
         for task in tasks:
             if silent and task.up:
                 self.set_task(task, silent=True)
@@ -214,7 +219,7 @@
             self.notify_agents(Agent.task_stopped, task.key, task.run, silent=silent)
 
     def restart_tasks(self, tasks: list[FleetTask]) -> None:
-        """Start each cold, at its old address."""
+        """Start each task cold at its previous address and notify the agents."""
         for task in tasks:
             self.stop_task(task)
             self.start_task(task, cold=True)
@@ -225,26 +230,26 @@
         self.task_workers[task.zone].execute("set", name=task.name, attributes=attributes)
 
     def running_tasks(self, zone: str = "") -> list[FleetTask]:
-        """Tasks that run, in one zone or all."""
+        """Return the running tasks of a zone, or of all zones if it is empty."""
         return [task for task in self.tasks.values() if task.up and zone in ("", self.zones[task.zone])]
 
     # Proxies.
 
     def _start_proxies(self) -> None:
         count = self.scenario.fleet.proxies
-        weights = [self.rng.lognormvariate(0, RATE_SPREAD) for _ in range(count)]
+        weights = [self.rng.lognormvariate(0, RATE_SIGMA) for _ in range(count)]
         for number, weight in enumerate(weights):
             uid, zone = f"gw-{number}", number % len(self.zones)
             local = [task.key for task in self.tasks.values() if task.zone == zone]
             listed = local or [task.key for task in self.tasks.values()]
-            standing = self.rng.sample(listed, min(len(listed), self.config.proxies.first_table or 1))
+            first_table = self.rng.sample(listed, min(len(listed), self.config.proxies.first_table or 1))
             self.proxies[uid] = zone
             self.proxy_arguments[uid] = {
                 "uid": uid,
                 "host": self._address(zone, FIRST_PROXY_HOST + number),
                 "zone": self.zones[zone],
                 "rate": self.scenario.load.rpcs_per_s * weight / sum(weights),
-                "standing": standing,
+                "standing": first_table,
                 "home": self.rng.randrange(self.assigner_count) if self.assigner_count > 1 else 0,
                 "plan": self._proxy_plan(self.fronts[number // len(self.zones) % len(self.fronts)]),
                 "seed": self.rng.randrange(1 << 30),
@@ -252,7 +257,7 @@
             self.proxy_workers[zone].execute("proxy", **self.proxy_arguments[uid])
 
     def _proxy_plan(self, front: str) -> ProxyPlan:
-        """What proxies of one protocol, and the clients beside them, go by."""
+        """Return the configuration that all proxies of one protocol and their clients share."""
         load, config = self.scenario.load, self.config
         return ProxyPlan(
             methods=self._method_plans(),
@@ -290,22 +295,22 @@
             self.worker_of(uid).execute("kill", name=uid)
 
     def restart_proxies(self, uids: list[str]) -> None:
-        """Start proxies again, with a first table of tasks that are listed now."""
+        """Start proxies again, with a first table of tasks that are registered now."""
         for uid in uids:
             zone, arguments = self.proxies[uid], self.proxy_arguments[uid]
             listed = [key for key, known in self.agents[0].registered.items() if not known.draining]
             near = [key for key in listed if self.zones[zone] == self.zones[self._zone_at(key)]] or listed
-            arguments["standing"] = self.rng.sample(near, min(STANDING_LINES, len(near)))
+            arguments["standing"] = self.rng.sample(near, min(RESTART_TABLE_LINES, len(near)))
             arguments["seed"] += 1
             self.proxy_workers[zone].execute("proxy", **arguments)
 
     def worker_of(self, uid: str) -> Worker:
-        """What runs this proxy."""
+        """Return the worker that runs this proxy."""
         return self.proxy_workers[self.proxies[uid]]
 
     def _zone_at(self, key: str) -> int:
         return next(task.zone for task in self.tasks.values() if task.key == key)
 
     def proxies_in(self, zone: int) -> list[str]:
-        """The proxies of a zone."""
+        """Return the uids of the proxies of a zone."""
         return [uid for uid, proxy_zone in self.proxies.items() if proxy_zone == zone]
--- a/hollyridge/lab/scenario.py
+++ b/hollyridge/lab/scenario.py
@@ -1,6 +1,6 @@
 """Scenarios: INI files that describe a day's fleet, load, network and faults (`hollyridge day`, `hollyridge lab`).
 
-Sections and keys are a format: field names of the sections are the keys of the file.
+Sections and keys are a format: the field names of the section classes are the keys of the file.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from hollyridge.settings.ini import WORD_LIST, FaultsError, Section, check_section, read_file
 
 FAULT_FORMS = {
-    # kind: the forms it has, the first where none is named
+    # kind: its forms, the first of which is the default
     "release": (),
     "restart_in_place": (),
     "vanish": (),
@@ -42,39 +42,49 @@
     "assigner_stalled": (),
     "peers_cut": ("halves", "one_way", "lossy"),
 }
-CHP_LISTEN = "127.0.0.1:3870"  # stands for any address: the environment puts its own in place
+CHP_LISTEN = "127.0.0.1:3870"  # placeholder that enables CHP; the environment replaces it by its own address
 
 Fraction = Annotated[float, Field(gt=0, le=1)]
-Pair = Annotated[list[float], Field(min_length=2, max_length=2), WORD_LIST]
+Range = Annotated[list[float], Field(min_length=2, max_length=2), WORD_LIST]
 
 
 class DaySection(Section):
-    """The day itself.
+    """Section `[day]`: settings, length and random seed of the day.
 
     Attributes:
-        settings: The assigner's settings file, relative to the scenario.
-        notice_ms: Range of the time after which the agent notices a change.
-        silent_notice_ms: The same where a task falls silent.
+        settings: Settings file of the assigner, relative to the scenario.
+        length_s: Length of the day, in seconds.
+        seed: Seed of the random generators.
+        notice_ms: Range of the time after which the agents notice a change, in milliseconds.
+        silent_notice_ms: The same for a task that falls silent.
     """
 
     settings: str
     length_s: Annotated[float, Field(gt=2, le=3600)]
     seed: int = 1
-    notice_ms: Pair = Field(default_factory=lambda: [300, 1500])
-    silent_notice_ms: Pair = Field(default_factory=lambda: [2000, 6000])
+    notice_ms: Range = Field(default_factory=lambda: [300, 1500])
+    silent_notice_ms: Range = Field(default_factory=lambda: [2000, 6000])
 
 
 class FleetSection(Section):
-    """Tasks and proxies.
+    """Section `[fleet]`: tasks and proxies.
 
     Attributes:
-        slots: RPCs that a task works on at once; `queue` more wait.
-        speed: Work that a core does in a second, in seconds.
-        cold_from: Fraction of its speed that a cold task begins with; it is warm after `cold_s`.
-        connections: How many a task takes.
-        fronts: Protocols that the proxies speak, zone after zone in turn.
-        cache_s: For how long a task works less for a key that it met; 0 for never.
-        cache_gain: The fraction of the work that it saves then.
+        tasks: Number of tasks.
+        proxies: Number of proxies.
+        cores: Number of cores of a task.
+        slots: Maximum number of RPCs that a task works on at once.
+        queue: Maximum number of RPCs that wait at a task.
+        speed: Work that a core does, in seconds per second.
+        speed_spread: Maximum random deviation of a task's speed, as a fraction of it.
+        cold_from: Fraction of its speed at which a cold task starts.
+        cold_s: Duration of the warm-up, in seconds.
+        handshake_ms: Work of a new connection, in milliseconds.
+        connections: Maximum number of connections of a task.
+        fronts: Protocols of the proxies; each round of proxies over the zones uses the next one in turn.
+        cache_s: Time for which a key that a task has seen costs it less work, in seconds; 0 for never.
+        cache_keys: Maximum number of keys in a task's cache.
+        cache_gain: Fraction of the work that a cached key saves.
         shared: Whether the assigners share the proxies.
     """
 
@@ -97,15 +107,15 @@
 
 
 class NetSection(Section):
-    """One-way delays of the simulated network.
+    """Section `[net]`: one-way delays and losses of the simulated network.
 
     Attributes:
-        near_ms: Within a zone.
-        far_ms: Between zones, and between assigners.
-        orders_ms: Of a message between an assigner and its clients.
-        jitter: How far a delay varies, as a fraction of it.
+        near_ms: Delay within a zone, in milliseconds.
+        far_ms: Delay between zones, and between assigners, in milliseconds.
+        orders_ms: Delay of a message between an assigner and its clients, in milliseconds.
+        jitter: Maximum random deviation of a delay, as a fraction of it.
         lost: Fraction of the RPCs and answers between zones that are lost.
-        apply_us: Time that a proxy takes to apply one line of a table.
+        apply_us: Time that a proxy takes to apply one line of a table, in microseconds.
     """
 
     near_ms: Annotated[float, Field(ge=0)] = 0.3
@@ -117,15 +127,17 @@
 
 
 class LoadSection(Section):
-    """What clients send.
+    """Section `[load]`: RPCs of the clients.
 
     Attributes:
-        work_ms: Mean work of an RPC, in the order of the methods in the settings.
-        shares: Share of the RPCs, in the same order.
+        rpcs_per_s: Total rate of RPCs, per second.
+        work_ms: Mean work of an RPC in milliseconds, in the order of the methods in the settings.
+        shares: Relative share of the RPCs, in the same order.
+        client_retries: Maximum number of retries by a client.
         reckless: Whether clients retry RPCs that may have taken effect.
-        try_share: Fraction of the time left that one attempt may take.
-        keys: Number of keys that RPCs have; 0 for RPCs without a key.
-        zipf: Exponent of the keys' popularity.
+        try_share: Maximum duration of an attempt, as a fraction of the time left until the deadline.
+        keys: Number of distinct keys of RPCs; 0 for RPCs without keys.
+        zipf: Exponent of the Zipf distribution of the keys.
     """
 
     rpcs_per_s: PositiveFloat = 90
@@ -139,9 +151,18 @@
 
 
 class FaultSection(Section):
-    """One fault, `[trouble NAME]` in the file.
+    """Section `[trouble NAME]`: one fault.
 
-    What `size` and `extra` mean depends on the kind; `docs/lab.md` has the table.
+    The meaning of `size` and `extra` depends on the kind; `docs/lab.md` has a table of them.
+
+    Attributes:
+        kind: Kind of the fault, the name of the method that causes it.
+        how: Form of the kind; empty for the default.
+        at_s: Start, in seconds of the day.
+        for_s: Duration, in seconds.
+        part: Fraction of the tasks, proxies or assigners that are affected.
+        zone: Name of the affected zone; if empty, a random one or all zones, depending on the kind.
+        method: Name of the affected method; empty for a random one.
     """
 
     kind: Literal[tuple(FAULT_FORMS)]
@@ -156,21 +177,26 @@
 
     @property
     def form(self) -> str:
-        """The form of its kind that it takes."""
+        """Return the form, by default the first one of the kind."""
         return self.how or next(iter(FAULT_FORMS[self.kind]), "")
 
 
-MODELS = {"day": DaySection, "fleet": FleetSection, "load": LoadSection, "net": NetSection}
+SECTION_MODELS = {"day": DaySection, "fleet": FleetSection, "load": LoadSection, "net": NetSection}
 
 
 @dataclass
 class Scenario:
-    """A scenario that was read and checked.
+    """A validated scenario.
 
     Attributes:
-        faults: By name, in the order of the file.
-        overrides: Settings of the assigner that differ for this day, by section and key.
-        config: The assigner's configuration with these.
+        path: File of the scenario.
+        day: Section `[day]`.
+        fleet: Section `[fleet]`.
+        load: Section `[load]`.
+        net: Section `[net]`.
+        faults: Faults by name, in the order of the file.
+        overrides: Settings of the assigner that this day replaces, by (section, key).
+        config: Configuration of the assigner with the overrides.
     """
 
     path: Path
@@ -186,26 +212,27 @@
 def load(
     path: Path | str, settings: str = "", fronts: tuple[str, ...] = (), times: float = 1.0, assigners: int = 0
 ) -> Scenario:
-    """Read and check a scenario and the settings it names.
+    """Read and validate a scenario and the settings that it names.
 
     Args:
-        path: The scenario's file.
-        settings: A settings file in place of the one that it names.
-        fronts: Protocols in place of the scenario's.
-        times: Factor for fleet and load; the channel grows as a push to all of the fleet needs.
-        assigners: Their number in place of the settings'.
+        path: File of the scenario.
+        settings: Settings file that replaces the one named in the scenario; empty for none.
+        fronts: Protocols that replace those of the scenario; empty for none.
+        times: Factor for fleet and load; the channel is scaled so that a push to the whole fleet takes as long.
+        assigners: Number of assigners that replaces that of the settings; 0 for none.
 
     Raises:
-        FaultsError: With every problem found.
+        FaultsError: The scenario or the settings are invalid; the error has every problem found.
     """
     return _Loader(Path(path), settings).load(fronts, times, assigners)
 
 
 class _Loader:
-    """Reads one scenario and collects its problems.
+    """Loader of one scenario, which collects all problems.
 
     Attributes:
-        sections: Checked sections by name; None for one that is wrong.
+        problems: Problems found, one line each.
+        sections: Validated sections by name; None for an invalid one.
     """
 
     def __init__(self, path: Path, settings: str) -> None:
@@ -229,17 +256,19 @@
                 self._check_fault(name, fault, config)
         if self.problems:
             raise FaultsError(self.problems)
-        return Scenario(self.path, *(self.sections[name] for name in MODELS), self.faults, self.overrides, config)
+        return Scenario(
+            self.path, *(self.sections[name] for name in SECTION_MODELS), self.faults, self.overrides, config
+        )
 
     def _read(self) -> None:
         parser = read_file(self.path)
         for name in parser.sections():
-            self._read_named(name, dict(parser[name]))
-        for name, model in MODELS.items():
+            self._read_named_section(name, dict(parser[name]))
+        for name, model in SECTION_MODELS.items():
             values = dict(parser[name]) if parser.has_section(name) else {}
             self.sections[name] = check_section(name, model, values, self.problems)
 
-    def _read_named(self, section: str, values: dict[str, str]) -> None:
+    def _read_named_section(self, section: str, values: dict[str, str]) -> None:
         """Read `[trouble NAME]` or `[set SECTION]`."""
         kind, _, name = section.partition(" ")
         if kind == "trouble" and name:
@@ -248,7 +277,7 @@
                 self.faults[name.strip()] = fault
         elif kind == "set" and name:
             self.overrides.update(((name.strip(), key), value) for key, value in values.items())
-        elif section not in MODELS:
+        elif section not in SECTION_MODELS:
             self.problems.append(f"[{section}]: no such section")
 
     def _replace_fronts(self, fronts: tuple[str, ...]) -> None:
@@ -265,14 +294,17 @@
         self.sections["fleet"] = fleet.model_copy(update=counts)
 
     def _load_config(self, times: float) -> assigner.ServiceConfig | None:
-        """The assigner's configuration for a fleet of that size; None if there is a problem with it."""
+        """Return the assigner's configuration for a fleet scaled by `times`; None if it is invalid."""
         if self.sections["day"] is None:
             return None
         try:
             config = self._read_settings()
             if times == 1.0:
                 return config
-            for key in ("lines_per_s", "most_waiting"):  # as many proxies are sent as many more lines
+            for key in (
+                "lines_per_s",
+                "most_waiting",
+            ):  # both the proxies and the lines that each is sent multiply by `times`
                 self.overrides["channel", key] = str(getattr(config.channel, key) * times * times)
             return self._read_settings()
         except FaultsError as error:
@@ -288,15 +320,17 @@
     def _check_methods(self, config: assigner.ServiceConfig) -> None:
         for key in ("work_ms", "shares"):
             if len(getattr(self.sections["load"], key)) != len(config.methods):
-                self.problems.append(f"[load] {key}: {len(config.methods)} figures wanted, one a method")
+                self.problems.append(f"[load] {key}: {len(config.methods)} figures wanted, one per method")
 
     def _check_fault(self, name: str, fault: FaultSection, config: assigner.ServiceConfig) -> None:
         forms = FAULT_FORMS[fault.kind]
         if fault.zone and fault.zone not in config.zones:
-            self.problems.append(f"[trouble {name}] zone: no such zone in the settings")
+            self.problems.append(f"[trouble {name}] zone: no such zone in the settings: {fault.zone!r:.80}")
         if fault.method and fault.method not in config.methods:
-            self.problems.append(f"[trouble {name}] method: no such method in the settings")
+            self.problems.append(f"[trouble {name}] method: no such method in the settings: {fault.method!r:.80}")
         if fault.how and fault.how not in forms:
-            self.problems.append(f"[trouble {name}] how: {', '.join(forms) or 'it has one form only'}")
+            self.problems.append(
+                f"[trouble {name}] how: {fault.how!r:.80} found, expected {', '.join(forms) or 'no key for this kind'}"
+            )
         if fault.at_s >= self.sections["day"].length_s:
-            self.problems.append(f"[trouble {name}] at_s: after the day's end")
+            self.problems.append(f"[trouble {name}] at_s: {fault.at_s} found, expected a time before the day's end")
