--- a/tests/lab/test_lab_day.py
+++ b/tests/lab/test_lab_day.py
@@ -1,4 +1,4 @@
-"""Short days on real sockets, several at once: the rules are kept, and whoever breaks one is caught."""
+"""Short days on real sockets, played concurrently: the service keeps the rules, and broken rules are detected."""
 
 import base64
 import json
@@ -17,7 +17,7 @@
 RECKLESS = ROOT / "tests" / "days" / "reckless.ini"
 TAKEOVER = ROOT / "tests" / "days" / "takeover.ini"
 DAYS = {
-    # name: script, policy, the rule that is broken (0: none)
+    # name: scenario, policy, number of the rule that is broken (0 for none)
     "kept": (SMALL, "", 0),
     "kept where nothing else protects the cold": (UNFORGIVING, "", 0),
     "a table emptied": (SMALL, "bare", 1),
@@ -31,12 +31,12 @@
 
 @pytest.fixture(scope="module")
 def days():
-    """All of them start at once: they mostly wait."""
+    """Start all days concurrently, because they mostly wait."""
     running = {}
-    for name, (script, policy, _) in DAYS.items():
-        words = [sys.executable, "-m", "hollyridge.cli.main", "day", str(script), "--json"]
+    for name, (path, policy, _) in DAYS.items():
+        arguments = [sys.executable, "-m", "hollyridge.cli.main", "day", str(path), "--json"]
         running[name] = subprocess.Popen(
-            words + ["--policy", policy] * bool(policy), stdout=subprocess.PIPE, stderr=subprocess.PIPE
+            arguments + ["--policy", policy] * bool(policy), stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
     yield running
     for process in running.values():
@@ -45,27 +45,27 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_day(days, name):
+def test_day_keeps_the_rules_or_reports_the_broken_one(days, name):
     out, err = days[name].communicate(timeout=120)
     broken = DAYS[name][2]
     assert days[name].returncode == (1 if broken else 0), err.decode()[-2000:]
-    told = json.loads(out)
-    found = {row["rule"] for row in told["rules"] if not row["kept"]}
-    assert broken in found if broken else not found
-    assert told["rpcs"] > 100
-    assert told["messages"] > 0
+    report = json.loads(out)
+    broken_rules = {row["rule"] for row in report["rules"] if not row["kept"]}
+    assert broken in broken_rules if broken else not broken_rules
+    assert report["rpcs"] > 100
+    assert report["messages"] > 0
     if name == "an assigner of three dies":
-        owned = told["ownership"]
+        owned = report["ownership"]
         assert owned["orphaned"] > 0 == owned["doubly_ordered"]
         assert owned["orphaned_max_s"] < 10
         assert owned["moves"] > 0
 
 
-def test_both_fronts_hold_the_same_tables_and_a_difference_is_found(tmp_path):
-    words = [sys.executable, "-m", "hollyridge.cli.main", "day", str(SMALL), "--fronts", "sasp,clone"]
-    ran = subprocess.run([*words, "--report", str(tmp_path)], capture_output=True, timeout=120)
-    assert ran.returncode == 0, ran.stderr.decode()[-2000:]
-    *_, parity, rules = ran.stdout.decode().splitlines()
+def test_both_protocols_deliver_equal_tables_and_a_difference_is_detected(tmp_path):
+    arguments = [sys.executable, "-m", "hollyridge.cli.main", "day", str(SMALL), "--fronts", "sasp,clone"]
+    completed = subprocess.run([*arguments, "--report", str(tmp_path)], capture_output=True, timeout=120)
+    assert completed.returncode == 0, completed.stderr.decode()[-2000:]
+    *_, parity, rules = completed.stdout.decode().splitlines()
     assert parity.startswith("parity: ")
     assert parity.endswith(" tables compared, 0 differ")
     assert rules == "rules: 5 kept, 0 broken"
@@ -73,7 +73,7 @@
     compared, differ, _ = compare(rows)
     assert compared > 10
     assert not differ
-    for row in rows:  # one library reads every weight of one task wrongly
+    for row in rows:  # simulates a client library that misreads every weight of one task
         if row["k"] == "told":
             parts = parts_of(row)
             if b"/line/127.1.0.14:" in parts[0] and parts[-1]:
@@ -82,9 +82,9 @@
     assert compare(rows)[1] > 3
 
 
-def test_a_day_that_is_ended_takes_its_processes_with_it(tmp_path):
-    words = [sys.executable, "-m", "hollyridge.cli.main", "day", str(SMALL), "--report", str(tmp_path)]
-    process = subprocess.Popen(words, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE)
+def test_a_terminated_day_leaves_no_process_behind(tmp_path):
+    arguments = [sys.executable, "-m", "hollyridge.cli.main", "day", str(SMALL), "--report", str(tmp_path)]
+    process = subprocess.Popen(arguments, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE)
     for _ in range(100):
         if (tmp_path / "day.jsonl").exists() and (tmp_path / "assigner-0-1.log").exists():
             break
@@ -93,5 +93,5 @@
     process.terminate()
     assert process.wait(timeout=20) == 2
     assert b"ended by a signal" in process.stderr.read()
-    lines = [path.read_bytes() for path in Path("/proc").glob("[0-9]*/cmdline") if path.exists()]
-    assert not [line for line in lines if str(tmp_path).encode() in line]
+    command_lines = [path.read_bytes() for path in Path("/proc").glob("[0-9]*/cmdline") if path.exists()]
+    assert not [command_line for command_line in command_lines if str(tmp_path).encode() in command_line]
--- a/tests/lab/test_lab_scenario.py
+++ b/tests/lab/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""The examples are scenarios."""
+"""The example scenarios of the laboratory load."""
 
 import pytest
 from lab_helpers import ROOT
@@ -7,5 +7,5 @@
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "examples" / "lab").glob("*.ini")))
-def test_lab_examples_are_fine(path):
+def test_example_scenarios_load_and_have_faults(path):
     assert scenario.load(path).faults
--- a/tests/lab/test_lab_sockets.py
+++ b/tests/lab/test_lab_sockets.py
@@ -1,4 +1,4 @@
-"""The simulated pub-sub sockets behave as the library's pages have it."""
+"""The simulated ZeroMQ sockets behave as documented by ZeroMQ."""
 
 import pytest
 import zmq
@@ -7,48 +7,51 @@
 from hollyridge.lab.stand_ins.world import VirtualWorld
 
 
-def test_simulated_sockets():
-    """As the library's pages have it: a publisher drops for a full reader, a router says so; what waits is found."""
+def test_simulated_sockets_deliver_drop_and_raise():
+    """A publisher drops messages to a full subscriber, a router raises an error for an unknown peer.
+
+    A connected socket is found by a peer that binds its endpoint later.
+    """
     world = VirtualWorld()
-    net, got = sockets.Network(world, lambda: 0.001), []
+    network, received = sockets.Network(world, lambda: 0.001), []
     blocked = []
-    ours, theirs = sockets.Context(net), sockets.Context(net, cut=lambda endpoint: bool(blocked))
-    router, publisher = ours.socket(zmq.ROUTER), ours.socket(zmq.PUB)
-    dealer, reader = theirs.socket(zmq.DEALER), theirs.socket(zmq.SUB)
+    server, client = sockets.Context(network), sockets.Context(network, cut=lambda endpoint: bool(blocked))
+    router, publisher = server.socket(zmq.ROUTER), server.socket(zmq.PUB)
+    dealer, subscriber = client.socket(zmq.DEALER), client.socket(zmq.SUB)
     dealer.identity = b"me"
-    reader.rcvhwm = 2
+    subscriber.rcvhwm = 2
     dealer.connect("tcp://127.1.0.9:0;127.0.0.1:1")
-    reader.connect("tcp://127.1.0.9:0;127.0.0.1:2")
+    subscriber.connect("tcp://127.1.0.9:0;127.0.0.1:2")
     dealer.send_multipart([b"nobody hears"])
     router.bind("tcp://127.0.0.1:1")
     publisher.bind("tcp://127.0.0.1:2")
     with pytest.raises(zmq.ZMQError):
-        ours.socket(zmq.ROUTER).bind("tcp://127.0.0.1:1")
-    reader.subscribe(b"a")
+        server.socket(zmq.ROUTER).bind("tcp://127.0.0.1:1")
+    subscriber.subscribe(b"a")
 
-    def talk():
+    def exchange_messages():
         dealer.send_multipart([b"hello"])
         parts = router.recv_multipart(copy=False)
-        got.append(([bytes(p) for p in parts], parts[-1].get("Peer-Address")))
+        received.append(([bytes(p) for p in parts], parts[-1].get("Peer-Address")))
         for number in range(9):
             publisher.send_multipart([b"a%d" % number])
             publisher.send_multipart([b"b%d" % number])
         with pytest.raises(zmq.ZMQError):
             router.send_multipart([b"who", b"x"])
         poller = sockets.Poller(world)
-        poller.register(reader, zmq.POLLIN)
+        poller.register(subscriber, zmq.POLLIN)
         assert poller.poll(100)
         assert poller.poll(0)
         world.sleep(0.01)
-        got.append(len(reader.queue))
+        received.append(len(subscriber.queue))
         blocked.append(True)
         dealer.send_multipart([b"lost"])
         router.send_multipart([b"me", b"lost too"])
         world.sleep(0.01)
-        got.append((len(router.queue), len(dealer.queue)))
-        ours.end()
-        assert not net.bound
+        received.append((len(router.queue), len(dealer.queue)))
+        server.end()
+        assert not network.bound
 
-    world.spawn(talk)
+    world.spawn(exchange_messages)
     world.run(1.0)
-    assert got == [([b"me", b"hello"], "127.1.0.9"), 4, (0, 0)]
+    assert received == [([b"me", b"hello"], "127.1.0.9"), 4, (0, 0)]
--- a/tests/lab_helpers.py
+++ b/tests/lab_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the laboratory share."""
+"""Scenarios and helpers shared by the tests of the laboratory."""
 
 from pathlib import Path
 
@@ -13,5 +13,6 @@
 
 
 def outcome(path=SMALL, policy="", seed=3, ties=None):
+    """Play a simulated day and return its outcome."""
     loaded = scenario.load(path)
     return Day(loaded, SimulatedEnvironment(loaded, policy, seed, ties), seed).play()
