--- a/hollyridge/lab/stand_ins/command_handler.py
+++ b/hollyridge/lab/stand_ins/command_handler.py
@@ -71,10 +71,10 @@
     def do_leave(self, name: str, far: list[int]) -> None:
         """Close a proxy's stream if it is connected to one of these assigners."""
         if name in self.proxies and self.proxies[name].gateway.assigner_index in far:
-            self.proxies[name].hang_up()
+            self.proxies[name].disconnect()
 
     def do_break(self, name: str) -> None:
         """Close the stream to the assigner of one proxy, or of all if the name is empty."""
         for proxy in list(self.proxies.values()):
             if name in ("", proxy.uid):
-                proxy.hang_up()
+                proxy.disconnect()
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hollyridge.client import ChpGateway
-from hollyridge.client.sasp import HEARTBEATS_PER_LEASE, SaspTables
+from hollyridge.client.sasp import HEARTBEATS_PER_LEASE, SaspGatewayBase
 from hollyridge.lab.stand_ins.proxy import Proxy
 from hollyridge.lab.stand_ins.simulation import AssignerProcess, Simulation
 from hollyridge.lab.stand_ins.streams import FrameQueue, SimulatedStream
@@ -28,12 +28,12 @@
 class SeededBackoff:
     """Backoff between sessions, drawn from the proxy's own random generator."""
 
-    def wait(self, failed: int) -> float:
+    def retry_delay_s(self, failed: int) -> float:
         """Return the seconds before the next attempt, after `failed` consecutive failures."""
         return self.rng.random() * min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(failed, MAX_BACKOFF_DOUBLINGS))
 
 
-class VirtualSaspGateway(SeededBackoff, SaspTables):
+class VirtualSaspGateway(SeededBackoff, SaspGatewayBase):
     """SASP gateway on a simulated connection to one of the assigners."""
 
     def __init__(self, simulation: Simulation, proxy: Proxy, **options: object) -> None:
@@ -58,7 +58,7 @@
         if process.service is None:
             raise ConnectionError("nobody listens")
         frames = FrameQueue(self.simulation.world)
-        request_number = self.begin()
+        request_number = self.begin_session()
         stream = self.stream = SimulatedStream(process, self.proxy.host, frames.put)
         heartbeat = codec.SetBalancer(self.uid, BALANCER_HEALTH, int(BalancerFlags.PUSH | BalancerFlags.NO_CHANGE))
         self._open(stream, heartbeat, request_number)
@@ -87,7 +87,7 @@
             raise RefusedError(message.code)
         return reply_to, message
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection, if there is one."""
         stream, self.stream = self.stream, None
         if stream is not None:
@@ -114,7 +114,7 @@
         self.last_number = REGISTRATION_NUMBER
         self.last_sent_s = gateway.clock()
         self.answered = False
-        self.first_answer_timeout_s = gateway.patience(FIRST_ANSWER_TIMEOUT_S)
+        self.first_answer_timeout_s = gateway.first_reply_timeout(FIRST_ANSWER_TIMEOUT_S)
 
     def run(self) -> None:
         """Read frames until the stream ends or the gateway stops."""
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -18,7 +18,7 @@
 from hollyridge.lab.stand_ins.clients import Clients
 from hollyridge.lab.stand_ins.proxy_plan import ProxyPlan
 from hollyridge.lab.stand_ins.task_connection import TaskConnection
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 
 RECEIVE_INTERVAL_S = 0.5  # interval after which the gateway confirms that an idle SASP stream is open
 READ_POLL_INTERVAL_S = 0.05  # interval at which a proxy that has stopped reading checks whether it may read again
@@ -150,7 +150,7 @@
                 "applied", proxy=self.uid, assigner=changed.assigner_index, asked=changed.fencing.accepted_token
             )
         )
-        gateway.watch = self._on_session
+        gateway.on_session_change = self._on_session
         return gateway
 
     def create_gateway(self, front: str, first_table: list[str]) -> Gateway:
@@ -168,7 +168,9 @@
             "zmq": zmq,
             "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
-        return ChpGateway(self.plan.clone, self.uid, self.names, connection_options, before=self.apply, **options)
+        return ChpGateway(
+            self.plan.clone, self.uid, self.names, connection_options, before_update=self.apply, **options
+        )
 
     def _create_sasp_gateway(self, options: dict) -> Gateway:
         connection_options = {
@@ -183,7 +185,7 @@
             {method.name: method.group for method in self.methods},
             connection_options,
             receive_s=RECEIVE_INTERVAL_S,
-            before=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
+            before_update=lambda groups: self.apply(sum(len(group.weights) for group in groups)),
             **options,
         )
 
@@ -216,9 +218,9 @@
         while self.stalled_until > self.world.now():
             self.world.sleep((self.stalled_until - self.world.now()) / 1e6)
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """Close the stream to the assigner, if there is one."""
-        self.gateway.hang_up()
+        self.gateway.disconnect()
 
     def _close_unused(self, gateway: Gateway) -> None:
         """Close the connections to tasks that are no longer in any table."""
@@ -240,9 +242,9 @@
         """Return a connection to the task at this address."""
         return TaskConnection(task)
 
-    def send_report(self, figures: list[Figure]) -> None:
+    def send_report(self, metric_points: list[MetricPoint]) -> None:
         """Send a load report to the current assigner."""
-        self.reporter.send(self.plan.otlp[self.gateway.assigner_index], figures, gevent.sleep)
+        self.reporter.send(self.plan.otlp[self.gateway.assigner_index], metric_points, gevent.sleep)
 
     # RPCs.
 
@@ -310,15 +312,15 @@
         while not self.down:
             self.world.sleep(period_s)
             end = self.wall_clock_ns()
-            figures = self.reporter.figures(begun, end)
+            metric_points = self.reporter.metric_points(begun, end)
             begun = end
-            if figures:
+            if metric_points:
                 delay_s = self.report_delay_s + self.rng.uniform(0, REPORT_JITTER_S)
-                self.world.spawn_later(delay_s, self._post, figures)
+                self.world.spawn_later(delay_s, self._post, metric_points)
 
-    def _post(self, figures: list[Figure]) -> None:
+    def _post(self, metric_points: list[MetricPoint]) -> None:
         if not self.down and self.gateway.assigner_index not in self.unreachable_assigners:
-            self.send_report(figures)
+            self.send_report(metric_points)
 
     def stop(self) -> None:
         """Stop immediately."""
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -13,8 +13,8 @@
 from hollyridge.lab.reports.record import STATE
 from hollyridge.lab.stand_ins.simulation import OTLP_PORT, SASP_PORT, US_PER_S, Simulation
 from hollyridge.lab.stand_ins.sockets import Context
-from hollyridge.otlp.reading import METRICS
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.reading import KIND_BY_METRIC
+from hollyridge.otlp.sender import MetricPoint
 from hollyridge.peers.peer_service import PeerConfig
 from hollyridge.sasp.server import SaspServer
 from hollyridge.service import Service, ServiceEnvironment
@@ -227,7 +227,7 @@
 
     # Load reports.
 
-    def report(self, source: str, figures: list[Figure]) -> None:
+    def report(self, source: str, figures: list[MetricPoint]) -> None:
         """Handle a load report as the OTLP intake handles a decoded one."""
         if self.service is None or self.defer_if_stalled(self.report, source, figures):
             return
@@ -237,9 +237,9 @@
             if point is not None:
                 self.service.engine.report(now, point)
 
-    def _data_point(self, source: str, figure: Figure) -> DataPoint | None:
+    def _data_point(self, source: str, figure: MetricPoint) -> DataPoint | None:
         """Return the data point of a figure; None if a name in it is unknown."""
-        names, kind, attributes = self.names, METRICS[figure.name], figure.attributes
+        names, kind, attributes = self.names, KIND_BY_METRIC[figure.name], figure.attributes
         method = names.method(attributes["method"]) if "method" in attributes else 0
         if kind in (Kind.RPCS, Kind.UNANSWERED):
             subject = names.proxy(attributes["proxy"]), method
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -15,7 +15,7 @@
 from hollyridge.lab.stand_ins.sockets import Network
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.world import VirtualWorld
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 
 if TYPE_CHECKING:
     from hollyridge.service import Service
@@ -46,7 +46,7 @@
     def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
         """Return whether the process is stalled; if so, run `call` when the stall is over."""
 
-    def report(self, source: str, figures: list[Figure]) -> None:
+    def report(self, source: str, figures: list[MetricPoint]) -> None:
         """Handle a load report."""
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -16,7 +16,7 @@
 from hollyridge.lab.stand_ins.task import Task
 from hollyridge.lab.stand_ins.task_connection import CONNECT_TIMEOUT_S
 from hollyridge.lab.stand_ins.task_model import TaskSpec
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 from hollyridge.sasp.client import ConnectionLostError
 
 AGENT_POLL_INTERVAL_S = 0.02
@@ -111,7 +111,7 @@
             "on_receive": lambda parts: self.record.parts("told", self.uid, self.stream, parts),
         }
         return VirtualChpGateway(
-            simulation.addresses["clone"], self.uid, self.names, connection_options, before=self.apply, **options
+            simulation.addresses["clone"], self.uid, self.names, connection_options, before_update=self.apply, **options
         )
 
     def wall_clock_ns(self) -> int:
@@ -122,7 +122,7 @@
         """Return a connection to the task at this address."""
         return VirtualConnection(self.simulation, self, task)
 
-    def send_report(self, figures: list[Figure]) -> None:
+    def send_report(self, figures: list[MetricPoint]) -> None:
         """Pass a load report to the assigner without OTLP encoding."""
         self.simulation.processes[self.gateway.assigner_index].report(self.uid, figures)
 
