--- a/tests/lab/test_lab_simulation.py
+++ b/tests/lab/test_lab_simulation.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from lab_helpers import ROOT, SMALL, THREE, outcome
+from lab_helpers import ROOT, SMALL, THREE, play_day
 
 from hollyridge.lab import scenario
 from hollyridge.lab.day import Day
@@ -28,7 +28,7 @@
     """Another order draws other delays, so it has the effect of another seed: rules are kept, service is similar."""
     served = []
     for ties in (None, 1, 2, 3):
-        result = outcome(ties=ties)
+        result = play_day(ties=ties)
         assert all(v.kept for v in result.verdicts)
         served.append(result.figures["served"])
     assert max(served) - min(served) < 0.12
@@ -36,32 +36,32 @@
 
 @pytest.mark.parametrize(("policy", "rule"), [("bare", 1), ("deaf", 3), ("chatty", 5)])
 def test_policies_that_break_a_rule_are_detected_in_simulated_days(policy, rule):
-    broken = {v.rule for v in outcome(policy=policy).verdicts if not v.kept}
+    broken = {v.rule for v in play_day(policy=policy).verdicts if not v.kept}
     assert rule in broken
 
 
 def test_only_the_bold_policy_overloads_a_cold_task():
     path = ROOT / "tests" / "days" / "unforgiving.ini"
     for policy, kept in (("", True), ("bold", False)):
-        assert outcome(path, policy).verdicts[3].kept == kept
+        assert play_day(path, policy).verdicts[3].kept == kept
 
 
 def test_live_and_simulated_days_give_similar_results():
     arguments = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", str(SMALL), "--live", "--json"]
     live = msgspec.json.decode(subprocess.run(arguments, check=True, capture_output=True, timeout=120).stdout)
     # A simulated day sends 39 to 53 messages, depending on the seed, a live one 64 to 68.
-    simulated = [outcome(seed=seed).figures for seed in range(1, 7)]
+    simulated = [play_day(seed=seed).figures for seed in range(1, 7)]
     assert live["served"] == pytest.approx(sum(row["served"] for row in simulated) / len(simulated), abs=0.1)
     assert live["messages"] == pytest.approx(sum(row["messages"] for row in simulated) / len(simulated), rel=0.6)
     assert live["broken"] == 0
 
 
 def test_drain_and_recovery_times_of_a_day():
-    figures = outcome().figures
+    figures = play_day().figures
     assert figures["drains"]["closings"] == 3
     assert 0 <= figures["drains"]["median_s"] <= figures["drains"]["worst_s"] < 3
     assert set(figures["recovered_s"]) == {"release", "streams", "hang"}
-    slow = outcome(policy="deaf").figures
+    slow = play_day(policy="deaf").figures
     assert slow["drains"]["worst_s"] > figures["drains"]["worst_s"]
 
 
--- a/tests/lab_helpers.py
+++ b/tests/lab_helpers.py
@@ -12,7 +12,7 @@
 SECOND = 1_000_000
 
 
-def outcome(path=SMALL, policy="", seed=3, ties=None):
+def play_day(path=SMALL, policy="", seed=3, ties=None):
     """Play a simulated day and return its outcome."""
     loaded = scenario.load(path)
     return Day(loaded, SimulatedEnvironment(loaded, policy, seed, ties), seed).play()
