--- a/hollyridge/lab/checks/__init__.py
+++ b/hollyridge/lab/checks/__init__.py
@@ -1,1 +1,1 @@
-"""What judges a day: the rules, ownership, parity of the protocols, metrics, and two explicit-state model checks."""
+"""Checks of recorded days (rules, ownership, protocol parity, metrics) and two explicit-state model checks."""
--- a/hollyridge/lab/checks/chp_listener.py
+++ b/hollyridge/lab/checks/chp_listener.py
@@ -1,4 +1,4 @@
-"""What one CHP proxy holds, from what was recorded of its messages."""
+"""Replay of the recorded messages of one CHP proxy, to find which lines it held."""
 
 from __future__ import annotations
 
@@ -9,23 +9,27 @@
 from hollyridge.membership.fencing import FencingChecker
 
 
-class FenceFollower(FencingChecker):
-    """Does not know the numbers of a proxy's questions, only that they grow."""
+class MonotonicFencingChecker(FencingChecker):
+    """Fencing check that accepts any token that is not older than the newest accepted one.
+
+    The tokens that the proxy asked with are not recorded; it is only known that they increase.
+    """
 
     def accepts(self, fencing_token: int) -> bool:
-        """Whether the number is not older than one that was followed."""
+        """Return whether the token is not older than the newest accepted one."""
         if fencing_token < self.accepted_token:
             return False
         self.accepted_token = fencing_token
         return True
 
 
-class Received(NamedTuple):
-    """What a message came to.
+class MessageEffect(NamedTuple):
+    """Effect of one message on a proxy.
 
     Attributes:
-        joined: Whether the proxy joined with it.
-        lines: Lines that came complete with it, and `version`, the decision's number.
+        joined: Whether the proxy joined with this message.
+        lines: Number of lines of the update that this message completes, its head included; 0 if it completes none.
+        version: Number of the decision that these lines belong to.
         changed: Whether the proxy's tables changed.
     """
 
@@ -36,19 +40,21 @@
 
 
 class ChpListener:
-    """Follows the messages of one proxy.
+    """State of one proxy, rebuilt from the messages it received.
 
     Attributes:
-        joined_in: The stream in which it joined last.
+        client: The client library's copy of the proxy's tables.
+        stream: Number of the stream of the newest message.
+        joined_stream: Number of the stream in which the proxy joined last.
     """
 
     def __init__(self, uid: str, methods: list[str]) -> None:
-        self.client = ProxyReplicas(uid, methods, FenceFollower())
+        self.client = ProxyReplicas(uid, methods, MonotonicFencingChecker())
         self.stream = 0
-        self.joined_in = 0
+        self.joined_stream = 0
 
-    def take(self, stream: int, parts: list[bytes]) -> Received:
-        """Read one message; one that the client library refuses comes to nothing."""
+    def apply(self, stream: int, parts: list[bytes]) -> MessageEffect:
+        """Apply one message and return its effect; a message that the client library rejects has none."""
         if stream != self.stream:
             self.stream = stream
             for replica in self.client.replicas.values():
@@ -58,13 +64,13 @@
             before = {subtree: replica.head.seq for subtree, replica in self.client.replicas.items()}
             _, _, changed = self.client.take(message)
         except codec.ChpError:
-            return Received()
+            return MessageEffect()
         subtree = getattr(message, "subtree", "") or codec.subtree_of(getattr(message, "key", ""))
         lines, version = self._completed(message, subtree, before.get(subtree, 0))
-        return Received(self._joins(message, subtree), lines, version, changed)
+        return MessageEffect(self._joins(message, subtree), lines, version, changed)
 
     def _completed(self, message: codec.Message, subtree: str, seq_before: int) -> tuple[int, int]:
-        """Lines that are complete with this message, and their version."""
+        """Return the number of lines that this message completes, and their version."""
         replica = self.client.replicas.get(subtree)
         if replica is None or replica.head.seq == seq_before:
             return 0, 0
@@ -75,10 +81,10 @@
         home = isinstance(message, codec.Kthxbai) and subtree == self.client.home
         joined = (
             home
-            and self.joined_in != self.stream
+            and self.joined_stream != self.stream
             and self.client.replicas[subtree].synced
             and not self.client.redirect()
         )
         if joined:
-            self.joined_in = self.stream
+            self.joined_stream = self.stream
         return joined
--- a/hollyridge/lab/checks/cold_rule.py
+++ b/hollyridge/lab/checks/cold_rule.py
@@ -1,4 +1,4 @@
-"""Rule 4: no cold task is pushed over by proxies that could know of it."""
+"""Rule 4: no cold task is overloaded by proxies that could know that it was cold."""
 
 from __future__ import annotations
 
@@ -7,14 +7,23 @@
 from typing import NamedTuple
 
 from hollyridge.lab.checks.evidence import Evidence
-from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, Worst
+from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, WorstMoment
 
-AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3  # of the work at a cold task must come from proxies that could know
+AWARE_NUMERATOR, AWARE_DENOMINATOR = (
+    2,
+    3,
+)  # share of the work at a cold task that must come from proxies that could know
 END_OF_TIME = 1 << 62
 
 
 class _Arrival(NamedTuple):
-    """Work that came to a cold task."""
+    """Work that arrived at a cold task.
+
+    Attributes:
+        at: Time of arrival, in microseconds.
+        work_us: CPU time that the RPC needs, in microseconds.
+        proxy: The proxy that sent it.
+    """
 
     at: int
     work_us: float
@@ -22,8 +31,12 @@
 
 
 def check_cold_tasks(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Rule 4: no cold task is pushed over by proxies that knew, or whose assigner had known long enough."""
-    worst = Worst("no cold task was near its limit")
+    """Return the verdict on rule 4.
+
+    A load counts if most of it came from proxies that knew of the start, or whose assigner had known of it for the
+    grace period.
+    """
+    worst = WorstMoment("no cold task was near its limit")
     starts: dict[tuple[str, str], dict] = {}
     windows: dict[tuple[str, str], deque[_Arrival]] = defaultdict(deque)
     for row in evidence.rows:
@@ -37,7 +50,7 @@
 
 
 def _note_cold_rpc(  # noqa: PLR0913, PLR0917 - one step of `check_cold_tasks`
-    evidence: Evidence, limits: RuleLimits, start: dict, window: deque[_Arrival], row: dict, worst: Worst
+    evidence: Evidence, limits: RuleLimits, start: dict, window: deque[_Arrival], row: dict, worst: WorstMoment
 ) -> None:
     age_us = row["t"] - start["born"]
     if age_us >= start["cold_us"]:
@@ -51,15 +64,17 @@
     known = _known_since(evidence, row["task"], row["run"])
     if not known:
         return
-    aware_us = sum(arrival.work_us for arrival in window if _knew(evidence, limits, arrival.proxy, known, arrival.at))
+    aware_us = sum(
+        arrival.work_us for arrival in window if _could_know(evidence, limits, arrival.proxy, known, arrival.at)
+    )
     if aware_us * AWARE_DENOMINATOR < work_us * AWARE_NUMERATOR:
-        return  # too much of it came from proxies that could not know
+        return  # too much of the work came from proxies that could not know of the start
     used = work_us / allowed_us
     worst.note(used, f"{row['task']} at {used:.0%} of what it falls at, {age_us / 1e6:.1f} s old")
 
 
 def _known_since(evidence: Evidence, task: str, run: str) -> dict[int, int]:
-    """When each assigner first learned of this run of a task (us)."""
+    """Return the time at which each assigner first learned of this run of a task, in microseconds."""
     return {
         assigner: news.at
         for assigner, tasks in evidence.task_news.items()
@@ -68,11 +83,18 @@
     }
 
 
-def _knew(evidence: Evidence, limits: RuleLimits, proxy: str, known: dict[int, int], at: int) -> bool:
-    """Whether a proxy could know of a start that assigners learned of when `known` says.
+def _could_know(evidence: Evidence, limits: RuleLimits, proxy: str, known: dict[int, int], at: int) -> bool:
+    """Return whether a proxy could know of a task's start.
+
+    It could if its assigner knew of the start before the proxy's last message up to `at`, or if the assigner that it
+    is joined to has known for the grace period.
 
-    It could if its last message by then was sent knowing of it, or if the assigner that it is joined to has known for
-    the grace.
+    Args:
+        evidence: What was recorded.
+        limits: Limits of the rules, among them the grace period.
+        proxy: The proxy.
+        known: Time at which each assigner learned of the start, in microseconds.
+        at: Time in question, in microseconds.
     """
     joined = evidence.joined_at(proxy, at)
     if joined is not None and joined.assigner in known and at >= known[joined.assigner] + limits.drain_grace_us:
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -1,6 +1,6 @@
-"""What recordings prove: who was joined when, what each proxy held, what each assigner knew of the tasks.
+"""Facts derived from recordings: which proxy was joined when, which tables it held, which tasks each assigner knew.
 
-Only what passed on the sockets counts; nothing that an assigner reports of itself does.
+Only messages that passed on the sockets are used, never what an assigner reports about itself.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import HeldWeights
 
-OPEN = -1  # the end of a span that goes on
-BEFORE_FIRST = -1  # when a run began that was never started
+OPEN = -1  # end of a span that has not ended
+BEFORE_FIRST = -1  # start of a run at a time before the first recorded start of the assigner
 MAX_UPTIME_S = 1e9
 SUCCESS = 0
 
@@ -27,9 +27,10 @@
     """A change of a task that an assigner has learned of.
 
     Attributes:
-        at: When it answered (us): from then on it knows.
-        state: ready, draining or gone.
-        started: When the task's run began (us).
+        at: Time of the assigner's answer, from which on it knows of the change, in microseconds.
+        state: State of the task: ready, draining or gone.
+        run: Identifier of the task's run.
+        started: Time at which the task's run began, in microseconds.
     """
 
     at: int
@@ -39,7 +40,13 @@
 
 
 class JoinSpan(NamedTuple):
-    """From when until when (us) a proxy was joined to which assigner."""
+    """Span in which a proxy was joined to an assigner.
+
+    Attributes:
+        since: Start of the span, in microseconds.
+        until: End of the span, in microseconds; `OPEN` if it has not ended.
+        assigner: Number of the assigner.
+    """
 
     since: int
     until: int
@@ -50,9 +57,9 @@
     """A message with lines of tables.
 
     Attributes:
-        at: When it came (us).
-        number: Of the decision that it belongs to.
-        lines: How many it has.
+        at: Time at which the proxy received it, in microseconds.
+        number: Number of the decision that it belongs to.
+        lines: Number of lines in it.
     """
 
     at: int
@@ -61,12 +68,15 @@
 
 
 class HeldTable(NamedTuple):
-    """A table that a proxy began to hold.
+    """A table as a proxy holds it after an update.
 
     Attributes:
-        table: Its subtree, where the protocol tells it.
-        version: The decision's number.
-        lines: Weight by address.
+        at: Time of the update, in microseconds.
+        proxy: The proxy.
+        group: The SASP group or CHP method that the table is for.
+        table: Subtree of the table; empty for SASP, which does not transmit it.
+        version: Number of the decision.
+        lines: Weight of each task, by address.
     """
 
     at: int
@@ -79,34 +89,39 @@
 
 @dataclass
 class EmptySpan:
-    """From when until when (us) a proxy held no line of a table."""
+    """Span in which a proxy held no line of a table.
+
+    Attributes:
+        begin: Start of the span, in microseconds.
+        end: End of the span, in microseconds; `OPEN` if it has not ended.
+    """
 
     begin: int
     end: int = OPEN
 
 
-def name_of(member: codec.Member) -> str:
-    """The address by which tables and recordings know a member."""
+def address_of(member: codec.Member) -> str:
+    """Return the address that identifies a member in tables and recordings."""
     return f"{member.host}:{member.port}"
 
 
 class Evidence:
-    """Recordings, sorted out.
+    """Facts derived from the records of a day.
 
     Attributes:
-        rows: The records, by time.
-        end: When the last of them was written (us).
-        task_news: By assigner and task.
-        joined: By proxy.
-        empty: By proxy and group.
-        messages: By proxy.
-        tables: Every table that a proxy began to hold, if they are kept.
-        starts: When each assigner was started (us).
-        zone: Of each proxy.
+        rows: The records, sorted by time.
+        end: Time of the last record, in microseconds.
+        task_news: Changes of tasks, by assigner and task.
+        joined: Spans in which each proxy was joined.
+        empty: Spans without a line, by proxy and group.
+        messages: Updates that each proxy received.
+        tables: All tables that proxies held, if they are kept.
+        starts: Times at which each assigner was started, in microseconds.
+        zone: Zone of each proxy.
     """
 
     def __init__(self, rows: Iterable[dict], tables: bool = False) -> None:
-        """Read records, which must be sorted by time; with `tables`, keep all tables that proxies held."""
+        """Derive the facts from records, which must be sorted by time; with `tables`, keep all held tables."""
         self.rows = list(rows)
         self.end = self.rows[-1]["t"] if self.rows else 0
         self.task_news: dict[int, dict[str, list[TaskNews]]] = defaultdict(lambda: defaultdict(list))
@@ -122,34 +137,37 @@
         _Reader(self, tables).read()
 
     def joined_at(self, proxy: str, at: int) -> JoinSpan | None:
-        """The span in which a proxy is joined at that time."""
+        """Return the span in which a proxy is joined at that time; None if it is not joined."""
         for span in reversed(self.joined.get(proxy, [])):
             if span.since <= at:
                 return span if at <= span.until else None
         return None
 
     def run_of(self, proxy: str, at: int) -> tuple[int, int]:
-        """The assigner that a proxy had joined last by then, and when that run of the assigner began."""
+        """Return the assigner that a proxy had joined last by then, and the time at which that assigner's run began."""
         past = [span for span in self.joined.get(proxy, []) if span.since <= at]
         assigner = past[-1].assigner if past else 0
-        return assigner, self.began(assigner, at)
+        return assigner, self.run_start(assigner, at)
 
-    def began(self, assigner: int, at: int) -> int:
-        """When the run of an assigner began that is on at that time; `BEFORE_FIRST` before the first."""
+    def run_start(self, assigner: int, at: int) -> int:
+        """Return the start of the run of an assigner that is current at that time; `BEFORE_FIRST` before the first."""
         starts = self.starts[assigner]
         index = bisect.bisect_right(starts, at)
         return starts[index - 1] if index else BEFORE_FIRST
 
 
 class _Reader:
-    """Reads records one by one.
+    """Reader that fills an `Evidence` from its records, one by one.
 
     Attributes:
-        requests: SASP requests without an answer: when they were sent, and what.
-        held: The tables of each SASP proxy; `held_stream` is the stream that they are of.
-        groups: The groups or methods that each proxy's tables are for.
-        listeners: The CHP proxies.
-        assigner_of: The assigner of each client's stream.
+        evidence: The evidence to fill.
+        keep_tables: Whether to keep all tables that proxies held.
+        requests: Send time and message of each unanswered SASP request, by client, stream and message number.
+        held: Tables of each SASP proxy.
+        held_stream: Stream that the tables of each SASP proxy belong to.
+        groups: Groups or methods that each proxy's tables are for.
+        listeners: State of each CHP proxy.
+        assigner_of: Assigner that each client's stream leads to.
     """
 
     def __init__(self, evidence: Evidence, keep_tables: bool) -> None:
@@ -177,7 +195,7 @@
         self._close_spans()
 
     def _close_spans(self) -> None:
-        """Let what goes on end with the recording."""
+        """End the spans that are still open at the end of the recording."""
         end = self.evidence.end
         for spans in self.evidence.empty.values():
             for span in spans:
@@ -194,20 +212,20 @@
             self.listeners[proxy] = ChpListener(proxy, row["names"])
 
     def _on_stream(self, row: dict) -> None:
-        who = row["who"]
+        client = row["who"]
         if row["up"]:
-            self.assigner_of[who] = row.get("assigner", 0)
+            self.assigner_of[client] = row.get("assigner", 0)
             return
-        spans = self.evidence.joined.get(who)
+        spans = self.evidence.joined.get(client)
         if spans and spans[-1].until < 0:
             spans[-1] = spans[-1]._replace(until=row["t"])
-        for group in self.groups.get(who, ()):
-            empty = self.evidence.empty.get((who, group))
+        for group in self.groups.get(client, ()):
+            empty = self.evidence.empty.get((client, group))
             if empty and empty[-1].end < 0:
                 empty[-1].end = row["t"]
 
     def _note_lines(self, proxy: str, group: str, is_empty: bool, at: int) -> None:
-        """A proxy holds lines of a table from now on, or none."""
+        """Record whether a proxy holds no line of a table from this time on."""
         spans = self.evidence.empty[proxy, group]
         if is_empty and (not spans or spans[-1].end >= 0):
             spans.append(EmptySpan(at))
@@ -217,7 +235,7 @@
     def _note_joined(self, proxy: str, at: int) -> None:
         self.evidence.joined[proxy].append(JoinSpan(at, OPEN, self.assigner_of[proxy]))
 
-    # SASP.
+    # SASP messages.
 
     def _on_sasp_sent(self, row: dict) -> None:
         number, message = codec.decode(frame_of(row))
@@ -231,7 +249,7 @@
             return
         request = self.requests.get(key, (0, None))[1]
         if isinstance(request, codec.Register) and ownership_extension.read_request(request.groups[0].group.name):
-            return  # it has said the number of its question, and is not joined yet
+            return  # only the ownership request, with the fencing token; the proxy is not joined yet
         if isinstance(message, codec.RegisterReply) and message.code == SUCCESS:
             self._on_registered(row["who"], row["t"])
         elif isinstance(message, (codec.SendWeights, codec.GetWeightsReply)):
@@ -239,7 +257,7 @@
 
     def _on_registered(self, proxy: str, at: int) -> None:
         self._note_joined(proxy, at)
-        for group in self.groups.get(proxy, ()):  # what it holds from an earlier stream may be nothing
+        for group in self.groups.get(proxy, ()):  # its table from an earlier stream may be empty
             if group in self.held[proxy].tables and not self.held[proxy].lines(group):
                 self._note_lines(proxy, group, True, at)
 
@@ -253,7 +271,7 @@
         lines = sum(len(group.weights) for group in message.groups)
         self.evidence.messages[proxy].append(ReceivedUpdate(at, number, lines))
         for group, _ in message.groups if self.keep_tables else ():
-            weights = {name_of(member): float(entry.weight) for member, entry in held.lines(group.name).items()}
+            weights = {address_of(member): float(entry.weight) for member, entry in held.lines(group.name).items()}
             self.evidence.tables.append(HeldTable(at, proxy, group.name, "", number, weights))
         for group in held.fresh:
             self._note_lines(proxy, group, not held.lines(group), at)
@@ -271,15 +289,15 @@
                 for member in members:
                     gone = TaskNews(at, "gone", "", at)
                     registers = isinstance(message, codec.Register)
-                    news[name_of(member)].append(_started(at, member) if registers else gone)
+                    news[address_of(member)].append(_started(at, member) if registers else gone)
 
-    # CHP.
+    # CHP messages.
 
     def _on_chp_received(self, row: dict) -> None:
-        """Read a message with the client library's own rules of what is complete."""
+        """Apply a message; the client library decides which updates are complete."""
         proxy, at = row["who"], row["t"]
         listener = self.listeners[proxy]
-        received = listener.take(row["stream"], parts_of(row))
+        received = listener.apply(row["stream"], parts_of(row))
         tables = listener.client.tables
         if received.joined:
             self._note_joined(proxy, at)
@@ -296,16 +314,16 @@
 
 
 def _started(at: int, member: codec.Member) -> TaskNews:
-    """What an assigner learns from a member's registration and its label."""
-    words = read_label(member.label)
-    up_s = figure(words, "up", 0, MAX_UPTIME_S) or 0.0
-    return TaskNews(at, "ready", words.get("run", ""), at - round(up_s * 1e6))
+    """Return what an assigner learns from a member's registration and its label."""
+    fields = read_label(member.label)
+    up_s = figure(fields, "up", 0, MAX_UPTIME_S) or 0.0
+    return TaskNews(at, "ready", fields.get("run", ""), at - round(up_s * 1e6))
 
 
 def _learn_states(news: dict[str, list[TaskNews]], at: int, message: codec.SetMembers) -> None:
-    """Add what an assigner learns when members are quiesced, or no more."""
+    """Add what an assigner learns when members are quiesced or resumed."""
     for _, states in message.groups:
         for state in states:
-            history = news[name_of(state.member)]
+            history = news[address_of(state.member)]
             last = history[-1] if history else TaskNews(at, "ready", "", at)
             history.append(last._replace(at=at, state="draining" if state.quiesce else "ready"))
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -1,9 +1,9 @@
 """An explicit-state model check of leases, fencing and handover, with the real lease manager and fencing checker.
 
-The model: two assigners that may be cut from each other, stand still or restart, one proxy, and updates on their way
-that arrive late and in any order. What must never happen: an update of an assigner that was followed by another is
-applied after the other's, unless the proxy asked again. What must always be possible: to ask either of them and be sent
-updates.
+The model has two assigners, which may be partitioned from each other, stall or restart, one proxy, and updates in
+flight, which arrive late and in any order. Safety: once updates of a second assigner were applied, no update of the
+first is applied any more unless the proxy asked again. Liveness: the proxy can always ask either assigner and is then
+sent updates.
 """
 
 from __future__ import annotations
@@ -25,22 +25,28 @@
 )
 
 NAMES = ("a", "b")
-LEASE = LeaseConfig(duration_us=2, settle_us=1, move_period_us=1)  # in steps of the model's time
+LEASE = LeaseConfig(duration_us=2, settle_us=1, move_period_us=1)  # in steps of model time
 UID = "gw-1"
-MAX_CHANGES = 3  # how often time may pass, or a cut begin or end
-WAIT_STEPS = 3  # how far time passes at once
+MAX_CHANGES = 3  # number of moves that let time pass, or begin or end a partition
+WAIT_STEPS = 3  # steps of model time that pass in one move
 
 
 class FaultyFencingChecker(FencingChecker):
-    """Follows every number, to show that the check finds what this breaks."""
+    """Fencing checker that accepts every token, to show that the model check finds the resulting violation."""
 
     def accepts(self, fencing_token: int) -> bool:
-        """Follow the number."""
+        """Return True for every token."""
         return True
 
 
 class Update(NamedTuple):
-    """An update on its way to the proxy: from which run of which assigner, under which fencing number."""
+    """An update in flight to the proxy.
+
+    Attributes:
+        name: Assigner that sent it.
+        run: Run of that assigner.
+        fence: Fencing token that it carries.
+    """
 
     name: str
     run: int
@@ -50,22 +56,28 @@
 class World:
     """One state of the model.
 
-    Moves: the proxy asks an assigner (its old stream broke, as it sees it), pleading or not; it answers the one it has;
-    an assigner sends an update, looks at its leases, restarts; a cut begins or ends; an update arrives; time passes,
-    for those who look.
+    Moves of the proxy: it asks an assigner for a lease after its stream broke, with or without a plea, or acknowledges
+    its fencing token to the assigner that it has a stream to. Moves of an assigner: it sends an update, checks its
+    leases or restarts. Other moves: a partition begins or ends, an update arrives, or time passes.
 
     Attributes:
-        asks: How often the proxy may still ask; `orders`, `restarts` and `steps` are limits alike.
-        cut: Whether the assigners are cut from each other.
-        run: Counts the runs of each assigner.
-        stream: The assigner that the proxy has a stream to.
-        in_flight: Updates on their way.
-        applied: Of which assigner, run and number updates were applied, in order.
-        wrong: What must never happen and did.
+        fencing_checker: The proxy's check of fencing tokens.
+        asks: Number of requests that the proxy may still send.
+        orders: Number of updates that assigners may still send.
+        restarts: Number of restarts that may still happen.
+        steps: Number of moves left that let time pass, or begin or end a partition.
+        now: Model time, in steps.
+        cut: Whether the assigners are partitioned from each other.
+        run: Number of the current run of each assigner.
+        owners: Lease manager of each assigner.
+        stream: Assigner that the proxy has a stream to; empty if it has none.
+        in_flight: Updates in flight.
+        applied: Assigner, run and fencing token of the applied updates, in order.
+        violation: Description of a violated property; empty if there is none.
     """
 
     def __init__(self, fencing: bool = True, asks: int = 3, orders: int = 3, restarts: int = 1) -> None:
-        self.judge = FencingChecker() if fencing else FaultyFencingChecker()
+        self.fencing_checker = FencingChecker() if fencing else FaultyFencingChecker()
         self.asks = asks
         self.orders = orders
         self.restarts = restarts
@@ -90,7 +102,7 @@
         self.owners[name].handle(self.now, MembersChanged({member: MemberState("", 1.0, 0) for member in alive}))
 
     def moves(self) -> list[tuple]:
-        """What may happen next: the kind of the move and what it is about."""
+        """Return the possible moves, each as its kind and arguments."""
         moves: list[tuple] = []
         if self.asks:
             moves += [("ask", name, plea) for name in NAMES for plea in (False, True)]
@@ -106,15 +118,15 @@
         moves += [("arrive", update) for update in dict.fromkeys(self.in_flight)]
         return moves
 
-    def play(self, move: tuple) -> None:
-        """Let a move happen."""
+    def apply(self, move: tuple) -> None:
+        """Apply a move to this state."""
         kind, *arguments = move
         getattr(self, f"_on_{kind}")(*arguments)
 
     def _on_ask(self, name: str, plea: bool) -> None:
-        """The proxy asks; the other end of its old stream does not know that it is gone."""
+        """Let the proxy ask an assigner; the assigner of its old stream does not learn that the stream is gone."""
         self.asks -= 1
-        for effect in self.owners[name].handle(self.now, ProxyAsked(UID, "", self.judge.next_token(), plea)):
+        for effect in self.owners[name].handle(self.now, ProxyAsked(UID, "", self.fencing_checker.next_token(), plea)):
             if isinstance(effect, LeaseGranted):
                 self.stream = name
                 self.in_flight.append(Update(name, self.run[name], effect.fencing_token))
@@ -126,9 +138,9 @@
             self.in_flight.append(Update(name, self.run[name], owners.fencing_token(UID)))
 
     def _on_hear(self) -> None:
-        """The assigner of the proxy's stream hears from it."""
+        """Let the assigner of the proxy's stream receive the proxy's acknowledgment."""
         owners = self.owners[self.stream]
-        acknowledged = TokenAcknowledged(UID, self.judge.newest_token)
+        acknowledged = TokenAcknowledged(UID, self.fencing_checker.newest_token)
         if UID not in owners.held or any(
             isinstance(effect, ReleaseProxy) for effect in owners.handle(self.now, acknowledged)
         ):
@@ -157,7 +169,7 @@
 
     def _on_arrive(self, update: Update) -> None:
         self.in_flight.remove(update)
-        if not self.judge.accepts(update.fence):
+        if not self.fencing_checker.accepts(update.fence):
             return
         source = update.name, update.run, update.fence
         if self.applied and self.applied[-1] == source:
@@ -167,7 +179,7 @@
         self.applied.append(source)
 
     def key(self) -> tuple:
-        """Tells different states apart."""
+        """Return a key that is equal for equal states only."""
         leases = tuple(
             (
                 name,
@@ -185,7 +197,7 @@
             self.stream,
             tuple(sorted(self.in_flight)),
             tuple(self.applied),
-            self.judge.newest_token,
+            self.fencing_checker.newest_token,
             self.asks,
             self.orders,
             self.restarts,
@@ -193,51 +205,51 @@
         )
 
 
-def can_go_on(world: World) -> bool:
-    """Whether the proxy is sent updates by either assigner once it asks, pleading."""
+def can_recover(world: World) -> bool:
+    """Return whether the proxy is sent updates by either assigner after a request with a plea."""
     for name in NAMES:
         later = copy.deepcopy(world)
-        later.play(("ask", name, True))
+        later.apply(("ask", name, True))
         while later.in_flight:
-            later.play(("arrive", later.in_flight[0]))
+            later.apply(("arrive", later.in_flight[0]))
         if not later.applied or later.applied[-1][0] != name:
             return False
     return True
 
 
-class Explored(NamedTuple):
-    """What an exploration found.
+class ExplorationResult(NamedTuple):
+    """Result of an exploration.
 
     Attributes:
-        worlds: States that were seen.
-        wrong: What is wrong with the first that is; empty if none is.
-        way: The moves that lead there.
+        states: Number of different states that were visited.
+        violation: Description of the first violation; empty if there is none.
+        path: Moves that lead to the violation.
     """
 
     worlds: int
     wrong: str
-    way: tuple = ()
+    path: tuple = ()
 
 
-def explore(depth: int, fencing: bool = True, **limits: int) -> Explored:
-    """Explore every state within so many moves; `limits` go to `World`."""
+def explore(depth: int, fencing: bool = True, **limits: int) -> ExplorationResult:
+    """Explore every state within `depth` moves; `limits` are passed to `World`."""
     start = World(fencing, **limits)
     seen = {start.key()}
     frontier: list[tuple[World, tuple]] = [(start, ())]
     for _ in range(depth):
         following: list[tuple[World, tuple]] = []
-        for world, way in frontier:
+        for world, path in frontier:
             for move in world.moves():
                 after = copy.deepcopy(world)
-                after.play(move)
+                after.apply(move)
                 if after.wrong:
-                    return Explored(len(seen), after.wrong, (*way, move))
+                    return ExplorationResult(len(seen), after.wrong, (*path, move))
                 key = after.key()
                 if key in seen:
                     continue
-                if fencing and not can_go_on(after):
-                    return Explored(len(seen), "the proxy is stuck", (*way, move))
+                if fencing and not can_recover(after):
+                    return ExplorationResult(len(seen), "the proxy is stuck", (*path, move))
                 seen.add(key)
-                following.append((after, (*way, move)))
+                following.append((after, (*path, move)))
         frontier = following
-    return Explored(len(seen), "")
+    return ExplorationResult(len(seen), "")
--- a/hollyridge/lab/checks/metrics.py
+++ b/hollyridge/lab/checks/metrics.py
@@ -1,4 +1,4 @@
-"""What a day came to, from its recordings: criticality served in time, updates sent, work, recovery."""
+"""Figures of a day, from its recordings: criticality served in time, updates sent, work and recovery."""
 
 from __future__ import annotations
 
@@ -8,34 +8,41 @@
 
 from hollyridge.lab.checks.evidence import Evidence
 
-LATE_FRACTION = 0.1  # of the criticality, for an answer after the soft deadline but in time for the client
+LATE_FRACTION = 0.1  # part of the criticality that an answer earns after the soft deadline
 US_PER_S = 1_000_000
 WORST_WINDOW_S = 10
-BEFORE_S = 10  # what a fault is compared with
+BASELINE_S = 10  # time before a fault that service after its start is compared with
 RECOVERY_WINDOW_S = 3
 RECOVERY_LIMIT_S = 30
 RECOVERED_FRACTION = 0.9
-NONE_ASKED = 1e-9  # avoids a division by zero
+MIN_DIVISOR = 1e-9  # avoids a division by zero
 
 
 class _Served:
-    """Criticality that was asked for and served."""
+    """Sums of the criticality of requests, and of the part of it that was earned."""
 
     def __init__(self) -> None:
         self.earned = 0.0
-        self.asked = 0.0
+        self.requested = 0.0
 
-    def add(self, earned: float, asked: float) -> None:
+    def add(self, earned: float, requested: float) -> None:
         self.earned += earned
-        self.asked += asked
+        self.requested += requested
 
     @property
     def fraction(self) -> float:
-        return self.earned / max(self.asked, NONE_ASKED)
+        return self.earned / max(self.requested, MIN_DIVISOR)
 
 
 class _Totals(NamedTuple):
-    """Sums over all RPCs; seconds are those in which they came in."""
+    """Sums over all RPCs.
+
+    Attributes:
+        by_method: Criticality by number of the method.
+        by_second: Criticality by the second in which the RPC arrived.
+        attempts: Number of attempts.
+        ok: Number of RPCs that succeeded.
+    """
 
     by_method: dict[int, _Served]
     by_second: dict[int, _Served]
@@ -44,28 +51,28 @@
 
 
 def figures_of(evidence: Evidence, methods: list[dict]) -> dict:
-    """The figures of a day, as `--json` has them.
+    """Return the figures of a day in the form of `--json`.
 
     Args:
         evidence: What was recorded.
-        methods: Name, criticality, soft_us, deadline_us of each method, in order.
+        methods: Keys name, criticality, soft_us and deadline_us of each method, by its number.
     """
     rows = evidence.rows
     totals = _add_up(rows, methods)
     by_method, by_second = totals.by_method, totals.by_second
     seconds = sorted(by_second)
     earned = sum(served.earned for served in by_method.values())
-    asked = sum(served.asked for served in by_method.values())
+    requested = sum(served.requested for served in by_method.values())
     received = evidence.messages.items()
     decisions = {(evidence.run_of(uid, message.at), message.number) for uid, some in received for message in some}
     return {
         "rpcs": _count(rows, "done"),
         "ok": totals.ok,
         "tries": totals.attempts,
-        "served": round(earned / max(asked, NONE_ASKED), 4),
+        "served": round(earned / max(requested, MIN_DIVISOR), 4),
         "worst_10s": round(_worst_window(by_second, seconds), 4),
         "by_method": {
-            methods[number]["name"]: round(by_method[number].earned / by_method[number].asked, 4)
+            methods[number]["name"]: round(by_method[number].earned / by_method[number].requested, 4)
             for number in sorted(by_method)
         },
         "no_line": _count(rows, "no_line"),
@@ -103,19 +110,20 @@
 
 
 def _fraction(served: list[_Served]) -> float:
-    return sum(one.earned for one in served) / max(sum(one.asked for one in served), NONE_ASKED)
+    return sum(one.earned for one in served) / max(sum(one.requested for one in served), MIN_DIVISOR)
 
 
 def _worst_window(by_second: dict[int, _Served], seconds: list[int]) -> float:
-    """The fraction that was served in the worst ten seconds."""
+    """Return the fraction that was served in the worst ten seconds."""
     starts = range(max(1, len(seconds) - WORST_WINDOW_S + 1))
     return min(_fraction([by_second[second] for second in seconds[start : start + WORST_WINDOW_S]]) for start in starts)
 
 
 def _drains(evidence: Evidence) -> dict:
-    """Seconds from the news that a task closes to the last RPC sent to it, over tasks that stayed closed.
+    """Return statistics of the seconds between the news that a task closes and the last attempt sent to it.
 
-    The news is that to the last assigner, of the first closing state: draining comes before gone.
+    Only tasks that stayed closed count. The time of the news is that of the last assigner to learn of the first closing
+    state; a task is draining before it is gone.
     """
     last_attempt: dict[str, int] = defaultdict(int)
     for row in evidence.rows:
@@ -137,9 +145,10 @@
 
 
 def _recoveries(evidence: Evidence, by_second: dict[int, _Served]) -> dict[str, int]:
-    """For each fault, the seconds after its start until service was back, within half a minute; 0 if it never left.
+    """Return, for each fault, the seconds from its start until service recovered; 0 if it never degraded.
 
-    Service is down while three seconds together serve less than nine tenths of what the ten seconds before served.
+    Service is degraded while a window of three seconds serves less than nine tenths of the fraction that was served in
+    the ten seconds before the fault. Only the half minute after the start is examined.
     """
 
     def fraction(first: int, count: int) -> float:
@@ -150,7 +159,7 @@
         if row["k"] != "trouble" or not row["begins"]:
             continue
         start = row["t"] // US_PER_S
-        limit = RECOVERED_FRACTION * (fraction(start - BEFORE_S, BEFORE_S) or 1.0)
+        limit = RECOVERED_FRACTION * (fraction(start - BASELINE_S, BASELINE_S) or 1.0)
         end = min(start + RECOVERY_LIMIT_S, max(by_second, default=0) - RECOVERY_WINDOW_S + 1)
         low = [second for second in range(start, end) if fraction(second, RECOVERY_WINDOW_S) < limit]
         recovered[row["name"]] = low[-1] - start + 1 if low else 0
--- a/hollyridge/lab/checks/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -1,4 +1,4 @@
-"""Which assigner owned which proxy when, and whether two sent updates to one, from what passed on the sockets."""
+"""Ownership of proxies by assigners, and conflicting updates of two owners, from the messages on the sockets."""
 
 from __future__ import annotations
 
@@ -15,23 +15,28 @@
 
 
 class Gap(NamedTuple):
-    """A time that a proxy was without an owner. The fields' names are keys of `--json`."""
+    """A time in which a proxy had no owner. The names of the fields are keys of `--json`.
+
+    Attributes:
+        proxy: The proxy.
+        seconds: Length of the gap.
+    """
 
     proxy: str
     seconds: float
 
 
 def gaps(evidence: Evidence) -> list[Gap]:
-    """Times from when a proxy lost its owner until it was joined to one again.
+    """Return the times between the loss of a proxy's owner and its next join.
 
-    It has lost its owner when that was killed or stood still, whichever the proxy left it for, or its stream ended.
+    A proxy loses its owner when the owner is killed or stalls, or when the stream to it ends, whichever is first.
     """
     down, killed = _outages(evidence)
     found = []
     for proxy, spans in evidence.joined.items():
         for span, following in zip(spans, [*spans[1:], None]):
             if following is None and (span.until >= evidence.end or proxy in killed):
-                continue  # it had its owner till the end
+                continue  # the proxy had its owner until the end
             lost_at = _lost_at(span, down[span.assigner])
             until = following.since if following is not None else evidence.end
             if until > lost_at:
@@ -40,7 +45,7 @@
 
 
 def _outages(evidence: Evidence) -> tuple[dict[int, list[int]], set[str]]:
-    """When each assigner was killed or stalled (us), and the proxies that were killed."""
+    """Return the times of each assigner's kills and stalls, in microseconds, and the proxies that were killed."""
     down: dict[int, list[int]] = defaultdict(list)
     killed: set[str] = set()
     for row in evidence.rows:
@@ -52,16 +57,16 @@
 
 
 def _lost_at(span: JoinSpan, down: list[int]) -> int:
-    """The first outage of its assigner within the span; the span's end if there is none."""
+    """Return the first outage of the assigner within the span; the end of the span if there is none."""
     first = bisect_right(down, span.since)
     return min([span.until, *(at for at in down[first:] if at < span.until)])
 
 
 def doubles(rows: Iterable[dict]) -> int:
-    """How many updates were applied that should not have been.
+    """Return the number of updates that a proxy applied although it should have rejected them.
 
-    Such are those that answer an older question than one whose updates were applied, and those of another assigner than
-    the one that answered this question.
+    These are updates that answer an older request than one whose updates were applied already, and updates of another
+    assigner than the one that answered the same request.
     """
     newest: dict[str, tuple[int, int]] = {}
     count = 0
@@ -75,7 +80,7 @@
 
 
 def believed(rows: Iterable[dict]) -> float:
-    """The longest (s) that two assigners claimed one proxy at a time, from what they report twice a second."""
+    """Return the longest time, in seconds, that two assigners claimed one proxy, as they report twice a second."""
     claims: dict[int, frozenset[str]] = {}
     since: dict[str, int] = {}
     longest_us = 0
@@ -98,14 +103,14 @@
 
 
 def moves(evidence: Evidence) -> int:
-    """Changes of owner."""
+    """Return the number of changes of owner."""
     return sum(
         before.assigner != after.assigner for spans in evidence.joined.values() for before, after in pairwise(spans)
     )
 
 
 def of_day(evidence: Evidence) -> dict:
-    """The figures of a day in a shared fleet, as `--json` has them."""
+    """Return the ownership figures of a day in a shared fleet in the form of `--json`."""
     seconds = sorted(gap.seconds for gap in gaps(evidence))
     return {
         "orphaned": len(seconds),
--- a/hollyridge/lab/checks/pace_rule.py
+++ b/hollyridge/lab/checks/pace_rule.py
@@ -1,8 +1,8 @@
 """Rule 5: short queues and few messages.
 
-It can be seen from outside only in part: messages to a proxy are counted exactly; of the lines that wait it is known
-that all lines of one decision (its number is the message id) waited when its first message left, and that lines can't
-come faster than the promised pace.
+Recordings show this only in part. Messages to a proxy are counted exactly. The lines waiting in an assigner are not
+recorded, but all lines of one decision, whose number is the message ID, were waiting when its first message left, and
+lines cannot arrive faster than the promised pace.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from collections import defaultdict, deque
 
 from hollyridge.lab.checks.evidence import Evidence, ReceivedUpdate
-from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, Worst
+from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, WorstMoment
 
 US_PER_S = 1_000_000
 PACE_WINDOW_US = 2 * US_PER_S
-PACE_TOLERANCE = 1.25  # recordings see lines as they arrive, not as they leave
+PACE_TOLERANCE = 1.25  # recordings hold the time at which lines arrive, not the time at which they are sent
 
 
 def check_pace(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Rule 5: messages per proxy, lines of one decision, and the pace of all lines stay within their limits."""
-    worst = Worst("no message was sent")
+    """Return the verdict on rule 5: messages per proxy, lines of one decision and pace of all lines within limits."""
+    worst = WorstMoment("no message was sent")
     lines_of_decision: dict[tuple, float] = defaultdict(float)
     lines_of_assigner: dict[int, list[tuple[int, float]]] = defaultdict(list)
     for proxy, messages in evidence.messages.items():
@@ -37,7 +37,7 @@
 
 
 def _note_messages(
-    evidence: Evidence, limits: RuleLimits, proxy: str, messages: list[ReceivedUpdate], worst: Worst
+    evidence: Evidence, limits: RuleLimits, proxy: str, messages: list[ReceivedUpdate], worst: WorstMoment
 ) -> None:
     if not limits.max_messages:
         return
@@ -51,8 +51,8 @@
         worst.note(len(window) / limits.max_messages, f"{proxy} got {len(window)} messages in the stated span")
 
 
-def _note_pace(limits: RuleLimits, sent: list[tuple[int, float]], worst: Worst) -> None:
-    """Lines of one assigner, by time."""
+def _note_pace(limits: RuleLimits, sent: list[tuple[int, float]], worst: WorstMoment) -> None:
+    """Note the pace of one assigner's lines, given as (time in microseconds, lines), sorted by time."""
     largest = max(lines for _, lines in sent)
     allowed = PACE_TOLERANCE * limits.lines_per_s * PACE_WINDOW_US / US_PER_S + largest
     window: deque[tuple[int, float]] = deque()
--- a/hollyridge/lab/checks/parity.py
+++ b/hollyridge/lab/checks/parity.py
@@ -1,4 +1,4 @@
-"""Whether proxies held the same tables whichever protocol they came by, line by line, from recordings."""
+"""Comparison of the tables that proxies received by SASP and by CHP, line by line, from recordings."""
 
 from __future__ import annotations
 
@@ -10,13 +10,19 @@
 from hollyridge.lab.checks.evidence import Evidence, HeldTable
 from hollyridge.sasp.weight_advice import MIN_LARGEST_FIGURE
 
-MAX_DISTANCE = 2 / MIN_LARGEST_FIGURE  # of the largest line: what 16 bits and a cold task's rounding down may come to
+MAX_DISTANCE = 2 / MIN_LARGEST_FIGURE  # of the largest line; covers 16-bit weights and the rounding down of a cold task
 
-Run = tuple[int, int]  # an assigner, and when this run of it began
+Run = tuple[int, int]  # number of an assigner, and start of its run in microseconds
 
 
 class _Nearest(NamedTuple):
-    """The CHP table that is nearest to one that came by SASP."""
+    """The CHP table that is nearest to a given SASP table.
+
+    Attributes:
+        distance: Distance of the two tables, as returned by `distance`.
+        task: Task with the largest difference.
+        table: The CHP table.
+    """
 
     distance: float
     task: str
@@ -24,13 +30,13 @@
 
 
 def compare(rows: Iterable[dict]) -> tuple[int, int, str]:
-    """Tables compared, how many differ, and the first that does.
+    """Return the number of tables compared, the number that differ, and a description of the first difference.
 
-    A table that came by SASP is held against the same version of a table that a proxy of its zone went by for that
-    method by CHP: the newest that is not newer than the decision it came with. Tasks that were closed by then are left
-    out on both sides, since each protocol drops them from the moment it writes. Where assigners share a fleet a table
-    may have no user by CHP for a while, and its versions are not recorded then: only what a proxy holds that is joined
-    there at that moment is compared.
+    A table received by SASP is compared with the tables that CHP proxies of its zone used for the same method, each in
+    the newest version that is not newer than the decision that the SASP table came with. Tasks that were closed by then
+    are left out on both sides, because each protocol drops them at the moment it writes. Where assigners share a fleet,
+    a table may have no CHP proxy for a while, and its versions are not recorded during that time. For this reason only
+    tables of proxies that are joined to the same assigner at that moment are compared.
     """
     comparison = _Comparison(Evidence(rows, tables=True))
     compared = differ = 0
@@ -52,11 +58,12 @@
 
 
 class _Comparison:
-    """The tables that came by CHP.
+    """Index of the tables received by CHP.
 
     Attributes:
-        versions: By run and subtree, sorted by version.
-        subtrees: By run, zone and method.
+        evidence: What was recorded.
+        versions: Tables by run and subtree, sorted by version.
+        subtrees: Subtrees by run, zone and method.
     """
 
     def __init__(self, evidence: Evidence) -> None:
@@ -72,7 +79,7 @@
             tables.sort(key=lambda table: (table.version, table.at))
 
     def nearest(self, table: HeldTable) -> _Nearest | None:
-        """The nearest of what this one may be compared with; None if there is nothing."""
+        """Return the nearest of the tables that this one can be compared with; None if there is none."""
         run = self.evidence.run_of(table.proxy, table.at)
         nearest = None
         for subtree in sorted(self.subtrees[run, self.evidence.zone[table.proxy], table.group]):
@@ -86,7 +93,7 @@
         return nearest
 
     def _version_of(self, run: Run, subtree: str, table: HeldTable) -> HeldTable | None:
-        """The newest version that is not newer than this table and whose proxy is joined there now."""
+        """Return the newest version not newer than this table whose proxy is joined to the run at that time."""
         versions = self.versions[run, subtree]
         index = bisect.bisect_right([version.version for version in versions], table.version) - 1
         while index >= 0 and not self._is_joined(versions[index].proxy, run, table.at):
@@ -97,7 +104,7 @@
         return self.evidence.joined_at(proxy, at) is not None and self.evidence.run_of(proxy, at) == run
 
     def _open_lines(self, table: HeldTable) -> dict[str, float]:
-        """The lines of tasks that were ready by then."""
+        """Return the lines of the tasks that were ready at the time of the table."""
         assigner, _ = self.evidence.run_of(table.proxy, table.at)
         lines = {}
         for task, weight in table.lines.items():
@@ -108,7 +115,7 @@
 
 
 def distance(one: dict[str, float], other: dict[str, float]) -> tuple[float, str]:
-    """The largest gap between shares of the largest line, and where it is.
+    """Return the largest difference of two tables and its task; weights are relative to each table's largest.
 
     >>> distance({"a": 100.0, "b": 50.0}, {"a": 1.0, "b": 0.5})
     (0.0, 'a')
--- a/hollyridge/lab/checks/rules.py
+++ b/hollyridge/lab/checks/rules.py
@@ -1,4 +1,4 @@
-"""The five rules, checked from recordings of what passed on the sockets; rules 1 to 3 are here."""
+"""Check of the five rules against recordings of the messages on the sockets; rules 1 to 3 are defined here."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hollyridge.lab.checks.cold_rule import check_cold_tasks
 from hollyridge.lab.checks.evidence import Evidence, TaskNews
 from hollyridge.lab.checks.pace_rule import check_pace
-from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, Worst
+from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, WorstMoment
 
 
 def check(evidence: Evidence, limits: RuleLimits) -> list[Verdict]:
-    """One verdict a rule."""
+    """Return the verdict on each rule."""
     rules = (check_lines, check_effects, check_drains, check_cold_tasks, check_pace)
     return [rule(evidence, limits) for rule in rules]
 
@@ -22,9 +22,9 @@
 
 
 def check_lines(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Rule 1: no joined proxy is without a line while a warm ready task is listed."""
+    """Return the verdict on rule 1: no joined proxy is without a line while a warm ready task is listed."""
     warm = {assigner: _warm_spans(evidence, limits, tasks.values()) for assigner, tasks in evidence.task_news.items()}
-    worst = Worst("no proxy was ever without a line")
+    worst = WorstMoment("no proxy was ever without a line")
     for (proxy, group), spans in evidence.empty.items():
         for span in spans:
             joined = evidence.joined_at(proxy, span.begin)
@@ -36,7 +36,7 @@
 
 
 def _warm_spans(evidence: Evidence, limits: RuleLimits, histories: Iterable[list[TaskNews]]) -> list[list[int]]:
-    """When some task was listed ready and warm, as begin and end without overlap."""
+    """Return spans in which any task was listed ready and warm, as [begin, end] in microseconds, without overlap."""
     spans = []
     for history in histories:
         for news, following in zip(history, [*history[1:], None]):
@@ -59,7 +59,7 @@
 
 
 def check_effects(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Rule 2: no RPC takes effect twice."""
+    """Return the verdict on rule 2: no RPC takes effect twice."""
     effects: dict[str, list[dict]] = defaultdict(list)
     for row in evidence.rows:
         if row["k"] == "effect":
@@ -77,17 +77,24 @@
 
 
 class _ClosedSpan(NamedTuple):
-    """A task is closed for an assigner: since `closed_at`, by news from `told_at` to `until` (us)."""
+    """Span in which an assigner knows that a task is closed; times are in microseconds.
+
+    Attributes:
+        closed_at: Time at which this run of the assigner first learned that the task closes.
+        news_at: Time of the news that begins this span; a later one for the same closure if the state changed.
+        until: Time of the next news of the task, or the end of the recording.
+        state: State in the news: draining or gone.
+    """
 
     closed_at: int
-    told_at: int
+    news_at: int
     until: int
     state: str
 
 
 def check_drains(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Rule 3: tasks that drain or are gone get nothing after the grace."""
-    worst = Worst("nothing was sent to a closed task")
+    """Return the verdict on rule 3: nothing is sent to draining or removed tasks after the grace period."""
+    worst = WorstMoment("nothing was sent to a closed task")
     attempts: dict[str, list[dict]] = defaultdict(list)
     for row in evidence.rows:
         if row["k"] == "try":
@@ -104,24 +111,24 @@
     for index, (news, following) in enumerate(zip(history, [*history[1:], None])):
         if news.state == "ready":
             continue
-        closed_at = news.at  # since the first news of it to this run of the assigner
+        closed_at = news.at  # time of the first news of the closure in this run of the assigner
         for earlier in reversed(history[:index]):
-            if earlier.state == "ready" or earlier.at < evidence.began(assigner, news.at):
+            if earlier.state == "ready" or earlier.at < evidence.run_start(assigner, news.at):
                 break
             closed_at = earlier.at
         yield _ClosedSpan(closed_at, news.at, following.at if following else evidence.end, news.state)
 
 
 def _note_attempt(  # noqa: PLR0913, PLR0917 - one step of `check_drains`
-    evidence: Evidence, limits: RuleLimits, assigner: int, closed: _ClosedSpan, row: dict, worst: Worst
+    evidence: Evidence, limits: RuleLimits, assigner: int, closed: _ClosedSpan, row: dict, worst: WorstMoment
 ) -> None:
     at, proxy = row["t"], row["proxy"]
-    if not closed.told_at < at < closed.until:
+    if not closed.news_at < at < closed.until:
         return
     joined = evidence.joined_at(proxy, at)
     if joined is None or joined.assigner != assigner:
         return
-    if evidence.began(assigner, at) != evidence.began(assigner, closed.told_at):
+    if evidence.run_start(assigner, at) != evidence.run_start(assigner, closed.news_at):
         return
     late_us = at - max(closed.closed_at, joined.since)
     where = f"{proxy} sent to {row['task']} {late_us / 1e6:.2f} s after it was told {closed.state}"
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -1,7 +1,7 @@
 """An explicit-state model check of the CHP update protocol, with the real key space and replica.
 
-The model: one table, one subscriber, a network that loses, doubles and reorders what is published, and an assigner that
-restarts with smaller numbers.
+The model has one table, one subscriber, a network that loses, duplicates and reorders published messages, and an
+assigner that restarts with smaller version numbers.
 """
 
 from __future__ import annotations
@@ -18,29 +18,33 @@
 SUBTREE = "/table/0/"
 VERSIONS = (("a", "b"), ("b", "c"), ("a", "c", "d"), ("d",))
 RUNS = 2
-VERSIONS_COMPARED = 64  # of each run, with what the replica holds
+VERSIONS_COMPARED = 64  # versions of each run that the replica's table is compared with
 HEARTBEAT_MS = 500
-MAX_MISCHIEF = 4  # messages that the network may lose, double or swap
-MAX_PUBLISHED = 8  # messages on their way, after which no heartbeat is published
-MAX_PUBLISHED_CHANGES = 5  # the same for changes
+MAX_NETWORK_FAULTS = 4  # number of messages that the network may lose, duplicate or swap
+MAX_PUBLISHED = 8  # messages in flight, from which on no heartbeat is published
+MAX_PUBLISHED_CHANGES = 5  # messages in flight, from which on no change is published
 SETTLE_MOVES = 200
-SETTLE_SAMPLE = 7  # of the deepest states about one in so many is also checked for settling
-SNAPSHOT_ASKED = "ICANHAZ"  # stands for a request that has not arrived
+SETTLE_SAMPLE = 7  # about one in 7 of the deepest states is also checked for settling
+SNAPSHOT_REQUEST = "ICANHAZ"  # represents a request that has not arrived yet
 
 
-def target(run: int, version: int) -> dict[str, bytes]:
-    """What the table holds at a version: each value names its run and version, so that a mixture shows."""
+def expected_table(run: int, version: int) -> dict[str, bytes]:
+    """Return the table at a version; each value holds its run and version, so that a mixture is detected."""
     names = VERSIONS[version % len(VERSIONS)]
     return {f"{SUBTREE}line/{name}": f"{run}.{version}".encode() for name in names}
 
 
 class FaultyReplica(Replica):
-    """Replicas that leave out one check; the exploration must find what that breaks."""
+    """Replica that leaves out one check; the exploration must find the violation that results.
+
+    Attributes:
+        fault: Name of the check that is left out; empty for none.
+    """
 
     fault = ""
 
     def change(self, head: codec.Head) -> ReplicaChanges:
-        """Take a head, without the check that is left out."""
+        """Apply a head without the check that is left out."""
         same = self.synced and head.epoch == self.head.epoch
         if self.fault == "no count" and same and head.prev == self.head.seq:
             uuid = codec.uuid_of(head.epoch)
@@ -53,28 +57,33 @@
         return super().change(head)
 
     def prune(self) -> None:
-        """Drop what is behind, unless that is left out."""
+        """Drop outdated lines unless this check is left out."""
         if self.fault != "no order":
             super().prune()
 
 
 def with_count(head: codec.Head, count: int) -> codec.Head:
-    """The head with another count of lines."""
+    """Return the head with another count of lines."""
     return codec.Head(head.epoch, head.version, head.seq, head.prev, count, head.total, head.heartbeat_ms)
 
 
 class World:
     """One state of the model.
 
-    Moves: the assigner changes the table, sends a heartbeat or restarts; the network delivers, loses, doubles or swaps
-    what is published; the snapshot's stream delivers. Loss and doubling are bounded, so that the model is finite.
+    Moves: the assigner changes the table, sends a heartbeat or restarts; the network delivers, loses, duplicates or
+    swaps published messages; the snapshot stream delivers. The number of network faults is bounded to keep the model
+    finite.
 
     Attributes:
-        published: Messages on their way to the subscriber.
-        snapshots: What is on the snapshot's stream: requests and messages.
-        mischief: Messages that the network may still lose, double or swap.
-        seen: Run and version of the newest table that was held.
-        wrong: What must never happen and did.
+        run: Number of the assigner's current run.
+        version: Version of the table in this run.
+        key_space: The assigner's key space.
+        replica: The subscriber's replica.
+        published: Published messages in flight to the subscriber.
+        snapshots: Requests and messages on the snapshot stream.
+        faults_left: Number of messages that the network may still lose, duplicate or swap.
+        seen: Run and version of the newest table that the replica held.
+        violation: Description of a violated property; empty if there is none.
     """
 
     def __init__(self, fault: str = "") -> None:
@@ -85,22 +94,22 @@
         self.replica.fault = fault
         self.published: list[Kvpub] = []
         self.snapshots: list = []
-        self.mischief = MAX_MISCHIEF
+        self.faults_left = MAX_NETWORK_FAULTS
         self.seen: tuple[int, int] = (-1, -1)
-        self.wrong = ""
-        self._ask()
+        self.violation = ""
+        self._request_snapshot()
 
     def _start_run(self) -> KeySpace:
         key_space = KeySpace(f"run{self.run}", HEARTBEAT_MS)
-        key_space.set(SUBTREE, 0, target(self.run, 0))
+        key_space.set(SUBTREE, 0, expected_table(self.run, 0))
         return key_space
 
-    def _ask(self) -> None:
+    def _request_snapshot(self) -> None:
         self.replica.begin()
-        self.snapshots.append(SNAPSHOT_ASKED)
+        self.snapshots.append(SNAPSHOT_REQUEST)
 
     def moves(self) -> list[str]:
-        """What may happen next."""
+        """Return the kinds of move that are possible."""
         moves = ["beat"] if len(self.published) < MAX_PUBLISHED else []
         if len(self.published) < MAX_PUBLISHED_CHANGES:
             moves.append("change")
@@ -108,16 +117,16 @@
             moves.append("restart")
         if self.published:
             moves.append("deliver")
-            if self.mischief:
+            if self.faults_left:
                 moves += ["lose", "double"]
-        if self.mischief and len(self.published) > 1:
+        if self.faults_left and len(self.published) > 1:
             moves.append("swap")
         if self.snapshots:
             moves.append("snapshot")
         return moves
 
     def after(self, move: str) -> World:
-        """The state after a move; this one stays as it is."""
+        """Return the state after a move without changing this one."""
         world = copy.copy(self)
         world.key_space, world.replica = copy.copy(self.key_space), copy.copy(self.replica)
         world.key_space.held, world.key_space.heads = dict(self.key_space.held), dict(self.key_space.heads)
@@ -125,87 +134,87 @@
         world.replica.incoming = {number: dict(rows) for number, rows in self.replica.incoming.items()}
         world.replica.heads = dict(self.replica.heads)
         world.published, world.snapshots = list(self.published), list(self.snapshots)
-        world.do(move)
+        world.apply(move)
         return world
 
-    def do(self, move: str) -> None:
-        """Let a move happen."""
+    def apply(self, move: str) -> None:
+        """Apply a move to this state."""
         getattr(self, f"_on_{move}")()
 
     def _on_change(self) -> None:
         self.version += 1
-        self.published += self.key_space.set(SUBTREE, self.version, target(self.run, self.version))
+        self.published += self.key_space.set(SUBTREE, self.version, expected_table(self.run, self.version))
 
     def _on_beat(self) -> None:
         self.published.append(self.key_space.heartbeat(SUBTREE))
 
     def _on_restart(self) -> None:
-        """What was published may still arrive; the snapshot's stream does not survive."""
+        """Restart the assigner; published messages may still arrive, but the snapshot stream breaks."""
         self.run += 1
         self.version = 0
         self.key_space = self._start_run()
-        self.snapshots = [SNAPSHOT_ASKED] if self.replica.asking else []
+        self.snapshots = [SNAPSHOT_REQUEST] if self.replica.asking else []
         self.replica.incoming, self.replica.heads = {}, {}
 
     def _on_deliver(self) -> None:
-        self._take(self.published.pop(0))
+        self._receive(self.published.pop(0))
 
     def _on_lose(self) -> None:
-        self.mischief -= 1
+        self.faults_left -= 1
         self.published.pop(0)
 
     def _on_double(self) -> None:
-        self.mischief -= 1
+        self.faults_left -= 1
         self.published.insert(0, self.published[0])
 
     def _on_swap(self) -> None:
-        self.mischief -= 1
+        self.faults_left -= 1
         self.published[0], self.published[-1] = self.published[-1], self.published[0]
 
     def _on_snapshot(self) -> None:
-        """A request arrives at the assigner, or else a whole snapshot at the subscriber."""
-        if self.snapshots[0] == SNAPSHOT_ASKED:
+        """Deliver the next request to the assigner or the next snapshot, as a whole, to the subscriber."""
+        if self.snapshots[0] == SNAPSHOT_REQUEST:
             self.snapshots[:1] = self.key_space.snapshot(SUBTREE)
             return
         message = self.snapshots.pop(0)
         while not isinstance(message, Kthxbai):
-            self._take(message)
+            self._receive(message)
             message = self.snapshots.pop(0)
-        self._take(message)
+        self._receive(message)
 
-    def _take(self, message: codec.Message) -> None:
+    def _receive(self, message: codec.Message) -> None:
         changes = self.replica.take(message)
         if changes.ask:
-            self._ask()
+            self._request_snapshot()
         if not self.replica.synced:
             return
-        held = self.at()
+        held = self.held_version()
         if held is None:
-            self.wrong = f"a table that never was: {sorted(self.replica.held.items())}"
+            self.violation = f"a table that never was: {sorted(self.replica.held.items())}"
         elif held < self.seen:
-            self.wrong = f"went back from {self.seen} to {held}"
+            self.violation = f"went back from {self.seen} to {held}"
         else:
             self.seen = held
 
-    def at(self) -> tuple[int, int] | None:
-        """Run and version of what is held, None if no version was ever like it."""
+    def held_version(self) -> tuple[int, int] | None:
+        """Return the run and version of the table held; None if it equals no version of any run."""
         for run in range(RUNS):
             for version in range(VERSIONS_COMPARED):
-                if self.replica.held == target(run, version):
+                if self.replica.held == expected_table(run, version):
                     return run, version
         return None
 
     def broken(self) -> str:
-        """What is wrong; empty if nothing is."""
-        return self.wrong
+        """Return the description of a violated property; empty if there is none."""
+        return self.violation
 
     def key(self) -> tuple:
-        """Tells different states apart."""
+        """Return a key that is equal for equal states only."""
         replica = self.replica
         return (
             self.run,
             self.version,
-            self.mischief,
+            self.faults_left,
             self.seen,
             replica.asking,
             replica.synced,
@@ -219,7 +228,7 @@
         )
 
     def settled(self) -> World:
-        """The state when all that is on its way has arrived and heartbeats get through."""
+        """Return the state after all messages in flight have arrived and heartbeats get through."""
         world = self
         for _ in range(SETTLE_MOVES):
             moves = world.moves()
@@ -232,17 +241,17 @@
         return world
 
     def is_newest(self) -> bool:
-        """Whether the subscriber holds the newest table."""
-        return self.replica.synced and self.at() == (self.run, self.version) and not self.replica.asking
+        """Return whether the subscriber holds the newest table."""
+        return self.replica.synced and self.held_version() == (self.run, self.version) and not self.replica.asking
 
 
-class Found(NamedTuple):
-    """What an exploration found.
+class ExplorationResult(NamedTuple):
+    """Result of an exploration.
 
     Attributes:
-        states: How many were seen.
-        broken: What is wrong with the first that is; empty if none is.
-        moves: The moves that lead there.
+        states: Number of different states that were visited.
+        broken: Description of the first violation; empty if there is none.
+        moves: Moves that lead to the violation.
     """
 
     states: int
@@ -250,16 +259,16 @@
     moves: tuple[str, ...]
 
 
-def explore(depth: int, fault: str = "", begin: tuple[str, ...] = (), max_states: int = 400_000) -> Found:
-    """Explore every state within so many moves, breadth first.
+def explore(depth: int, fault: str = "", begin: tuple[str, ...] = (), max_states: int = 400_000) -> ExplorationResult:
+    """Explore every state within a number of moves, breadth first.
 
-    The first that is broken ends it; so does one that does not settle on the newest table.
+    Stop at the first state with a violation, or that does not settle on the newest table.
 
     Args:
-        depth: Moves after those of `begin`.
-        fault: The check that the replica leaves out (see `FaultyReplica`).
+        depth: Number of moves after those of `begin`.
+        fault: Check that the replica leaves out (see `FaultyReplica`).
         begin: Moves that lead to the first state.
-        max_states: After so many no new ones are explored.
+        max_states: Number of states after which no new ones are explored.
     """
     start = World(fault)
     for move in begin:
@@ -268,10 +277,10 @@
     while queue:
         world, moves = queue.popleft()
         if world.broken():
-            return Found(len(seen), world.broken(), moves)
+            return ExplorationResult(len(seen), world.broken(), moves)
         if len(moves) == depth:
             if len(seen) % SETTLE_SAMPLE == 0 and not fault and not world.settled().is_newest():
-                return Found(len(seen), "does not settle on the newest table", moves)
+                return ExplorationResult(len(seen), "does not settle on the newest table", moves)
             continue
         for move in world.moves():
             after = world.after(move)
@@ -279,4 +288,4 @@
             if key not in seen and len(seen) < max_states:
                 seen.add(key)
                 queue.append((after, (*moves, move)))
-    return Found(len(seen), "", ())
+    return ExplorationResult(len(seen), "", ())
--- a/hollyridge/lab/checks/verdicts.py
+++ b/hollyridge/lab/checks/verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on the rules, and the limits that they are judged by."""
+"""Verdicts on the rules, and the limits that the rules set."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class Verdict(NamedTuple):
-    """Whether a rule was kept. The fields' names are keys of `--json`.
+    """Result of checking one rule. The names of the fields are keys of `--json`.
 
     Attributes:
-        nearest: The fraction of the limit in use at the worst moment; over 1 for a broken rule.
-        where: That moment, in words.
+        rule: Number of the rule.
+        kept: Whether the rule was kept.
+        nearest: Fraction of the limit used at the worst moment; over 1 for a broken rule.
+        where: Description of that moment.
     """
 
     rule: int
@@ -20,16 +22,19 @@
 
 
 class RuleLimits(NamedTuple):
-    """The rules' limits.
+    """Limits of the rules.
 
     Attributes:
-        max_empty_us: How long a proxy may be without a line (rule 1).
-        drain_grace_us: How long a closed task may still be sent to (rule 3).
-        warm_up_us: After which a task counts as warm.
-        fall_us: The window, and `fall_multiple` the multiple of its capacity, that a cold task bears (rule 4).
-        max_waiting_lines: Lines that may wait (rule 5).
-        max_messages: Messages that a proxy may get within `messages_window_us`; 0 for any number.
-        lines_per_s: The pace of all lines; a message counts as `lines_per_message` more.
+        max_empty_us: Longest time that a proxy may be without a line, in microseconds (rule 1).
+        drain_grace_us: Time after closing in which a task may still be sent to, in microseconds (rule 3).
+        warm_up_us: Age from which a task counts as warm, in microseconds (rule 1).
+        fall_us: Window over which the load of a cold task is summed, in microseconds (rule 4).
+        fall_multiple: Multiple of its capacity that a cold task can take within that window (rule 4).
+        max_waiting_lines: Maximum number of lines that wait (rule 5).
+        max_messages: Maximum number of messages to a proxy within `messages_window_us`; 0 for no limit (rule 5).
+        messages_window_us: Window in which messages to a proxy are counted, in microseconds (rule 5).
+        lines_per_s: Maximum pace of all lines, in lines per second (rule 5).
+        lines_per_message: Number of lines that each message counts as, in addition to its own (rule 5).
     """
 
     max_empty_us: int
@@ -44,20 +49,25 @@
     lines_per_message: float
 
 
-class Worst:
-    """The moment that came nearest to a limit, the first of equals."""
+class WorstMoment:
+    """The moment that used the largest fraction of a limit; the first of equal ones.
 
-    def __init__(self, nothing: str) -> None:
-        """`nothing` says that no moment came near."""
+    Attributes:
+        used: Fraction of the limit used.
+        where: Description of the moment.
+    """
+
+    def __init__(self, default: str) -> None:
+        """Start without a moment; `default` is the description used until one is noted."""
         self.used = 0.0
-        self.where = nothing
+        self.where = default
 
     def note(self, used: float, where: str) -> None:
-        """A moment used this fraction of the limit."""
+        """Note a moment that used this fraction of the limit."""
         if used > self.used:
             self.used = used
             self.where = where
 
     def verdict(self, rule: int, remark: str = "") -> Verdict:
-        """The rule's verdict by this moment; the remark follows where it was."""
+        """Return the verdict on a rule by this moment; the remark is appended to its description."""
         return Verdict(rule, self.used <= 1.0, round(self.used, 4), self.where + remark)
