--- a/hollyridge/lab/reports/comparison_plots.py
+++ b/hollyridge/lab/reports/comparison_plots.py
@@ -1,4 +1,4 @@
-"""The page of a kept comparison: the days of its variants side by side."""
+"""Page of a kept comparison, which shows the days of its variants side by side."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     """
     days = [row for row in rows if "failed" not in row]
     if not days:
-        raise ReportError("no day was played")
+        raise ReportError(f"no day of the comparison could be run, {len(rows)} failed")
     variants = list(dict.fromkeys(day["variant"] for day in days))
     draw_figure = partial(draw_distribution, days=days, variants=variants)
     plots = [
@@ -48,4 +48,4 @@
         render("Lines sent", partial(draw_figure, figure="lines")),
     ]
     table = [summary(rows, Variant(variant)) for variant in variants]
-    return PlotPage(name, [f"{len(days)} days played."], table, plots).write(out)
+    return PlotPage(name, [f"{len(days)} days run."], table, plots).write(out)
--- a/hollyridge/lab/reports/day_plots.py
+++ b/hollyridge/lab/reports/day_plots.py
@@ -1,4 +1,4 @@
-"""The page of a recorded day: outcomes, latency, weights, updates, and the state of the assigners."""
+"""Page of a recorded day: outcomes, latency, weights, updates, and the state of the assigners."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from hollyridge.lab.reports.plot_page import Plot, PlotPage, render
 
 SECOND_US = 1_000_000
-MAX_LEGEND_ENTRIES = 16  # more tasks than that and the legend covers the curves
+MAX_LEGEND_ENTRIES = 16  # with more tasks the legend covers the curves
 
 
 class FaultMark(NamedTuple):
-    """Where a fault begins on the time axis.
+    """Mark of a fault's beginning on the time axis.
 
     Attributes:
         name: The fault's name in the scenario.
@@ -29,12 +29,13 @@
 
 
 class DayPlots:
-    """Draws the plots of one recorded day; the time axes begin with the first RPC.
+    """Plots of one recorded day; the time axes begin with the first RPC.
 
     Attributes:
-        evidence: What the recording shows of tables and messages.
+        evidence: Tables and messages derived from the recording.
         rpcs: Records of finished RPCs.
-        start_us: Time of the first RPC on the recording's clock.
+        start_us: Time of the first RPC on the recording's clock, in microseconds.
+        faults: Marks of the faults.
         states: Records of each assigner's state, by the assigner's number.
     """
 
@@ -42,7 +43,7 @@
         self.evidence = Evidence(rows, tables=True)
         self.rpcs = [row for row in rows if row["k"] == "done"]
         if not self.rpcs:
-            raise ReportError("the recording holds no RPC")
+            raise ReportError("the recording holds no record of a finished RPC")
         self.start_us = min(row["t"] - row["took"] for row in self.rpcs)
         self.faults = [
             FaultMark(row["name"], self.seconds(row["t"])) for row in rows if row["k"] == "trouble" and row["begins"]
@@ -53,7 +54,7 @@
                 self.states[row.get("assigner", 0)].append(row)
 
     def seconds(self, time_us: int) -> float:
-        """Seconds from the day's first RPC to a time on the recording's clock."""
+        """Return the seconds from the day's first RPC to a time on the recording's clock."""
         return (time_us - self.start_us) / 1e6
 
     def mark_faults(self, axes: Axes) -> None:
@@ -70,7 +71,7 @@
             )
 
     def draw_outcomes(self, axes: Axes) -> None:
-        """Plot RPCs that succeeded and failed, by the second they began in."""
+        """Plot the number of RPCs that succeeded and failed, by the second in which they began."""
         succeeded: dict[int, int] = defaultdict(int)
         failed: dict[int, int] = defaultdict(int)
         for rpc in self.rpcs:
@@ -81,7 +82,7 @@
             seconds,
             [succeeded[second] for second in seconds],
             [failed[second] for second in seconds],
-            labels=["ok", "not ok"],
+            labels=["ok", "failed"],
             colors=["#7bb274", "#c0392b"],
         )
         axes.set_xlabel("second")
@@ -97,11 +98,11 @@
                 histtype="step",
                 label=f"method {method}",
             )
-        axes.set_xlabel("ms till a good answer, client's own retries included")
+        axes.set_xlabel("ms until success, client's own retries included")
         axes.legend()
 
     def weight_shares(self) -> dict[str, list[tuple[float, float]]]:
-        """Each task's share over time, as (second, share), in the table that changed most often."""
+        """Return each task's share over time, as (second, share), in the table that changed most often."""
         tables_by_proxy: dict[tuple[str, str], list] = defaultdict(list)
         for table in self.evidence.tables:
             tables_by_proxy[table.proxy, table.group].append(table)
@@ -173,16 +174,16 @@
     def render(self) -> list[Plot]:
         """Render all plots that the recording has data for."""
         plots = [
-            render("RPCs by the second they came in", self.draw_outcomes),
-            render("Time till a good answer", self.draw_latency),
+            render("RPCs by the second in which they began", self.draw_outcomes),
+            render("Latency of successful RPCs", self.draw_latency),
             render("Shares of the table that changed most, as one proxy held it", self.draw_weights),
             render("Lines that proxies received, by second", self.draw_updates),
         ]
         if self.states:
             plots += [
-                render("Lines that wait in an assigner's channel", self.draw_queue),
-                render("The gate: price U of a push, and the gain that it is held against", self.draw_push_gate),
-                render("Levels: what part is let in", self.draw_admission),
+                render("Lines queued in an assigner's channel", self.draw_queue),
+                render("Push gate: price U of a push, and the gain that it is compared with", self.draw_push_gate),
+                render("Admission levels: admitted share", self.draw_admission),
             ]
         return plots
 
@@ -202,6 +203,6 @@
     succeeded = sum(rpc["ok"] for rpc in day.rpcs)
     summary = (
         f"{len(day.rpcs)} RPCs, {succeeded} ok, {len(day.evidence.messages)} proxies; orange lines mark "
-        "where a trouble begins."
+        "where a fault begins."
     )
     return PlotPage(name, [summary], [], day.render()).write(out)
--- a/hollyridge/lab/reports/errors.py
+++ b/hollyridge/lab/reports/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the pages that are made from results."""
+"""Exceptions of the report pages."""
 
 from hollyridge.errors import HollyridgeError
 
 
 class ReportError(HollyridgeError, ValueError):
-    """A source holds nothing that a page can show; the message says what is missing."""
+    """Raised if a source holds nothing that a page can show; the message names what is missing."""
--- a/hollyridge/lab/reports/plot_page.py
+++ b/hollyridge/lab/reports/plot_page.py
@@ -1,4 +1,4 @@
-"""HTML pages that carry their plots as embedded images, so that a page is one file."""
+"""HTML pages with their plots as embedded images, so that a page is a single file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Plot(NamedTuple):
-    """A plot as a page embeds it.
+    """A plot to embed into a page.
 
     Attributes:
         title: Heading above the image.
@@ -41,7 +41,7 @@
 
 
 class PlotPage(NamedTuple):
-    """What a page shows, from top to bottom.
+    """Contents of a page, from top to bottom.
 
     Attributes:
         name: Title of the page.
@@ -64,7 +64,7 @@
 
 
 def render(title: str, draw: Callable[[Axes], None]) -> Plot:
-    """Let a function draw on empty axes and encode the result."""
+    """Call a function that draws on empty axes, and return the result as an encoded plot."""
     figure, axes = pyplot.subplots(figsize=PLOT_SIZE_INCHES, dpi=PLOT_DPI)
     draw(axes)
     axes.grid(alpha=0.25)
--- a/hollyridge/lab/reports/plots.py
+++ b/hollyridge/lab/reports/plots.py
@@ -1,4 +1,4 @@
-"""Chooses the page with plots that fits a source: a recorded day or the kept results of a comparison."""
+"""Choice of the page for a source: a recorded day or the kept results of a comparison."""
 
 from __future__ import annotations
 
@@ -30,4 +30,4 @@
         return write_comparison_page(rows, out, source.stem)
     if rows and "k" in rows[0]:
         return write_day_page(sorted(rows, key=lambda row: row["t"]), out, source.stem)
-    raise ReportError("neither a recording nor a kept comparison")
+    raise ReportError("no first record with key 'k' of a recording or key 'variant' of a kept comparison")
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -1,4 +1,4 @@
-"""A sampling profiler: CPU time and memory of a simulated day, and the share of each part of the program."""
+"""Sampling profiler for the CPU time and memory of a simulated day, with the share of each part of the program."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# The keys of `parts` in `lab run --cost --json` and `lab sweep --json` are a format: today's package names are
-# mapped to the keys that readers of older results know.
+# The keys of `parts` in `lab run --cost --json` and `lab sweep --json` are a format. Package names are mapped to the
+# keys of older results, so that their readers continue to work.
 REPORTED_PACKAGES = {
     "chp": "clone",
     "decisions": "rules",
@@ -50,14 +50,14 @@
 )
 
 
-SAMPLING_INTERVAL_S = 0.005  # fine enough for a day of seconds, coarse enough not to show in its cost
+SAMPLING_INTERVAL_S = 0.005  # fine enough for a day of a few seconds, and coarse enough not to add to its cost
 
 
 def part_of(frame: FrameType | None) -> str:
-    """Name the part of the program that a stack belongs to.
+    """Return the name of the part of the program that a stack belongs to.
 
     Args:
-        frame: The innermost frame; frames of libraries are skipped in favour of their caller.
+        frame: The innermost frame; frames of libraries are skipped, so that their caller counts.
 
     Returns:
         The reported name of the package or top-level module, "elsewhere" if no frame is in this project.
@@ -76,10 +76,10 @@
 
 
 class Meter(threading.Thread):
-    """Samples the stack of the thread that creates it, from `start` to `stop`.
+    """Thread that samples the stack of the thread that creates it, from `start` to `stop`.
 
     Attributes:
-        samples: Samples taken so far, by part of the program.
+        samples: Number of samples taken so far, by part of the program.
     """
 
     def __init__(self) -> None:
@@ -96,13 +96,13 @@
             self.samples[part_of(sys._current_frames().get(self.measured_thread))] += 1
 
     def stop(self, simulated_s: float) -> dict:
-        """Stop sampling.
+        """Stop sampling and return the result.
 
         Args:
-            simulated_s: Length of the simulated day that was measured.
+            simulated_s: Length of the simulated day that was measured, in seconds.
 
         Returns:
-            Seconds, peak memory in megabytes, and the share of the samples by part of the program.
+            Simulated, real and CPU seconds, peak memory in megabytes, and the share of samples by part of the program.
         """
         self.stopped.set()
         self.join()
--- a/hollyridge/lab/reports/record.py
+++ b/hollyridge/lab/reports/record.py
@@ -15,18 +15,18 @@
 
 
 def now_us() -> int:
-    """The monotonic clock in microseconds; processes of one machine can compare its readings."""
+    """Return the monotonic clock in microseconds; readings are comparable between processes of one machine."""
     return time.monotonic_ns() // 1000
 
 
 class Recorder:
-    """Appends records to a file, or collects them in `rows` where no path is given.
+    """Writer that appends records to a file, or collects them in `rows` if no path is given.
 
     A call writes one record: `recorder("done", ok=True)`. Its keyword names become keys of the record and are a part
     of the format of recordings. A process that is killed loses at most the last second.
 
     Attributes:
-        rows: Records collected so far; stays empty when there is a file.
+        rows: Records collected so far; empty if they are written to a file.
     """
 
     def __init__(self, path: Path | str | None, clock: Callable[[], int] = now_us) -> None:
@@ -41,7 +41,7 @@
         self.flushed_us = now_us()
 
     def __call__(self, kind: str, **facts: object) -> None:
-        """Write one record of this kind with these keys, stamped with the present time."""
+        """Write one record with its kind, the current time and the given keys."""
         now = self.clock()
         row = {"k": kind, "t": now, **facts}
         if self.file is None:
@@ -56,25 +56,25 @@
 
         Args:
             kind: Kind of the record.
-            who: The party that sent or received it, also the record's key.
-            stream: Number of the party's connection, counted from its first.
-            raw: The frame as it was on the wire.
+            who: Client that sent or received it; the name is also a key of the record.
+            stream: Number of the client's connection, counted from its first.
+            raw: The frame as sent on the wire.
         """
         self(kind, who=who, stream=stream, frame=base64.b64encode(raw).decode())
 
     def parts(self, kind: str, who: str, stream: int, parts: list[bytes]) -> None:
-        """Record one multipart message; arguments as of `frame`."""
+        """Record one multipart message; the other arguments are those of `frame`."""
         self(kind, who=who, stream=stream, parts=[base64.b64encode(part).decode() for part in parts])
 
     def flush(self) -> None:
-        """Hand buffered records to the operating system."""
+        """Write buffered records to the operating system."""
         if self.file is not None:
             self.file.flush()
             self.flushed_us = now_us()
 
 
 def decode_lines(raw: bytes) -> list[dict]:
-    """Decode JSON lines; a line that does not parse, such as one cut off when its writer was killed, is left out."""
+    """Decode JSON lines; omit lines that do not parse, such as one truncated when its writer was killed."""
     rows = []
     for line in raw.splitlines():
         try:
@@ -97,10 +97,10 @@
 
 
 def frame_of(row: dict) -> bytes:
-    """The frame in a record that `Recorder.frame` wrote."""
+    """Return the frame in a record that `Recorder.frame` wrote."""
     return base64.b64decode(row["frame"])
 
 
 def parts_of(row: dict) -> list[bytes]:
-    """The message parts in a record that `Recorder.parts` wrote."""
+    """Return the message parts in a record that `Recorder.parts` wrote."""
     return [base64.b64decode(part) for part in row["parts"]]
--- a/tests/lab/test_lab_report_pages.py
+++ b/tests/lab/test_lab_report_pages.py
@@ -1,4 +1,4 @@
-"""Recordings and pages."""
+"""Recorder without a file, and the pages of recordings and comparisons."""
 
 from pathlib import Path
 
@@ -40,9 +40,9 @@
         for s in (1, 2)
     ]
     kept.write_bytes(b"\n".join(map(msgspec.json.encode, rows)))
-    for source, pictures in ((record, 7), (kept, 4)):
-        ran = CliRunner().invoke(main, ["lab", "report", str(source), "--out", str(tmp_path / source.stem)])
-        assert ran.exit_code == 0, ran.output
-        assert Path(ran.output.strip()).read_text().count("data:image/png") == pictures
+    for source, images in ((record, 7), (kept, 4)):
+        result = CliRunner().invoke(main, ["lab", "report", str(source), "--out", str(tmp_path / source.stem)])
+        assert result.exit_code == 0, result.output
+        assert Path(result.output.strip()).read_text().count("data:image/png") == images
     (tmp_path / "empty.jsonl").write_text("nothing\n")
     assert CliRunner().invoke(main, ["lab", "report", str(tmp_path / "empty.jsonl")]).exit_code == 2
--- a/tests/lab/test_lab_reports.py
+++ b/tests/lab/test_lab_reports.py
@@ -19,7 +19,7 @@
     ]
 
 
-def test_lines_that_are_cut_off_are_left_out():
+def test_truncated_lines_are_omitted():
     assert decode_lines(b'{"t":1}\n{"t"\n{"t":2}\n') == [{"t": 1}, {"t": 2}]
 
 
@@ -32,13 +32,13 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "neither a recording nor a kept comparison"),
-        ('{"x":1}', "neither a recording nor a kept comparison"),
-        ('{"k":"state","t":1}', "the recording holds no RPC"),
-        ('{"variant":"even","failed":"no"}', "no day was played"),
+        ("", "no first record with key 'k' of a recording or key 'variant' of a kept comparison"),
+        ('{"x":1}', "no first record with key 'k' of a recording or key 'variant' of a kept comparison"),
+        ('{"k":"state","t":1}', "the recording holds no record of a finished RPC"),
+        ('{"variant":"even","failed":"no"}', "no day of the comparison could be run, 1 failed"),
     ],
 )
-def test_a_source_with_nothing_to_show_is_refused_with_the_reason(tmp_path, text, message):
+def test_a_source_with_nothing_to_show_is_rejected_with_the_reason(tmp_path, text, message):
     (tmp_path / "source").write_text(text)
     with pytest.raises(ReportError, match=f"^{message}$") as caught:
         page_of(tmp_path / "source", tmp_path / "out")
@@ -47,7 +47,7 @@
     assert not (tmp_path / "out").exists()
 
 
-def test_a_sweep_without_a_good_size_is_refused_with_all_reasons(tmp_path):
+def test_a_sweep_without_a_successful_size_is_rejected_with_all_reasons(tmp_path):
     rows = [{"times": 1.0, "assigners": 1, "failed": "first"}, {"times": 9.0, "assigners": 1, "failed": "second"}]
     with pytest.raises(ReportError, match=r"^no size could be played: first; second$"):
         sweep.page(rows, tmp_path, "x")
