--- a/hollyridge/lab/experiments/day_command.py
+++ b/hollyridge/lab/experiments/day_command.py
@@ -1,4 +1,4 @@
-"""What all experiments that run a day as a command of its own have to know about that command."""
+"""Exit codes and error output of the command that runs a day, for experiments that start it as a process."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def error_text(stderr: bytes, max_characters: int) -> str:
-    """The end of what a failed command wrote to its standard error."""
+    """Return the end of the text that a failed command wrote to its standard error."""
     return stderr.decode(errors="replace")[-max_characters:]
--- a/hollyridge/lab/experiments/errors.py
+++ b/hollyridge/lab/experiments/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the experiments."""
+"""Exceptions of the experiments."""
 
 from hollyridge.errors import HollyridgeError
 
 
 class VariantError(HollyridgeError, ValueError):
-    """A variant of a comparison can't be run; the message names it."""
+    """Raised if a variant of a comparison cannot be run; the message names it."""
 
 
 class AssignerStartError(HollyridgeError, OSError):
-    """An assigner's process ended before it listened; the message gives its exit code."""
+    """Raised if an assigner's process ended before it listened; the message gives its exit code."""
--- a/hollyridge/lab/experiments/experiment.py
+++ b/hollyridge/lab/experiments/experiment.py
@@ -1,6 +1,6 @@
-"""Paired comparisons: two variants on the same days and seeds, until the answer is clear.
+"""Paired comparison of two variants on the same days and seeds, until the difference is clear.
 
-Days are spread over processes. Results are kept in a file, so that an interrupted comparison continues where it was.
+Days run in several processes. Results are kept in a file, so that an interrupted comparison can be continued.
 """
 
 from __future__ import annotations
@@ -20,47 +20,53 @@
 from hollyridge.lab.reports.record import decode_lines
 
 REPOSITORY = Path(__file__).resolve().parents[3]
-DAY_TIMEOUT_S = 3600  # of real time; a simulated day takes seconds to minutes
-MAX_ERROR_CHARACTERS = 400  # the end of a traceback is enough to see why a day failed
+DAY_TIMEOUT_S = 3600  # real time; a simulated day takes seconds to minutes
+MAX_ERROR_CHARACTERS = 400  # the end of a traceback shows why a day failed
 MAX_SHOWN_ERROR_CHARACTERS = 120
-BATCHES_PER_WORKER = 4  # days that each worker runs before the answer is looked at again
+BATCHES_PER_WORKER = 4  # days that each worker runs before the difference is tested again
 SUMMARY_FIGURES = ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")
 
 
 class Job(NamedTuple):
-    """One day to run."""
+    """One day to run.
+
+    Attributes:
+        variant: Variant to run.
+        scenario: Path of the scenario.
+        seed: Seed of the day.
+    """
 
     variant: Variant
-    script: str
+    scenario: str
     seed: int
 
     @property
     def key(self) -> tuple[str, str, int]:
-        """What identifies the day among the results."""
-        return self.variant.name, self.script, self.seed
+        """Key of the day among the results: variant, scenario and seed."""
+        return self.variant.name, self.scenario, self.seed
 
 
 def key_of(row: dict) -> tuple[str, str, int]:
-    """What identifies the day that a result is of; equals `Job.key`."""
+    """Return the key of the day that a result belongs to; equal to its `Job.key`."""
     return row["variant"], row["script"], row["seed"]
 
 
-def play(variant: Variant, script: str, seed: int, folder: str | None) -> dict:
+def play(variant: Variant, scenario: str, seed: int, folder: str | None) -> dict:
     """Run one simulated day in a process of its own.
 
     Args:
-        variant: What is run.
-        script: Path of the scenario.
+        variant: Variant to run.
+        scenario: Path of the scenario.
         seed: Seed of the day.
-        folder: The source tree to run from; None for the present one.
+        folder: Source tree to run from; None for the current one.
 
     Returns:
-        The day's figures, or the reason under `failed`.
+        The day's figures, or the end of the error output under `failed`.
     """
-    command = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", str(Path(script).resolve())]
+    command = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", str(Path(scenario).resolve())]
     command += ["--seed", str(seed), "--json", *variant.arguments()]
     process = subprocess.run(command, capture_output=True, cwd=folder, timeout=DAY_TIMEOUT_S)
-    key = {"variant": variant.name, "script": script, "seed": seed}
+    key = {"variant": variant.name, "script": scenario, "seed": seed}
     if process.returncode not in EXIT_CODES_OF_A_DAY:
         return {**key, "failed": error_text(process.stderr, MAX_ERROR_CHARACTERS)}
     result = msgspec.json.decode(process.stdout)
@@ -69,62 +75,66 @@
 
 
 def read(path: Path) -> list[dict]:
-    """Read kept results; none if there is no file. A last line that was cut off is left out."""
+    """Read kept results; none if there is no file. Omit a truncated last line."""
     return decode_lines(path.read_bytes()) if path.exists() else []
 
 
 def end_cut_line(path: Path) -> None:
-    """End a last line that was cut off, so that the next result starts on a line of its own."""
+    """Terminate a truncated last line, so that the next result starts on a line of its own."""
     if path.exists() and not path.read_bytes().endswith(b"\n"):
         with open(path, "ab") as file:
             file.write(b"\n")
 
 
 def append(path: Path, row: dict) -> None:
-    """Add one result to the kept ones."""
+    """Append one result to the file of kept results."""
     with open(path, "ab") as file:
         file.write(msgspec.json.encode(row) + b"\n")
 
 
 class Comparison:
-    """The results of two variants, old and new.
+    """Comparison of two variants, with their earlier and new results.
 
     Attributes:
-        rows: Results of all days so far, those read from the file included.
+        a: Variant to compare with.
+        b: Variant to evaluate.
+        figure: Figure that is compared.
+        results_path: File that results are kept in; None to keep none.
+        rows: Results of all days so far, including those read from the file.
     """
 
-    def __init__(self, a: Variant, b: Variant, figure: str, kept: Path | None) -> None:
+    def __init__(self, a: Variant, b: Variant, figure: str, results_path: Path | None) -> None:
         self.a = a
         self.b = b
         self.figure = figure
-        self.kept = kept
-        self.rows = read(kept) if kept else []
-        if kept:
-            end_cut_line(kept)
+        self.results_path = results_path
+        self.rows = read(results_path) if results_path else []
+        if results_path:
+            end_cut_line(results_path)
 
     def gap(self) -> PairedGap:
-        """The difference between the variants in the results so far."""
+        """Return the difference between the variants in the results so far."""
         return gap_of(gaps_of(self.rows, self.a, self.b, self.figure))
 
     def add(self, row: dict) -> None:
-        """Take a new result and keep it."""
+        """Add a new result and append it to the file, if there is one."""
         self.rows.append(row)
-        if self.kept:
-            append(self.kept, row)
+        if self.results_path:
+            append(self.results_path, row)
 
     def run(self, jobs: list[Job], workers: int, on_result: Callable[[int], None]) -> bool:
-        """Run the jobs that have no result yet, in batches, until the answer is clear.
+        """Run the jobs that have no result yet, in batches, until the difference is clear.
 
         Args:
             jobs: All days of the comparison.
-            workers: Days to run at a time.
+            workers: Number of days to run at a time.
             on_result: Called with the number of results after each new one.
 
         Returns:
-            Whether jobs were left out because the answer was clear.
+            Whether jobs were left out because the difference was clear.
 
         Raises:
-            VariantError: A variant can't be run.
+            VariantError: If a variant cannot be run.
         """
         done = {key_of(row) for row in self.rows if "failed" not in row}
         checkouts = Checkouts(REPOSITORY)
@@ -145,33 +155,35 @@
 def compare(  # noqa: PLR0913, PLR0917 - one argument for each option of the command, which passes them in order
     a: Variant,
     b: Variant,
-    scripts: list[str],
+    scenarios: list[str],
     seeds: int,
-    kept: Path | None,
+    results_path: Path | None,
     at_once: int,
     on_progress: Callable[[int, int], None] = lambda done, total: None,
     figure: str = "served",
 ) -> dict:
-    """Run both variants on the same days and seeds until the answer is clear or the seeds are used up.
+    """Run both variants on the same days and seeds until the difference is clear or the seeds are used up.
 
     Args:
-        a: The variant to compare with.
-        b: The variant that is judged.
-        scripts: Paths of the scenarios.
-        seeds: Seeds for each scenario, counted from 1.
-        kept: File with the results; those that it holds are not run again.
-        at_once: Days to run at a time.
-        on_progress: Called with the numbers of days that are done and of all.
-        figure: The figure that is compared.
+        a: Variant to compare with.
+        b: Variant to evaluate.
+        scenarios: Paths of the scenarios.
+        seeds: Number of seeds for each scenario, counted from 1.
+        results_path: File with the results; days that it holds are not run again.
+        at_once: Number of days to run at a time.
+        on_progress: Called with the number of days that are done and the number of all days.
+        figure: Figure that is compared.
 
     Returns:
         The result as `lab compare --json` prints it.
 
     Raises:
-        VariantError: A variant can't be run.
+        VariantError: If a variant cannot be run.
     """
-    comparison = Comparison(a, b, figure, kept)
-    jobs = [Job(variant, script, seed) for seed in range(1, seeds + 1) for script in scripts for variant in (a, b)]
+    comparison = Comparison(a, b, figure, results_path)
+    jobs = [
+        Job(variant, scenario, seed) for seed in range(1, seeds + 1) for scenario in scenarios for variant in (a, b)
+    ]
     stopped_early = comparison.run(jobs, at_once, lambda done: on_progress(done, len(jobs)))
     rows = sorted(comparison.rows, key=lambda row: (row["seed"], row["script"], row["variant"]))
     return {
@@ -185,17 +197,17 @@
 
 
 def gaps_of(rows: list[dict], a: Variant, b: Variant, figure: str) -> list[float]:
-    """Differences B minus A of a figure, for each day and seed that both have run."""
+    """Return the differences B minus A of a figure, for each day and seed that both have run."""
     values = {key_of(row): row[figure] for row in rows if "failed" not in row}
     return [
-        values[b.name, script, seed] - value
-        for (name, script, seed), value in sorted(values.items())
-        if name == a.name and (b.name, script, seed) in values
+        values[b.name, scenario, seed] - value
+        for (name, scenario, seed), value in sorted(values.items())
+        if name == a.name and (b.name, scenario, seed) in values
     ]
 
 
 def summary(rows: Iterable[dict], variant: Variant) -> dict:
-    """Means of a variant's figures over its days, and the days that failed, as `lab compare --json` prints them."""
+    """Return the means of a variant's figures and its failed days, as `lab compare --json` prints them."""
     own_rows = [row for row in rows if row["variant"] == variant.name]
     good = [row for row in own_rows if "failed" not in row]
     means = {key: round(sum(row[key] for row in good) / len(good), 4) if good else None for key in SUMMARY_FIGURES}
--- a/hollyridge/lab/experiments/fault_draw.py
+++ b/hollyridge/lab/experiments/fault_draw.py
@@ -1,4 +1,4 @@
-"""Faults drawn at random from ranges, and scenarios that have them in place of their own."""
+"""Faults drawn at random from ranges, and scenarios that contain them instead of their own."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class FaultRanges(NamedTuple):
-    """The ranges, as (from, to), that one kind of fault is drawn from.
+    """Ranges, as (minimum, maximum), that one kind of fault is drawn from.
 
     Attributes:
-        duration_s: How long it lasts.
-        part: The share of tasks, proxies or assigners that it strikes.
-        size: The key `size` of its section; the meaning depends on the kind.
-        extra: The key `extra` of its section; the meaning depends on the kind.
+        duration_s: Duration, in seconds.
+        part: Share of tasks, proxies or assigners that it affects.
+        size: Key `size` of its section; the meaning depends on the kind.
+        extra: Key `extra` of its section; the meaning depends on the kind.
     """
 
     duration_s: tuple[float, float]
@@ -25,8 +25,8 @@
 
 
 def draw_fault(rng: Random, kind: str, ranges: FaultRanges, first_s: float, last_s: float) -> FaultSection:
-    """Draw one fault of a kind that begins between two moments."""
-    return FaultSection(  # the order of the draws decides which day a seed gives
+    """Draw one fault of a kind that begins between two times, in seconds from the start of the day."""
+    return FaultSection(  # a seed yields the same day only while the order of the draws stays
         kind=kind,
         at_s=round(rng.uniform(first_s, last_s), 2),
         for_s=round(rng.uniform(*ranges.duration_s), 2),
@@ -44,10 +44,10 @@
 
     Args:
         rng: Source of the draws.
-        kinds: Kinds in the order they are drawn; their names in the scenario are made from it.
+        kinds: Kinds in the order in which they are drawn; a fault is named after its kind and position.
         ranges: Ranges by kind.
-        first_s: When the first may begin, from the start of the day.
-        last_s: When the last may begin.
+        first_s: Earliest beginning of a fault, in seconds from the start of the day.
+        last_s: Latest beginning of a fault, in seconds from the start of the day.
 
     Returns:
         The faults by name.
@@ -57,8 +57,15 @@
     }
 
 
-def with_faults(script: Scenario, faults: dict[str, FaultSection]) -> Scenario:
-    """A copy of a scenario that has these faults in place of its own."""
+def with_faults(scenario: Scenario, faults: dict[str, FaultSection]) -> Scenario:
+    """Return a copy of a scenario with these faults instead of its own."""
     return Scenario(
-        script.path, script.day, script.fleet, script.load, script.net, faults, script.overrides, script.config
+        scenario.path,
+        scenario.day,
+        scenario.fleet,
+        scenario.load,
+        scenario.net,
+        faults,
+        scenario.overrides,
+        scenario.config,
     )
--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -1,6 +1,6 @@
-"""A flood of load reports against a real assigner on loopback, beside one that reads all of them.
+"""Flood of load reports against an assigner process on loopback, and against a second one without a limit.
 
-Measures which reports are accepted, what that costs, and how far the weights of the two assigners end up apart.
+The experiment measures which reports are accepted, what that costs, and how far the weights of the two differ.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from hollyridge.sasp.client import ConnectionLostError, Entry, HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
-UNLIMITED_POINTS_PER_S = 1e9  # budget of the assigner that reads all reports
-QUIET_SENDERS = 20  # each from an address of its own
-FLOODING_SENDERS = 4  # connections of the one address that floods
-QUIET_SHARE = 0.5  # of the data points
+UNLIMITED_POINTS_PER_S = 1e9  # budget of the assigner without a limit
+QUIET_SENDERS = 20  # each sends from its own address
+FLOODING_SENDERS = 4  # connections from the address that floods
+QUIET_SHARE = 0.5  # share of the data points that quiet senders send
 SERIES_PER_REQUEST = 20
-PERIOD_NS = 1_000_000_000  # that a report covers
-SETTLE_S = 1.0  # from registration of the members until readers connect
-LAST_UPDATE_S = 1.5  # from the last report until weights are compared
+PERIOD_NS = 1_000_000_000  # period that a report covers
+SETTLE_S = 1.0  # from the registration of the members until load balancers connect
+LAST_UPDATE_S = 1.5  # from the last report until the weights are compared
 TASK_PORT = 9000
 
 
 class Flood:
-    """Both assigners, their clients, and the counts of what was sent to the limited one."""
+    """The two assigners, their clients, and counts of the data points sent to the limited one."""
 
     def __init__(self, limited: Assigner, unlimited: Assigner, tasks: int, seed: int) -> None:
         self.limited = limited
@@ -68,13 +68,13 @@
                 self.followers.append(gevent.spawn(follow, client, self.weights[assigner, zone]))
 
     def close(self) -> None:
-        """Close all connections; readers end with them."""
+        """Close all connections, which ends the greenlets that read from them."""
         for client in self.clients:
             client.close()
         gevent.killall(self.followers)
 
     def senders(self, points_per_s: float) -> list[Sender]:
-        """Quiet senders that share the series, and some connections of one address that report on all of them."""
+        """Return quiet senders that divide the series among them, and flooding ones that report on all series."""
         quiet_rate = QUIET_SHARE * points_per_s / QUIET_SENDERS
         flooding_rate = (1 - QUIET_SHARE) * points_per_s / FLOODING_SENDERS
         quiet = [
@@ -88,7 +88,7 @@
         return quiet + flooding
 
     def count(self, sender: Sender, points: int, status: int) -> None:
-        """Count data points sent to the limited assigner, and whether it accepted them."""
+        """Count data points sent to the limited assigner, as accepted or rejected by status."""
         accepted = status == http.HTTPStatus.OK
         self.counts["sent"] += points
         self.counts["kept" if accepted else "shed"] += points
@@ -97,13 +97,13 @@
             self.counts["quiet_kept"] += points * accepted
 
     def next_figures(self, sender: Sender, position: int) -> list[Figure]:
-        """Figures of a sender's next request, whose series begin at a position of its turn."""
+        """Return the figures of a sender's next request, whose series begin at this position in the sender's list."""
         series = [sender.series[(position + step) % len(sender.series)] for step in range(SERIES_PER_REQUEST)]
         end_ns = time.time_ns()
         return self.reports.figures(sender.source, series, end_ns - PERIOD_NS, end_ns)
 
     def send_reports(self, sender: Sender, until_s: float) -> None:
-        """Send the same reports to both assigners until a moment of the monotonic clock."""
+        """Send the same reports to both assigners until a time on the monotonic clock, in seconds."""
         connections = [assigner.connection(sender.address) for assigner in self.assigners]
         position = 0
         while time.monotonic() < until_s:
@@ -125,13 +125,13 @@
             connection.close()
 
     def send_all(self, points_per_s: float, seconds: float) -> None:
-        """Let all senders send for some time."""
+        """Run all senders for this time."""
         until_s = time.monotonic() + seconds
         jobs = [gevent.spawn(self.send_reports, sender, until_s) for sender in self.senders(points_per_s)]
         gevent.joinall(jobs, raise_error=True)
 
     def weight_distance(self) -> float:
-        """Mean distance over zones between the weights that the two assigners have published for the first method."""
+        """Return the distance between the two assigners' weights for the first method, as the mean over zones."""
         method = self.limited.methods[0]
         distances = [
             distance(
@@ -144,7 +144,7 @@
 
 
 def loopback_members(octets: list[str], count: int) -> list[Member]:
-    """Members at addresses of their own, spread over zones by the second octet."""
+    """Return members, each with its own address, spread over zones by the second octet."""
     return [
         Member.at(f"127.{octets[number % len(octets)]}.1.{number + 1}", TASK_PORT, f"t{number} run=a up=100")
         for number in range(count)
@@ -163,20 +163,20 @@
 
 
 def flood(reports_per_s: float, seconds: float, budget: float, tasks: int = 30, seed: int = 1) -> dict:
-    """Run a flood against two assigners that are started for it.
+    """Start two assigners and run a flood against them.
 
     Args:
-        reports_per_s: Data points sent a second, half of them by one address that ignores rejections.
-        seconds: Length of the flood.
-        budget: Data points a second that the limited assigner reads.
+        reports_per_s: Data points to send per second, half of them from one address that ignores rejections.
+        seconds: Length of the flood, in seconds.
+        budget: Data points per second that the limited assigner reads.
         tasks: Number of tasks that are reported on.
-        seed: Seed of what the reports say.
+        seed: Seed of the contents of the reports.
 
     Returns:
         The result as `lab flood --json` prints it.
 
     Raises:
-        AssignerStartError: An assigner did not start.
+        AssignerStartError: If an assigner does not start.
     """
     with tempfile.TemporaryDirectory(prefix="hollyridge-flood-") as folder:
         assigners = [
@@ -191,7 +191,7 @@
 
 
 def measure(run: Flood, reports_per_s: float, seconds: float) -> dict:
-    """Run a flood against its assigners; arguments and result as of `flood`."""
+    """Run a flood against its assigners; the other arguments and the result are those of `flood`."""
     run.register_members()
     gevent.sleep(SETTLE_S)
     run.follow_weights()
@@ -215,13 +215,15 @@
 
 
 def shares_of(lines: dict[Member, Entry]) -> dict[Member, float]:
-    """Each task's share of a table's weight."""
+    """Return each task's share of a table's total weight."""
     total = sum(entry.weight for entry in lines.values()) or 1
     return {task: entry.weight / total for task, entry in lines.items()}
 
 
 def distance(first: dict[Member, Entry], second: dict[Member, Entry]) -> float:
-    """Half the sum of differences between shares of weight: 0 for equal shares, 1 for tables with no task in common.
+    """Return half the sum of the differences between shares of weight.
+
+    The result is 0 for equal shares and 1 for tables with no task in common.
 
     >>> from hollyridge.sasp.client import Entry
     >>> distance({"a": Entry(3, 0), "b": Entry(1, 0)}, {"a": Entry(1, 0), "b": Entry(1, 0)})
--- a/hollyridge/lab/experiments/flood_assigner.py
+++ b/hollyridge/lab/experiments/flood_assigner.py
@@ -1,4 +1,4 @@
-"""An assigner in a process of its own, which a report flood is sent to."""
+"""Assigner process that a report flood is sent to."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 
 SETTINGS = Path(__file__).resolve().parents[3] / "examples" / "loopback.ini"
 START_PROBES = 200
-START_PROBE_INTERVAL_S = 0.05  # with START_PROBES: ten seconds, several times what a start takes
+START_PROBE_INTERVAL_S = 0.05  # with START_PROBES: ten seconds, several times the duration of a start
 REQUEST_TIMEOUT_S = 10.0
-STOP_TIMEOUT_S = 10.0  # before the process is killed
+STOP_TIMEOUT_S = 10.0  # after which the process is killed
 
 
 class Assigner:
-    """`hollyridge serve` on loopback with free ports and a given report budget.
+    """Process of `hollyridge serve` on loopback with free ports and a given report budget.
 
     Attributes:
-        sasp: Port of its SASP server.
-        otlp: Port of its report intake and status page.
-        zones: The second octet of each zone's addresses, by zone.
-        methods: Names of its methods.
+        sasp: Port of the SASP server.
+        otlp: Port of the report intake and the status page.
+        zones: Second octet of each zone's addresses, by zone.
+        methods: Names of the methods.
     """
 
     def __init__(self, folder: Path, name: str, points_per_s: float) -> None:
         """Start the process and wait until it listens.
 
         Args:
-            folder: Where its settings and log are written.
+            folder: Folder for the settings file and the log.
             name: Name of both files.
-            points_per_s: Data points a second that it reads of reports.
+            points_per_s: Budget of report data points per second.
 
         Raises:
-            AssignerStartError: It ended before it listened.
+            AssignerStartError: If the process ends before it listens.
         """
         self.sasp = free_port()
         self.otlp = free_port()
@@ -64,11 +64,13 @@
         """Probe the intake's port until it accepts connections or the probes are used up.
 
         Raises:
-            AssignerStartError: The process ended.
+            AssignerStartError: If the process has ended.
         """
         for _ in range(START_PROBES):
             if self.process.poll() is not None:
-                raise AssignerStartError(f"the assigner ended with {self.process.returncode}")
+                raise AssignerStartError(
+                    f"the assigner ended with exit code {self.process.returncode} before it listened"
+                )
             try:
                 socket.create_connection(("127.0.0.1", self.otlp), timeout=1).close()
             except OSError:
@@ -77,15 +79,17 @@
                 return
 
     def connection(self, source: str) -> http.client.HTTPConnection:
-        """An HTTP connection to the intake from a source address; it is opened by the first request."""
+        """Return an HTTP connection to the intake from a source address; the first request opens it."""
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.otlp, timeout=REQUEST_TIMEOUT_S, source_address=(source, 0)
         )
-        connection._create_connection = socket.create_connection  # gevent's, so that other greenlets run meanwhile
+        connection._create_connection = (
+            socket.create_connection
+        )  # the one of gevent, so that other greenlets run meanwhile
         return connection
 
     def status(self) -> dict:
-        """The status page."""
+        """Return the contents of the status page."""
         connection = self.connection("127.0.0.1")
         connection.request("GET", "/status")
         try:
@@ -94,14 +98,14 @@
             connection.close()
 
     def rss_mb(self) -> float:
-        """Resident memory of the process, 0 if it has ended."""
+        """Return the resident memory of the process in megabytes; 0 if it has ended."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def stop(self) -> None:
-        """End the process, by force if it does not end in time."""
+        """Terminate the process; kill it if it does not end in time."""
         self.process.terminate()
         try:
             self.process.wait(timeout=STOP_TIMEOUT_S)
--- a/hollyridge/lab/experiments/flood_reports.py
+++ b/hollyridge/lab/experiments/flood_reports.py
@@ -1,4 +1,4 @@
-"""The load reports of a flood and their senders: what simulated proxies have seen of tasks, of which some are slow."""
+"""Load reports of a flood and their senders; the reports describe tasks of which some are slow."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from hollyridge.otlp.sender import Figure
 
-FLOODING_ADDRESS = "127.0.0.2"  # the one address that floods
+FLOODING_ADDRESS = "127.0.0.2"  # the only address that floods
 MEAN_LATENCY_S = 0.08
 UTILIZATION = 0.35
 MAX_UTILIZATION = 0.95
-SLOW_FACTOR = 2.0  # on latency and utilization of a slow task
-SLOW_OF = (2, 5)  # so many of so many tasks are slow
-MAX_ATTEMPTS = 4  # of one series in one report
+SLOW_FACTOR = 2.0  # factor on latency and utilization of a slow task
+SLOW_OF = (2, 5)  # 2 of 5 tasks are slow
+MAX_ATTEMPTS = 4  # attempts of one series in one report
 
 
 class ReportedSeries(NamedTuple):
-    """What one part of a report is about."""
+    """Zone, task and method that one part of a report describes."""
 
     zone: str
     task: str
@@ -28,10 +28,10 @@
     """A sender of reports.
 
     Attributes:
-        source: Name that its reports carry.
-        address: Address that it sends from.
-        points_per_s: Data points that it sends a second.
-        series: What it reports on, in turn.
+        source: Name of the sender in its reports.
+        address: Source address of its connections.
+        points_per_s: Data points that it sends per second.
+        series: Series that it reports on, in turn.
     """
 
     source: str
@@ -41,15 +41,17 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether it is not the one that floods."""
+        """Whether the sender is not the one that floods."""
         return self.address != FLOODING_ADDRESS
 
 
 class ReportGenerator:
-    """Draws what proxies see of each task, by seed.
+    """Generator of reports, drawn at random by seed.
 
     Attributes:
+        rng: Source of the draws.
         series: Every combination of zone, task and method.
+        factors: Factor on latency and utilization of each task.
     """
 
     def __init__(self, tasks: list[str], zones: list[str], methods: list[str], seed: int) -> None:
@@ -63,9 +65,9 @@
 
         Args:
             source: Name of the proxy that sends it.
-            series: What it reports on.
-            start_ns: Start of the reported period, since the epoch.
-            end_ns: Its end.
+            series: Series that the report describes.
+            start_ns: Start of the reported period, in nanoseconds since the epoch.
+            end_ns: End of the reported period, in nanoseconds since the epoch.
         """
         figures = []
         for zone, task, method in series:
--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -1,6 +1,6 @@
-"""A search for the worst day: faults are drawn by seed and run in the simulated world.
+"""Search for the worst day among simulated days whose faults are drawn by seed.
 
-The worst day that is found is reduced to the fewest faults that still show it, and written as a scenario.
+The worst day found is reduced to the faults that it needs, and written as a scenario.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from hollyridge.lab.scenario import FaultSection, Scenario
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
-FIRST_FAULT_S = 1.0  # leaves the fleet time to start
-LAST_FAULT_SHARE = 0.75  # of the day, so that what follows a fault is seen
-BROKEN_RULE_BADNESS = 10.0  # a broken rule is worse than any service
-KEPT_BADNESS = 0.9  # share of its badness that a day may not lose with one fault
+FIRST_FAULT_S = 1.0  # gives the fleet time to start
+LAST_FAULT_SHARE = 0.75  # share of the day, so that the effects of the last fault are seen
+BROKEN_RULE_SEVERITY = 10.0  # a broken rule counts more than any loss of service
+MIN_KEPT_SEVERITY = 0.9  # share of its severity that a day must keep when a fault is removed
 
 RANGES = {
     "release": FaultRanges((6, 20), (0.3, 0.99), (1, 1), (1, 1)),
@@ -50,10 +50,10 @@
 
 
 class FoundDay(NamedTuple):
-    """A day that was run, with what is needed to run it again."""
+    """A day that was run, with its outcome and the seed and scenario to run it again."""
 
     seed: int
-    script: Scenario
+    scenario: Scenario
     outcome: Outcome
 
 
@@ -63,28 +63,31 @@
     return draw_faults(rng, kinds, RANGES, FIRST_FAULT_S, LAST_FAULT_SHARE * length_s)
 
 
-def play(script: Scenario, seed: int, policy: str) -> Outcome | None:
-    """Run a simulated day with a decision module of the laboratory; None if it can't be run."""
+def play(scenario: Scenario, seed: int, policy: str) -> Outcome | None:
+    """Run a simulated day with a decision module of the laboratory; return None if it cannot be run."""
     try:
-        return Day(script, SimulatedEnvironment(script, policy, seed), seed).play()
+        return Day(scenario, SimulatedEnvironment(scenario, policy, seed), seed).play()
     except DayError:
         return None
 
 
 def broken_rules(outcome: Outcome) -> set[int]:
-    """The numbers of the rules that were broken."""
+    """Return the numbers of the rules that were broken."""
     return {verdict.rule for verdict in outcome.verdicts if not verdict.kept}
 
 
-def badness(outcome: Outcome) -> float:
-    """Rank a day: broken rules count most, then how near a rule came to its limit and what share was not served."""
+def severity(outcome: Outcome) -> float:
+    """Return the severity of a day.
+
+    Broken rules count most, then the largest fraction of a limit used, and the share that was not served.
+    """
     nearest = max(verdict.nearest for verdict in outcome.verdicts)
     broken = sum(not verdict.kept for verdict in outcome.verdicts)
-    return BROKEN_RULE_BADNESS * broken + min(nearest, 1.0) + 1 - outcome.figures["served"]
+    return BROKEN_RULE_SEVERITY * broken + min(nearest, 1.0) + 1 - outcome.figures["served"]
 
 
 def hunt(
-    script: Scenario,
+    scenario: Scenario,
     seeds: range,
     policy: str = "",
     max_faults: int = 5,
@@ -93,62 +96,62 @@
     """Draw and run a day for each seed.
 
     Args:
-        script: The scenario whose fleet and load are used; its own faults are not.
+        scenario: Scenario whose fleet and load are used; its own faults are not.
         seeds: Seeds of the draws and of the days.
-        policy: A decision module of the laboratory; the service's own if empty.
-        max_faults: Faults in one day at most.
-        on_progress: Called after each seed with the worst badness so far.
+        policy: Decision module of the laboratory; the service's own if empty.
+        max_faults: Maximum number of faults in one day.
+        on_progress: Called after each seed with the seed and the highest severity so far.
 
     Returns:
         The worst day; None if none could be run.
     """
     worst: FoundDay | None = None
     for seed in seeds:
-        candidate = with_faults(script, draw(Random(seed), script.day.length_s, max_faults))
+        candidate = with_faults(scenario, draw(Random(seed), scenario.day.length_s, max_faults))
         outcome = play(candidate, seed, policy)
-        if outcome is not None and (worst is None or badness(outcome) > badness(worst.outcome)):
+        if outcome is not None and (worst is None or severity(outcome) > severity(worst.outcome)):
             worst = FoundDay(seed, candidate, outcome)
-        on_progress(seed, badness(worst.outcome) if worst else 0.0)
+        on_progress(seed, severity(worst.outcome) if worst else 0.0)
     return worst
 
 
 def still_shows(reduced: Outcome, rules: set[int], current: Outcome) -> bool:
-    """Whether a reduced day still shows what was found.
+    """Return whether a reduced day still shows the finding.
 
     Args:
         reduced: Outcome of the day with one fault less.
-        rules: Rules that must be broken; if there are none, the day must be about as bad as the current one.
+        rules: Rules that must be broken; if there are none, the day must be about as severe as the current one.
         current: Outcome of the day with that fault.
     """
     if rules:
         return rules <= broken_rules(reduced)
-    return badness(reduced) >= KEPT_BADNESS * badness(current)
+    return severity(reduced) >= MIN_KEPT_SEVERITY * severity(current)
 
 
 def remove_one_fault(day: FoundDay, rules: set[int], policy: str) -> FoundDay | None:
-    """Find a fault that the day does not need; None if it needs each, or has only one."""
-    for removed in list(day.script.faults):
-        remaining = {name: fault for name, fault in day.script.faults.items() if name != removed}
+    """Return the day without a fault that it does not need; None if it needs each fault or has only one."""
+    for removed in list(day.scenario.faults):
+        remaining = {name: fault for name, fault in day.scenario.faults.items() if name != removed}
         if not remaining:
             continue
-        candidate = with_faults(day.script, remaining)
+        candidate = with_faults(day.scenario, remaining)
         outcome = play(candidate, day.seed, policy)
         if outcome is not None and still_shows(outcome, rules, day.outcome):
             return FoundDay(day.seed, candidate, outcome)
     return None
 
 
-def cut_down(seed: int, script: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
-    """Remove faults one by one as long as the day breaks the same rules or, if it broke none, is about as bad."""
+def cut_down(seed: int, scenario: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
+    """Remove faults one by one while the day breaks the same rules or, if it broke none, stays about as severe."""
     rules = broken_rules(outcome)
-    day = FoundDay(seed, script, outcome)
+    day = FoundDay(seed, scenario, outcome)
     while (reduced := remove_one_fault(day, rules, policy)) is not None:
         day = reduced
-    return day.script, day.outcome
+    return day.scenario, day.outcome
 
 
 def section_lines(name: str, section: BaseModel) -> list[str]:
-    """A section of a scenario as lines of an INI file; empty values are left out."""
+    """Return a section of a scenario as lines of an INI file, without empty values."""
     lines = [f"\n[{name}]"]
     for key, value in section.model_dump().items():
         text = ", ".join(map(str, value)) if isinstance(value, list) else value
@@ -158,7 +161,7 @@
 
 
 def override_lines(overrides: dict[tuple[str, str], str]) -> list[str]:
-    """Overrides of settings, by section and key, as `set` sections of an INI file."""
+    """Return overrides of settings, given by section and key, as `set` sections of an INI file."""
     keys_by_section: dict[str, list[str]] = {}
     for (section, key), value in overrides.items():
         keys_by_section.setdefault(section, []).append(f"{key} = {value}")
@@ -168,21 +171,21 @@
     return lines
 
 
-def write(path: Path, seed: int, script: Scenario, outcome: Outcome) -> None:
+def write(path: Path, seed: int, scenario: Scenario, outcome: Outcome) -> None:
     """Write a day as a scenario that `hollyridge lab run` and `hollyridge day` read."""
-    lines = [f"; Found by a hunt from {script.path.name}, seed {seed}: served {outcome.figures['served']}."]
+    lines = [f"; Found by a hunt from {scenario.path.name}, seed {seed}: served {outcome.figures['served']}."]
     for verdict in outcome.verdicts:
         if not verdict.kept:
             lines.append(f"; rule {verdict.rule} broken: {verdict.where}")
-    settings = str((script.path.parent / script.day.settings).resolve())
+    settings = str((scenario.path.parent / scenario.day.settings).resolve())
     sections = {
-        "day": script.day.model_copy(update={"seed": seed, "settings": settings}),
-        "fleet": script.fleet,
-        "load": script.load,
-        "net": script.net,
-        **{f"trouble {name}": fault for name, fault in script.faults.items()},
+        "day": scenario.day.model_copy(update={"seed": seed, "settings": settings}),
+        "fleet": scenario.fleet,
+        "load": scenario.load,
+        "net": scenario.net,
+        **{f"trouble {name}": fault for name, fault in scenario.faults.items()},
     }
     for name, section in sections.items():
         lines += section_lines(name, section)
-    lines += override_lines(script.overrides)
+    lines += override_lines(scenario.overrides)
     path.write_text("\n".join(lines) + "\n")
--- a/hollyridge/lab/experiments/paired_gap.py
+++ b/hollyridge/lab/experiments/paired_gap.py
@@ -1,4 +1,4 @@
-"""Statistics of paired differences: a bootstrap interval and a sign test."""
+"""Statistics of paired differences: bootstrap interval and sign test."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 BOOTSTRAP_DRAWS = 2000  # enough for the second digit of a 95% interval
 BOOTSTRAP_SEED = 1  # fixed, so that the same gaps always give the same interval
-TAIL = 40  # one draw in so many lies beyond each end of a 95% interval
-MIN_PAIRS = 8  # with fewer, even a unanimous sign test is not below the limit
-MAX_CHANCE = 0.01  # of a sign test that counts as clear
+TAIL = 40  # one draw in 40 lies beyond each end of a 95% interval
+MIN_PAIRS = 8  # with fewer, the sign test is not below MAX_CHANCE even if all pairs agree
+MAX_CHANCE = 0.01  # probability below which a sign test counts as clear
 
 
 class PairedGap(NamedTuple):
-    """The difference B minus A over pairs. `_asdict()` of it is part of `lab compare --json`.
+    """Difference B minus A over pairs. Its `_asdict()` is part of `lab compare --json`.
 
     Attributes:
         pairs: Number of pairs.
         mean: Mean difference.
         low: Lower end of its 95% interval, by bootstrap over pairs.
         high: Upper end of the interval.
-        better: Pairs in which B was higher.
-        worse: Pairs in which B was lower.
+        better: Number of pairs in which B was higher.
+        worse: Number of pairs in which B was lower.
         chance: Two-sided probability of such a split if both were equally good, by the sign test.
     """
 
@@ -42,7 +42,7 @@
 
 
 def sign_test(better: int, worse: int) -> float:
-    """Two-sided probability that fair coins split as unevenly.
+    """Return the two-sided probability that fair coin tosses split at least as unevenly.
 
     >>> sign_test(8, 0), sign_test(3, 3)
     (0.0078125, 1.0)
@@ -55,7 +55,7 @@
 
 
 def gap_of(gaps: list[float]) -> PairedGap:
-    """Summarise the differences of all pairs.
+    """Summarize the differences of all pairs.
 
     >>> gap = gap_of([0.1, 0.2, 0.3, 0.1, 0.2, 0.1, 0.2, 0.1])
     >>> gap.better, gap.worse, gap.low > 0, round(gap.chance, 4), gap.clear
--- a/hollyridge/lab/experiments/policies.py
+++ b/hollyridge/lab/experiments/policies.py
@@ -1,7 +1,7 @@
-"""Other decision modules for the laboratory: baselines to compare with, and modules that each break one rule.
+"""Alternative decision modules for the laboratory: baselines to compare with, and modules that each break one rule.
 
-The ones that break a rule show that the checks find it. All of them stand in for `decisions.assigner.Assigner`; the
-program around them is the real one.
+The modules that break a rule show that the checks detect it. All of them replace `decisions.assigner.Assigner`; the
+rest of the program stays the same.
 """
 
 from __future__ import annotations
@@ -21,31 +21,37 @@
     TrafficReport,
 )
 
-MIN_WEIGHT = 0.01  # that the slowest task gets of the fastest one's
-EMPTY_AFTER_US = 4_000_000  # from its first decision until a table is emptied
-OVERLOAD_FACTOR = 1000  # on the weight of a cold task
+MIN_WEIGHT = 0.01  # smallest weight of a slow task, relative to the fastest
+EMPTY_AFTER_US = 4_000_000  # from the first decision until a table is emptied
+OVERLOAD_FACTOR = 1000  # factor on the weight of a cold task
 RESEND_INTERVAL_US = 100_000
-RESEND_TIMER = 9  # a token that the real decisions do not use
-RESEND_STEPS = 7  # different weights that are sent by turns
+RESEND_TIMER = 9  # timer token that `Assigner` does not use
+RESEND_STEPS = 7  # number of different weights that are sent in turn
 
 
 class Baseline:
-    """Tables by zone, changed whenever `weights(zone)` changes."""
+    """Base class of modules with one table for each zone, updated whenever `weights(zone)` changes.
+
+    Attributes:
+        config: Configuration of the assigner.
+        zone_by_task: Zone of each ready task.
+        sent: Weights that were sent last, by zone and task.
+    """
 
     def __init__(self, config: AssignerConfig, seed: int) -> None:
         self.config = config
-        self.zone_by_task: dict[int, int] = {}  # of those that are ready
+        self.zone_by_task: dict[int, int] = {}
         self.sent: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
     def weights(self, zone: int) -> dict[int, float]:
-        """What the zone's table should hold."""
+        """Return the weight of each task that the zone's table should hold."""
         raise NotImplementedError
 
     def observe(self, now: int, event: Event) -> None:
-        """Learn from an event; baselines that learn override this."""
+        """Learn from an event; overridden by baselines that learn."""
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
-        """Commands for one batch of events."""
+        """Return the commands for one batch of events."""
         bindings: list[Command] = []
         for event in events:
             self.observe(now, event)
@@ -62,7 +68,7 @@
         return changes + bindings
 
     def update_endpoints(self, update: EndpointListUpdate) -> None:
-        """Take what the endpoint list says of tasks."""
+        """Apply an update of the endpoint list."""
         for endpoint in update.endpoints:
             self.zone_by_task.pop(endpoint.task, None)
             if endpoint.state == TaskState.READY:
@@ -70,35 +76,35 @@
 
 
 class Even(Baseline):
-    """Every ready task in every table with the same weight; changes only with the endpoint list."""
+    """Baseline with every ready task in every table at the same weight; changes only with the endpoint list."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        """The same weight for all."""
+        """Return the same weight for all ready tasks."""
         return dict.fromkeys(self.zone_by_task, 1.0)
 
 
 class Static(Baseline):
-    """What each table began with; only closed tasks leave, and others come only when none is left."""
+    """Baseline that keeps each table's initial tasks; closed tasks leave, and new ones enter only an empty table."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        """Those of the table that are still ready, or all if none is."""
+        """Return the same weight for the table's tasks that are still ready, or for all ready tasks if none is."""
         kept = {task: 1.0 for task in self.sent[zone] if task in self.zone_by_task}
         return kept or dict.fromkeys(self.zone_by_task, 1.0)
 
 
 class ZoneOnly(Baseline):
-    """Even among the tasks of the proxy's own zone; all others only where it has none."""
+    """Baseline with equal weights for the tasks of the zone; tasks of other zones only if it has none."""
 
     def weights(self, zone: int) -> dict[int, float]:
-        """The zone's own tasks, or all if it has none."""
+        """Return the same weight for the zone's own tasks, or for all ready tasks if it has none."""
         own = [task for task, home in self.zone_by_task.items() if home == zone]
         return dict.fromkeys(own or self.zone_by_task, 1.0)
 
 
 class LeastLatency(Baseline):
-    """By the inverse of the mean latency that the zone's proxies last saw, pushed as it changes.
+    """Baseline with weights inverse to the mean latency in the zone's last reports, pushed on every change.
 
-    A task without a report counts as the best of the others.
+    A task without a report counts as fast as the fastest of the others.
     """
 
     def __init__(self, config: AssignerConfig, seed: int) -> None:
@@ -106,19 +112,19 @@
         self.latency_us: list[dict[int, float]] = [{} for _ in range(config.zones)]
 
     def observe(self, now: int, event: Event) -> None:
-        """Remember the latency of a report."""
+        """Store the latency of a report."""
         if isinstance(event, TrafficReport) and event.attempts > event.failed and event.latency_us > 0:
             self.latency_us[event.zone][event.task] = event.latency_us
 
     def weights(self, zone: int) -> dict[int, float]:
-        """Weights between 0.01 and 1."""
+        """Return weights between 0.01 and 1."""
         latency_us = {task: us for task, us in self.latency_us[zone].items() if task in self.zone_by_task}
         best = min(latency_us.values(), default=1.0)
         return {task: round(best / latency_us.get(task, best), 2) or MIN_WEIGHT for task in self.zone_by_task}
 
 
 class PushWithoutGate(Assigner):
-    """The decisions without the push gate: every change that is worth a line is pushed each period."""
+    """Assigner without the push gate, which pushes every change that is worth a line in each period."""
 
     def __init__(self, config: AssignerConfig, seed: int) -> None:
         super().__init__(config, seed)
@@ -126,12 +132,12 @@
 
 
 class EmptiesTables(Assigner):
-    """Breaks rule 1: after a while it takes every line out of a table and puts none back."""
+    """Assigner that breaks rule 1: after a while it removes all lines of a table for good."""
 
     first_decision_us = 0
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
-        """The real commands, and the emptied table in place of its lines."""
+        """Return the regular commands, with table 0 emptied after `EMPTY_AFTER_US`."""
         commands = super().decide(now, events)
         self.first_decision_us = self.first_decision_us or now
         if now - self.first_decision_us < EMPTY_AFTER_US:
@@ -144,19 +150,19 @@
 
 
 class KeepsDrainedEndpoints(Assigner):
-    """Breaks rule 3: it never takes a line out."""
+    """Assigner that breaks rule 3: it never removes a line."""
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
-        """The real commands but those that take a line out."""
+        """Return the regular commands without those that remove a line."""
         commands = super().decide(now, events)
         return [command for command in commands if not (isinstance(command, SetWeight) and command.weight == 0)]
 
 
 class OverloadsColdTasks(Assigner):
-    """Breaks rule 4: the first of the tasks that have just started gets nearly all."""
+    """Assigner that breaks rule 4: the first of the cold tasks gets nearly all traffic."""
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
-        """The real commands with that task's weight raised."""
+        """Return the regular commands with the weight of the first cold task raised."""
         commands = super().decide(now, events)
         factors = self.planner.slow_start_factors(now)
         first_cold = min((task for task, factor in factors.items() if factor < 1), default=-1)
@@ -169,10 +175,10 @@
 
 
 class FloodsQueue(Assigner):
-    """Breaks rule 5: it sends a line of each table again ten times a second."""
+    """Assigner that breaks rule 5: it sends a line of each table again ten times a second."""
 
     def decide(self, now: int, events: list[Event]) -> list[Command]:
-        """The real commands, and the first line of each table with another weight."""
+        """Return the regular commands, and the first line of each table with another weight."""
         commands = super().decide(now, events)
         factor = 1 + now // 1000 % RESEND_STEPS / 10
         for number, table in enumerate(self.tables.tables):
--- a/hollyridge/lab/experiments/sweep.py
+++ b/hollyridge/lab/experiments/sweep.py
@@ -1,4 +1,4 @@
-"""A scaling sweep: one day at growing sizes, each in a process of its own, and how cost and service grow.
+"""Scaling sweep: the cost and service of one day at growing sizes, each run in its own process.
 
 Fleet, load and the pace of updates are scaled together.
 """
@@ -18,7 +18,7 @@
 from hollyridge.lab.reports.errors import ReportError
 from hollyridge.lab.reports.plot_page import PlotPage, render
 
-MAX_ERROR_CHARACTERS = 300  # the end of a traceback is enough to see why a size failed
+MAX_ERROR_CHARACTERS = 300  # the end of a traceback shows why a size failed
 PLOTTED_RULES = (3, 4, 5)  # the rules whose figures depend on size
 
 
@@ -26,14 +26,14 @@
     """Run the day of one size.
 
     Args:
-        path: The scenario.
+        path: Path of the scenario.
         times: Factor on fleet, load and pace.
         assigners: Number of assigners.
         seed: Seed of the day.
-        timeout_s: Real time that the day may take.
+        timeout_s: Real time that the day may take, in seconds.
 
     Returns:
-        The size's figures, or the reason under `failed`.
+        The size's figures, or the reason of the failure under `failed`.
     """
     command = [sys.executable, "-m", "hollyridge.cli.main", "lab", "run", path]
     command += ["--seed", str(seed), "--times", str(times), "--assigners", str(assigners), "--cost", "--json"]
@@ -70,11 +70,11 @@
     """Run every size with every number of assigners, one after the other.
 
     Args:
-        path: The scenario.
+        path: Path of the scenario.
         sizes: Factors on fleet, load and pace.
         assigners: Numbers of assigners.
         seed: Seed of all days.
-        timeout_s: Real time that one day may take.
+        timeout_s: Real time that one day may take, in seconds.
         on_result: Called with each result as it arrives.
 
     Returns:
@@ -101,7 +101,7 @@
 
 
 def draw_rule_usage(axes: Axes, rows: list[dict]) -> None:
-    """Plot how much of its limit each rule used, over the number of tasks."""
+    """Plot the fraction of its limit that each rule used, over the number of tasks."""
     for rule in PLOTTED_RULES:
         points = sorted((row["tasks"], row["nearest"][rule]) for row in rows)
         axes.plot(*zip(*points), "o-", label=f"rule {rule}")
@@ -125,20 +125,20 @@
     """Write the page of a sweep's results and return its path.
 
     Raises:
-        ReportError: None of the sizes could be run.
+        ReportError: If none of the sizes could be run.
     """
     good = [row for row in rows if "failed" not in row]
     if not good:
-        raise ReportError("no size could be played: " + "; ".join(row["failed"] for row in rows))
+        raise ReportError("no size could be run: " + "; ".join(row["failed"] for row in rows))
     fewest_assigners = min(row["assigners"] for row in good)
     comparable = [row for row in good if row["assigners"] == fewest_assigners]
     growth = partial(draw_growth, rows=good)
     plots = [
-        render("CPU seconds for a simulated second", partial(growth, key="cpu_per_s", unit="s")),
+        render("CPU seconds per simulated second", partial(growth, key="cpu_per_s", unit="s")),
         render("Memory", partial(growth, key="rss_mb", unit="MB")),
         render("Lines sent", partial(growth, key="lines", unit="lines")),
-        render("How near the rules came to their limits", partial(draw_rule_usage, rows=comparable)),
-        render("Where the time goes", partial(draw_cost_shares, rows=comparable)),
+        render("Fraction of the rules' limits used", partial(draw_rule_usage, rows=comparable)),
+        render("CPU time by part of the program", partial(draw_cost_shares, rows=comparable)),
     ]
     table = [{key: value for key, value in row.items() if key not in ("parts", "nearest")} for row in good]
     failed = [f"{row['times']} times, {row['assigners']} assigners: {row['failed']}" for row in rows if "failed" in row]
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -1,7 +1,7 @@
 """Takeovers of proxies between the assigners of a shared fleet, measured over many simulated days.
 
-What happens to the assigners is drawn by seed. How long proxies had no owner, and whether one followed two owners at a
-time, is read from recordings of what passed on the sockets.
+The faults of the assigners are drawn by seed. The times in which proxies had no owner, and updates of conflicting
+owners, are determined from recordings of the messages on the sockets.
 """
 
 from __future__ import annotations
@@ -32,32 +32,32 @@
 }
 ASSIGNER_KINDS = ("assigner_killed", "assigner_stalled")
 HARD_KINDS = (*ASSIGNER_KINDS, "peers_cut")  # each day has one of these
-SILENCING_FORMS = ("halves", "one_way")  # of a cut between peers, after which some are not received by others
-FIRST_FAULT_S = 4.0  # leaves the fleet time to start
-LAST_FAULT_SHARE = 0.5  # of the day, so that every takeover ends within it
+SILENCING_FORMS = ("halves", "one_way")  # forms of a partition after which some peers receive nothing from others
+FIRST_FAULT_S = 4.0  # gives the fleet time to start
+LAST_FAULT_SHARE = 0.5  # share of the day, so that every takeover ends within the day
 MAX_MORE_FAULTS = 2
 
 
 class TakeoverDay(NamedTuple):
-    """What one day showed.
+    """Results of one day.
 
     Attributes:
         seed: Seed of the draws and of the day.
-        troubles: Names of the faults that were drawn.
+        faults: Names of the faults that were drawn.
         gaps: Times in which proxies had no owner.
-        double: Updates that a proxy applied although it already followed another assigner.
-        believed_s: The longest time in which two assigners claimed one proxy.
-        moves: Changes of owner.
+        conflicting_updates: Number of updates that a proxy applied although it already had another owner.
+        double_claim_s: Longest time in which two assigners claimed one proxy, in seconds.
+        moves: Number of changes of owner.
         broken: Numbers of the rules that were broken.
         served: Share of criticality that was answered in time.
-        wrongly_gone: Peers declared dead on a day on which every peer could be reached.
+        wrongly_gone: Number of peers declared dead on a day on which every peer could be reached.
     """
 
     seed: int
-    troubles: tuple[str, ...]
+    faults: tuple[str, ...]
     gaps: tuple[Gap, ...]
-    double: int
-    believed_s: float
+    conflicting_updates: int
+    double_claim_s: float
     moves: int
     broken: tuple[int, ...]
     served: float
@@ -71,50 +71,50 @@
     if first == "peers_cut":
         others -= set(ASSIGNER_KINDS)
     else:
-        # A zone that only the struck assigner can reach would leave proxies without an owner whatever is done.
+        # In a zone that only the failed assigner can reach, proxies would have no owner whatever the assigners do.
         others -= {"zone_cut"}
     kinds = [first, *rng.sample(sorted(others), rng.randint(0, MAX_MORE_FAULTS))]
     return draw_faults(rng, kinds, RANGES, FIRST_FAULT_S, LAST_FAULT_SHARE * length_s)
 
 
-def silences_peers(script: Scenario) -> bool:
-    """Whether a fault of the day keeps a peer from being received, so that others rightly declare it dead."""
-    return any(fault.kind in ASSIGNER_KINDS or fault.form in SILENCING_FORMS for fault in script.faults.values())
+def silences_peers(scenario: Scenario) -> bool:
+    """Return whether a fault of the day silences a peer, so that the others rightly declare it dead."""
+    return any(fault.kind in ASSIGNER_KINDS or fault.form in SILENCING_FORMS for fault in scenario.faults.values())
 
 
-def play(  # noqa: PLR0913, PLR0917 - a scenario and what is put in place of its own keys, one argument each
+def play(  # noqa: PLR0913, PLR0917 - a scenario and overrides of its keys, one argument each
     path: str, seed: int, front: str, shared: bool = True, assigners: int = 0, times: float = 1.0, own: bool = False
 ) -> TakeoverDay:
     """Run one simulated day.
 
     Args:
-        path: The scenario.
+        path: Path of the scenario.
         seed: Seed of the draws and of the day.
-        front: The protocol that proxies speak, `clone` or `sasp`.
-        shared: Whether the assigners share the fleet; otherwise they know nothing of each other.
-        assigners: Number of assigners; the scenario's own if 0.
+        front: Protocol of the proxies, `clone` or `sasp`.
+        shared: Whether the assigners share the fleet; otherwise they do not know each other.
+        assigners: Number of assigners; that of the scenario if 0.
         times: Factor on fleet, load and pace.
-        own: Keep the scenario's own faults instead of drawing some.
+        own: Whether to keep the scenario's own faults instead of drawing some.
     """
-    script = scenarios.load(path, fronts=(front,), assigners=assigners, times=times)
-    script.fleet = script.fleet.model_copy(update={"shared": shared})
+    scenario = scenarios.load(path, fronts=(front,), assigners=assigners, times=times)
+    scenario.fleet = scenario.fleet.model_copy(update={"shared": shared})
     if not own:
-        script = with_faults(script, draw(Random(seed), script.day.length_s))
-    stage = SimulatedEnvironment(script, "", seed)
-    outcome = Day(script, stage, seed).play()
-    rows = stage.record.rows
+        scenario = with_faults(scenario, draw(Random(seed), scenario.day.length_s))
+    environment = SimulatedEnvironment(scenario, "", seed)
+    outcome = Day(scenario, environment, seed).play()
+    rows = environment.record.rows
     evidence = Evidence(rows)
-    declared_dead = sum(status["peers"]["counts"]["gone"] for status in stage.status if "peers" in status)
+    declared_dead = sum(status["peers"]["counts"]["gone"] for status in environment.status if "peers" in status)
     return TakeoverDay(
         seed=seed,
-        troubles=tuple(script.faults),
+        faults=tuple(scenario.faults),
         gaps=tuple(gaps(evidence)),
-        double=doubles(rows),
-        believed_s=believed(rows),
+        conflicting_updates=doubles(rows),
+        double_claim_s=believed(rows),
         moves=moves(evidence),
         broken=tuple(verdict.rule for verdict in outcome.verdicts if not verdict.kept),
         served=outcome.figures["served"],
-        wrongly_gone=0 if silences_peers(script) else declared_dead,
+        wrongly_gone=0 if silences_peers(scenario) else declared_dead,
     )
 
 
@@ -127,15 +127,15 @@
     assigners: int = 0,
     on_result: Callable[[TakeoverDay], None] = lambda day: None,
 ) -> list[TakeoverDay]:
-    """Run a day for each seed, several at a time; a day is the same whichever process runs it.
+    """Run a day for each seed, several at a time; the result does not depend on the process that runs a day.
 
     Args:
-        path: The scenario.
+        path: Path of the scenario.
         seeds: Seeds of the draws and of the days.
-        fronts: Protocols that proxies speak, taken in turn by seed.
-        at_once: Processes; one less than the machine has cores if 0.
-        shared: As of `play`.
-        assigners: As of `play`.
+        fronts: Protocols of the proxies, taken in turn by seed.
+        at_once: Number of processes; one less than the machine has cores if 0.
+        shared: As in `play`.
+        assigners: As in `play`.
         on_result: Called with each day as it ends.
 
     Returns:
@@ -151,12 +151,12 @@
 
 
 def longest_gap_s(day: TakeoverDay) -> float:
-    """The longest time in which a proxy of the day had no owner."""
+    """Return the longest time in which a proxy of the day had no owner, in seconds."""
     return max([0.0, *(gap.seconds for gap in day.gaps)])
 
 
 def summary(found: list[TakeoverDay]) -> dict:
-    """Sum up days as `lab takeover --json` prints them."""
+    """Summarize days in the form of `lab takeover --json`."""
     seconds = sorted(gap.seconds for day in found for gap in day.gaps)
     worst = max(found, key=longest_gap_s)
     return {
@@ -166,9 +166,9 @@
         "orphaned_p99_s": seconds[min(len(seconds) - 1, int(0.99 * len(seconds)))] if seconds else 0.0,
         "orphaned_max_s": seconds[-1] if seconds else 0.0,
         "worst_seed": worst.seed,
-        "worst_troubles": list(worst.troubles),
-        "doubly_ordered": sum(day.double for day in found),
-        "believed_by_two_max_s": max(day.believed_s for day in found),
+        "worst_troubles": list(worst.faults),
+        "doubly_ordered": sum(day.conflicting_updates for day in found),
+        "believed_by_two_max_s": max(day.double_claim_s for day in found),
         "moves": sum(day.moves for day in found),
         "rules_broken": sum(len(day.broken) for day in found),
         "broken_on": [[day.seed, *day.broken] for day in found if day.broken],
--- a/hollyridge/lab/reports/comparison_plots.py
+++ b/hollyridge/lab/reports/comparison_plots.py
@@ -34,7 +34,7 @@
     """Write the page of a comparison's kept results and return its path.
 
     Raises:
-        ReportError: None of the days could be run.
+        ReportError: If none of the days could be run.
     """
     days = [row for row in rows if "failed" not in row]
     if not days:
--- a/hollyridge/lab/reports/day_plots.py
+++ b/hollyridge/lab/reports/day_plots.py
@@ -197,7 +197,7 @@
         name: Title of the page.
 
     Raises:
-        ReportError: The recording has no finished RPC.
+        ReportError: If the recording has no finished RPC.
     """
     day = DayPlots(rows)
     succeeded = sum(rpc["ok"] for rpc in day.rpcs)
--- a/hollyridge/lab/reports/plots.py
+++ b/hollyridge/lab/reports/plots.py
@@ -21,7 +21,7 @@
         The path of the page.
 
     Raises:
-        ReportError: The source is none of these, or holds nothing to show.
+        ReportError: If the source is none of these, or holds nothing to show.
     """
     if source.is_dir():
         return write_day_page(read_all(source), out, source.name)
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -41,7 +41,7 @@
     assert not (kinds[0] == "peers_cut" and set(kinds) & set(takeover.ASSIGNER_KINDS))
 
 
-def test_a_scenario_with_other_faults_keeps_the_rest_and_leaves_the_original_alone():
+def test_a_scenario_with_other_faults_keeps_the_rest_and_does_not_change_the_original():
     original = scenario.load(ROOT / "examples" / "lab" / "small.ini")
     before = dict(original.faults)
     changed = with_faults(original, {})
@@ -55,20 +55,22 @@
     assert Variant(name).arguments() == arguments
 
 
-def test_a_variant_of_settings_names_the_file_from_any_folder(tmp_path, monkeypatch):
+def test_a_settings_variant_passes_the_absolute_path_of_the_file(tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)
     assert Variant("other.ini").arguments() == ["--settings", str(tmp_path / "other.ini")]
 
 
-def test_a_commit_that_does_not_exist_is_refused_by_name():
+def test_a_commit_that_does_not_exist_is_rejected_by_name():
     checkouts = Checkouts(experiment.REPOSITORY)
-    with pytest.raises(VariantError, match="no commit no-such-revision") as caught:
+    with pytest.raises(
+        VariantError, match=r"^variant commit:no-such-revision: .* no commit no-such-revision in "
+    ) as caught:
         checkouts.of(Variant("commit:no-such-revision"))
     assert isinstance(caught.value, HollyridgeError)
     assert isinstance(caught.value, ValueError)
 
 
-def test_variants_other_than_commits_run_from_the_present_tree():
+def test_variants_other_than_commits_run_from_the_current_tree():
     assert Checkouts(experiment.REPOSITORY).of(Variant("even")) is None
 
 
@@ -82,21 +84,21 @@
         (PairedGap(8, 0.1, 0.05, 0.15, 7, 1, 0.01), False),
     ],
 )
-def test_a_gap_is_clear_only_by_number_interval_and_signs(gap, clear):
+def test_a_gap_is_clear_only_by_number_of_pairs_interval_and_sign_test(gap, clear):
     assert gap.clear == clear
 
 
-def test_a_cut_line_of_kept_results_is_ended_once(tmp_path):
-    kept = tmp_path / "kept.jsonl"
-    kept.write_bytes(b'{"seed":1}\n{"se')
-    experiment.end_cut_line(kept)
-    experiment.end_cut_line(kept)
-    experiment.append(kept, {"seed": 2})
-    assert kept.read_bytes() == b'{"seed":1}\n{"se\n{"seed":2}\n'
-    assert experiment.read(kept) == [{"seed": 1}, {"seed": 2}]
+def test_a_truncated_line_of_kept_results_is_terminated_once(tmp_path):
+    path = tmp_path / "kept.jsonl"
+    path.write_bytes(b'{"seed":1}\n{"se')
+    experiment.end_cut_line(path)
+    experiment.end_cut_line(path)
+    experiment.append(path, {"seed": 2})
+    assert path.read_bytes() == b'{"seed":1}\n{"se\n{"seed":2}\n'
+    assert experiment.read(path) == [{"seed": 1}, {"seed": 2}]
 
 
-def test_no_kept_file_holds_no_results(tmp_path):
+def test_a_missing_file_holds_no_results(tmp_path):
     experiment.end_cut_line(tmp_path / "none")
     assert experiment.read(tmp_path / "none") == []
     assert not (tmp_path / "none").exists()
--- a/tests/lab/test_lab_reports.py
+++ b/tests/lab/test_lab_reports.py
@@ -49,7 +49,7 @@
 
 def test_a_sweep_without_a_successful_size_is_rejected_with_all_reasons(tmp_path):
     rows = [{"times": 1.0, "assigners": 1, "failed": "first"}, {"times": 9.0, "assigners": 1, "failed": "second"}]
-    with pytest.raises(ReportError, match=r"^no size could be played: first; second$"):
+    with pytest.raises(ReportError, match=r"^no size could be run: first; second$"):
         sweep.page(rows, tmp_path, "x")
 
 
