--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: a configuration, an assigner at work, and a reading of its commands."""
+"""Shared builders for tests of the decision module: configurations, endpoint lists, and an assigner with a clock."""
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -7,8 +7,8 @@
 START = 1_000 * SECOND
 
 
-def method(repeat=api.Idempotency.IDEMPOTENT, group=api.IdempotencyScope.ALL, **terms):
-    row = dict(
+def method(repeat=api.Idempotency.IDEMPOTENT, group=api.IdempotencyScope.ALL, **overrides):
+    defaults = dict(
         soft_deadline_us=SECOND // 2,
         deadline_us=3 * SECOND // 2,
         criticality=1.0,
@@ -17,11 +17,11 @@
         idempotency_window_us=2 * SECOND,
         same_zone_only=False,
     )
-    return api.MethodConfig(**{**row, **terms})
+    return api.MethodConfig(**{**defaults, **overrides})
 
 
-def bootstrap(**terms):
-    row = dict(
+def bootstrap(**overrides):
+    defaults = dict(
         methods=(method(), method(api.Idempotency.NON_IDEMPOTENT, criticality=2.0)),
         zones=2,
         assigners=1,
@@ -53,7 +53,7 @@
         initial_table_size=5,
         cross_zone_cost=0.1,
     )
-    return api.AssignerConfig(**{**row, **terms})
+    return api.AssignerConfig(**{**defaults, **overrides})
 
 
 def entry(task, zone=None, state=api.TaskState.READY, started_at=0):
@@ -65,10 +65,18 @@
 
 
 class Rig:
-    """An assigner with a clock, and the tables its proxies would hold after its commands."""
-
-    def __init__(self, tasks=8, proxies=4, seed=7, **terms):
-        self.config = bootstrap(**terms)
+    """An assigner with a clock, and the state of its proxies after its commands.
+
+    Attributes:
+        now: The clock, in microseconds.
+        tables: Weight of each task in each table.
+        bound: Table that each proxy is bound to.
+        levels: Admission level and retry mode, by table and methods.
+        commands: Commands of the last call.
+    """
+
+    def __init__(self, tasks=8, proxies=4, seed=7, **overrides):
+        self.config = bootstrap(**overrides)
         self.assigner = Assigner(self.config, seed)
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
@@ -83,22 +91,26 @@
     def feed(self, *events, after=0.0):
         self.now += round(after * SECOND)
         self.commands = self.assigner.decide(self.now, list(events))
-        for o in self.commands:
-            if isinstance(o, api.SetWeight):
-                self.tables.setdefault(o.table, {})[o.task] = o.weight
-                if o.weight == 0:
-                    del self.tables[o.table][o.task]
-            elif isinstance(o, api.BindTable):
-                self.bound[o.proxy] = o.table
-            elif isinstance(o, api.SetAdmission):
-                self.levels[o.table, o.methods] = (o.amount, o.retry_mode)
+        for command in self.commands:
+            if isinstance(command, api.SetWeight):
+                self.tables.setdefault(command.table, {})[command.task] = command.weight
+                if command.weight == 0:
+                    del self.tables[command.table][command.task]
+            elif isinstance(command, api.BindTable):
+                self.bound[command.proxy] = command.table
+            elif isinstance(command, api.SetAdmission):
+                self.levels[command.table, command.methods] = (command.amount, command.retry_mode)
         return self.commands
 
     def period(self, *reports, acks=True):
-        """Let a report period pass, with reports at its end."""
+        """Advance the clock by a report period and feed reports; with `acks`, acknowledge the requested marks."""
         events = [api.TimerFired(0), *reports]
         if acks:
-            events += [api.Ack(0, o.mark, SECOND // 5) for o in self.commands if isinstance(o, api.RequestAck)]
+            events += [
+                api.Ack(0, command.mark, SECOND // 5)
+                for command in self.commands
+                if isinstance(command, api.RequestAck)
+            ]
         return self.feed(*events, after=self.config.report_period_us / SECOND)
 
     def report(self, zone, task, latency=0.1, attempts=10, failed=0):
@@ -110,4 +122,4 @@
 
 
 def lines(commands):
-    return [o for o in commands if isinstance(o, api.SetWeight)]
+    return [command for command in commands if isinstance(command, api.SetWeight)]
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,4 +1,4 @@
-"""Parts of the platform's assigner in this process, on loopback: a front with a machine, a watch and its discovery."""
+"""Parts of the platform's assigner in this process, on loopback: protocol server, watch client, scripted discovery."""
 
 import json
 import socket
@@ -30,24 +30,30 @@
 
 
 class ListingDesk:
+    """An endpoint list tracker with an index allocator that releases the indices of removed endpoints."""
+
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
         self.listing = EndpointListTracker(
             lambda name: self.indices.allocate(START, name), monotonic_offset_us=START - 50_000 * SECOND
         )
 
-    def take(self, what, now=START):
-        outcome = self.listing.handle(now, what)
+    def take(self, event, now=START):
+        outcome = self.listing.handle(now, event)
         for name in outcome.left:
             self.indices.release(now, name)
         return outcome.change
 
 
 class ServerRig:
-    """A protocol server on loopback with an engine and a clock of its own, in this process."""
+    """A protocol server on loopback with its own engine and clock, in this process.
+
+    Attributes:
+        now: The clock, in microseconds.
+    """
 
-    def __init__(self, tasks=6, descriptors=400, make=Assigner, **terms):
-        config, self.now = bootstrap(**terms), START
+    def __init__(self, tasks=6, descriptors=400, make=Assigner, **overrides):
+        config, self.now = bootstrap(**overrides), START
         listing = EndpointListTracker(lambda name: self.engine.task_indices.allocate(self.now, name), 0)
         limits = EngineLimits(
             config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
@@ -76,36 +82,46 @@
         return sock
 
     def events(self, kind):
-        """Events of a kind that wait for a decision."""
+        """Return the events of a type that wait for a decision."""
         return [event for _, event in self.engine.pending_events if type(event) is kind]
 
     def advance(self, seconds=0.0):
-        """Let time pass on the rig's clock, and the engine do what is due."""
-        until = self.now + round(seconds * SECOND)
+        """Advance the clock by this time and run the engine whenever it is due."""
+        end = self.now + round(seconds * SECOND)
         due = self.engine.run(self.now)
-        while due < until:
+        while due < end:
             self.now = max(self.now + 1, due)
             due = self.engine.run(self.now)
-        self.now = until
+        self.now = end
 
     @staticmethod
     def until(condition):
-        """Wait until something holds, for five seconds at most."""
+        """Wait until the condition holds, for up to five seconds."""
         with gevent.Timeout(5):
             while not condition():
                 gevent.sleep(0.002)
 
 
 class RecordingEngine:
+    """Stand-in for the engine that records the events it receives."""
+
     def __init__(self):
         self.told = []
 
-    def update_endpoints(self, now, what):
-        self.told.append(what)
+    def update_endpoints(self, now, event):
+        self.told.append(event)
 
 
 class Script:
-    """A discovery that does as told with each connection: bytes, or a list of pieces with a pause behind each."""
+    """A discovery server that sends a scripted response on each connection and then closes it.
+
+    A response is either bytes, or a list of pieces that are sent with a pause after each; the piece "hang" sends
+    nothing for 30 s.
+
+    Attributes:
+        responses: Responses that are still to be sent.
+        requested_paths: Request targets received so far.
+    """
 
     PAUSE = 0.02
 
@@ -116,8 +132,8 @@
 
     def serve(self, sock, _):
         self.asked.append(sock.recv(4096).split(b" ")[1])
-        act = self.acts.pop(0) if self.acts else b""
-        for piece in act if isinstance(act, list) else [act]:
+        response = self.acts.pop(0) if self.acts else b""
+        for piece in response if isinstance(response, list) else [response]:
             if piece == "hang":
                 gevent.sleep(30)
             else:
@@ -125,11 +141,12 @@
                     sock.sendall(piece)
                 except OSError:
                     return
-                gevent.sleep(self.PAUSE if isinstance(act, list) else 0.05)
+                gevent.sleep(self.PAUSE if isinstance(response, list) else 0.05)
 
 
 def watch_of(script, beat=200_000):
-    engine, desk = RecordingEngine(), ListingDesk()
+    """Return a watch client of a scripted discovery, not started yet, and the engine that records its events."""
+    engine, endpoints = RecordingEngine(), ListingDesk()
 
     class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
@@ -141,7 +158,7 @@
     loop.engine = engine
     watch = WatchClient(
         loop,
-        desk.listing,
+        endpoints.listing,
         WatchState(beat, Random(3)),
         WatchConfig(("127.0.0.1", script.server.server_port), ZONES),
         structlog.get_logger(),
@@ -151,7 +168,7 @@
 
 def chunked(*lines):
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    return head + b"".join(b"%x\r\n%b\n\r\n" % (len(line) + 1, line) for line in lines)
+    return head + b"".join(b"%x\r\n%b\n\r\n" % (len(row) + 1, row) for row in lines)
 
 
 def line(version, *rows, full=True):
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform for tests: discovery over HTTP, proxies and collectors over RESP2, a configuration."""
+"""Stand-ins for the platform in tests: discovery over HTTP, clients over RESP2, a configuration, the node process."""
 
 import contextlib
 import json
@@ -111,19 +111,25 @@
 
 
 def wait_for(condition, seconds=8.0):
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         found = condition()
         if found:
             return found
         time.sleep(0.01)
-    raise AssertionError("the condition did not hold in time")
+    raise AssertionError(f"the condition did not hold within {seconds} s")
 
 
 class Discovery:
-    """Answers watches with a first page and with the updates that are published later.
-
-    `mode`: ok, refuse (503) or hang; `invalid_page`: bytes that every watch gets in place of a list.
+    """HTTP server that answers each watch with the first list and with the updates published later.
+
+    Attributes:
+        first: List that a new watch receives.
+        beat: Interval between heartbeats, in seconds.
+        mode: Behavior on a request: "ok", "refuse" (503) or "hang".
+        requests: Time and target of each request.
+        open: Sockets of the open watches.
+        invalid_page: Bytes that a new watch receives instead of the list, if not empty.
     """
 
     def __init__(self, first, beat=0.3):
@@ -188,7 +194,7 @@
 
 
 def apply_lines(table, fields):
-    """Brings the table that a proxy holds up to date with one order, given by its fields."""
+    """Apply the lines of an `assign` message, given by its fields, to the table that a proxy holds."""
     if fields.get(b"whole") == b"1":
         table.clear()
     for pair in filter(None, fields.get(b"lines", b"").split(b",")):
@@ -199,7 +205,14 @@
 
 
 class Peer:
-    """A proxy, a collector or a stranger; `table` and `levels` are what a proxy holds after its messages."""
+    """A RESP2 client of the assigner: a proxy if it has a node number, otherwise one that has not joined.
+
+    Attributes:
+        received: Messages received so far.
+        table: Weight of each task in the proxy's table.
+        levels: Admission level and retry mode, by methods.
+        marks: Marks that the proxy has acknowledged.
+    """
 
     def __init__(self, port, node=None, zone=0):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=8)
@@ -212,7 +225,7 @@
         self.sock.sendall(message(kind, **fields))
 
     def receive(self, seconds=0.05):
-        """All messages received so far, once none came for so long; None once closed."""
+        """Read until no message arrives for this time; return all messages so far, or None once closed."""
         self.sock.settimeout(seconds)
         try:
             while True:
@@ -221,13 +234,13 @@
                     return None
                 for parts in self.reader.feed(chunk):
                     self.received.append(parts)
-                    self.apply_order(parts)
+                    self.apply_assign(parts)
         except TimeoutError:
             return self.received
         except ConnectionError:
             return None
 
-    def apply_order(self, parts):
+    def apply_assign(self, parts):
         fields = dict(zip(parts[1::2], parts[2::2]))
         if parts[0] != b"assign":
             return
@@ -244,15 +257,15 @@
         wait_for(lambda: self.receive() is not None and set(self.table) == set(names), seconds)
 
     def closed(self, seconds):
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             if self.receive() is None:
                 return True
         return False
 
 
 class NodeProcess:
-    """A started process of the assigner on a configuration in `folder`."""
+    """A running node process with a configuration file in `folder`."""
 
     def __init__(self, folder, discovery, known=None, sockets=512, settings=SETTINGS, log=None, **more):
         with socket.socket() as probe:
@@ -275,7 +288,7 @@
         self.start()
 
     def start(self):
-        """The process, from what the configuration file holds now."""
+        """Start the process with the current configuration file and return it."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", "hollyridge.node"],
             cwd=ROOT,
@@ -289,7 +302,7 @@
         self.path.write_text(text)
 
     def wait_until_ready(self):
-        def answers():
+        def is_answering():
             assert self.process.poll() is None, self.read_log()
             try:
                 peer = Peer(self.port)
@@ -298,7 +311,7 @@
             peer.send("hb")
             return wait_for(peer.receive) == [[b"hb_ok"]]
 
-        wait_for(answers)
+        wait_for(is_answering)
         return self
 
     def read_log(self):
@@ -311,7 +324,7 @@
         self.process.send_signal(number)
 
     def stop(self):
-        """Its exit code after SIGTERM, and how long that took."""
-        begun = time.monotonic()
+        """Send SIGTERM and return the exit code and the seconds until the process ended."""
+        started_s = time.monotonic()
         self.signal(signal.SIGTERM)
-        return self.process.wait(10), time.monotonic() - begun
+        return self.process.wait(10), time.monotonic() - started_s
--- a/tests/stored.py
+++ b/tests/stored.py
@@ -1,8 +1,8 @@
-"""Bytes of stored and sent formats as code before the renaming wrote them, below `tests/formats/`.
+"""Fixtures below `tests/formats/`: stored and transmitted formats as an earlier version of the code wrote them.
 
-Each `test_formats_*` module has `WRITERS`: file name to a call that makes the text of that file from today's code.
-`python tests/stored.py` writes those files that are missing and never touches one that is there: a fixture is changed
-only by deleting it, which is a change of a format and has to be said in the commit.
+Each `test_formats_*` module has `WRITERS`, which maps a file name to a function that produces the text of that file
+with the current code. `python tests/stored.py` writes the missing files and never changes an existing one. A fixture is
+changed only by deleting it first; that is a change of a format and must be stated in the commit.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 FOLDER = ROOT / "tests" / "formats"
 # Objects whose keys are data (names of proxies, tasks, methods, reasons), not names of the format.
-MAPS = {
+DATA_KEYED = {
     "members",
     "owns",
     "refused",
@@ -29,25 +29,25 @@
 }
 
 
-def text_of(name: str) -> str:
+def stored_text(name: str) -> str:
     return (FOLDER / name).read_text()
 
 
-def stored(name: str):
-    return json.loads(text_of(name))
+def stored_json(name: str):
+    return json.loads(stored_text(name))
 
 
 def as_text(value) -> str:
-    """One entry a line at the top level, so that a difference can be read."""
+    """Return JSON with one top-level entry on each line, so that differences are readable."""
     if isinstance(value, list):
         return "[\n" + ",\n".join(json.dumps(row) for row in value) + "\n]\n"
     return "{\n" + ",\n".join(f"{json.dumps(key)}: {json.dumps(row)}" for key, row in value.items()) + "\n}\n"
 
 
 def shape(value, name: str = ""):
-    """The keys of a JSON value in their order, without its figures."""
+    """Return the structure of a JSON value: its keys in their order, without the values."""
     if isinstance(value, dict):
-        if name in MAPS:
+        if name in DATA_KEYED:
             row = next(iter(value.values()), "")
             return {"*": shape(row)} if isinstance(row, dict) else "*"
         return {key: shape(one, key) for key, one in value.items()}
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives.ciphers.aead import ChaCha20Poly1305
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
-from stored import as_text, stored
+from stored import as_text, stored_json
 
 from hollyridge import interface as api
 from hollyridge.benchlink import wire
@@ -47,14 +47,14 @@
 
 
 def test_state_file_is_read_and_written_as_before():
-    files = stored("state.json")
+    files = stored_json("state.json")
     assert state_file.unpack(bytes.fromhex(files["whole"])) == STATE
     assert state_file.unpack(bytes.fromhex(files["no rows"])) == state_file.SavedState("f", 7, [], 0.0, 1)
     assert state_files() == files
 
 
 def test_members_of_the_state_file_by_name():
-    raw = bytes.fromhex(stored("state.json")["whole"])
+    raw = bytes.fromhex(stored_json("state.json")["whole"])
     assert raw[:8] == b"HRSTATE1"
     assert msgspec.msgpack.decode(raw[20:]) == {
         "fleet": "a,b/read",
@@ -66,7 +66,7 @@
 
 
 def test_what_a_module_learnt_is_the_state_file_and_back():
-    raw = bytes.fromhex(stored("state.json")["whole"])
+    raw = bytes.fromhex(stored_json("state.json")["whole"])
     assert (
         state_file.pack(
             learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("name", VALUES)
 def test_chp_values_are_read_and_written_as_before(name):
-    raw, value = stored("chp-values.json")[name].encode(), VALUES[name]
+    raw, value = stored_json("chp-values.json")[name].encode(), VALUES[name]
     assert msgspec.json.decode(raw, type=type(value)) == value
     assert chp.json(value) == raw
     default, expected = DEFAULTS[name]
@@ -138,13 +138,13 @@
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_chp_messages_are_read_and_written_as_before(name):
-    parts = [bytes.fromhex(part) for part in stored("chp-messages.json")[name]]
+    parts = [bytes.fromhex(part) for part in stored_json("chp-messages.json")[name]]
     assert chp.decode(parts, collector=name == "kvset") == MESSAGES[name]
     assert chp.encode(MESSAGES[name]) == parts
 
 
 def test_chp_changes_and_snapshots_are_written_as_before():
-    rows = stored("chp-ledger.json")
+    rows = stored_json("chp-ledger.json")
     assert chp_ledger() == rows
     heads = [chp.decode([bytes.fromhex(part) for part in row]) for row in rows]
     found = [chp.value_of(chp.Head, m.value) for m in heads if getattr(m, "key", "").endswith("/head")]
@@ -219,12 +219,12 @@
 
 
 def test_peer_packets_are_written_as_before():
-    assert exchange() == stored("peer-packets.json")
-    assert unsealed_packets() == stored("peer-packets-unsealed.json")
+    assert exchange() == stored_json("peer-packets.json")
+    assert unsealed_packets() == stored_json("peer-packets-unsealed.json")
 
 
 def test_peer_packets_are_read_as_before():
-    sent = {name: bytes.fromhex(raw) for name, raw in stored("peer-packets.json").items()}
+    sent = {name: bytes.fromhex(raw) for name, raw in stored_json("peer-packets.json").items()}
     two = guard("a1")
     assert two.open(sent["first"]).answer == sent["prove"]
     assert guard("a0").open(sent["prove"]).name == "a1"
@@ -263,7 +263,7 @@
 
 
 def test_rpcs_of_the_laboratory_are_read_and_written_as_before():
-    frames = stored("lab-rpcs.json")
+    frames = stored_json("lab-rpcs.json")
     assert rpc_frames() == frames
     for name, message in RPCS.items():
         one, two = socket.socketpair()
@@ -321,7 +321,7 @@
 
 
 def test_records_of_the_wire_stand_for_the_same_events_and_orders():
-    records = stored("wire.json")
+    records = stored_json("wire.json")
     assert wire_records() == records
     for name, (code, _, event) in EVENTS.items():
         ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 from engine_rig import EngineRig
 from helpers import SECOND
-from stored import FOLDER, ROOT, as_text, shape, stored, text_of
+from stored import FOLDER, ROOT, as_text, shape, stored_json, stored_text
 from test_formats_records import played
 
 from hollyridge import interface as api
@@ -173,21 +173,23 @@
     "lab takeover": takeovers,
     "lab sweep": sweep,
     "lab hunt": hunted,
-    "fleet": lambda: fleet(stored("peers-pages.json")),
+    "fleet": lambda: fleet(stored_json("peers-pages.json")),
 }
 
 
 @pytest.mark.parametrize("command", COMMANDS)
 def test_commands_print_the_same_json(command):
-    assert COMMANDS[command]() == stored("commands.json")[command]
+    assert COMMANDS[command]() == stored_json("commands.json")[command]
 
 
 def test_kept_rows_of_a_comparison_are_read_as_before():
-    assert comparison(text_of("compare.rows")) == stored("commands.json")["lab compare"]
+    assert comparison(stored_text("compare.rows")) == stored_json("commands.json")["lab compare"]
 
 
 def test_keys_of_the_page_that_fleet_reads():
-    assert [shape(page) for page in peers_pages().values()] == [shape(p) for p in stored("peers-pages.json").values()]
+    assert [shape(page) for page in peers_pages().values()] == [
+        shape(p) for p in stored_json("peers-pages.json").values()
+    ]
 
 
 def solved() -> dict:
@@ -195,7 +197,7 @@
 
 
 def test_keys_of_solve():
-    assert as_text(solved()) == as_text(stored("solve-keys.json"))
+    assert as_text(solved()) == as_text(stored_json("solve-keys.json"))
 
 
 def parts() -> list[str]:
@@ -211,7 +213,7 @@
 
 
 def test_parts_of_the_cost_keep_their_names():
-    assert set(stored("cost-parts.json")) <= set(parts())
+    assert set(stored_json("cost-parts.json")) <= set(parts())
 
 
 # Scripts and settings.
@@ -232,7 +234,7 @@
 
 
 def test_a_described_fleet_is_read_and_written_as_before():
-    text = text_of("fleet.ini")
+    text = stored_text("fleet.ini")
     assert solving.write(FLEET) == text
     tasks = tuple(task._replace(name=task.name.replace(":", "-") + "-1") for task in FLEET.tasks)
     assert solving.read_text(text.encode(), "fleet.ini")[0] == FLEET._replace(tasks=tasks)
@@ -252,9 +254,9 @@
 
 
 def test_a_script_that_was_found_is_read_and_written_as_before(tmp_path):
-    (tmp_path / "day.ini").write_text(text_of("found.ini").replace("ROOT", str(ROOT)))
-    assert found_script(tmp_path / "day.ini", tmp_path / "again.ini") == text_of("found.ini")
-    assert found_day() == text_of("found.ini")
+    (tmp_path / "day.ini").write_text(stored_text("found.ini").replace("ROOT", str(ROOT)))
+    assert found_script(tmp_path / "day.ini", tmp_path / "again.ini") == stored_text("found.ini")
+    assert found_day() == stored_text("found.ini")
 
 
 SETTINGS = {
@@ -282,14 +284,14 @@
 
 @pytest.mark.parametrize("name", SETTINGS)
 def test_sections_have_the_same_keys_and_defaults(name):
-    row, model = stored("sections.json")[name], SETTINGS[name][0]
+    row, model = stored_json("sections.json")[name], SETTINGS[name][0]
     assert model.model_validate(row).model_dump(mode="json", by_alias=True) == row
     assert sections()[name] == row
     assert list(sections()[name]) == list(row)
 
 
 def test_there_are_no_other_sections():
-    assert set(stored("sections.json")) == set(SETTINGS)
+    assert set(stored_json("sections.json")) == set(SETTINGS)
 
 
 # Log lines and reasons that hold names of classes.
@@ -333,7 +335,7 @@
 
 
 def test_a_failure_of_the_module_is_logged_with_events_as_before():
-    assert told_of_a_failure() == stored("failure-events.json")
+    assert told_of_a_failure() == stored_json("failure-events.json")
 
 
 def refusals() -> list[str]:
@@ -356,7 +358,7 @@
 
 
 def test_reasons_of_refused_orders_keep_their_names():
-    assert refusals() == stored("refusals.json")
+    assert refusals() == stored_json("refusals.json")
 
 
 WRITERS = {
--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -6,7 +6,7 @@
 from helpers import START, bootstrap
 from in_process import NAMES, ZONES
 from stand_ins import CONFIG_DOCUMENT
-from stored import as_text, shape, stored
+from stored import as_text, shape, stored_json
 
 from hollyridge import interface as api
 from hollyridge.discovery import schema as discovery
@@ -74,15 +74,15 @@
 
 @pytest.mark.parametrize("kind", HEARD)
 def test_messages_are_read_as_before(kind):
-    raw = stored("resp-heard.json")[kind].encode()
+    raw = stored_json("resp-heard.json")[kind].encode()
     (parts,) = FrameReader().feed(raw)
     assert MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
     assert encode(parts) == raw
 
 
 def test_orders_are_written_as_before():
-    assert orders() == stored("resp-orders.json")
-    for raw in stored("resp-orders.json").values():
+    assert orders() == stored_json("resp-orders.json")
+    for raw in stored_json("resp-orders.json").values():
         assert b"".join(map(encode, FrameReader().feed(raw.encode()))) == raw.encode()
 
 
@@ -113,7 +113,7 @@
 
 
 def test_pages_of_discovery_are_read_and_written_as_before():
-    raw = stored("discovery.json")["page"].encode()
+    raw = stored_json("discovery.json")["page"].encode()
     assert msgspec.json.decode(raw, type=discovery.EndpointPage) == PAGE
     assert discovery.read(raw, ZONES) == NEWS
     assert page().encode() == raw
@@ -135,7 +135,7 @@
 
 
 def test_the_configuration_is_read_and_written_as_before():
-    raw = stored("configuration.json")["configuration"].encode()
+    raw = stored_json("configuration.json")["configuration"].encode()
     assert msgspec.json.encode(msgspec.json.decode(raw, type=ConfigDocument)) == raw
     terms = parse_config(raw)
     assert terms[:4] == ("n3", ("127.0.0.1", 0), ("127.0.0.1", 9), 0x8C1F)
@@ -149,7 +149,7 @@
 
 
 def test_keys_of_the_status_of_an_assigner_of_the_platform():
-    assert as_text(node_status()) == as_text(stored("node-status.json"))
+    assert as_text(node_status()) == as_text(stored_json("node-status.json"))
 
 
 WRITERS = {
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from stored import FOLDER, as_text, shape, stored, text_of
+from stored import FOLDER, as_text, shape, stored_json, stored_text
 
 from hollyridge.chp import codec as chp_codec
 from hollyridge.client import chp as client_chp
@@ -81,14 +81,14 @@
 
 
 def test_every_kind_of_record_is_in_the_fixture_and_has_the_same_keys():
-    rows = [msgspec.json.decode(line) for line in text_of("recording.jsonl").splitlines()]
+    rows = [msgspec.json.decode(line) for line in stored_text("recording.jsonl").splitlines()]
     assert {row["k"] for row in rows} == KINDS
     assert forms(played()[0].record.rows) == forms(rows)
 
 
 def test_recordings_are_read_and_written_as_before(tmp_path):
     rows = read_all(FOLDER)
-    assert rows == [msgspec.json.decode(line) for line in text_of("recording.jsonl").splitlines()]
+    assert rows == [msgspec.json.decode(line) for line in stored_text("recording.jsonl").splitlines()]
     moments = iter([row["t"] for row in rows])
     keep = Recorder(tmp_path / "again.jsonl", lambda: next(moments))
     for row in rows:
@@ -100,11 +100,11 @@
         else:
             keep(row["k"], **facts)
     keep.flush()
-    assert (tmp_path / "again.jsonl").read_text() == text_of("recording.jsonl")
+    assert (tmp_path / "again.jsonl").read_text() == stored_text("recording.jsonl")
 
 
 def test_a_recording_of_before_comes_to_the_same_figures():
-    assert as_text(read_figures(read_all(FOLDER))) == as_text(stored("recording-figures.json"))
+    assert as_text(read_figures(read_all(FOLDER))) == as_text(stored_json("recording-figures.json"))
 
 
 def status() -> dict:
@@ -113,15 +113,15 @@
 
 def test_keys_of_the_status_page():
     """All parts are on: both fronts, reports, the weight solver, peers, kept state."""
-    assert as_text(status()) == as_text(stored("status.json"))
-    assert list(stored("status.json")) == ["core", "sasp", "clone", "otlp", "solver", "peers", "kept"]
+    assert as_text(status()) == as_text(stored_json("status.json"))
+    assert list(stored_json("status.json")) == ["core", "sasp", "clone", "otlp", "solver", "peers", "kept"]
 
 
 def test_keys_of_an_outcome():
     outcome = played()[2]
     raw = msgspec.json.encode(outcome)
     assert msgspec.json.encode(msgspec.json.decode(raw, type=Outcome)) == raw
-    assert as_text(outcome_keys()) == as_text(stored("outcome-keys.json"))
+    assert as_text(outcome_keys()) == as_text(stored_json("outcome-keys.json"))
 
 
 def outcome_keys() -> dict:
@@ -135,7 +135,7 @@
 
 
 def test_troubles_of_scripts_and_recordings_by_name():
-    kinds = stored("troubles.json")
+    kinds = stored_json("troubles.json")
     assert {kind: list(ways) for kind, ways in scenario.FAULT_FORMS.items()} == kinds
     assert all(callable(getattr(played()[1], kind)) for kind in kinds)
 
