--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -1,6 +1,7 @@
-"""Formats written from field and class names: state file, CHP, peer packets, RPCs of the laboratory, bench wire.
+"""Formats derived from field and class names: state file, CHP, peer packets, RPCs of the laboratory, bench wire.
 
-Where the bytes hold fields by position alone the objects are made by keywords, so that a field which moves is seen.
+Where a format identifies fields by position only, the objects are built with keywords, so that a test fails if a field
+moves.
 """
 
 import socket
@@ -26,7 +27,7 @@
 
 # State file.
 
-LEARNT = [
+LEARNED = [
     api.LearnedEstimate(task=0, capacity=20.0, busy_periods=5.0, efficiency=1.25, weight_ratio=0.9),
     api.LearnedEstimate(task=1, capacity=40.5, busy_periods=4.0, efficiency=0.75, weight_ratio=1.5),
 ]
@@ -46,14 +47,14 @@
     return {"whole": state_file.pack(STATE).hex(), "no rows": state_file.pack(state_file.SavedState("f", 7, [])).hex()}
 
 
-def test_state_file_is_read_and_written_as_before():
+def test_state_file_keeps_its_format():
     files = stored_json("state.json")
     assert state_file.unpack(bytes.fromhex(files["whole"])) == STATE
     assert state_file.unpack(bytes.fromhex(files["no rows"])) == state_file.SavedState("f", 7, [], 0.0, 1)
     assert state_files() == files
 
 
-def test_members_of_the_state_file_by_name():
+def test_state_file_keeps_its_keys():
     raw = bytes.fromhex(stored_json("state.json")["whole"])
     assert raw[:8] == b"HRSTATE1"
     assert msgspec.msgpack.decode(raw[20:]) == {
@@ -65,16 +66,16 @@
     }
 
 
-def test_what_a_module_learnt_is_the_state_file_and_back():
+def test_learned_estimates_are_saved_and_restored():
     raw = bytes.fromhex(stored_json("state.json")["whole"])
     assert (
         state_file.pack(
-            learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNT, 0.625, TASKS.__getitem__)
+            learned_estimates.to_saved_state("a,b/read", 1_700_000_000_123, LEARNED, 0.625, TASKS.__getitem__)
         )
         == raw
     )
-    told = learned_estimates.restore_own(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
-    assert told == api.EstimatesRestored(tuple(LEARNT), 0.625, 2_000_000)
+    restored = learned_estimates.restore_own(state_file.unpack(raw), "a,b/read", 1_700_000_002_123, TASKS.index).event
+    assert restored == api.EstimatesRestored(tuple(LEARNED), 0.625, 2_000_000)
 
 
 # Clustered Hashmap Protocol.
@@ -117,42 +118,42 @@
     return {name: [part.hex() for part in chp.encode(message)] for name, message in MESSAGES.items()}
 
 
-def chp_ledger() -> list:
-    ledger = KeySpace("e1", 500)
-    sent = ledger.set("/table/0/", 4, {"/table/0/line/127.1.0.1:80": b'{"w":1.0,"v":1}'})
-    sent += ledger.set("/table/0/", 5, {"/table/0/line/127.1.0.2:80": b'{"w":2.0,"v":1}'})
-    sent += [ledger.heartbeat("/table/0/"), *ledger.snapshot("/table/0/"), *ledger.snapshot("/table/9/")]
+def chp_update_messages() -> list:
+    key_space = KeySpace("e1", 500)
+    sent = key_space.set("/table/0/", 4, {"/table/0/line/127.1.0.1:80": b'{"w":1.0,"v":1}'})
+    sent += key_space.set("/table/0/", 5, {"/table/0/line/127.1.0.2:80": b'{"w":2.0,"v":1}'})
+    sent += [key_space.heartbeat("/table/0/"), *key_space.snapshot("/table/0/"), *key_space.snapshot("/table/9/")]
     return [[part.hex() for part in chp.encode(message)] for message in sent]
 
 
 @pytest.mark.parametrize("name", VALUES)
-def test_chp_values_are_read_and_written_as_before(name):
+def test_chp_values_keep_their_format(name):
     raw, value = stored_json("chp-values.json")[name].encode(), VALUES[name]
     assert msgspec.json.decode(raw, type=type(value)) == value
     assert chp.json(value) == raw
     default, expected = DEFAULTS[name]
     assert msgspec.json.decode(default, type=type(value)) == expected
-    if name != "out":  # no one reads its members: that the key is there says all
+    if name != "out":  # its value is never read: the presence of the key is the information
         assert chp.value_of(type(value), raw) == value
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_chp_messages_are_read_and_written_as_before(name):
+def test_chp_messages_keep_their_format(name):
     parts = [bytes.fromhex(part) for part in stored_json("chp-messages.json")[name]]
     assert chp.decode(parts, collector=name == "kvset") == MESSAGES[name]
     assert chp.encode(MESSAGES[name]) == parts
 
 
-def test_chp_changes_and_snapshots_are_written_as_before():
+def test_chp_changes_and_snapshots_keep_their_format():
     rows = stored_json("chp-ledger.json")
-    assert chp_ledger() == rows
+    assert chp_update_messages() == rows
     heads = [chp.decode([bytes.fromhex(part) for part in row]) for row in rows]
-    found = [chp.value_of(chp.Head, m.value) for m in heads if getattr(m, "key", "").endswith("/head")]
-    assert found[1] == chp.Head("e1", 5, 5, 2, 2, 1, 500)
-    assert found[1:] == [found[1]] * 3
+    decoded = [chp.value_of(chp.Head, m.value) for m in heads if getattr(m, "key", "").endswith("/head")]
+    assert decoded[1] == chp.Head("e1", 5, 5, 2, 2, 1, 500)
+    assert decoded[1:] == [decoded[1]] * 3
 
 
-def test_identities_of_chp_sessions_are_read_and_written_as_before():
+def test_routing_ids_of_chp_sessions_keep_their_format():
     raw = bytes.fromhex("02000000000000000901") + b"random"
     assert chp.request_of(raw) == chp.OwnershipRequest(9, True)
     assert chp.routing_id_of(chp.OwnershipRequest(9, True), b"random") == raw
@@ -169,16 +170,16 @@
     draining=True,
     services=(("clone", "127.0.0.1:6000"),),
 )
-NEWS = tuple(
+GOSSIP = tuple(
     messages.GossipMessage(name=f"a{k}", status=status, incarnation=k, facts=FACTS)
     for k, status in enumerate(messages.Status)
 )
 PACKETS = {
-    "ping": messages.Ping(sequence=7, target="a1", updates=NEWS),
-    "ack": messages.Ack(7, NEWS[:1]),
-    "relay": messages.PingRequest(sequence=8, target="a2", updates=NEWS[1:2]),
-    "join": messages.Join(NEWS[:1]),
-    "whole": messages.FullState(NEWS[2:]),
+    "ping": messages.Ping(sequence=7, target="a1", updates=GOSSIP),
+    "ack": messages.Ack(7, GOSSIP[:1]),
+    "relay": messages.PingRequest(sequence=8, target="a2", updates=GOSSIP[1:2]),
+    "join": messages.Join(GOSSIP[:1]),
+    "whole": messages.FullState(GOSSIP[2:]),
     "claimed": messages.ClaimedProxies(claims=(("gw-1", 15_289_307), ("gw-2", 9)), starts_list=True),
     "learnt": messages.SharedEstimates(
         estimates=(("127.1.0.1:9000", 20.0, 5.0, 1.25, 0.9),), push_price=0.625, age_ms=250
@@ -186,13 +187,13 @@
 }
 
 
-def guard(name: str) -> peers.PacketGuard:
+def packet_guard(name: str) -> peers.PacketGuard:
     return peers.PacketGuard(SECRET, name, lambda size: name[-1:].encode() * size)
 
 
 def exchange() -> dict[str, str]:
-    """All kinds of packets as one exchange between two assigners, in order."""
-    one, two = guard("a0"), guard("a1")
+    """Return all kinds of packets, in order, as one exchange between two assigners."""
+    one, two = packet_guard("a0"), packet_guard("a1")
     sent = {"first": one.seal(messages.Ping(1, "a1", ()))}
     sent["prove"] = two.open(sent["first"]).answer
     sent["proof"] = one.open(sent["prove"]).answer
@@ -201,11 +202,11 @@
 
 
 def unsealed(raw: bytes):
-    """As `peers/codec.py` describes a packet, without its code."""
+    """Decrypt a packet as described in `peers/codec.py`, without using its code."""
     magic, run, number = struct.unpack_from(">4s16sQ", raw)
     assert magic == b"HRP1"
-    box = ChaCha20Poly1305(HKDF(SHA256(), 32, run, b"hollyridge peers 1").derive(SECRET))
-    return msgspec.msgpack.decode(box.decrypt(bytes(4) + number.to_bytes(8, "big"), raw[28:], raw[:28]))
+    cipher = ChaCha20Poly1305(HKDF(SHA256(), 32, run, b"hollyridge peers 1").derive(SECRET))
+    return msgspec.msgpack.decode(cipher.decrypt(bytes(4) + number.to_bytes(8, "big"), raw[28:], raw[:28]))
 
 
 def unsealed_packets() -> dict:
@@ -218,23 +219,23 @@
     return [plain(one) for one in value] if isinstance(value, list) else value
 
 
-def test_peer_packets_are_written_as_before():
+def test_peer_packets_are_written_in_the_same_format():
     assert exchange() == stored_json("peer-packets.json")
     assert unsealed_packets() == stored_json("peer-packets-unsealed.json")
 
 
-def test_peer_packets_are_read_as_before():
+def test_peer_packets_are_read_in_the_same_format():
     sent = {name: bytes.fromhex(raw) for name, raw in stored_json("peer-packets.json").items()}
-    two = guard("a1")
+    two = packet_guard("a1")
     assert two.open(sent["first"]).answer == sent["prove"]
-    assert guard("a0").open(sent["prove"]).name == "a1"
+    assert packet_guard("a0").open(sent["prove"]).name == "a1"
     assert two.open(sent["proof"]) == peers.OpenedPacket("a0", None)
     for name, message in PACKETS.items():
         assert two.open(sent[name]) == peers.OpenedPacket("a0", message), name
 
 
-def test_states_of_members_by_name_and_number():
-    """The names stand on the status page and in the log (`status`), the numbers in packets."""
+def test_member_states_keep_their_names_and_numbers():
+    """Names appear on the status page and in the log (`status`), numbers in packets."""
     assert [(one.name.lower(), int(one)) for one in messages.Status] == [
         ("alive", 0),
         ("suspect", 1),
@@ -253,16 +254,16 @@
 
 
 def rpc_frames() -> dict[str, str]:
-    found = {}
+    frames = {}
     for name, message in RPCS.items():
         one, two = socket.socketpair()
         with one, two:
             rpc.send(one, message)
-            found[name] = two.recv(4096).hex()
-    return found
+            frames[name] = two.recv(4096).hex()
+    return frames
 
 
-def test_rpcs_of_the_laboratory_are_read_and_written_as_before():
+def test_rpcs_of_the_laboratory_keep_their_format():
     frames = stored_json("lab-rpcs.json")
     assert rpc_frames() == frames
     for name, message in RPCS.items():
@@ -272,7 +273,7 @@
             assert next(rpc.receive(two, name.startswith("call"))) == message
 
 
-# The bench's wire: which class stands for which code, and in which order its fields stand there.
+# Bench wire: the class of each code, and the order of its fields.
 
 ENTRY = (7, 1, 2, 5, 2, 1.5, 4.0)
 EVENTS = {
@@ -293,7 +294,7 @@
     "TENURE": (12, (1, 4), api.SliceCharge(True, 4)),
     "LEDGER_LINE": (13, (7, 0.5, 4), api.SliceLine(0, 0.5, 4)),
 }
-ORDERS = {
+COMMANDS = {
     "RELOAD": api.RefreshEndpoints(),
     "BENCH": api.SetEjected(0, True),
     "NOTE_DOWN": api.LogNote("two tasks known"),
@@ -316,33 +317,33 @@
 
 
 def wire_records() -> dict[str, str]:
-    found = {name: wire.pack(code, fields, wire.EVENT_LAYOUTS).hex() for name, (code, fields, _) in EVENTS.items()}
-    return found | {name: instance().encode_command(order).hex() for name, order in ORDERS.items()}
+    records = {name: wire.pack(code, fields, wire.EVENT_LAYOUTS).hex() for name, (code, fields, _) in EVENTS.items()}
+    return records | {name: instance().encode_command(command).hex() for name, command in COMMANDS.items()}
 
 
-def test_records_of_the_wire_stand_for_the_same_events_and_orders():
+def test_wire_records_map_to_the_same_events_and_commands():
     records = stored_json("wire.json")
     assert wire_records() == records
     for name, (code, _, event) in EVENTS.items():
-        ((found, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
-        assert found == code, name
+        ((unpacked_code, fields),) = wire.unpack(bytes.fromhex(records[name]), wire.EVENT_LAYOUTS)
+        assert unpacked_code == code, name
         assert wire.EVENT_LAYOUTS[code].name == name
         assert instance().event_decoders[code](fields) == event, name
-    for name in ORDERS:
+    for name in COMMANDS:
         ((code, _),) = wire.unpack(bytes.fromhex(records[name]), wire.COMMAND_LAYOUTS)
         assert wire.COMMAND_LAYOUTS[code].name == name
 
 
-def test_every_event_and_order_that_the_wire_has_is_among_them():
+def test_all_events_and_commands_of_the_wire_are_covered():
     names = {shape.name for shape in (*wire.EVENT_LAYOUTS.values(), *wire.COMMAND_LAYOUTS.values())}
-    assert names - {"ENLIST", "KILLED", "CONTEXT", "BAIL_OUT", "ON_BEHALF"} == {*EVENTS, *ORDERS}
+    assert names - {"ENLIST", "KILLED", "CONTEXT", "BAIL_OUT", "ON_BEHALF"} == {*EVENTS, *COMMANDS}
 
 
 WRITERS = {
     "state.json": lambda: as_text(state_files()),
     "chp-values.json": lambda: as_text(chp_values()),
     "chp-messages.json": lambda: as_text(chp_messages()),
-    "chp-ledger.json": lambda: as_text(chp_ledger()),
+    "chp-ledger.json": lambda: as_text(chp_update_messages()),
     "peer-packets.json": lambda: as_text(exchange()),
     "peer-packets-unsealed.json": lambda: as_text(unsealed_packets()),
     "lab-rpcs.json": lambda: as_text(rpc_frames()),
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -1,4 +1,4 @@
-"""What commands print with `--json`, scripts and settings by key, and log lines that hold names of classes."""
+"""Formats of `--json` output, of scenario and settings keys, and of log lines that contain class names."""
 
 import io
 import subprocess
@@ -16,7 +16,7 @@
 from engine_rig import EngineRig
 from helpers import SECOND
 from stored import FOLDER, ROOT, as_text, shape, stored_json, stored_text
-from test_formats_records import played
+from test_formats_records import simulated_day
 
 from hollyridge import interface as api
 from hollyridge.cli.day import show
@@ -37,8 +37,8 @@
 # Commands.
 
 
-def printed(*words: str) -> str:
-    result = CliRunner().invoke(main, list(words))
+def printed(*arguments: str) -> str:
+    result = CliRunner().invoke(main, list(arguments))
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.stdout
 
@@ -79,12 +79,12 @@
     return "".join(msgspec.json.encode(row).decode() + "\n" for row in rows)
 
 
-def comparison(kept: str | None = None) -> str:
-    """Of two variants whose days are all kept: nothing is played."""
+def comparison(results: str | None = None) -> str:
+    """Return the comparison of two variants with results for all days, so that no day is run."""
     with TemporaryDirectory() as folder, chdir(folder):
         Path("tests/formats").mkdir(parents=True)
         Path("tests/formats/day.ini").touch()
-        Path("kept").write_text(kept_rows() if kept is None else kept)
+        Path("kept").write_text(kept_rows() if results is None else results)
         return printed(
             "lab",
             "compare",
@@ -107,12 +107,12 @@
         takeover.TakeoverDay(1, ("assigner_killed",), (Gap("gw-1", 1.5), Gap("gw-2", 0.5)), 0, 0.25, 7, (), 0.875, 1),
         takeover.TakeoverDay(2, ("peers_cut",), (), 1, 0.75, 2, (3, 5), 0.5, 0),
     ]
-    with patch.object(takeover, "many", lambda *words: days):
+    with patch.object(takeover, "many", lambda *arguments: days):
         return printed("lab", "takeover", str(ROOT / "examples/fleet/takeover.ini"), "--seeds", "2", "--json")
 
 
 def sweep() -> str:
-    told = {
+    day_result = {
         **msgspec.json.decode(day()),
         "tasks": 3,
         "proxies": 6,
@@ -121,25 +121,25 @@
         "drains": {"worst_s": 0.5},
         "cost": {"cpu_s": 2.5, "parts": {"core": 0.5}},
     }
-    ran = subprocess.CompletedProcess([], 0, msgspec.json.encode(told), b"")
-    with patch("subprocess.run", lambda *words, **terms: ran):
+    process = subprocess.CompletedProcess([], 0, msgspec.json.encode(day_result), b"")
+    with patch("subprocess.run", lambda *arguments, **options: process):
         return printed("lab", "sweep", str(FOLDER / "day.ini"), "--sizes", "1", "--json")
 
 
 def hunted() -> str:
-    found = played()[1].scenario
+    found = simulated_day()[1].scenario
     with (
-        patch.object(hunt, "hunt", lambda *words: (7, found, OUTCOME)),
-        patch.object(hunt, "cut_down", lambda *words: (found, OUTCOME)),
+        patch.object(hunt, "hunt", lambda *arguments: (7, found, OUTCOME)),
+        patch.object(hunt, "cut_down", lambda *arguments: (found, OUTCOME)),
     ):
         return printed("lab", "hunt", str(FOLDER / "day.ini"), "--seeds", "1", "--json")
 
 
 def fleet(pages: dict[str, dict] | None = None) -> str:
-    """As told by two assigners; their pages are those of the simulated day."""
+    """Return the output of `fleet` for two assigners; by default their pages are those of the simulated day."""
     raws = [msgspec.json.encode(page) for page in (pages or peers_pages()).values()]
 
-    class Answers(BaseHTTPRequestHandler):
+    class StatusHandler(BaseHTTPRequestHandler):
         def do_GET(self):
             raw = raws[self.server.server_port != ports[0]]
             self.send_response(200)
@@ -147,10 +147,10 @@
             self.end_headers()
             self.wfile.write(raw)
 
-        def log_message(self, *words):
+        def log_message(self, *arguments):
             pass
 
-    servers = [HTTPServer(("127.0.0.1", 0), Answers) for _ in raws]
+    servers = [HTTPServer(("127.0.0.1", 0), StatusHandler) for _ in raws]
     ports = [server.server_port for server in servers]
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -163,7 +163,7 @@
 
 
 def peers_pages() -> dict[str, dict]:
-    pages = [status["peers"] for status in played()[0].status[-2:]]
+    pages = [status["peers"] for status in simulated_day()[0].status[-2:]]
     return {page["name"]: msgspec.json.decode(msgspec.json.encode(page)) for page in pages}
 
 
@@ -178,15 +178,15 @@
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_commands_print_the_same_json(command):
+def test_commands_keep_their_json_output(command):
     assert COMMANDS[command]() == stored_json("commands.json")[command]
 
 
-def test_kept_rows_of_a_comparison_are_read_as_before():
+def test_kept_rows_of_a_comparison_keep_their_format():
     assert comparison(stored_text("compare.rows")) == stored_json("commands.json")["lab compare"]
 
 
-def test_keys_of_the_page_that_fleet_reads():
+def test_the_page_that_fleet_reads_keeps_its_keys():
     assert [shape(page) for page in peers_pages().values()] == [
         shape(p) for p in stored_json("peers-pages.json").values()
     ]
@@ -196,12 +196,12 @@
     return shape(msgspec.json.decode(printed("solve", str(ROOT / "examples/solve/lost-zone.ini"), "--json")))
 
 
-def test_keys_of_solve():
+def test_solve_keeps_its_keys():
     assert as_text(solved()) == as_text(stored_json("solve-keys.json"))
 
 
 def parts() -> list[str]:
-    """Names of the program's parts as `lab run --cost --json` and `lab sweep --json` tell them."""
+    """Return the names of the program's parts in `lab run --cost --json` and `lab sweep --json`."""
     package = profiler.ROOT
     found = set()
     for path in sorted(package.rglob("*.py")):
@@ -216,7 +216,7 @@
     assert set(stored_json("cost-parts.json")) <= set(parts())
 
 
-# Scripts and settings.
+# Scenarios and settings.
 
 FLEET = Fleet(
     (Method("read", 3.0, 1.5), Method("redeem", 2.0)),
@@ -233,30 +233,33 @@
 )
 
 
-def test_a_described_fleet_is_read_and_written_as_before():
+def test_a_fleet_file_keeps_its_format():
     text = stored_text("fleet.ini")
     assert solving.write(FLEET) == text
     tasks = tuple(task._replace(name=task.name.replace(":", "-") + "-1") for task in FLEET.tasks)
     assert solving.read_text(text.encode(), "fleet.ini")[0] == FLEET._replace(tasks=tasks)
 
 
-def found_script(source: Path, target: Path) -> str:
+def rewritten_scenario(source: Path, target: Path) -> str:
     hunt.write(target, 7, scenario.load(source), OUTCOME)
     return target.read_text().replace(str(ROOT), "ROOT")
 
 
-def found_day() -> str:
-    """Written twice: only a script that was read has all figures as its sections type them."""
+def found_scenario() -> str:
+    """Return a scenario as `hunt` writes it.
+
+    It is written twice, because only a scenario that was read from a file has its values in the types of its sections.
+    """
     with TemporaryDirectory() as folder:
         path = Path(folder) / "day.ini"
         hunt.write(path, 7, scenario.load(FOLDER / "day.ini"), OUTCOME)
-        return found_script(path, Path(folder) / "again.ini")
+        return rewritten_scenario(path, Path(folder) / "again.ini")
 
 
-def test_a_script_that_was_found_is_read_and_written_as_before(tmp_path):
+def test_a_found_scenario_keeps_its_format(tmp_path):
     (tmp_path / "day.ini").write_text(stored_text("found.ini").replace("ROOT", str(ROOT)))
-    assert found_script(tmp_path / "day.ini", tmp_path / "again.ini") == stored_text("found.ini")
-    assert found_day() == stored_text("found.ini")
+    assert rewritten_scenario(tmp_path / "day.ini", tmp_path / "again.ini") == stored_text("found.ini")
+    assert found_scenario() == stored_text("found.ini")
 
 
 SETTINGS = {
@@ -290,11 +293,11 @@
     assert list(sections()[name]) == list(row)
 
 
-def test_there_are_no_other_sections():
+def test_all_sections_are_covered():
     assert set(stored_json("sections.json")) == set(SETTINGS)
 
 
-# Log lines and reasons that hold names of classes.
+# Log lines and reasons that contain class names.
 
 EVENTS = [
     api.EndpointListUpdate(41, 1, (api.Endpoint(0, 1, 2, 5, 1, 1.5, 4_000_000),)),
@@ -313,35 +316,35 @@
 ]
 
 
-class Fails(Assigner):
+class FailingAssigner(Assigner):
     def decide(self, now, events):
         if any(type(event) is api.PeerMessage for event in events):
             raise ValueError("a fault of the module")
         return super().decide(now, events)
 
 
-def told_of_a_failure() -> list[str]:
-    house = EngineRig(Fails)
-    house.run(0.01)
-    house.engine.recent_events.clear()
+def logged_failure_events() -> list[str]:
+    rig = EngineRig(FailingAssigner)
+    rig.run(0.01)
+    rig.engine.recent_events.clear()
     with structlog.testing.capture_logs() as logs:
-        house.engine.log = structlog.get_logger()
+        rig.engine.log = structlog.get_logger()
         for event in EVENTS:
-            house.engine.submit(house.now, event)
-        house.run(0.01)
+            rig.engine.submit(rig.now, event)
+        rig.run(0.01)
     (entry,) = [row for row in logs if row["event"] == "decision_module_failed"]
     assert entry["error"] == "ValueError: a fault of the module"
-    return [row.partition(", ")[2][:-1] for row in entry["events"]]  # without the time that stands before each
+    return [row.partition(", ")[2][:-1] for row in entry["events"]]  # without the time at the beginning of each
 
 
-def test_a_failure_of_the_module_is_logged_with_events_as_before():
-    assert told_of_a_failure() == stored_json("failure-events.json")
+def test_a_module_failure_is_logged_with_the_events_in_the_same_format():
+    assert logged_failure_events() == stored_json("failure-events.json")
 
 
-def refusals() -> list[str]:
-    """Reasons on the status page (`refused` of `core`) and in the log."""
-    desk, able = UpdateBuilder(2, TableStore(4)), ServerCapabilities(False, False, False, False, 1)
-    orders = [
+def rejection_reasons() -> list[str]:
+    """Return the reasons for rejected commands, as on the status page (`refused` of `core`) and in the log."""
+    builder, capabilities = UpdateBuilder(2, TableStore(4)), ServerCapabilities(False, False, False, False, 1)
+    commands = [
         api.SetWeight(1.0, 0, 0),
         api.BindTable(9, 0, 0),
         api.BindTable(8, 0, 0),
@@ -354,11 +357,11 @@
         api.WatchEndpoints(True),
         api.SetTimer(1, SECOND),
     ]
-    return list(desk.build(1, 5, orders, {9: able}).refused)
+    return list(builder.build(1, 5, commands, {9: capabilities}).refused)
 
 
-def test_reasons_of_refused_orders_keep_their_names():
-    assert refusals() == stored_json("refusals.json")
+def test_reasons_for_rejected_commands_keep_their_names():
+    assert rejection_reasons() == stored_json("refusals.json")
 
 
 WRITERS = {
@@ -368,8 +371,8 @@
     "solve-keys.json": lambda: as_text(solved()),
     "cost-parts.json": lambda: as_text(parts()),
     "fleet.ini": lambda: solving.write(FLEET),
-    "found.ini": found_day,
+    "found.ini": found_scenario,
     "sections.json": lambda: as_text(sections()),
-    "failure-events.json": lambda: as_text(told_of_a_failure()),
-    "refusals.json": lambda: as_text(refusals()),
+    "failure-events.json": lambda: as_text(logged_failure_events()),
+    "refusals.json": lambda: as_text(rejection_reasons()),
 }
--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -1,4 +1,4 @@
-"""The platform's formats: its protocol's messages, discovery's pages, the configuration, the assigner's status."""
+"""Formats of the platform: protocol messages, discovery pages, the configuration and the assigner's status."""
 
 import msgspec
 import pytest
@@ -17,8 +17,8 @@
 from hollyridge.resp.codec import FrameReader, encode
 from hollyridge.resp.message_reader import MessageReader
 
-# Each message that an assigner reads, with all of its fields.
-HEARD = {
+# All messages that an assigner reads, each with all of its fields.
+INBOUND_MESSAGES = {
     "hb": ({}, messages.Heartbeat()),
     "telemetry": ({"locality": "sahab"}, messages.CollectorHello(1)),
     "attach": ({"node": "9", "locality": "khalda", "w": "5.5", "cold": "1"}, messages.JoinRequest(9, 0, 5.5, True)),
@@ -40,8 +40,8 @@
     ),
     "done": ({"node": "9", "nonce": "77", "latency": "120"}, messages.AckMessage(9, 77, 120_000)),
 }
-# Each order that it writes, with all of its fields.
-ORDERS = {
+# All kinds of update that an assigner writes, with all fields, and the mark of each.
+UPDATES = {
     "whole": (
         [TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
         7,
@@ -58,30 +58,30 @@
 }
 
 
-def heard_messages() -> dict[str, str]:
+def encoded_inbound_messages() -> dict[str, str]:
     return {
-        kind: encode([kind.encode(), *(word.encode() for pair in fields.items() for word in pair)]).decode()
-        for kind, (fields, _) in HEARD.items()
+        kind: encode([kind.encode(), *(part.encode() for pair in fields.items() for part in pair)]).decode()
+        for kind, (fields, _) in INBOUND_MESSAGES.items()
     }
 
 
-def orders() -> dict[str, str]:
+def encoded_updates() -> dict[str, str]:
     return {
-        name: b"".join(encode(message) for message in assign_messages(*order)).decode()
-        for name, order in ORDERS.items()
+        name: b"".join(encode(message) for message in assign_messages(*update)).decode()
+        for name, update in UPDATES.items()
     }
 
 
-@pytest.mark.parametrize("kind", HEARD)
-def test_messages_are_read_as_before(kind):
+@pytest.mark.parametrize("kind", INBOUND_MESSAGES)
+def test_inbound_messages_keep_their_format(kind):
     raw = stored_json("resp-heard.json")[kind].encode()
     (parts,) = FrameReader().feed(raw)
-    assert MessageReader(NAMES, bootstrap()).read(parts) == HEARD[kind][1]
+    assert MessageReader(NAMES, bootstrap()).read(parts) == INBOUND_MESSAGES[kind][1]
     assert encode(parts) == raw
 
 
-def test_orders_are_written_as_before():
-    assert orders() == stored_json("resp-orders.json")
+def test_updates_keep_their_format():
+    assert encoded_updates() == stored_json("resp-orders.json")
     for raw in stored_json("resp-orders.json").values():
         assert b"".join(map(encode, FrameReader().feed(raw.encode()))) == raw.encode()
 
@@ -97,7 +97,7 @@
         discovery.EndpointEntry("s-3", "sahab", "terminated"),
     ],
 )
-NEWS = discovery.WatchEvent(
+WATCH_EVENT = discovery.WatchEvent(
     7,
     True,
     (
@@ -112,14 +112,14 @@
     return msgspec.json.encode(PAGE).decode()
 
 
-def test_pages_of_discovery_are_read_and_written_as_before():
+def test_discovery_pages_keep_their_format():
     raw = stored_json("discovery.json")["page"].encode()
     assert msgspec.json.decode(raw, type=discovery.EndpointPage) == PAGE
-    assert discovery.read(raw, ZONES) == NEWS
+    assert discovery.read(raw, ZONES) == WATCH_EVENT
     assert page().encode() == raw
 
 
-# The configuration that the platform hands to an assigner.
+# Configuration file that the platform passes to an assigner.
 
 
 def configuration() -> str:
@@ -134,27 +134,27 @@
     return msgspec.json.encode(document).decode()
 
 
-def test_the_configuration_is_read_and_written_as_before():
+def test_the_configuration_keeps_its_format():
     raw = stored_json("configuration.json")["configuration"].encode()
     assert msgspec.json.encode(msgspec.json.decode(raw, type=ConfigDocument)) == raw
-    terms = parse_config(raw)
-    assert terms[:4] == ("n3", ("127.0.0.1", 0), ("127.0.0.1", 9), 0x8C1F)
-    assert msgspec.structs.astuple(terms.limits) == (2.0, 256.0, 2048)
-    assert terms.cached_list == NEWS
+    config = parse_config(raw)
+    assert config[:4] == ("n3", ("127.0.0.1", 0), ("127.0.0.1", 9), 0x8C1F)
+    assert msgspec.structs.astuple(config.limits) == (2.0, 256.0, 2048)
+    assert config.cached_list == WATCH_EVENT
 
 
 def node_status() -> dict:
-    terms = parse_config(msgspec.json.encode(CONFIG_DOCUMENT))
-    return shape(Application(terms, structlog.get_logger(), lambda: terms, lambda: START).status())
+    config = parse_config(msgspec.json.encode(CONFIG_DOCUMENT))
+    return shape(Application(config, structlog.get_logger(), lambda: config, lambda: START).status())
 
 
-def test_keys_of_the_status_of_an_assigner_of_the_platform():
+def test_the_status_of_a_node_keeps_its_keys():
     assert as_text(node_status()) == as_text(stored_json("node-status.json"))
 
 
 WRITERS = {
-    "resp-heard.json": lambda: as_text(heard_messages()),
-    "resp-orders.json": lambda: as_text(orders()),
+    "resp-heard.json": lambda: as_text(encoded_inbound_messages()),
+    "resp-orders.json": lambda: as_text(encoded_updates()),
     "discovery.json": lambda: as_text({"page": page()}),
     "configuration.json": lambda: as_text({"configuration": configuration()}),
     "node-status.json": lambda: as_text(node_status()),
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -1,4 +1,4 @@
-"""Imports between packages go one way: from programs down to the types of the interface (docs/architecture.md)."""
+"""Imports between packages go in one direction, from programs down to the interface types (docs/architecture.md)."""
 
 import ast
 from pathlib import Path
@@ -6,8 +6,8 @@
 import pytest
 
 PACKAGE = Path(__file__).parents[1] / "hollyridge"
-# From top to bottom. A package imports from lower lines; within a line only what ALLOWED names.
-LINES = (
+# From top to bottom. A package imports from lower layers only; imports within a layer are listed in ALLOWED.
+LAYERS = (
     ("node", "service", "cli", "lab", "benchlink"),
     ("settings", "platform_settings"),
     ("resp", "sasp", "chp", "otlp", "discovery", "client"),
@@ -27,9 +27,9 @@
     ("client", "sasp"),
     ("client", "chp"),
     ("client", "otlp"),
-    ("lab", "cli"),  # lab/stand_ins/assigner starts the command's assigner with another decision module
+    ("lab", "cli"),  # lab/stand_ins/assigner starts the assigner command with another decision module
 }
-DEPTH = {package: depth for depth, line in enumerate(LINES) for package in line}
+DEPTH = {package: depth for depth, layer in enumerate(LAYERS) for package in layer}
 
 
 def package_of(path: Path) -> str:
@@ -52,7 +52,7 @@
     return [path for path in sorted(PACKAGE.rglob("*.py")) if path != PACKAGE / "__init__.py"]
 
 
-def test_every_package_has_its_line():
+def test_every_package_has_a_layer():
     assert {package_of(path) for path in modules()} == set(DEPTH)
 
 
@@ -83,10 +83,10 @@
     return found & known
 
 
-def test_no_modules_import_each_other_in_a_circle():
+def test_modules_have_no_circular_imports():
     paths = {module_name(path): path for path in modules()}
     graph = {name: top_level_imports(path, set(paths)) - {name} for name, path in paths.items()}
     while graph:
         leaves = {name for name, imports in graph.items() if not imports}
-        assert leaves, f"a circle among {sorted(graph)}"
+        assert leaves, f"circular import among {sorted(graph)}"
         graph = {name: imports - leaves for name, imports in graph.items() if name not in leaves}
