--- a/hollyridge/lab/checks/cold_rule.py
+++ b/hollyridge/lab/checks/cold_rule.py
@@ -9,10 +9,7 @@
 from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, WorstMoment
 
-AWARE_NUMERATOR, AWARE_DENOMINATOR = (
-    2,
-    3,
-)  # share of the work at a cold task that must come from proxies that could know
+AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3  # share of work that must come from proxies that could know
 END_OF_TIME = 1 << 62
 
 
--- a/hollyridge/lab/checks/metrics.py
+++ b/hollyridge/lab/checks/metrics.py
@@ -8,7 +8,7 @@
 
 from hollyridge.lab.checks.evidence import Evidence
 
-LATE_FRACTION = 0.1  # part of the criticality that an answer earns after the soft deadline
+LATE_FRACTION = 0.1  # part of the criticality earned after the soft deadline, but in time for the client
 US_PER_S = 1_000_000
 WORST_WINDOW_S = 10
 BASELINE_S = 10  # time before a fault that service after its start is compared with
--- a/hollyridge/lab/checks/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -72,9 +72,9 @@
     count = 0
     for row in rows:
         if row["k"] == "applied" and row["asked"]:
-            asked, assigner = newest.get(row["proxy"], (0, -1))
-            count += row["asked"] < asked or (row["asked"] == asked and row["assigner"] != assigner)
-            if row["asked"] >= asked:
+            newest_request, assigner = newest.get(row["proxy"], (0, -1))
+            count += row["asked"] < newest_request or (row["asked"] == newest_request and row["assigner"] != assigner)
+            if row["asked"] >= newest_request:
                 newest[row["proxy"]] = row["asked"], row["assigner"]
     return count
 
--- a/hollyridge/lab/experiments/flood_assigner.py
+++ b/hollyridge/lab/experiments/flood_assigner.py
@@ -83,9 +83,7 @@
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.otlp, timeout=REQUEST_TIMEOUT_S, source_address=(source, 0)
         )
-        connection._create_connection = (
-            socket.create_connection
-        )  # the one of gevent, so that other greenlets run meanwhile
+        connection._create_connection = socket.create_connection  # of gevent, which lets other greenlets run
         return connection
 
     def status(self) -> dict:
--- a/hollyridge/lab/experiments/flood_reports.py
+++ b/hollyridge/lab/experiments/flood_reports.py
@@ -41,7 +41,7 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether the sender is not the one that floods."""
+        """Return whether the sender is not one that floods."""
         return self.address != FLOODING_ADDRESS
 
 
--- a/hollyridge/lab/experiments/paired_gap.py
+++ b/hollyridge/lab/experiments/paired_gap.py
@@ -36,7 +36,7 @@
 
     @property
     def clear(self) -> bool:
-        """Whether interval and sign test agree that there is a difference."""
+        """Return whether the interval and the sign test agree that there is a difference."""
         excludes_zero = self.low > 0 or self.high < 0
         return self.pairs >= MIN_PAIRS and excludes_zero and self.chance < MAX_CHANCE
 
