--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -13,7 +13,7 @@
 
 from hollyridge.lab.checks.chp_listener import ChpListener
 from hollyridge.lab.reports.record import frame_of, parts_of
-from hollyridge.registration.members import figure, read_label
+from hollyridge.registration.members import number_in_range, read_label
 from hollyridge.sasp import codec, ownership_extension
 from hollyridge.sasp.client import HeldWeights
 
@@ -273,7 +273,7 @@
         for group, _ in message.groups if self.keep_tables else ():
             weights = {address_of(member): float(entry.weight) for member, entry in held.lines(group.name).items()}
             self.evidence.tables.append(HeldTable(at, proxy, group.name, "", number, weights))
-        for group in held.fresh:
+        for group in held.received_groups:
             self._note_lines(proxy, group, not held.lines(group), at)
 
     def _on_agent_answer(self, key: tuple[str, int, int], answer: codec.Message) -> None:
@@ -316,7 +316,7 @@
 def _started(at: int, member: codec.Member) -> TaskNews:
     """Return what an assigner learns from a member's registration and its label."""
     fields = read_label(member.label)
-    up_s = figure(fields, "up", 0, MAX_UPTIME_S) or 0.0
+    up_s = number_in_range(fields, "up", 0, MAX_UPTIME_S) or 0.0
     return TaskNews(at, "ready", fields.get("run", ""), at - round(up_s * 1e6))
 
 
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -16,9 +16,9 @@
     LeaseConfig,
     LeaseGranted,
     LeaseManager,
+    LeaseRequested,
     MembersChanged,
     MemberState,
-    ProxyAsked,
     ReleaseProxy,
     Tick,
     TokenAcknowledged,
@@ -126,7 +126,9 @@
     def _on_ask(self, name: str, plea: bool) -> None:
         """Let the proxy ask an assigner; the assigner of its old stream does not learn that the stream is gone."""
         self.asks -= 1
-        for effect in self.owners[name].handle(self.now, ProxyAsked(UID, "", self.fencing_checker.next_token(), plea)):
+        for effect in self.owners[name].handle(
+            self.now, LeaseRequested(UID, "", self.fencing_checker.next_token(), plea)
+        ):
             if isinstance(effect, LeaseGranted):
                 self.stream = name
                 self.in_flight.append(Update(name, self.run[name], effect.fencing_token))
@@ -134,7 +136,7 @@
     def _on_order(self, name: str) -> None:
         self.orders -= 1
         owners = self.owners[name]
-        if owners.may_order(self.now, UID):
+        if owners.may_send_commands(self.now, UID):
             self.in_flight.append(Update(name, self.run[name], owners.fencing_token(UID)))
 
     def _on_hear(self) -> None:
--- a/hollyridge/lab/checks/parity.py
+++ b/hollyridge/lab/checks/parity.py
@@ -8,9 +8,11 @@
 from typing import NamedTuple
 
 from hollyridge.lab.checks.evidence import Evidence, HeldTable
-from hollyridge.sasp.weight_advice import MIN_LARGEST_FIGURE
+from hollyridge.sasp.weight_advice import MIN_LARGEST_SASP_WEIGHT
 
-MAX_DISTANCE = 2 / MIN_LARGEST_FIGURE  # of the largest line; covers 16-bit weights and the rounding down of a cold task
+MAX_DISTANCE = (
+    2 / MIN_LARGEST_SASP_WEIGHT
+)  # of the largest line; covers 16-bit weights and the rounding down of a cold task
 
 Run = tuple[int, int]  # number of an assigner, and start of its run in microseconds
 
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -43,7 +43,7 @@
 
     fault = ""
 
-    def change(self, head: codec.Head) -> ReplicaChanges:
+    def apply_change(self, head: codec.Head) -> ReplicaChanges:
         """Apply a head without the check that is left out."""
         same = self.synced and head.epoch == self.head.epoch
         if self.fault == "no count" and same and head.prev == self.head.seq:
@@ -54,7 +54,7 @@
             self.head = codec.Head(head.epoch, head.version, head.prev, head.prev)
         if self.fault == "no order" and same and head.seq < self.head.seq:
             self.head = codec.Head(head.epoch, 0, head.prev, 0)
-        return super().change(head)
+        return super().apply_change(head)
 
     def prune(self) -> None:
         """Drop outdated lines unless this check is left out."""
@@ -153,7 +153,7 @@
         self.run += 1
         self.version = 0
         self.key_space = self._start_run()
-        self.snapshots = [SNAPSHOT_REQUEST] if self.replica.asking else []
+        self.snapshots = [SNAPSHOT_REQUEST] if self.replica.awaiting_snapshot else []
         self.replica.incoming, self.replica.heads = {}, {}
 
     def _on_deliver(self) -> None:
@@ -184,7 +184,7 @@
 
     def _receive(self, message: codec.Message) -> None:
         changes = self.replica.take(message)
-        if changes.ask:
+        if changes.needs_snapshot:
             self._request_snapshot()
         if not self.replica.synced:
             return
@@ -216,7 +216,7 @@
             self.version,
             self.faults_left,
             self.seen,
-            replica.asking,
+            replica.awaiting_snapshot,
             replica.synced,
             replica.head.epoch,
             replica.head.seq,
@@ -242,7 +242,11 @@
 
     def is_newest(self) -> bool:
         """Return whether the subscriber holds the newest table."""
-        return self.replica.synced and self.held_version() == (self.run, self.version) and not self.replica.asking
+        return (
+            self.replica.synced
+            and self.held_version() == (self.run, self.version)
+            and not self.replica.awaiting_snapshot
+        )
 
 
 class ExplorationResult(NamedTuple):
--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -15,7 +15,7 @@
 
 from hollyridge.lab.experiments.flood_assigner import Assigner
 from hollyridge.lab.experiments.flood_reports import FLOODING_ADDRESS, ReportGenerator, Sender
-from hollyridge.otlp.sender import Figure, post, request_of
+from hollyridge.otlp.sender import MetricPoint, build_export_request, post
 from hollyridge.sasp.client import ConnectionLostError, Entry, HeldWeights, LoadBalancerClient, MemberRegistrar
 from hollyridge.sasp.codec import Member
 
@@ -96,7 +96,7 @@
             self.counts["quiet_sent"] += points
             self.counts["quiet_kept"] += points * accepted
 
-    def next_figures(self, sender: Sender, position: int) -> list[Figure]:
+    def next_figures(self, sender: Sender, position: int) -> list[MetricPoint]:
         """Return the figures of a sender's next request, whose series begin at this position in the sender's list."""
         series = [sender.series[(position + step) % len(sender.series)] for step in range(SERIES_PER_REQUEST)]
         end_ns = time.time_ns()
@@ -109,11 +109,11 @@
         while time.monotonic() < until_s:
             figures = self.next_figures(sender, position)
             position += SERIES_PER_REQUEST
-            request = request_of(sender.source, figures)
+            request = build_export_request(sender.source, figures)
             started_s = time.monotonic()
             for assigner, connection in zip(self.assigners, connections):
                 try:
-                    status, _ = post(connection, request, packed=False)
+                    status, _ = post(connection, request, use_gzip=False)
                 except (OSError, http.client.HTTPException):
                     connection.close()
                     status = 0
--- a/hollyridge/lab/experiments/flood_reports.py
+++ b/hollyridge/lab/experiments/flood_reports.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from hollyridge.otlp.sender import Figure
+from hollyridge.otlp.sender import MetricPoint
 
 FLOODING_ADDRESS = "127.0.0.2"  # the only address that floods
 MEAN_LATENCY_S = 0.08
@@ -60,7 +60,7 @@
         slow, group = SLOW_OF
         self.factors = {task: SLOW_FACTOR if number % group < slow else 1.0 for number, task in enumerate(tasks)}
 
-    def figures(self, source: str, series: list[ReportedSeries], start_ns: int, end_ns: int) -> list[Figure]:
+    def figures(self, source: str, series: list[ReportedSeries], start_ns: int, end_ns: int) -> list[MetricPoint]:
         """Draw the data points of one report.
 
         Args:
@@ -77,8 +77,8 @@
             attributes = {"proxy": source, "zone": zone, "task": task, "method": method}
             utilization = min(MAX_UTILIZATION, UTILIZATION * factor)
             figures += [
-                Figure("hollyridge.tries", attempts, attributes, end_ns, start_ns),
-                Figure("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
-                Figure("hollyridge.task.util", utilization, {"task": task}, end_ns),
+                MetricPoint("hollyridge.tries", attempts, attributes, end_ns, start_ns),
+                MetricPoint("hollyridge.tries.time", spent_s, attributes, end_ns, start_ns),
+                MetricPoint("hollyridge.task.util", utilization, {"task": task}, end_ns),
             ]
         return figures
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -40,7 +40,7 @@
 
     def take(self, event, now=START):
         outcome = self.listing.handle(now, event)
-        for name in outcome.left:
+        for name in outcome.removed_keys:
             self.indices.release(now, name)
         return outcome.change
 
--- a/tests/lab/test_lab_experiment_runs.py
+++ b/tests/lab/test_lab_experiment_runs.py
@@ -2,7 +2,7 @@
 
 import msgspec
 from click.testing import CliRunner
-from lab_helpers import SMALL, outcome
+from lab_helpers import SMALL, play_day
 
 from hollyridge.cli.main import main
 from hollyridge.lab import scenario
@@ -40,9 +40,9 @@
     assert broken <= {v.rule for v in reduced_outcome.verdicts if not v.kept}
     path = tmp_path / "found.ini"
     hunt.write(path, seed, reduced, reduced_outcome)
-    again = outcome(path, "deaf", seed)
+    again = play_day(path, "deaf", seed)
     assert broken <= {v.rule for v in again.verdicts if not v.kept}
-    assert all(v.kept for v in outcome(path, "", seed).verdicts)
+    assert all(v.kept for v in play_day(path, "", seed).verdicts)
 
 
 def test_a_sweep_reports_each_size_and_growing_cost(tmp_path):
