--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -19,6 +19,20 @@
 EXAMPLES = Path(__file__).parents[2] / "examples"
 KEY = bytes(range(32))
 METHODS = ["read-chapter", "unlock-chapter", "redeem-code"]
+CHP_PORTS = 3  # consecutive ports of the CHP server of one assigner
+
+
+def draw_ports(count):
+    """Return the SASP, OTLP, first CHP and UDP port of each assigner, without overlaps between TCP ports.
+
+    `free_port` and `free_ports` do not hold the ports that they find, so that two draws may find the same port. All
+    ports are then drawn again.
+    """
+    while True:
+        ports = [(free_port(), free_port(), free_ports(CHP_PORTS), free_port(plain.SOCK_DGRAM)) for _ in range(count)]
+        tcp_ports = [port for sasp, otlp, chp, _ in ports for port in (sasp, otlp, *range(chp, chp + CHP_PORTS))]
+        if len(set(tcp_ports)) == len(tcp_ports):
+            return ports
 
 
 class AssignerFleet:
@@ -28,7 +42,7 @@
         self.folder = folder
         self.count = count
         (folder / "fleet.key").write_text(KEY.hex())
-        self.ports = [(free_port(), free_port(), free_ports(3), free_port(plain.SOCK_DGRAM)) for _ in range(count)]
+        self.ports = draw_ports(count)
         self.seeds = ", ".join(f"127.0.0.1:{ports[3]}" for ports in self.ports)
         self.services = [None] * count
         self.jobs = [None] * count
