--- a/hollyridge/discovery/watch_client.py
+++ b/hollyridge/discovery/watch_client.py
@@ -31,7 +31,7 @@
 
 
 class WatchConfig(NamedTuple):
-    """Address of discovery, and the zone indices by name."""
+    """IP address and port of discovery, and the zone indices by name."""
 
     address: tuple[str, int]
     zones: dict[str, int]
--- a/hollyridge/resp/codec.py
+++ b/hollyridge/resp/codec.py
@@ -23,7 +23,10 @@
 
 
 class RespError(HollyridgeError):
-    """The input is not valid RESP2, so that nothing after it can be decoded."""
+    """The input is not valid RESP2, so that nothing after it can be decoded.
+
+    The server sends the text of the error in `reject` messages.
+    """
 
 
 class FrameReader:
--- a/hollyridge/resp/connection.py
+++ b/hollyridge/resp/connection.py
@@ -16,7 +16,7 @@
     Attributes:
         number: Number of the connection, never reused.
         sock: The gevent socket.
-        address: Address of the peer.
+        address: Address of the peer as the socket returns it; the first two elements are host and port.
         zone: Index of the zone of the proxy or collector; -1 before it has joined.
         node: Number by which the proxy identifies itself; -1 for a collector.
         proxy: Index of the proxy; -1 for a collector.
--- a/hollyridge/resp/messages.py
+++ b/hollyridge/resp/messages.py
@@ -10,7 +10,8 @@
 class MalformedMessageError(HollyridgeError):
     """A message is valid RESP2 but its content is not valid; the text of the error names the fault.
 
-    Only this message is skipped. The messages before and after it are handled.
+    Only this message is skipped. The messages before and after it are handled. The server sends the text of the error
+    in `reject` messages.
     """
 
 
@@ -56,7 +57,7 @@
 
 
 class AckMessage(NamedTuple):
-    """`done`: a proxy has applied the message with this mark."""
+    """`done`: a proxy has applied the message with this mark, which took `apply_time_us`."""
 
     node: int
     mark: int
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -274,7 +274,7 @@
             raise MalformedMessageError("this connection has already joined")
         now_us = self.clock()
         if len(self.streams) - len(self.pending.waiting) >= self.max_connections:
-            # One more would use the last descriptors of the connections that have not joined yet.
+            # Another joined connection would use the last descriptors left for connections that have not joined.
             raise MalformedMessageError("no room for another stream")
         self.pending.remove(connection.number)
         proxy = self.engine.join(
--- a/hollyridge/resp/update_encoder.py
+++ b/hollyridge/resp/update_encoder.py
@@ -13,7 +13,7 @@
 
 MAX_MEMO_ENTRIES = 64  # proxies are mostly at one of a few versions of a table
 NO_VERSION = -1
-ALL_METHODS_RANK = 99  # above the number of methods in any mask, so that the mask for all methods counts as the widest
+ALL_METHODS_RANK = 99  # above the number of methods in any mask, so that mask 0 (all methods) counts as the widest
 
 Admission = tuple[float, int]  # admitted amount, retry mode
 
@@ -31,6 +31,7 @@
     def __init__(self, methods: Sequence[str], task_name: Callable[[int], str]) -> None:
         self.methods = tuple(methods)
         self.task_name = task_name
+        # Parts by table, version before the change, version after it, and methods.
         self.memo: OrderedDict[tuple, tuple[TableUpdate, ...]] = OrderedDict()
         # The last encoded message and its input, kept because the next proxy mostly gets the same message.
         self.last_updates: tuple[TableUpdate, ...] = ()
@@ -121,9 +122,8 @@
                 changed.setdefault(admission, []).append(method)
         if len(changed) == 1:
             (admission,) = changed
-            if len(changed[admission]) == len(
-                methods
-            ):  # all methods have the same admission, which fits into the part with the lines
+            # An admission shared by all methods fits into the part with the lines.
+            if len(changed[admission]) == len(methods):
                 return [TableUpdate(names, complete, lines, admission)]
         updates = [TableUpdate(names, complete, lines)] if lines or complete else []
         updates += [TableUpdate(self._names(group), admission=admission) for admission, group in changed.items()]
--- a/hollyridge/settings/assigner.py
+++ b/hollyridge/settings/assigner.py
@@ -190,7 +190,7 @@
 
 
 def check_channel(config: ServiceConfig, faults: list[str]) -> None:
-    """Check that the channel is fast and wide enough to keep the limits in [promises]."""
+    """Check that the speed and size of the channel allow the limits in [promises] to be kept."""
     channel, promises = config.channel, config.promises
     if channel.worst_transit_s >= promises.drain_grace_s:
         faults.append(
--- a/tests/resp/test_resp_message_reader.py
+++ b/tests/resp/test_resp_message_reader.py
@@ -39,7 +39,7 @@
         messages.TrafficSample(0, "s-1", 3, 3, 0, SECOND, ()),
     ),
     (read_message("client_stats", **OFFERED), messages.OfferedLoadSample(17, 1, 19, 0, SECOND)),
-    # RPCs admitted in an earlier interval can fail in this one, so that there are more errors than RPCs.
+    # RPCs admitted in an earlier interval can remain unanswered in this one: more errors than RPCs.
     (
         read_message("client_stats", **{**OFFERED, "total": 2, "errors": 9}),
         messages.OfferedLoadSample(17, 1, 2, 9, SECOND),
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -77,57 +77,57 @@
 
 
 def secured_rig(rig, keys):
-    r = start_chp_rig(rig, **keys.overrides())
-    agent = r.open(MemberRegistrar, "shelf", connect=keys.connector("agent"))
-    agent.register(r.members())
+    started_rig = start_chp_rig(rig, **keys.overrides())
+    agent = started_rig.open(MemberRegistrar, "shelf", connect=keys.connector("agent"))
+    agent.register(started_rig.members())
     gevent.sleep(0.3)
-    return r, agent
+    return started_rig, agent
 
 
 ALL = {1, 2, 3, 4}
 
 
 def test_clients_with_keys_are_admitted_by_both_servers(rig, keys):
-    r, agent = secured_rig(rig, keys)
-    gate = r.balancer("gw-1", connect=keys.connector("gate"))
-    assert r.held_after(gate)[0] == {g: ALL for g in GROUPS}
-    gateway = open_gateway(r, "gw-2", keys=keys.curve_client("gate"))
+    started_rig, agent = secured_rig(rig, keys)
+    gate = started_rig.balancer("gw-1", connect=keys.connector("gate"))
+    assert started_rig.held_after(gate)[0] == {g: ALL for g in GROUPS}
+    gateway = open_gateway(started_rig, "gw-2", keys=keys.curve_client("gate"))
     assert wait_for(lambda: hosts(gateway) == ALL)
-    agent.quiesce([r.members()[0]])
+    agent.quiesce([started_rig.members()[0]])
     assert wait_for(lambda: hosts(gateway) == ALL - {1}, 2)
 
 
 def test_clients_without_permission_are_rejected(rig, keys):
-    r, _ = secured_rig(rig, keys)
+    started_rig, _ = secured_rig(rig, keys)
     other = trustme.CA()
     for connect in (keys.connector(""), keys.connector("gate", other), socket.create_connection):
         with pytest.raises((OSError, ConnectionLostError)):
-            r.balancer("gw-1", connect=connect)
+            started_rig.balancer("gw-1", connect=connect)
     for connect, uid in (
         (keys.connector("stranger"), "gw-1"),
         (keys.connector("gate"), "other"),
         (keys.connector("agent"), "gw-1"),
     ):
         with pytest.raises(RefusedError):
-            r.balancer(uid, connect=connect)
-    registrar = r.open(MemberRegistrar, "shelf", connect=keys.connector("gate"))
+            started_rig.balancer(uid, connect=connect)
+    registrar = started_rig.open(MemberRegistrar, "shelf", connect=keys.connector("gate"))
     with pytest.raises(RefusedError):
         registrar.register([Member.at("127.1.0.9", 1, "run=a")])
     for uid, name in (("gw-1", "stranger"), ("other", "gate")):
-        gateway = open_gateway(r, uid, keys=keys.curve_client(name))
-        plain = open_gateway(r, uid)
+        gateway = open_gateway(started_rig, uid, keys=keys.curve_client(name))
+        plain = open_gateway(started_rig, uid)
         gevent.sleep(0.5)
         assert not hosts(gateway)
         assert not hosts(plain)
-    assert not r.engine.servers
+    assert not started_rig.engine.servers
 
 
 def test_reports_are_accepted_only_for_the_zones_of_the_principal(rig, keys):
-    r, _ = secured_rig(rig, keys)
+    started_rig, _ = secured_rig(rig, keys)
 
     def report(name, points):
-        connection = http.client.HTTPSConnection("localhost", r.otlp, timeout=5)
-        connection._create_connection = lambda address, *rest: socket.create_connection(("127.0.0.1", r.otlp))
+        connection = http.client.HTTPSConnection("localhost", started_rig.otlp, timeout=5)
+        connection._create_connection = lambda address, *rest: socket.create_connection(("127.0.0.1", started_rig.otlp))
         context = green_ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         keys.authority.configure_trust(context)
         keys.authority.issue_cert(common_name=name).configure_cert(context)
@@ -138,43 +138,45 @@
         finally:
             connection.close()
 
-    both = [attempts_point(r), attempts_point(r, zone="khalda")]
+    both = [attempts_point(started_rig), attempts_point(started_rig, zone="khalda")]
     assert report("gate", both) == (200, 1)
     assert report("stranger", both) == (200, 2)
-    assert r.service.metrics_server.uncounted["not for this sender"] == 3
+    assert started_rig.service.metrics_server.uncounted["not for this sender"] == 3
 
 
 def test_keys_can_be_replaced_at_run_time(rig, keys, tmp_path):
-    r, agent = secured_rig(rig, keys)
-    gate = r.balancer("gw-1", connect=keys.connector("gate"))
-    gateway = open_gateway(r, "gw-2", keys=keys.curve_client("gate"))
+    started_rig, agent = secured_rig(rig, keys)
+    gate = started_rig.balancer("gw-1", connect=keys.connector("gate"))
+    gateway = open_gateway(started_rig, "gw-2", keys=keys.curve_client("gate"))
     assert wait_for(lambda: hosts(gateway) == ALL)
     keys.issue_service_certificate()
     keys.create_curve_keys("pubsub")
     overrides = {tuple(k.split("__")): str(v) for k, v in keys.overrides().items()}
-    listen = {("clone", "listen"): f"127.0.0.1:{r.clone.config.port}"}
-    r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
+    listen = {("clone", "listen"): f"127.0.0.1:{started_rig.clone.config.port}"}
+    started_rig.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
     gevent.sleep(0.5)
     assert gateway.sessions == 1
-    assert r.held_after(gate, seconds=0.5)[0] == {g: ALL for g in GROUPS}
-    new_gateway = open_gateway(r, "gw-3", keys=keys.curve_client("gate"))  # connects with the new server key
+    assert started_rig.held_after(gate, seconds=0.5)[0] == {g: ALL for g in GROUPS}
+    new_gateway = open_gateway(started_rig, "gw-3", keys=keys.curve_client("gate"))  # connects with the new server key
     assert wait_for(lambda: hosts(new_gateway) == ALL)
-    assert r.held_after(r.balancer("gw-4", connect=keys.connector("gate")))[0] == {g: ALL for g in GROUPS}
+    assert started_rig.held_after(started_rig.balancer("gw-4", connect=keys.connector("gate")))[0] == {
+        g: ALL for g in GROUPS
+    }
     # Invalid files change nothing.
     (tmp_path / "service.pem").write_text("nonsense")
     with pytest.raises(OSError):
-        r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
+        started_rig.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
     # A principal is removed while its streams are open.
     keys.issue_service_certificate()
     for key in [key for key in overrides if key[0] == "access gate"]:
         del overrides[key]
-    r.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
+    started_rig.service.reload(assigner.load(LOOPBACK, {**overrides, **listen}))
     with pytest.raises(ConnectionLostError):
         while gate.receive(1):
             pass
-    assert wait_for(lambda: not r.engine.servers, 3)
+    assert wait_for(lambda: not started_rig.engine.servers, 3)
     assert agent.call is not None
-    assert len(r.engine.endpoint_source.entries) == 4
+    assert len(started_rig.engine.endpoint_source.entries) == 4
 
 
 KEY_FAULTS = [
@@ -194,9 +196,9 @@
 
 
 def test_a_connection_that_never_begins_the_handshake_does_not_block_others(rig, keys):
-    r, _ = secured_rig(rig, keys)
-    silent = socket.create_connection(("127.0.0.1", r.sasp))  # never begins the handshake
-    gate = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200", connect=keys.connector("gate"))
+    started_rig, _ = secured_rig(rig, keys)
+    silent = socket.create_connection(("127.0.0.1", started_rig.sasp))  # never begins the handshake
+    gate = started_rig.open(LoadBalancerClient, "gw-1", source="127.1.0.200", connect=keys.connector("gate"))
     gate.start(GROUPS)
-    assert r.held_after(gate)[0] == {g: ALL for g in GROUPS}
+    assert started_rig.held_after(gate)[0] == {g: ALL for g in GROUPS}
     silent.close()
