--- a/hollyridge/chp/proxy_replicas.py
+++ b/hollyridge/chp/proxy_replicas.py
@@ -145,7 +145,11 @@
         return unused
 
     def rebuild_tables(self) -> bool:
-        """Replace `tables` if every bound table is complete and the fencing token is accepted; return whether it is."""
+        """Replace `tables` if every bound table is complete and the fencing token is accepted.
+
+        Returns:
+            Whether `tables` was replaced.
+        """
         bound = self.bound_tables()
         if not bound or not all(self.replicas[table].synced for table in bound.values()):
             return False
--- a/hollyridge/chp/publication.py
+++ b/hollyridge/chp/publication.py
@@ -50,7 +50,7 @@
     # Changes.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """Return the number of lines of this update and of all tables of the proxy in full."""
+        """Return the number of lines of this update, and that of all tables of the proxy in full."""
         tables = set(self.engine.update_builder.bindings.get(proxy, {}).values())
         store = self.engine.update_builder.store
         changed = sum(lines for _, lines in update.line_counts)
--- a/hollyridge/chp/server.py
+++ b/hollyridge/chp/server.py
@@ -229,7 +229,7 @@
     # Interface to the engine.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """Return the number of lines of this update for the proxy and of all its tables in full."""
+        """Return the number of lines of this update for the proxy, and that of all its tables in full."""
         return self.publication.count_lines(proxy, update)
 
     def write(self, proxy: int, update: ProxyUpdate) -> None:
--- a/hollyridge/chp/session_registry.py
+++ b/hollyridge/chp/session_registry.py
@@ -57,7 +57,7 @@
         if not uid or len(uid) > MAX_UID_CHARS or reason:
             raise ChpError(reason or f"UID of {len(uid)} characters, expected 1 to {MAX_UID_CHARS}")
         older = self.by_uid.get(uid)
-        if older is not None and older.routing_id == request.routing_id:  # it lost a message of its own subtree
+        if older is not None and older.routing_id == request.routing_id:  # the proxy lost a message of its subtree
             if not older.home_unsent and older.snapshot_bucket.take(now):
                 self.server.publication.send_snapshot(older, older.home)
             return
@@ -115,7 +115,7 @@
         key_space.drop(home)
 
     def leave(self, now: int, session: SubscriberSession, reason: str, keep_lease: bool = False) -> None:
-        """End a session, and release the lease of its proxy unless `keep_lease`: then the owner is decided already."""
+        """End a session and release the lease of its proxy, or keep the lease if its owner is decided already."""
         if not keep_lease:
             self.server.ownership.release(session.uid)
         if self.is_current(session):
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -131,7 +131,7 @@
             if lease_s and self.clock() - heartbeat_at >= lease_s / HEARTBEATS_PER_LEASE:
                 heartbeat_at = self.clock()
                 client.timeout = lease_s / 2
-                client.alive()
+                client.send_heartbeat()
             self.alive()
 
     def _receive(self, client: LoadBalancerClient) -> None:
--- a/hollyridge/sasp/client.py
+++ b/hollyridge/sasp/client.py
@@ -157,13 +157,13 @@
                 redirect.
         """
         self.flags = (BalancerFlags.PUSH if push else 0) | BalancerFlags.NO_CHANGE
-        self.alive()
+        self.send_heartbeat()
         if number:
             # A service that shares no fleet refuses this request, which does no harm.
             self.call(ownership_extension.write_request(self.uid, number, insist))
         self.call_checked(codec.Register(True, tuple(codec.MembersOf(Group(self.uid, name), ()) for name in groups)))
 
-    def alive(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat (Set LB State) and wait for its reply."""
         self.call_checked(codec.SetBalancer(self.uid, HEALTHY, int(self.flags)))
 
--- a/hollyridge/sasp/codec.py
+++ b/hollyridge/sasp/codec.py
@@ -96,8 +96,8 @@
 
 
 def _read_register(cursor: Cursor) -> Register:
-    flag, count = cursor.take(FLAG_AND_COUNT)
-    return Register(bool(flag & BY_BALANCER), cursor.many(count, read_members_of))
+    flag, count = cursor.read_fields(FLAG_AND_COUNT)
+    return Register(bool(flag & BY_BALANCER), cursor.read_list(count, read_members_of))
 
 
 def _write_register(message: Register) -> bytes:
@@ -105,8 +105,8 @@
 
 
 def _read_deregister(cursor: Cursor) -> Deregister:
-    flag, reason, count = cursor.take(FLAG_REASON_COUNT)
-    return Deregister(bool(flag & BY_BALANCER), reason, cursor.many(count, read_members_of))
+    flag, reason, count = cursor.read_fields(FLAG_REASON_COUNT)
+    return Deregister(bool(flag & BY_BALANCER), reason, cursor.read_list(count, read_members_of))
 
 
 def _write_deregister(message: Deregister) -> bytes:
@@ -115,7 +115,7 @@
 
 
 def _read_get_weights(cursor: Cursor) -> GetWeights:
-    return GetWeights(cursor.many(cursor.take(U16)[0], read_group))
+    return GetWeights(cursor.read_list(cursor.read_fields(U16)[0], read_group))
 
 
 def _write_get_weights(message: GetWeights) -> bytes:
@@ -123,8 +123,8 @@
 
 
 def _read_get_weights_reply(cursor: Cursor) -> GetWeightsReply:
-    code, interval, count = cursor.take(CODE_INTERVAL_COUNT)
-    return GetWeightsReply(code, interval, cursor.many(count, read_weights_of))
+    code, interval, count = cursor.read_fields(CODE_INTERVAL_COUNT)
+    return GetWeightsReply(code, interval, cursor.read_list(count, read_weights_of))
 
 
 def _write_get_weights_reply(message: GetWeightsReply) -> bytes:
@@ -133,7 +133,7 @@
 
 
 def _read_send_weights(cursor: Cursor) -> SendWeights:
-    return SendWeights(cursor.many(cursor.take(U16)[0], read_weights_of))
+    return SendWeights(cursor.read_list(cursor.read_fields(U16)[0], read_weights_of))
 
 
 def _write_send_weights(message: SendWeights) -> bytes:
@@ -142,7 +142,7 @@
 
 def _read_set_balancer(cursor: Cursor) -> SetBalancer:
     uid = cursor.short_text()
-    health, flags = cursor.take(TWO_U8)
+    health, flags = cursor.read_fields(TWO_U8)
     return SetBalancer(uid, health, flags)
 
 
@@ -151,8 +151,8 @@
 
 
 def _read_set_members(cursor: Cursor) -> SetMembers:
-    flag, count = cursor.take(FLAG_AND_COUNT)
-    return SetMembers(bool(flag & BY_BALANCER), cursor.many(count, read_states_of))
+    flag, count = cursor.read_fields(FLAG_AND_COUNT)
+    return SetMembers(bool(flag & BY_BALANCER), cursor.read_list(count, read_states_of))
 
 
 def _write_set_members(message: SetMembers) -> bytes:
@@ -169,7 +169,7 @@
 
 def _code_only_reply(message: type) -> MessageFormat:
     """Return the format of a reply that holds only a return code."""
-    return MessageFormat(message, lambda cursor: message(cursor.take(U8)[0]), lambda reply: U8.pack(reply.code))
+    return MessageFormat(message, lambda cursor: message(cursor.read_fields(U8)[0]), lambda reply: U8.pack(reply.code))
 
 
 FORMATS: dict[int, MessageFormat] = {
--- a/hollyridge/sasp/components.py
+++ b/hollyridge/sasp/components.py
@@ -33,7 +33,7 @@
         self.position = position
         self.end = end
 
-    def take(self, layout: struct.Struct) -> tuple:
+    def read_fields(self, layout: struct.Struct) -> tuple:
         """Read the next fields."""
         if self.position + layout.size > self.end:
             raise SaspError(f"{self.end - self.position} bytes left in the component, expected fields of {layout.size}")
@@ -54,12 +54,12 @@
 
     def short_text(self) -> str:
         """Read the next text, which follows its length."""
-        return self.text(self.take(U8)[0])
+        return self.text(self.read_fields(U8)[0])
 
     def component(self, expected_type: int) -> Cursor:
         """Return a cursor over the body of the next component, which must be of the expected type."""
         start = self.position
-        found_type, size = self.take(COMPONENT_HEAD)
+        found_type, size = self.read_fields(COMPONENT_HEAD)
         if found_type != expected_type:
             raise SaspError(f"component type {found_type:#06x}, expected {expected_type:#06x}")
         if size < COMPONENT_HEAD.size or start + size > self.end:
@@ -70,7 +70,7 @@
         self.position = start + size
         return Cursor(self.raw, start + COMPONENT_HEAD.size, start + size)
 
-    def many(self, count: int, read: Callable[[Cursor], Read]) -> tuple[Read, ...]:
+    def read_list(self, count: int, read: Callable[[Cursor], Read]) -> tuple[Read, ...]:
         """Read `count` components; reject a count that exceeds the bytes left before building anything from it."""
         if count * COMPONENT_HEAD.size > self.end - self.position:
             raise SaspError(f"count of {count} components, but only {self.end - self.position} bytes follow")
@@ -101,7 +101,7 @@
 def read_member(cursor: Cursor) -> Member:
     """Read Member Data."""
     body = cursor.component(MEMBER_TYPE)
-    protocol, port, address, label_bytes = body.take(MEMBER_FIELDS)
+    protocol, port, address, label_bytes = body.read_fields(MEMBER_FIELDS)
     label = body.text(label_bytes)
     body.expect_end()
     return Member(address, port, protocol, label)
@@ -134,7 +134,7 @@
     """Read Weight Entry Data."""
     body = cursor.component(WEIGHT_TYPE)
     member = read_member(body)
-    state, flags, weight = body.take(WEIGHT_FIELDS)
+    state, flags, weight = body.read_fields(WEIGHT_FIELDS)
     body.expect_end()
     return Weight(member, weight, flags, state)
 
@@ -149,7 +149,7 @@
     """Read Member State Data."""
     body = cursor.component(STATE_TYPE)
     member = read_member(body)
-    state, quiesce = body.take(TWO_U8)
+    state, quiesce = body.read_fields(TWO_U8)
     body.expect_end()
     return State(member, bool(quiesce), state)
 
@@ -164,9 +164,9 @@
 
     def read_component(cursor: Cursor) -> Read:
         body = cursor.component(component_type)
-        (count,) = body.take(U16)
+        (count,) = body.read_fields(U16)
         group = read_group(body)
-        entries = body.many(count, read_entry)
+        entries = body.read_list(count, read_entry)
         body.expect_end()
         return build(group, entries)
 
--- a/hollyridge/sasp/connection.py
+++ b/hollyridge/sasp/connection.py
@@ -61,12 +61,12 @@
 
     Attributes:
         number: Identity of the connection in this run of the server.
-        address: Address of the peer (host, port).
+        address: Address of the peer as the socket returns it; the first two elements are host and port.
         replies: Encoded replies to requests that are not written yet.
         due: Event that wakes the writer.
         reply_bucket: Rate limit of the replies with weights.
         uid: UID of the load balancer; empty until it is known, and for members and agents.
-        bearer: Common name in the peer's certificate, empty without a certificate.
+        principal: Common name in the peer's certificate, empty without a certificate.
         proxy: Index of the proxy that joined on this connection, -1 for none.
         flags: `BalancerFlags` of the load balancer.
         views: State of each group of the load balancer, by group name in the order of registration.
@@ -88,7 +88,7 @@
         self.address = address
         self.reply_bucket = reply_bucket
         self.uid = ""
-        self.bearer = ""
+        self.principal = ""
         self.proxy = -1
         self.flags = 0
         self.views: dict[str, SaspProxyView] = {}
--- a/hollyridge/sasp/load_balancers.py
+++ b/hollyridge/sasp/load_balancers.py
@@ -56,7 +56,7 @@
             return Code.NOT_FROM_YOU
         if connection.uid and connection.uid != uid:
             return Code.UNKNOWN_BALANCER
-        if self.refusals.is_denied(connection, self.refusals.access.check_proxy_name(connection.bearer, uid)):
+        if self.refusals.is_denied(connection, self.refusals.access.check_proxy_name(connection.principal, uid)):
             return Code.NOT_FROM_YOU
         connection.uid = uid
         return Code.OK
@@ -110,7 +110,10 @@
         return Code.OK
 
     def get_weights(self, connection: Connection, message: codec.GetWeights) -> codec.GetWeightsReply:
-        """Return the reply to a load balancer that polls. The first reply waits briefly for a table to not be empty."""
+        """Return the reply to a load balancer that polls.
+
+        For the first reply, wait briefly for a table, so that the reply is not empty.
+        """
         code = self.register_groups(connection, message.groups)
         if code == Code.OK and not connection.reply_bucket.take(self.clock()):
             self.server.counts["asked_too_often"] += 1
--- a/hollyridge/sasp/ownership_extension.py
+++ b/hollyridge/sasp/ownership_extension.py
@@ -64,8 +64,8 @@
     >>> read_request("read"), read_request(".owner/x/1")
     (None, None)
     """
-    name, _, rest = group_name.partition("/")
-    digits, _, insist = rest.partition("/")
+    name, _, parameters = group_name.partition("/")
+    digits, _, insist = parameters.partition("/")
     if name != GROUP_NAME or not digits.isdigit() or insist not in ("0", "1"):
         return None
     number = int(digits)
--- a/hollyridge/sasp/registration.py
+++ b/hollyridge/sasp/registration.py
@@ -100,7 +100,7 @@
             return Code.NOT_FROM_YOU
         check_member_address = self.refusals.access.check_member_address
         if any(
-            self.refusals.is_denied(connection, check_member_address(connection.bearer, member.host))
+            self.refusals.is_denied(connection, check_member_address(connection.principal, member.host))
             for member in requested
         ):
             return Code.NOT_FROM_YOU
@@ -128,7 +128,8 @@
                 if new:
                     added.append(member.key)
                 self.by_task[task] = member._replace(label="")
-            listed_task = max(task, 0) if zone < 0 else task  # a missing zone is refused as that, not as a full list
+            # With the index 0, a member without a zone is refused for the missing zone, not because the list is full.
+            listed_task = max(task, 0) if zone < 0 else task
             requests.append(members.MemberRequest(member.key, listed_task, zone, member.label, registers_itself))
         return Allocation(tuple(requests), tuple(added))
 
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -105,9 +105,9 @@
     def recheck(self) -> None:
         """Close the connections that a changed access table no longer allows."""
         for connection in list(self.streams.values()):
-            reason = self.access.check_known(connection.bearer)
+            reason = self.access.check_known(connection.principal)
             if not reason and connection.uid:
-                reason = self.access.check_proxy_name(connection.bearer, connection.uid)
+                reason = self.access.check_proxy_name(connection.principal, connection.uid)
             if reason:
                 self.close(connection, f"keys withdrawn: {reason}")
 
@@ -124,7 +124,7 @@
             self.transport.set_options(sock)
             if self.secure is not None:
                 sock = connection.sock = self.secure(sock)
-                connection.bearer = peer_common_name(sock)
+                connection.principal = peer_common_name(sock)
             writer = gevent.spawn(self.transport.write_until_closed, connection)
             self.transport.read_until_closed(connection)
         except OSError as error:
@@ -245,7 +245,7 @@
     # Interface to the engine.
 
     def count_lines(self, proxy: int, update: ProxyUpdate) -> tuple[int, int]:
-        """Return the number of entries of this update for the proxy and of all its groups in full."""
+        """Return the number of entries of this update for the proxy, and that of all its groups in full."""
         connection = self.by_proxy.get(proxy)
         return (0, 0) if connection is None else self.weight_replies.count_lines(connection, update)
 
--- a/hollyridge/sasp/weight_advice.py
+++ b/hollyridge/sasp/weight_advice.py
@@ -2,7 +2,7 @@
 
 A group's scale maps its largest weight to a quarter of the 16-bit range. It is kept until that weight leaves the range
 or falls below a sixteenth of it; only then is the whole group sent again. Therefore a task's SASP weight changes only
-when its weight changes, and rounding changes a weight by at most half a part in 4096 of the largest.
+when its weight changes, and rounding changes a weight by at most half of 1/4096 of the largest weight.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         is_warming_up: Callable[[int], bool],
         is_closed: Callable[[int], bool],
     ) -> AdvisedWeights:
-        """Return SASP weights for the tasks in `changed`, or for all if `whole`; `weights` is the changed table.
+        """Return SASP weights for the tasks in `changed`, or for all if `whole`; `weights` is the new table.
 
         A closed task is sent as 0 regardless of its weight in the table, since a table from before a drain must not
         open the task again. This is wrong if the endpoint list closes a task by mistake; the next change of the list
--- a/hollyridge/sasp/weight_replies.py
+++ b/hollyridge/sasp/weight_replies.py
@@ -36,7 +36,7 @@
     # Changes of views.
 
     def count_lines(self, connection: Connection, update: ProxyUpdate) -> tuple[int, int]:
-        """Return the number of entries of this update and of all groups of the connection in full."""
+        """Return the number of entries of this update, and that of all groups of the connection in full."""
         bound = self.engine.update_builder.bindings.get(connection.proxy, {})
         tables = [bound.get(method) for name, method in self.config.groups.items() if name in connection.views]
         store = self.engine.update_builder.store
--- a/tests/sasp/test_sasp_server.py
+++ b/tests/sasp/test_sasp_server.py
@@ -16,64 +16,64 @@
 
 
 def test_a_pushed_balancer_holds_the_table_and_loses_drained_tasks(rig):
-    r = rig()
-    agent, gw = r.agent(), r.balancer()
-    held, tables = r.held_after(gw)
+    started_rig = rig()
+    agent, gw = started_rig.agent(), started_rig.balancer()
+    held, tables = started_rig.held_after(gw)
     assert held == ALL
-    agent.quiesce([r.members()[0]])
-    held, tables = r.held_after(gw, tables, 0.5)
+    agent.quiesce([started_rig.members()[0]])
+    held, tables = started_rig.held_after(gw, tables, 0.5)
     assert held == {g: {2, 3, 4} for g in GROUPS}
-    agent.deregister([r.members()[1]])
-    assert r.held_after(gw, tables, 0.5)[0] == {g: {3, 4} for g in GROUPS}
-    other = r.balancer("gw-2", zone=2)  # a load balancer that joins later gets none of the removed tasks
-    assert r.held_after(other)[0] == {g: {3, 4} for g in GROUPS}
+    agent.deregister([started_rig.members()[1]])
+    assert started_rig.held_after(gw, tables, 0.5)[0] == {g: {3, 4} for g in GROUPS}
+    other = started_rig.balancer("gw-2", zone=2)  # a load balancer that joins later gets none of the removed tasks
+    assert started_rig.held_after(other)[0] == {g: {3, 4} for g in GROUPS}
 
 
 def test_a_member_that_registers_itself_and_vanishes_is_removed(rig):
-    r = rig(roster__hold_own_s=0.3)
-    r.agent()
-    gw = r.balancer()
-    own = r.open(MemberRegistrar, "shelf", source="127.1.0.50")
-    own.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
-    held, tables = r.held_after(gw, seconds=0.6)
+    started_rig = rig(roster__hold_own_s=0.3)
+    started_rig.agent()
+    gw = started_rig.balancer()
+    registrar = started_rig.open(MemberRegistrar, "shelf", source="127.1.0.50")
+    registrar.register([Member.at("127.1.0.50", 7, "me run=1 up=100")])
+    held, tables = started_rig.held_after(gw, seconds=0.6)
     assert all(50 in hosts for hosts in held.values())
-    own.close()
-    assert r.held_after(gw, tables, 1.0)[0] == ALL
+    registrar.close()
+    assert started_rig.held_after(gw, tables, 1.0)[0] == ALL
 
 
 def test_an_agent_that_reconnects_keeps_its_list(rig):
-    r = rig(roster__hold_agent_s=1)
-    agent, gw = r.agent(), r.balancer()
-    tables = r.held_after(gw, seconds=0.5)[1]
+    started_rig = rig(roster__hold_agent_s=1)
+    agent, gw = started_rig.agent(), started_rig.balancer()
+    tables = started_rig.held_after(gw, seconds=0.5)[1]
     agent.close()
     gevent.sleep(0.4)
-    r.agent()
-    held, _ = r.held_after(gw, tables, 1.2)
+    started_rig.agent()
+    held, _ = started_rig.held_after(gw, tables, 1.2)
     assert held == ALL
-    assert r.engine.endpoint_source.reconnections == 4
-    assert not r.engine.endpoint_source.restarts
+    assert started_rig.engine.endpoint_source.reconnections == 4
+    assert not started_rig.engine.endpoint_source.restarts
 
 
 def test_a_balancer_that_polls_once_gets_a_table_and_is_closed(rig):
-    r = rig()
-    r.agent()
-    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
+    started_rig = rig()
+    started_rig.agent()
+    gw = started_rig.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
     reply = gw.weights(GROUPS)
     assert reply.interval == 1
     assert {len(row.weights) for row in reply.groups} == {4}
-    assert len(r.protocol_server.by_proxy) == 1
+    assert len(started_rig.protocol_server.by_proxy) == 1
     with pytest.raises(ConnectionLostError):
         gw._read(4)
-    assert not r.protocol_server.by_proxy
-    assert not r.engine.servers
+    assert not started_rig.protocol_server.by_proxy
+    assert not started_rig.engine.servers
 
 
 def test_a_balancer_that_keeps_polling_stays_and_sees_a_drain(rig):
-    r = rig(promises__drain_grace_s=3)
-    agent = r.agent()
-    gw = r.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
+    started_rig = rig(promises__drain_grace_s=3)
+    agent = started_rig.agent()
+    gw = started_rig.open(LoadBalancerClient, "gw-1", source="127.1.0.200")
     gw.weights(GROUPS)
-    agent.quiesce([r.members()[0]])
+    agent.quiesce([started_rig.members()[0]])
     gevent.sleep(1.0)
     (row, *_) = gw.weights(GROUPS).groups
     assert {w.member.host: w.weight > 0 for w in row.weights if w.flags & WeightFlags.QUIESCE}.get(
@@ -81,38 +81,41 @@
     ) is not True
     gevent.sleep(1.5)
     assert gw.weights(GROUPS).code == Code.OK
-    assert len(r.engine.servers) == 1
+    assert len(started_rig.engine.servers) == 1
     with pytest.raises(RefusedError):
         for _ in range(30):
             gw.weights(GROUPS)
-    assert r.protocol_server.counts["asked_too_often"] == 1
+    assert started_rig.protocol_server.counts["asked_too_often"] == 1
 
 
 def test_a_balancer_that_reads_nothing_does_not_delay_others(rig):
-    r = rig(sasp__send_buffer_bytes=4096, proxies__tasks_most=400, channel__messages_most=200)
-    agent = r.agent(tasks=4)
-    slow, quick = r.open(LoadBalancerClient, "slow", source="127.1.0.201"), r.balancer("quick", zone=2)
+    started_rig = rig(sasp__send_buffer_bytes=4096, proxies__tasks_most=400, channel__messages_most=200)
+    agent = started_rig.agent(tasks=4)
+    slow, quick = (
+        started_rig.open(LoadBalancerClient, "slow", source="127.1.0.201"),
+        started_rig.balancer("quick", zone=2),
+    )
     slow.sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
     slow.start(GROUPS)
-    tables = r.held_after(quick, seconds=0.4)[1]
+    tables = started_rig.held_after(quick, seconds=0.4)[1]
     many_members = [Member.at(f"127.3.1.{k}", 9000, "run=a up=100") for k in range(1, 200)]
     for _ in range(8):
         agent.register(many_members)
-        tables = r.held_after(quick, tables, 0.25)[1]
+        tables = started_rig.held_after(quick, tables, 0.25)[1]
         agent.deregister(many_members)
-        held, tables = r.held_after(quick, tables, 0.25)
+        held, tables = started_rig.held_after(quick, tables, 0.25)
     for _ in range(20):  # the reading balancer receives every change
-        held, tables = (held, tables) if held == ALL else r.held_after(quick, tables, 0.25)
+        held, tables = (held, tables) if held == ALL else started_rig.held_after(quick, tables, 0.25)
     assert held == ALL
-    assert wait_for(lambda: "slow" not in r.engine.proxy_indices.index)
-    assert "quick" in r.engine.proxy_indices.index
+    assert wait_for(lambda: "slow" not in started_rig.engine.proxy_indices.index)
+    assert "quick" in started_rig.engine.proxy_indices.index
 
 
 def test_quiesce_between_a_computed_and_a_sent_table(rig):
-    r = rig(channel__lines_per_s=15, channel__most_waiting=2000, channel__worst_transit_s=1)
-    agent, gw = r.agent(), r.balancer()  # the channel takes a second to send the table
-    assert wait_for(lambda: r.engine.queue.waiting_lines, 0.9)
-    agent.quiesce([r.members()[0]])
+    started_rig = rig(channel__lines_per_s=15, channel__most_waiting=2000, channel__worst_transit_s=1)
+    agent, gw = started_rig.agent(), started_rig.balancer()  # the channel takes a second to send the table
+    assert wait_for(lambda: started_rig.engine.queue.waiting_lines, 0.9)
+    agent.quiesce([started_rig.members()[0]])
     first = gw.receive(5)[1]
     entries = [w for row in first.groups for w in row.weights]
     closed = [w for w in entries if w.member.host == "127.1.0.1"]  # usually the message has no entry for it
@@ -130,18 +133,18 @@
 
 @pytest.mark.parametrize("raw", MALFORMED)
 def test_a_malformed_frame_closes_its_own_connection_only(rig, raw):
-    r = rig()
-    r.agent()
-    gw, bad = r.balancer(), r.raw()
+    started_rig = rig()
+    started_rig.agent()
+    gw, bad = started_rig.balancer(), started_rig.raw()
     bad.sendall(raw)
     assert bad.recv(100) == b""
-    assert r.held_after(gw)[0] == ALL
-    assert r.protocol_server.counts["bad_frames"] == 1
+    assert started_rig.held_after(gw)[0] == ALL
+    assert started_rig.protocol_server.counts["bad_frames"] == 1
 
 
 def test_connections_end_after_half_a_frame_silence_or_slow_bytes(rig):
-    r = rig(sasp__frame_s=0.5, sasp__hello_s=0.5)
-    half, silent, slow = r.raw(), r.raw(), r.raw()
+    started_rig = rig(sasp__frame_s=0.5, sasp__hello_s=0.5)
+    half, silent, slow = started_rig.raw(), started_rig.raw(), started_rig.raw()
     half.sendall(MALFORMED[2][:10])
     started = time.monotonic()
     frame = codec.encode(1, codec.SetBalancer("x" * 60, 0, 0))
@@ -149,11 +152,15 @@
         for byte in frame:
             slow.sendall(bytes((byte,)))
             gevent.sleep(0.05)
-        raise OSError("the server kept reading the slow frame") if not r.protocol_server.counts["closed"] else OSError
+        raise (
+            OSError("the server kept reading the slow frame")
+            if not started_rig.protocol_server.counts["closed"]
+            else OSError
+        )
     assert half.recv(10) == b""
     assert silent.recv(10) == b""
     assert time.monotonic() - started < 6
-    assert not r.protocol_server.streams
+    assert not started_rig.protocol_server.streams
 
 
 BAD_REQUESTS = [
@@ -197,60 +204,60 @@
 
 @pytest.mark.parametrize(("client_class", "message", "code"), BAD_REQUESTS)
 def test_invalid_requests_get_their_return_code(rig, client_class, message, code):
-    r = rig()
-    r.agent()
-    client = r.open(client_class, source="127.1.0.200")
+    started_rig = rig()
+    started_rig.agent()
+    client = started_rig.open(client_class, source="127.1.0.200")
     assert client.call(message).code == code
-    assert len(r.engine.endpoint_source.entries) == 4
+    assert len(started_rig.engine.endpoint_source.entries) == 4
 
 
 def test_another_uid_is_refused_and_a_newer_connection_of_one_uid_takes_over(rig):
-    r = rig()
-    agent, first = r.agent(), r.balancer()
+    started_rig = rig()
+    agent, first = started_rig.agent(), started_rig.balancer()
     with pytest.raises(RefusedError) as refused:
         first.weights(())
         first.call_checked(codec.GetWeights((Group("gw-2", "read-chapter"),)))
     assert refused.value.code == Code.UNKNOWN_BALANCER
-    second = r.balancer()  # the same UID on a newer stream
-    assert r.held_after(second)[0] == ALL
+    second = started_rig.balancer()  # the same UID on a newer stream
+    assert started_rig.held_after(second)[0] == ALL
     with pytest.raises(ConnectionLostError):
         while first.receive(1):
             pass
-    assert len(r.engine.servers) == 1
-    other = r.open(MemberRegistrar, "shelf")
+    assert len(started_rig.engine.servers) == 1
+    other = started_rig.open(MemberRegistrar, "shelf")
     with pytest.raises(RefusedError):
-        other.deregister([r.members()[0]])  # the agent registered this member
-    agent.deregister([r.members()[0]])
+        other.deregister([started_rig.members()[0]])  # the agent registered this member
+    agent.deregister([started_rig.members()[0]])
 
 
 def test_a_storm_of_connects_leaves_other_balancers_their_tables(rig):
-    r = rig(sasp__connections_most=300, sasp__connects_per_s=400)
-    r.agent()
-    gw = r.balancer()
+    started_rig = rig(sasp__connections_most=300, sasp__connects_per_s=400)
+    started_rig.agent()
+    gw = started_rig.balancer()
     attempts = []
     for _ in range(1000):
-        attempts.append(gevent.spawn(socket.create_connection, ("127.0.0.1", r.sasp), 2, ("127.9.0.1", 0)))
-    held, _ = r.held_after(gw, seconds=1.5)
+        attempts.append(gevent.spawn(socket.create_connection, ("127.0.0.1", started_rig.sasp), 2, ("127.9.0.1", 0)))
+    held, _ = started_rig.held_after(gw, seconds=1.5)
     assert held == ALL
-    assert r.protocol_server.counts["refused"] > 300
-    assert len(r.protocol_server.streams) <= 300
+    assert started_rig.protocol_server.counts["refused"] > 300
+    assert len(started_rig.protocol_server.streams) <= 300
     for attempt in attempts:
         if attempt.successful():
             attempt.value.close()
     gevent.sleep(0.2)
-    assert r.held_after(r.balancer("gw-2", zone=2))[0] == ALL
+    assert started_rig.held_after(started_rig.balancer("gw-2", zone=2))[0] == ALL
 
 
 def test_a_step_of_the_wall_clock_has_no_effect(rig, monkeypatch):
-    r = rig()
-    r.agent()
-    gw = r.balancer()
-    r.held_after(gw)
+    started_rig = rig()
+    started_rig.agent()
+    gw = started_rig.balancer()
+    started_rig.held_after(gw)
     real, real_ns = time.time, time.time_ns
-    before = dict(r.engine.counts)
+    before = dict(started_rig.engine.counts)
     for hours in (1, -1):
         monkeypatch.setattr(time, "time", lambda hours=hours: real() + 3600 * hours)
         monkeypatch.setattr(time, "time_ns", lambda hours=hours: real_ns() + 3600 * 10**9 * hours)
         assert gw.receive(0.7) is None
-    assert r.engine.counts["messages"] == before["messages"]
-    assert len(r.engine.servers) == 1
+    assert started_rig.engine.counts["messages"] == before["messages"]
+    assert len(started_rig.engine.servers) == 1
