--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -76,7 +76,7 @@
         self.subscriber = subscriber
         try:
             while not self.stopped and self.subscriber is subscriber:
-                self._take(subscriber.step(min(subscriber.heartbeat_s, self.heartbeat_s) / 2))
+                self._apply_tables(subscriber.step(min(subscriber.heartbeat_s, self.heartbeat_s) / 2))
                 if subscriber.joined and subscriber.silence_s < STALE_HEARTBEATS * subscriber.heartbeat_s:
                     self.alive()
                     self.heartbeat_s = subscriber.heartbeat_s
@@ -86,7 +86,7 @@
         finally:
             subscriber.close()  # not closed in `disconnect`, because the sockets belong to this thread
 
-    def _take(self, tables: ReplicaTables | None) -> None:
+    def _apply_tables(self, tables: ReplicaTables | None) -> None:
         redirect = self.client.redirect()
         if redirect is not None:
             raise RedirectedError(redirect.address)
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -207,7 +207,7 @@
     def session(self) -> None:
         """Run one session until it ends.
 
-        Implementations call `alive` while the session is active and `replace_tables` after changes.
+        Implementations call `record_activity` while the session is active and `replace_tables` after changes.
         """
         raise NotImplementedError
 
--- a/hollyridge/client/reporting.py
+++ b/hollyridge/client/reporting.py
@@ -64,9 +64,9 @@
     def __init__(self, uid: str, zone: str) -> None:
         self.uid = uid
         self.zone = zone
-        self.attempts: dict[tuple[str, str], AttemptSums] = defaultdict(AttemptSums)
-        self.rpcs: dict[str, RpcSums] = defaultdict(RpcSums)
-        self.loads: dict[str, dict[str, float]] = {}
+        self.attempts: dict[tuple[str, str], AttemptSums] = defaultdict(AttemptSums)  # by task and method
+        self.rpcs: dict[str, RpcSums] = defaultdict(RpcSums)  # by method
+        self.loads: dict[str, dict[str, float]] = {}  # values by name, by task
         self.lost_reports = 0
 
     def add_rpc(self, method: str, unanswered: bool = False) -> None:
--- a/hollyridge/membership/fencing.py
+++ b/hollyridge/membership/fencing.py
@@ -44,9 +44,9 @@
         """Start with the number before the first token to issue.
 
         Args:
-            first: Must not be below the tokens of the proxy's previous run, otherwise its requests are stale until the
-                old lease ends. Seconds since a fixed date are suitable if they are shifted to the left, which leaves
-                room for the requests of one second.
+            first: Number before the first token. It must not be below the tokens of the proxy's previous run, otherwise
+                the proxy's requests are stale until the old lease ends. Seconds since a fixed date are suitable if they
+                are shifted to the left, which leaves room for the requests of one second.
         """
         self.newest_token = first
         self.accepted_token = UNFENCED
--- a/hollyridge/membership/leases.py
+++ b/hollyridge/membership/leases.py
@@ -221,7 +221,7 @@
         return actions
 
     def _settled_members(self, now_us: int) -> Mapping[str, MemberState]:
-        """Return the members alive for the settle time, or all members if none of those accepts proxies."""
+        """Return the members that have been alive for the settle time, or all if none of those accepts proxies."""
         settled = {
             name: member
             for name, member in self.members.items()
--- a/hollyridge/membership/member_table.py
+++ b/hollyridge/membership/member_table.py
@@ -65,7 +65,7 @@
         self._counts = counts
         self._own_sent_count = 0
 
-    def alive(self) -> dict[str, Member]:
+    def alive_members(self) -> dict[str, Member]:
         """Return the other members that count as alive, which includes suspected ones until they are declared gone."""
         return {name: member for name, member in self.members.items() if member.status <= Status.SUSPECT}
 
@@ -170,7 +170,7 @@
         return RETRANSMIT_MULTIPLIER * self._log_of_size()
 
     def _log_of_size(self) -> int:
-        return ceil(log2(len(self.alive()) + 2))
+        return ceil(log2(len(self.alive_members()) + 2))
 
 
 def _is_plausible(update: GossipMessage) -> bool:
--- a/hollyridge/membership/swim.py
+++ b/hollyridge/membership/swim.py
@@ -131,9 +131,9 @@
         """The facts that this member publishes about itself."""
         return self.table.facts
 
-    def alive(self) -> dict[str, Member]:
+    def alive_members(self) -> dict[str, Member]:
         """Return the other members that count as alive, which includes suspected ones until they are declared gone."""
-        return self.table.alive()
+        return self.table.alive_members()
 
     def next_deadline_us(self) -> int:
         """Return the time at which the next `Tick` is due."""
@@ -159,7 +159,7 @@
 
     def _announce_leave(self, actions: list[Action]) -> None:
         self.table.leave()
-        alive = self.alive()
+        alive = self.alive_members()
         actions += [SendMessage(alive[name].facts.address, self._join()) for name in sorted(alive)]
 
     def _join(self) -> Join:
@@ -211,7 +211,7 @@
         if not probe.sent_at_us + self.config.ack_timeout_us <= now_us < self._next_probe_us:
             return
         self._probe = probe._replace(indirect=True)
-        others = sorted(name for name in self.alive() if name != probe.target)
+        others = sorted(name for name in self.alive_members() if name != probe.target)
         for helper in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
             self.counts["relays"] += 1
             request = PingRequest(probe.sequence, probe.target, self.table.updates_for(helper))
@@ -225,7 +225,7 @@
             self._next_probe_us = now_us + period_us
 
     def _begin_probe(self, now_us: int, actions: list[Action]) -> None:
-        alive = self.alive()
+        alive = self.alive_members()
         self._round = [name for name in self._round if name in alive]
         if not self._round:
             self._round = sorted(alive)
@@ -255,7 +255,7 @@
         if now_us < self._next_rejoin_us:
             return
         self._next_rejoin_us = now_us + REJOIN_INTERVAL_PERIODS * self.config.probe_period_us
-        known = {member.facts.address for member in self.alive().values()} | {self.facts.address}
+        known = {member.facts.address for member in self.alive_members().values()} | {self.facts.address}
         gone = [member.facts.address for member in self.members.values() if member.status == Status.GONE]
         addresses = [address for address in dict.fromkeys([*self.seeds, *gone]) if address not in known]
         actions += [SendMessage(address, self._join()) for address in addresses[:MAX_REJOINS]]
--- a/hollyridge/otlp/http_server.py
+++ b/hollyridge/otlp/http_server.py
@@ -62,7 +62,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """The response to a request."""
+    """The response to a request; `headers` are names and values of further headers, beyond type and length."""
 
     status: HTTPStatus
     content_type: str
--- a/hollyridge/otlp/reading.py
+++ b/hollyridge/otlp/reading.py
@@ -94,7 +94,7 @@
 
     def __init__(self, max_series: int) -> None:
         self.max_series = max_series
-        self.totals: dict[tuple, RunningTotal] = {}
+        self.totals: dict[tuple, RunningTotal] = {}  # by source, kind, subject and method
 
     def increase(self, key: tuple, total: RunningTotal) -> Increase | str:
         """Store the newest total of a series and return the increase, or the reason for which it does not count."""
--- a/hollyridge/peers/codec.py
+++ b/hollyridge/peers/codec.py
@@ -168,7 +168,7 @@
             run_id, number, name, message = self._decode(raw)
         except (MalformedPacketError, InvalidTag, msgspec.DecodeError, OverflowError) as error:
             self.counts["not_ours"] += 1
-            raise PeerError(f"datagram is not a packet of this fleet: {error!r}") from None
+            raise PeerError(f"datagram is not a packet of this fleet ({type(error).__name__})") from None
         if type(message) is Challenge:
             return OpenedPacket(name, None, self.seal(ChallengeResponse(message.value)))
         if type(message) is ChallengeResponse:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -206,7 +206,7 @@
         ]
 
     def _broadcast(self, messages: Iterable[Message]) -> None:
-        alive = self.swim.alive()
+        alive = self.swim.alive_members()
         names = sorted(alive)
         for message in messages:
             for name in names:
@@ -254,7 +254,7 @@
 
         A suspected member counts as alive until it is declared gone.
         """
-        alive = self.swim.alive()
+        alive = self.swim.alive_members()
         self._alive_since_us = {name: self._alive_since_us.get(name, now_us) for name in alive}
         members = {
             name: MemberState(
@@ -266,8 +266,8 @@
             )
             for name, member in alive.items()
         }
-        own = self.swim.facts
-        members[self.config.name] = MemberState(own.zone, own.weight, LONG_AGO_US, not own.draining)
+        own_facts = self.swim.facts
+        members[self.config.name] = MemberState(own_facts.zone, own_facts.weight, LONG_AGO_US, not own_facts.draining)
         self.lease_manager.handle(now_us, leases.MembersChanged(members))
 
     def _release(self, actions: list[leases.Action]) -> None:
--- a/tests/peers/assigner_fleet.py
+++ b/tests/peers/assigner_fleet.py
@@ -110,7 +110,9 @@
         return all(len(self.owners(uid)) == 1 for uid in uids)
 
     def wait_until_joined(self):
-        assert wait_for(lambda: all(len(s.peers.swim.alive()) == self.count - 1 for s in self.services))
+        assert wait_for(
+            lambda: all(len(service.peers.swim.alive_members()) == self.count - 1 for service in self.services)
+        )
 
     def stop(self):
         for client in self.clients:
