--- a/hollyridge/core/engine.py
+++ b/hollyridge/core/engine.py
@@ -18,7 +18,7 @@
 from hollyridge.core.event_queue import EventQueue
 from hollyridge.core.failure_recovery import DecisionModuleError, FailureRecovery
 from hollyridge.core.protocol_server import ProtocolServer
-from hollyridge.core.status import engine_status, spread
+from hollyridge.core.status import engine_status, percentiles
 from hollyridge.core.task_states import TaskStates
 from hollyridge.core.update_dispatcher import UpdateDispatcher
 from hollyridge.decisions.assigner import Assigner
@@ -46,7 +46,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-__all__ = ["DecisionModuleError", "Engine", "EngineLimits", "ProxyDetails", "spread"]
+__all__ = ["DecisionModuleError", "Engine", "EngineLimits", "ProxyDetails", "percentiles"]
 
 MAX_PROXY_INDICES = 65_535  # the interface numbers proxies in 16 bits
 SERIES_EXPIRY_PERIODS = 60  # report periods without a data point after which a series is dropped
@@ -152,7 +152,7 @@
         self.decision_log = DecisionLog(self.task_states.is_closed, self.task_states.is_warming_up)
         self.decision_number = 0
         self.has_decided = False
-        self.ran_at = now
+        self.ran_at_us = now
         self.next_collect_at_us = now + config.report_period_us
 
     @property
@@ -293,7 +293,7 @@
         Raises:
             DecisionModuleError: The decision module has failed too often.
         """
-        self.ran_at = now_us
+        self.ran_at_us = now_us
         self._tick_endpoint_source(now_us)
         self._collect_reports(now_us)
         if self.endpoint_source.settled and (not self.has_decided or self.event_queue.has_due(now_us)):
--- a/hollyridge/core/status.py
+++ b/hollyridge/core/status.py
@@ -10,7 +10,7 @@
     from hollyridge.core.engine import Engine
 
 
-def spread(histogram: HdrHistogram) -> dict[str, int]:
+def percentiles(histogram: HdrHistogram) -> dict[str, int]:
     """Return the median, 99th percentile and maximum of the recorded values, in their unit."""
     return {
         "p50": histogram.get_value_at_percentile(50),
@@ -23,7 +23,7 @@
     """Return counts and levels of an engine. The decision module's `counters` are optional: baselines may lack them."""
     module_counters = getattr(engine.assigner, "counters", dict)()
     return {
-        "at": engine.ran_at,
+        "at": engine.ran_at_us,
         "module": module_counters,
         **engine.counts,
         "refused": engine.update_dispatcher.refused_commands,
@@ -36,5 +36,5 @@
         "tasks": len(engine.endpoint_source.entries),
         **engine.endpoint_source.counters(),
         "turned_down": engine.reports.rejected,
-        "news_to_frame_us": spread(engine.update_dispatcher.latency),
+        "news_to_frame_us": percentiles(engine.update_dispatcher.latency),
     }
--- a/hollyridge/core/stream_server.py
+++ b/hollyridge/core/stream_server.py
@@ -26,7 +26,7 @@
 
     number: int
     sock: socket.socket
-    closed: str
+    close_reason: str
     proxy: int
 
 
@@ -60,8 +60,8 @@
 
     def close(self, stream: Stream, reason: str) -> None:
         """Shut a connection down. The greenlet that reads from it then ends and cleans up."""
-        if not stream.closed:
-            stream.closed = reason
+        if not stream.close_reason:
+            stream.close_reason = reason
             with contextlib.suppress(OSError):  # the peer has closed it already
                 stream.sock.shutdown(socket.SHUT_RDWR)
 
--- a/hollyridge/node/application.py
+++ b/hollyridge/node/application.py
@@ -11,7 +11,7 @@
 
 import gevent
 
-from hollyridge.core.engine import Engine, EngineLimits, spread
+from hollyridge.core.engine import Engine, EngineLimits, percentiles
 from hollyridge.core.event_loop import EventLoop, monotonic_us
 from hollyridge.discovery.endpoint_list import EndpointListReceived, EndpointListTracker
 from hollyridge.discovery.schema import MAX_ENDPOINTS
@@ -105,13 +105,13 @@
             "core": self.engine.status(),
             "front": self.server.status(),
             "discovery": self.watch.status(),
-            "turn_us": list(spread(self.loop.run_durations).values()),
+            "turn_us": list(percentiles(self.loop.run_durations).values()),
             "cpu_s": round(time.process_time(), 2),
             "rss_mb": resident_mb(),
         }
 
     def _allocate_index(self, name: str) -> int | None:
-        return self.engine.task_indices.allocate(self.engine.ran_at, name)
+        return self.engine.task_indices.allocate(self.engine.ran_at_us, name)
 
     def _make_watch(self, config: NodeConfig, endpoint_list: EndpointListTracker) -> WatchClient:
         zones = {name: zone for zone, name in enumerate(config.protocol_names.zones)}
--- a/hollyridge/resp/connection.py
+++ b/hollyridge/resp/connection.py
@@ -25,13 +25,13 @@
         unsent: Bytes that the socket has not accepted yet.
         pending_update: Merged updates to send after `unsent`; None if there are none.
         unacknowledged_marks: Marks sent on this connection and not acknowledged yet, oldest first.
-        closed: Reason for closing the connection; empty while it is open.
+        close_reason: Reason for closing the connection; empty while it is open.
         last_received_us: Time at which bytes were last received, in microseconds.
     """
 
     __slots__ = (
         "address",
-        "closed",
+        "close_reason",
         "last_received_us",
         "node",
         "number",
@@ -57,7 +57,7 @@
         self.unsent = b""
         self.pending_update: ProxyUpdate | None = None
         self.unacknowledged_marks: dict[int, None] = {}
-        self.closed = ""
+        self.close_reason = ""
         self.last_received_us = now_us
 
     @property
--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -116,7 +116,7 @@
     def write(self, proxy: int, update: ProxyUpdate) -> None:
         """Send an update to a proxy without waiting."""
         connection = self.by_proxy.get(proxy)
-        if connection is not None and not connection.closed:
+        if connection is not None and not connection.close_reason:
             self.sender.send_update(connection, update)
 
     def is_task_sent(self, task: int) -> bool:
@@ -155,15 +155,15 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             self._read_messages(connection)
         except OSError as error:
-            connection.closed = connection.closed or connection_lost_reason(error)
+            connection.close_reason = connection.close_reason or connection_lost_reason(error)
         except RespError as error:
             self.counts["unreadable"] += 1
             self.rejection_log.add(f"unreadable: {error}", connection)
             if not connection.joined:
                 self._reject(connection, str(error))
-            connection.closed = connection.closed or str(error)
+            connection.close_reason = connection.close_reason or str(error)
         finally:
-            connection.closed = connection.closed or "closed by the other side"
+            connection.close_reason = connection.close_reason or "closed by the other side"
             self._remove(connection)
             with contextlib.suppress(OSError):  # the peer may have closed the connection first
                 sock.shutdown(socket.SHUT_WR)
@@ -212,7 +212,7 @@
 
     def _reject(self, connection: Connection, reason: str) -> None:
         """Send a `reject` message with the reason, and close the connection."""
-        if connection.closed:
+        if connection.close_reason:
             return
         self.sender.send(connection, encode([b"reject", b"why", reason.encode()[:MAX_REASON_BYTES]]))
         self.close(connection, reason)
@@ -227,16 +227,16 @@
             RespError: The peer sent invalid RESP2.
         """
         reader = FrameReader(MAX_UNJOINED_MESSAGE_BYTES)
-        while not connection.closed:
+        while not connection.close_reason:
             chunk = connection.sock.recv(RECEIVE_BYTES)
-            if not chunk or connection.closed:
+            if not chunk or connection.close_reason:
                 return
             connection.last_received_us = self.clock()
             self.pending.mark_active(connection.number)
             for parts in reader.feed(chunk):
                 self.counts["messages_in"] += 1
                 self._handle(connection, parts)
-                if connection.closed:
+                if connection.close_reason:
                     return
             if reader.fault is not None:
                 raise reader.fault
--- a/hollyridge/resp/update_sender.py
+++ b/hollyridge/resp/update_sender.py
@@ -97,7 +97,7 @@
     def _flush(self, connection: Connection) -> None:
         """Send the unsent bytes, blocking as needed, and then the update that was merged meanwhile."""
         try:
-            while connection.unsent and not connection.closed:
+            while connection.unsent and not connection.close_reason:
                 sent_bytes = connection.sock.send(connection.unsent)
                 self.counts["bytes_out"] += sent_bytes
                 connection.unsent = connection.unsent[sent_bytes:]
--- a/hollyridge/sasp/connection.py
+++ b/hollyridge/sasp/connection.py
@@ -79,7 +79,7 @@
         ownership_request: The load balancer's request to be owned, where assigners share the fleet.
         fence: Fencing token under which this assigner owns the load balancer, 0 for none.
         fence_unsent: Whether the fencing token still has to be sent.
-        closed: Reason why the connection ends, empty while it is open.
+        close_reason: Reason why the connection ends, empty while it is open.
     """
 
     def __init__(self, number: int, sock: socket.socket, address: tuple, reply_bucket: TokenBucket) -> None:
@@ -103,7 +103,7 @@
         self.ownership_request = OwnershipRequest()
         self.fence = 0
         self.fence_unsent = False
-        self.closed = ""
+        self.close_reason = ""
 
     @property
     def push(self) -> bool:
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -97,7 +97,7 @@
 
     def close(self, stream: Connection, reason: str) -> None:
         """Close a connection, which ends its greenlets."""
-        if not stream.closed:
+        if not stream.close_reason:
             self.counts["closed"] += 1
             super().close(stream, reason)
             stream.due.set()
@@ -128,12 +128,12 @@
             writer = gevent.spawn(self.transport.write_until_closed, connection)
             self.transport.read_until_closed(connection)
         except OSError as error:
-            connection.closed = connection.closed or connection_lost_reason(error)
+            connection.close_reason = connection.close_reason or connection_lost_reason(error)
         except codec.SaspError as error:
             self.counts["bad_frames"] += 1
-            connection.closed = connection.closed or f"invalid frame: {error}"
+            connection.close_reason = connection.close_reason or f"invalid frame: {error}"
         finally:
-            connection.closed = connection.closed or "closed by the peer"
+            connection.close_reason = connection.close_reason or "closed by the peer"
             connection.due.set()
             self.limiter.release(address[0])
             self.end(connection)
@@ -162,7 +162,7 @@
             "stream_ended",
             peer=connection.address[0],
             uid=connection.uid or None,
-            reason=connection.closed,
+            reason=connection.close_reason,
             protocol="sasp",
         )
         self.loop.wake()
--- a/hollyridge/sasp/transport.py
+++ b/hollyridge/sasp/transport.py
@@ -59,13 +59,13 @@
         requests = self.server.limiter.request_bucket()
         opened_us = self.clock()
         frame_began_us = opened_us
-        while not connection.closed:
+        while not connection.close_reason:
             connection.sock.settimeout(self._read_timeout(connection, framer.partial, frame_began_us, opened_us))
             try:
                 chunk = connection.sock.recv(RECEIVE_BYTES)
             except TimeoutError:
                 timeout_reason = "frame was not complete in time" if framer.partial else "peer did not identify in time"
-                connection.closed = timeout_reason
+                connection.close_reason = timeout_reason
                 return
             if not chunk:
                 return
@@ -93,9 +93,9 @@
 
     def _apply_backpressure(self, connection: Connection, requests: TokenBucket) -> None:
         """Wait while the peer exceeds its request rate or does not read; its full TCP window then slows it down."""
-        while not requests.take(self.clock()) and not connection.closed:
+        while not requests.take(self.clock()) and not connection.close_reason:
             gevent.sleep(BACKPRESSURE_SLEEP_S)
-        while len(connection.replies) >= MAX_WAITING_REPLIES and not connection.closed:
+        while len(connection.replies) >= MAX_WAITING_REPLIES and not connection.close_reason:
             gevent.sleep(BACKPRESSURE_SLEEP_S)
 
     # Writing.
@@ -103,10 +103,10 @@
     def write_until_closed(self, connection: Connection) -> None:
         """Write replies, and pushes as they become due."""
         try:
-            while not connection.closed:
+            while not connection.close_reason:
                 connection.due.wait()
                 connection.due.clear()
-                while connection.replies and not connection.closed:
+                while connection.replies and not connection.close_reason:
                     self._send(connection, connection.replies.popleft())
                 if connection.push and connection.proxy >= 0:
                     self._push(connection)
@@ -124,7 +124,7 @@
         unsent = memoryview(frame)
         self.unacknowledged[connection.number] = connection
         self.server.counts["frames_out"] += 1
-        while unsent and not connection.closed:
+        while unsent and not connection.close_reason:
             try:
                 accepted_bytes = connection.sock.send(unsent)
             except TimeoutError:  # the socket has the reader's timeout; writing has no time limit
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -16,7 +16,7 @@
 from structlog.typing import FilteringBoundLogger as BoundLogger
 
 from hollyridge.chp.server import ChpServer
-from hollyridge.core.engine import Engine, spread
+from hollyridge.core.engine import Engine, percentiles
 from hollyridge.core.event_loop import EventLoop, monotonic_us
 from hollyridge.core.persistence import EstimatePersistence
 from hollyridge.core.solver_service import SolverService
@@ -339,7 +339,7 @@
         solver = {"solver": self.solver_service.status()} if self.solver_service is not None else {}
         peers = {"peers": self.peers.status()} if self.peers is not None else {}
         persistence = {"kept": self.persistence.status()} if self.persistence is not None else {}
-        core = {**self.engine.status(), "turn_us": spread(self.loop.run_durations)}
+        core = {**self.engine.status(), "turn_us": percentiles(self.loop.run_durations)}
         return {"core": core, **servers, "otlp": self.metrics_server.status(), **solver, **peers, **persistence}
 
     def log_status(self) -> None:
