--- a/hollyridge/chp/client.py
+++ b/hollyridge/chp/client.py
@@ -118,7 +118,7 @@
         while True:
             remaining_s = max(0.0, min(deadline, self.acked_at + self.heartbeat_s) - self.clock())
             for sock, _ in self.poller.poll(remaining_s * 1000):
-                changed = self.take(sock.recv_multipart()) or changed
+                changed = self.handle_message(sock.recv_multipart()) or changed
             now = self.clock()
             if changed or now >= self.acked_at + self.heartbeat_s:
                 self.ack()
@@ -138,14 +138,14 @@
                 replica.begin()
                 self.request_snapshot(subtree)
 
-    def take(self, parts: list[bytes]) -> bool:
+    def handle_message(self, parts: list[bytes]) -> bool:
         """Process one message, and return whether the tables changed."""
         if self.on_receive:
             self.on_receive(parts)
         try:
             message = codec.decode(parts)
             self.last_message = self.clock()
-            needed, unused, changed = self.client.take(message)
+            needed, unused, changed = self.client.handle_message(message)
         except codec.ChpError:
             return False  # corrupted or of a later layout; if it belongs to a change, the next head reveals the gap
         for subtree in needed:
--- a/hollyridge/chp/proxy_replicas.py
+++ b/hollyridge/chp/proxy_replicas.py
@@ -112,13 +112,13 @@
                 found[method] = f"/table/{codec.value_of(codec.Bind, raw).table}/"
         return found
 
-    def take(self, message: codec.Message) -> ClientChanges:
+    def handle_message(self, message: codec.Message) -> ClientChanges:
         """Process one message of any subtree."""
         subtree = codec.subtree_of_message(message)
         replica = self.replicas.get(subtree)
         if replica is None:
             return ClientChanges([], [], False)
-        changes = replica.take(message)
+        changes = replica.handle_message(message)
         ends_snapshot = type(message) is Kthxbai
         needed = [subtree] if changes.needs_snapshot else []
         if subtree == self.home and (changes.applied or (changes.head_applied and ends_snapshot)):
--- a/hollyridge/chp/replica.py
+++ b/hollyridge/chp/replica.py
@@ -57,7 +57,7 @@
         self.incoming: dict[int, dict[str, bytes]] = {}
         self.heads: dict[int, Head] = {}
 
-    def take(self, message: Kvsync | Kthxbai | Kvpub) -> ReplicaChanges:
+    def handle_message(self, message: Kvsync | Kthxbai | Kvpub) -> ReplicaChanges:
         """Process one message of this subtree; raise ChpError for an invalid head."""
         if type(message) is Kvsync:
             self._gather_snapshot(message)
--- a/hollyridge/client/chp.py
+++ b/hollyridge/client/chp.py
@@ -78,7 +78,7 @@
             while not self.stopped and self.subscriber is subscriber:
                 self._apply_tables(subscriber.step(min(subscriber.heartbeat_s, self.heartbeat_s) / 2))
                 if subscriber.joined and subscriber.silence_s < STALE_HEARTBEATS * subscriber.heartbeat_s:
-                    self.alive()
+                    self.record_activity()
                     self.heartbeat_s = subscriber.heartbeat_s
                 else:
                     self.session_active = False
--- a/hollyridge/client/gateway.py
+++ b/hollyridge/client/gateway.py
@@ -226,7 +226,7 @@
         for listener in self.listeners:
             listener(self)
 
-    def alive(self) -> None:
+    def record_activity(self) -> None:
         """Record that the session is active now."""
         self.last_active = self.clock()
         self.session_active = True
--- a/hollyridge/client/sasp.py
+++ b/hollyridge/client/sasp.py
@@ -43,7 +43,7 @@
         self.ownership = NOT_OWNED
         return self.fencing.next_token()
 
-    def take(self, message: codec.SendWeights) -> None:
+    def handle_message(self, message: codec.SendWeights) -> None:
         """Apply a message, unless its fencing token is refused.
 
         Raises:
@@ -56,7 +56,7 @@
         self.last_lease_s = self.ownership.lease_s or self.last_lease_s
         if not self.fencing.accepts(self.ownership.fence):
             return
-        self.held.take(message.groups)
+        self.held.handle_message(message.groups)
         tables = {
             method: self._weights_of(group)
             for method, group in self.groups.items()
@@ -121,9 +121,9 @@
         except RefusedError:
             while client.pushed:  # one of the messages may be a redirect
                 _, message = client.pushed.popleft()
-                self.take(message)
+                self.handle_message(message)
             raise
-        self.alive()
+        self.record_activity()
         heartbeat_at = self.clock()
         while not self.stopped:
             self._receive(client)
@@ -132,7 +132,7 @@
                 heartbeat_at = self.clock()
                 client.timeout = lease_s / 2
                 client.send_heartbeat()
-            self.alive()
+            self.record_activity()
 
     def _receive(self, client: LoadBalancerClient) -> None:
         lease_s = self.ownership.lease_s
@@ -141,7 +141,7 @@
             number, message = pushed
             self.before_update(message.groups)
             self.version = number
-            self.take(message)
+            self.handle_message(message)
 
     def disconnect(self) -> None:
         """Close the current connection, if any."""
--- a/hollyridge/lab/checks/chp_listener.py
+++ b/hollyridge/lab/checks/chp_listener.py
@@ -62,7 +62,7 @@
         try:
             message = codec.decode(parts)
             before = {subtree: replica.head.seq for subtree, replica in self.client.replicas.items()}
-            _, _, changed = self.client.take(message)
+            _, _, changed = self.client.handle_message(message)
         except codec.ChpError:
             return MessageEffect()
         subtree = getattr(message, "subtree", "") or codec.subtree_of(getattr(message, "key", ""))
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -267,7 +267,7 @@
         if self.held_stream.get(proxy) != row["stream"]:
             self.held_stream[proxy] = row["stream"]
             held.new_stream()
-        held.take(message.groups, isinstance(message, codec.GetWeightsReply))
+        held.handle_message(message.groups, isinstance(message, codec.GetWeightsReply))
         lines = sum(len(group.weights) for group in message.groups)
         self.evidence.messages[proxy].append(ReceivedUpdate(at, number, lines))
         for group, _ in message.groups if self.keep_tables else ():
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -183,7 +183,7 @@
         self._receive(message)
 
     def _receive(self, message: codec.Message) -> None:
-        changes = self.replica.take(message)
+        changes = self.replica.handle_message(message)
         if changes.needs_snapshot:
             self._request_snapshot()
         if not self.replica.synced:
--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -157,7 +157,7 @@
         while True:
             pushed = client.receive(1.0)
             if pushed:
-                weights.take(pushed[1].groups)
+                weights.handle_message(pushed[1].groups)
     except ConnectionLostError:
         return
 
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -86,7 +86,7 @@
         if self.process.defer_if_stalled(self._on_server_received, frame):
             return
         if self.open:
-            self.server.take(self.connection, frame)
+            self.server.handle_message(self.connection, frame)
             self.wake_writer()
 
     def wake_writer(self) -> None:
--- a/hollyridge/peers/peer_service.py
+++ b/hollyridge/peers/peer_service.py
@@ -103,7 +103,7 @@
         self._alive_since_us: dict[str, int] = {}
         self._next_claims_us = 0
 
-    def begin(self) -> None:
+    def register_self(self) -> None:
         """Make this assigner a member of its own fleet; has to be called before proxies are served."""
         self._update_members(self.loop.clock())
 
--- a/hollyridge/sasp/held_weights.py
+++ b/hollyridge/sasp/held_weights.py
@@ -28,10 +28,10 @@
         received_groups: Groups for which this connection has received entries.
 
     >>> held, member = HeldWeights(), Member.at("127.1.0.1", 80)
-    >>> held.take((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 9),)),))
+    >>> held.handle_message((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 9),)),))
     >>> [(member.host, entry.weight) for member, entry in held.lines("a").items()]
     [('127.1.0.1', 9)]
-    >>> held.take((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 0, WeightFlags.QUIESCE),)),))
+    >>> held.handle_message((codec.WeightsOf(codec.Group("g", "a"), (codec.Weight(member, 0, WeightFlags.QUIESCE),)),))
     >>> held.lines("a")
     {}
     """
@@ -44,7 +44,7 @@
         """Begin a new connection: the next entries of each group replace its table."""
         self.received_groups = set()
 
-    def take(self, groups: Iterable[codec.WeightsOf], whole: bool = False) -> None:
+    def handle_message(self, groups: Iterable[codec.WeightsOf], whole: bool = False) -> None:
         """Apply one message; `whole` for a Get Weights Reply, which holds all entries of each group."""
         tables = dict(self.tables)
         received_groups = set(self.received_groups)
--- a/hollyridge/sasp/server.py
+++ b/hollyridge/sasp/server.py
@@ -169,7 +169,7 @@
 
     # Requests.
 
-    def take(self, connection: Connection, frame: bytes) -> None:
+    def handle_message(self, connection: Connection, frame: bytes) -> None:
         """Handle one request; raise SaspError if the connection has to be closed."""
         peer = connection.address[0]
         try:
--- a/hollyridge/sasp/transport.py
+++ b/hollyridge/sasp/transport.py
@@ -74,7 +74,7 @@
             for frame in framer.feed(chunk):
                 self._apply_backpressure(connection, requests)
                 self.server.counts["frames_in"] += 1
-                self.server.take(connection, frame)
+                self.server.handle_message(connection, frame)
                 frame_began_us = self.clock()
             if framer.partial and len(framer.buffer) == len(chunk):
                 frame_began_us = self.clock()
--- a/hollyridge/service.py
+++ b/hollyridge/service.py
@@ -281,7 +281,7 @@
     def start_background(self) -> None:
         """Start the parts that need no listening socket."""
         if self.peers is not None:
-            self.peers.begin()
+            self.peers.register_self()
             self.loop.spawn(self.peers.run)
         if self.persistence is not None:
             self.loop.spawn(self.persistence.run)
--- a/tests/chp/test_chp_replica.py
+++ b/tests/chp/test_chp_replica.py
@@ -21,10 +21,10 @@
     stale = old.set("/table/0/", 1, {f"/table/0/line/a:{k}": b"old" for k in range(3)})
     new.set("/table/0/", 1, {"/table/0/line/x:1": b"1"})
     for message in new.snapshot("/table/0/"):
-        replica.take(message)
+        replica.handle_message(message)
     change = new.set("/table/0/", 2, {"/table/0/line/x:1": b"2", "/table/0/line/y:1": b"2"})
     for message in itertools.chain(change[:-1], stale, change[-1:]):
-        replica.take(message)
+        replica.handle_message(message)
     assert replica.held == {"/table/0/line/x:1": b"2", "/table/0/line/y:1": b"2"}
 
 
@@ -54,7 +54,7 @@
         *bindings,
     ]
     for message in messages:
-        client.take(codec.decode(in_other_layout(codec.encode(message), layout)))
+        client.handle_message(codec.decode(in_other_layout(codec.encode(message), layout)))
     assert client.tables.lines["m"] == {f"127.0.0.1:{k}": k / 2 for k in range(1, 4)}
     assert client.tables.levels["m"] == (0.5, 1)
 
@@ -64,5 +64,5 @@
     recorded = json.loads(path.read_text())
     client = ProxyReplicas(recorded["uid"], recorded["methods"])
     for row in recorded["messages"]:
-        client.take(codec.decode(parts_of(row)))
+        client.handle_message(codec.decode(parts_of(row)))
     assert {m: dict(lines) for m, lines in client.tables.lines.items()} == recorded["lines"]
--- a/tests/sasp/test_sasp_client.py
+++ b/tests/sasp/test_sasp_client.py
@@ -33,15 +33,15 @@
         if new_stream:
             held.new_stream()
         before = held.tables
-        held.take(groups)
+        held.handle_message(groups)
         assert held.tables is not before  # a reader that is picking a task keeps the old table unchanged
     assert {m: e.weight for m, e in held.lines("x").items()} == expected
 
 
 def test_a_reply_replaces_the_group():
     held = HeldWeights()
-    held.take([weights_of("x", a=5, b=3)])
-    held.take([weights_of("x", b=1)], whole=True)
+    held.handle_message([weights_of("x", a=5, b=3)])
+    held.handle_message([weights_of("x", b=1)], whole=True)
     assert {m: e.weight for m, e in held.lines("x").items()} == {B: 1}
 
 
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -75,7 +75,7 @@
         while (remaining_s := deadline - time.monotonic()) > 0:
             pushed = client.receive(timeout=remaining_s)
             if pushed:
-                held.take(pushed[1].groups)
+                held.handle_message(pushed[1].groups)
         return {g: {int(m.host.split(".")[3]) for m in held.lines(g)} for g in GROUPS}, held
 
     def report(self, figures, source="gw-1", packed=True):
