--- a/hollyridge/cli/simulated_day.py
+++ b/hollyridge/cli/simulated_day.py
@@ -11,7 +11,7 @@
 from hollyridge.cli.day import show
 from hollyridge.lab.day import Day, DayError, Outcome
 from hollyridge.lab.reports.page import write
-from hollyridge.lab.reports.profiler import Meter
+from hollyridge.lab.reports.profiler import SamplingProfiler
 from hollyridge.lab.scenario import Scenario
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
 
@@ -57,7 +57,7 @@
 
 def _play(scenario: Scenario, options: SimulatedOptions) -> Outcome:
     seed = scenario.day.seed if options.seed is None else options.seed
-    meter = Meter() if options.cost else None
+    meter = SamplingProfiler() if options.cost else None
     if meter is not None:
         meter.start()
     environment = SimulatedEnvironment(scenario, options.policy, seed, options.ties, options.record)
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -89,7 +89,7 @@
         self.stream = ""
         self.in_flight: list[Update] = []
         self.applied: list[tuple[str, int, int]] = []
-        self.wrong = ""
+        self.violation = ""
         for name in NAMES:
             self._start(name)
 
@@ -177,7 +177,7 @@
         if self.applied and self.applied[-1] == source:
             return
         if source in self.applied and self.applied[-1][0] != update.name:
-            self.wrong = f"{source} was obeyed again after {self.applied[-1]}"
+            self.violation = f"{source} was obeyed again after {self.applied[-1]}"
         self.applied.append(source)
 
     def key(self) -> tuple:
@@ -228,8 +228,8 @@
         path: Moves that lead to the violation.
     """
 
-    worlds: int
-    wrong: str
+    states: int
+    violation: str
     path: tuple = ()
 
 
@@ -244,8 +244,8 @@
             for move in world.moves():
                 after = copy.deepcopy(world)
                 after.apply(move)
-                if after.wrong:
-                    return ExplorationResult(len(seen), after.wrong, (*path, move))
+                if after.violation:
+                    return ExplorationResult(len(seen), after.violation, (*path, move))
                 key = after.key()
                 if key in seen:
                     continue
--- a/hollyridge/lab/checks/ownership.py
+++ b/hollyridge/lab/checks/ownership.py
@@ -62,7 +62,7 @@
     return min([span.until, *(at for at in down[first:] if at < span.until)])
 
 
-def doubles(rows: Iterable[dict]) -> int:
+def count_conflicting_updates(rows: Iterable[dict]) -> int:
     """Return the number of updates that a proxy applied although it should have rejected them.
 
     These are updates that answer an older request than one whose updates were applied already, and updates of another
@@ -79,7 +79,7 @@
     return count
 
 
-def believed(rows: Iterable[dict]) -> float:
+def longest_double_claim_s(rows: Iterable[dict]) -> float:
     """Return the longest time, in seconds, that two assigners claimed one proxy, as they report twice a second."""
     claims: dict[int, frozenset[str]] = {}
     since: dict[str, int] = {}
@@ -109,14 +109,14 @@
     )
 
 
-def of_day(evidence: Evidence) -> dict:
+def ownership_figures(evidence: Evidence) -> dict:
     """Return the ownership figures of a day in a shared fleet in the form of `--json`."""
     seconds = sorted(gap.seconds for gap in gaps(evidence))
     return {
         "orphaned": len(seconds),
         "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
         "orphaned_max_s": seconds[-1] if seconds else 0.0,
-        "doubly_ordered": doubles(evidence.rows),
-        "believed_by_two_s": believed(evidence.rows),
+        "doubly_ordered": count_conflicting_updates(evidence.rows),
+        "believed_by_two_s": longest_double_claim_s(evidence.rows),
         "moves": moves(evidence),
     }
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -16,7 +16,7 @@
 
 from hollyridge.lab import scenario as scenarios
 from hollyridge.lab.checks.evidence import Evidence
-from hollyridge.lab.checks.ownership import Gap, believed, doubles, gaps, moves
+from hollyridge.lab.checks.ownership import Gap, count_conflicting_updates, gaps, longest_double_claim_s, moves
 from hollyridge.lab.day import Day
 from hollyridge.lab.experiments.fault_draw import FaultRanges, draw_faults, with_faults
 from hollyridge.lab.scenario import FaultSection, Scenario
@@ -109,8 +109,8 @@
         seed=seed,
         faults=tuple(scenario.faults),
         gaps=tuple(gaps(evidence)),
-        conflicting_updates=doubles(rows),
-        double_claim_s=believed(rows),
+        conflicting_updates=count_conflicting_updates(rows),
+        double_claim_s=longest_double_claim_s(rows),
         moves=moves(evidence),
         broken=tuple(verdict.rule for verdict in outcome.verdicts if not verdict.kept),
         served=outcome.figures["served"],
@@ -118,7 +118,7 @@
     )
 
 
-def many(  # noqa: PLR0913, PLR0917 - one argument for each option of the command, which passes them in order
+def play_days(  # noqa: PLR0913, PLR0917 - one argument for each option of the command, which passes them in order
     path: Path | str,
     seeds: range,
     fronts: tuple[str, ...],
--- a/hollyridge/lab/reports/plots.py
+++ b/hollyridge/lab/reports/plots.py
@@ -10,7 +10,7 @@
 from hollyridge.lab.reports.record import decode_lines, read_all
 
 
-def page_of(source: Path, out: Path) -> Path:
+def write_plot_page(source: Path, out: Path) -> Path:
     """Write the page of a source into a folder.
 
     Args:
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -75,7 +75,7 @@
     return "elsewhere"
 
 
-class Meter(threading.Thread):
+class SamplingProfiler(threading.Thread):
     """Thread that samples the stack of the thread that creates it, from `start` to `stop`.
 
     Attributes:
--- a/hollyridge/lab/reports/record.py
+++ b/hollyridge/lab/reports/record.py
@@ -9,7 +9,13 @@
 
 import msgspec
 
-STATE = ("waiting", "decisions", "messages", "puts", "events")  # keys of an assigner's status that recordings keep
+RECORDED_STATUS_KEYS = (
+    "waiting",
+    "decisions",
+    "messages",
+    "puts",
+    "events",
+)  # keys of an assigner's status that recordings keep
 BUFFER_BYTES = 1 << 16  # a day writes thousands of short lines a second
 FLUSH_INTERVAL_US = 500_000  # bounds what a killed process loses
 
--- a/tests/core/test_core_event_queue.py
+++ b/tests/core/test_core_event_queue.py
@@ -1,6 +1,6 @@
 """Order of events and timers in a decision, and the limits on both."""
 
-from helpers import SECOND, entry, roster
+from helpers import SECOND, endpoint_list_update, make_endpoint
 
 from hollyridge import interface as api
 from hollyridge.core.event_queue import MAX_TIMERS, EventQueue
@@ -10,7 +10,7 @@
 
 def test_a_decision_gets_endpoint_lists_then_events_then_timers():
     queue = EventQueue(max_pending=10)
-    change = roster([entry(0)])
+    change = endpoint_list_update([make_endpoint(0)])
     queue.submit(5, REPORT)
     queue.submit(7, api.ProxyLeft(1))
     queue.submit(8, change)
--- a/tests/core/test_core_persistence.py
+++ b/tests/core/test_core_persistence.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import gevent
-from helpers import SECOND, START, entry, roster
+from helpers import SECOND, START, endpoint_list_update, make_endpoint
 from loaded_assigner import report_second, started_assigner
 from service_rig import wait_for
 
@@ -55,7 +55,14 @@
     module.decide(now, [restored])
     assert module.estimates.busy_periods == before
     assert module.weights.efficiency[0] < 2
-    module.decide(now, [roster([entry(1, state=api.TaskState.GONE), entry(2, started_at=now)], api.UpdateKind.DELTA)])
+    module.decide(
+        now,
+        [
+            endpoint_list_update(
+                [make_endpoint(1, state=api.TaskState.GONE), make_endpoint(2, started_at=now)], api.UpdateKind.DELTA
+            )
+        ],
+    )
     module.decide(
         now, [api.EstimatesRestored(tuple(api.LearnedEstimate(i, 900.0, 10.0, 4.0, 9.0) for i in (1, 2)), 0.0, 0)]
     )
--- a/tests/crossing_helpers.py
+++ b/tests/crossing_helpers.py
@@ -4,12 +4,12 @@
 data at a chosen byte and waits for a stated event.
 """
 
-from stand_ins import message, page, server
+from stand_ins import list_page, message, server
 
 from hollyridge.resp.codec import FrameReader
 
 TASKS = [f"s-{k}" for k in range(6)]
-LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
+LIST = list_page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
 ATTACH_FIELDS = {"locality": "khalda", "w": 5, "cold": 1}
 
 
--- a/tests/crossings/conftest.py
+++ b/tests/crossings/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from crossing_helpers import LIST
 from in_process import ServerRig
-from stand_ins import Discovery, NodeProcess
+from stand_ins import DiscoveryServer, NodeProcess
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
     started = []
 
     def start(**options):
-        discovery = Discovery(LIST)
+        discovery = DiscoveryServer(LIST)
         assigner = NodeProcess(tmp_path, discovery.address, **options)
         started.append((assigner, discovery))
         return assigner, discovery
--- a/tests/crossings/test_crossings_joining.py
+++ b/tests/crossings/test_crossings_joining.py
@@ -27,17 +27,17 @@
     rig = ServerRig(descriptors=24 + 20)
     slow = green.create_connection(("127.0.0.1", rig.port))
     slow.sendall(attach_message(9)[:11])
-    rig.until(lambda: rig.server.pending.waiting and not rig.server.pending.silent)
+    rig.wait_until(lambda: rig.server.pending.waiting and not rig.server.pending.silent)
     flood = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(60)]
-    rig.until(lambda: rig.server.counts["connections"] == 61)
+    rig.wait_until(lambda: rig.server.counts["connections"] == 61)
     slow.sendall(attach_message(9)[11:])
-    rig.until(lambda: 9 in rig.engine.proxy_indices.index)
-    rig.until(lambda: len(rig.server.streams) <= 20)
+    rig.wait_until(lambda: 9 in rig.engine.proxy_indices.index)
+    rig.wait_until(lambda: len(rig.server.streams) <= 20)
     assert rig.server.counts["overdue"] >= 40
     assert len(rig.server.by_proxy) == 1
     for sock in flood:
         sock.close()
-    rig.until(lambda: len(rig.server.streams) == 1)
+    rig.wait_until(lambda: len(rig.server.streams) == 1)
     rig.server.stop()
 
 
@@ -50,10 +50,10 @@
     slow = [green.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
     for node, sock in enumerate(slow):
         sock.sendall(attach_message(node)[:11])
-    rig.until(lambda: len(rig.server.pending.waiting) == 20 and not rig.server.pending.silent)
+    rig.wait_until(lambda: len(rig.server.pending.waiting) == 20 and not rig.server.pending.silent)
     for node, sock in enumerate(slow):
         sock.sendall(attach_message(node)[11:])
-    rig.until(lambda: len(rig.server.by_proxy) == 20)
+    rig.wait_until(lambda: len(rig.server.by_proxy) == 20)
     assert rig.server.counts["overdue"] == 0
     rig.server.stop()
 
@@ -67,9 +67,9 @@
     late.sendall(attach_message(20))
     assert late.recv(100).startswith(b"*3\r\n$6\r\nreject")
     assert late.recv(100) == b""
-    rig.until(lambda: len(rig.server.streams) == 16)
+    rig.wait_until(lambda: len(rig.server.streams) == 16)
     socks[0].close()
-    rig.until(lambda: len(rig.server.streams) == 15)
+    rig.wait_until(lambda: len(rig.server.streams) == 15)
     rig.proxy(20)
     assert len(rig.server.by_proxy) == 16
     rig.server.stop()
@@ -105,10 +105,10 @@
                         break
                     gevent.sleep(0)
                 sock.close()
-        rig.until(lambda: len(rig.server.streams) == 1)
+        rig.wait_until(lambda: len(rig.server.streams) == 1)
         before = before or open_resources()
     # The last connections may still be closing.
-    rig.until(lambda: not any(new - old for new, old in zip(open_resources(), before)))
+    rig.wait_until(lambda: not any(new - old for new, old in zip(open_resources(), before)))
     assert not rig.server.pending.waiting
     assert not rig.server.pending.silent
     assert len(rig.engine.proxy_indices) == 1
@@ -122,18 +122,18 @@
         sock = green.create_connection(("127.0.0.1", rig.port))
         before = rig.server.counts["messages_in"]
         sock.sendall(message("telemetry", locality="khalda"))
-        rig.until(lambda: rig.server.counts["messages_in"] == before + 1)
+        rig.wait_until(lambda: rig.server.counts["messages_in"] == before + 1)
         rig.now += 1
         return sock
 
     socks = [collector() for _ in range(3)]
     assert socks[0].recv(10) == b""  # closed as the one that was silent longest
-    rig.until(lambda: len(rig.server.streams) == 2)
+    rig.wait_until(lambda: len(rig.server.streams) == 2)
     report = message("upstream_stats", locality="khalda", endpoint="s-1", total=4, errors=0, rtt=9, interval=1000)
     for sock in socks[1:]:
         sock.sendall(report)
-    rig.until(lambda: len(rig.events(api.TrafficReport)) == 2)
+    rig.wait_until(lambda: len(rig.events(api.TrafficReport)) == 2)
     socks[1].close()
-    rig.until(lambda: len(rig.server.collectors[0]) == 1)
+    rig.wait_until(lambda: len(rig.server.collectors[0]) == 1)
     socks[2].sendall(report)
-    rig.until(lambda: len(rig.events(api.TrafficReport)) == 3)
+    rig.wait_until(lambda: len(rig.events(api.TrafficReport)) == 3)
--- a/tests/crossings/test_crossings_process.py
+++ b/tests/crossings/test_crossings_process.py
@@ -9,7 +9,7 @@
 import time
 
 from crossing_helpers import TASKS, attach_message
-from stand_ins import Discovery, Peer, page, server, wait_for
+from stand_ins import DiscoveryServer, RespClient, list_page, server, wait_for
 
 from hollyridge.core.logs import NonBlockingLogSink
 
@@ -19,7 +19,7 @@
     assigner, _discovery = start_node()
     assigner.process.kill()
     assigner.process.wait(10)
-    other, path, newer = Discovery(page(9, [server("s-9")])), tmp_path / "pipe", tmp_path / "newer"
+    other, path, newer = DiscoveryServer(list_page(9, [server("s-9")])), tmp_path / "pipe", tmp_path / "newer"
     os.mkfifo(path)
     assigner.path = tmp_path / "link"
     assigner.path.symlink_to(path)
@@ -31,7 +31,7 @@
         assigner.signal(signal.SIGHUP)
         pipe.write(json.dumps(assigner.document))
     assigner.wait_until_ready()
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table({"s-9"})
     assert started.poll() is None
     assert assigner.stop()[0] == 0
@@ -41,13 +41,13 @@
 def test_a_half_replaced_configuration_is_read_again(start_node):
     assigner, _discovery = start_node()
     assigner.wait_until_ready()
-    other = Discovery(page(9, [server("s-9")]))
+    other = DiscoveryServer(list_page(9, [server("s-9")]))
     text = json.dumps({**assigner.document, "discovery": other.address})
     assigner.write(text[: len(text) // 2])
     assigner.signal(signal.SIGHUP)
     assigner.wait_for_log("configuration_rejected")
     assigner.write(text)
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table({"s-9"})
     assert assigner.read_log().count("configuration_reloaded") == 1
     other.stop()
@@ -56,11 +56,11 @@
 def test_after_two_reloads_at_once_the_last_address_is_used(start_node):
     assigner, _discovery = start_node()
     assigner.wait_until_ready()
-    others = [Discovery(page(8 + k, [server(f"s-{k}")])) for k in (1, 2)]
+    others = [DiscoveryServer(list_page(8 + k, [server(f"s-{k}")])) for k in (1, 2)]
     for other in others:
         assigner.write(json.dumps({**assigner.document, "discovery": other.address}))
         assigner.signal(signal.SIGHUP)
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table({"s-2"})
     wait_for(lambda: len(others[1].requests) == 1)
     for other in others:
@@ -68,7 +68,7 @@
 
 
 def test_sigterm_during_a_half_written_update_and_unread_connections_stops_the_process_at_once(start_node):
-    assigner, discovery = start_node(known=page(7, [server(f"s-{'x' * 150}{k}", k % 2) for k in range(2000)]))
+    assigner, discovery = start_node(known=list_page(7, [server(f"s-{'x' * 150}{k}", k % 2) for k in range(2000)]))
     discovery.mode = "refuse"
     assigner.wait_until_ready()
     sock = socket.socket()
@@ -102,7 +102,7 @@
 def test_a_killed_process_can_restart_while_its_former_connections_remain(start_node):
     assigner, _discovery = start_node()
     assigner.wait_until_ready()
-    proxies = [Peer(assigner.port, node) for node in range(6)]
+    proxies = [RespClient(assigner.port, node) for node in range(6)]
     for proxy in proxies:
         proxy.wait_for_table(TASKS)
     late = socket.create_connection(("127.0.0.1", assigner.port))
@@ -113,7 +113,7 @@
     late.close()
     for proxy in proxies:
         assert proxy.closed(2)
-    rejoined = Peer(assigner.port, 3)
+    rejoined = RespClient(assigner.port, 3)
     rejoined.send("done", node=3, nonce=1, latency=1)  # an ack for a mark of the earlier process
     rejoined.wait_for_table(TASKS)
 
@@ -150,11 +150,13 @@
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     assigner, discovery = start_node(log=writer)
     assigner.wait_until_ready()
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table(TASKS)
     for version in range(8, 60):  # each writes a line to the log
-        discovery.publish(page(version, [server("s-1", 1, "terminating" if version % 2 else "in_service")], full=False))
-    discovery.publish(page(90, [server("s-2", 0, "terminating"), server("s-1", 1)], full=False))
+        discovery.publish(
+            list_page(version, [server("s-1", 1, "terminating" if version % 2 else "in_service")], full=False)
+        )
+    discovery.publish(list_page(90, [server("s-2", 0, "terminating"), server("s-1", 1)], full=False))
     proxy.wait_for_table(set(TASKS) - {"s-2"})
     assert not select.select([], [writer], [], 0)[1]  # the pipe is full
     assert assigner.stop()[0] == 0
--- a/tests/crossings/test_crossings_proxy_connections.py
+++ b/tests/crossings/test_crossings_proxy_connections.py
@@ -17,11 +17,11 @@
     (mark,) = {int(fields[b"ticket"]) for fields in received_updates(older) if b"ticket" in fields}
     raw = message("done", node=3, nonce=mark, latency=5)
     older.sendall(raw[:-4])
-    rig.until(lambda: rig.server.by_proxy[0].last_received_us == rig.now)
+    rig.wait_until(lambda: rig.server.by_proxy[0].last_received_us == rig.now)
     newer = rig.proxy(3)
     with contextlib.suppress(OSError):
         older.sendall(raw[-4:])
-    rig.until(lambda: len(rig.server.streams) == 1)
+    rig.wait_until(lambda: len(rig.server.streams) == 1)
     assert not rig.events(api.Ack)
     kinds = [type(event) for _, event in rig.engine.pending_events if type(event) in (api.ProxyJoined, api.ProxyLeft)]
     assert kinds == [api.ProxyLeft, api.ProxyJoined]
@@ -46,13 +46,13 @@
     sock = rig.proxy(3)
     rig.engine.run(rig.now)
     sock.sendall(message("done", node=3, nonce=1, latency=5) + message("hb"))
-    rig.until(lambda: rig.server.counts["messages_in"] == 3)
+    rig.wait_until(lambda: rig.server.counts["messages_in"] == 3)
     assert not rig.events(api.Ack)
     assert rig.server.counts["stray_receipts"] == 1
     rig.advance(1)
     assert any(fields.get(b"ticket") == b"1" for fields in received_updates(sock))
     sock.sendall(message("done", node=3, nonce=1, latency=5) * 2 + message("hb"))  # only the first of the two counts
-    rig.until(lambda: rig.server.counts["messages_in"] == 6)
+    rig.wait_until(lambda: rig.server.counts["messages_in"] == 6)
     assert len(rig.events(api.Ack)) == 1
 
 
@@ -61,7 +61,7 @@
     older, newer = rig.proxy(3), rig.proxy(3)
     for sock in (older, newer) if first == "older" else (newer, older):
         sock.close()
-    rig.until(lambda: not rig.server.streams)
+    rig.wait_until(lambda: not rig.server.streams)
     assert not rig.engine.servers
     assert not rig.server.by_proxy
     assert not rig.engine.proxy_details
@@ -80,10 +80,10 @@
     assert connection.pending_update is not None
     assert 77 not in connection.unacknowledged_marks
     newer = rig.proxy(3)
-    rig.until(lambda: len(rig.server.streams) == 1)
+    rig.wait_until(lambda: len(rig.server.streams) == 1)
     assert connection.pending_update is None
     assert not connection.unsent
     newer.sendall(message("done", node=3, nonce=77, latency=5) + encode([b"hb"]))
-    rig.until(lambda: rig.server.counts["messages_in"] == 4)
+    rig.wait_until(lambda: rig.server.counts["messages_in"] == 4)
     assert not rig.events(api.Ack)
     older.close()
--- a/tests/crossings/test_crossings_tasks.py
+++ b/tests/crossings/test_crossings_tasks.py
@@ -16,24 +16,24 @@
     connection = rig.server.by_proxy[0]
     assert 5 in connection.view.sent_tables[0].lines
     connection.unsent = b"x"  # simulates a stalled reader, so that further updates stay pending
-    rig.update_list(2, TASKS[:5])
+    rig.send_list(2, TASKS[:5])
     rig.advance(100)
     assert 5 in connection.view.sent_tables[0].lines
     assert 5 not in rig.engine.update_builder.store.latest(0).lines
-    rig.update_list(3, [*TASKS[:5], "s-new"])
+    rig.send_list(3, [*TASKS[:5], "s-new"])
     assert rig.engine.task_indices.index["s-new"] == 6
     assert table is not rig.engine.update_builder.store.latest(0)
     rig.server.close(connection, "closed by the test")
-    rig.until(lambda: not rig.server.by_proxy)
-    rig.update_list(4, TASKS[:5])
+    rig.wait_until(lambda: not rig.server.by_proxy)
+    rig.send_list(4, TASKS[:5])
     rig.advance(100)
-    rig.update_list(5, [*TASKS[:5], "s-newer"])
+    rig.send_list(5, [*TASKS[:5], "s-newer"])
     assert rig.engine.task_indices.index["s-newer"] == 5  # no open connection was sent the old task
 
 
 def test_a_task_missing_from_a_complete_list_leaves_no_state_behind(rig):
     for week in range(2, 30):
-        rig.update_list(week, [f"week-{week}-{k}" for k in range(6)])
+        rig.send_list(week, [f"week-{week}-{k}" for k in range(6)])
         rig.advance(40)
         assert sorted(rig.engine.endpoints) == sorted(rig.engine.task_indices.index.values())
         assert not any(rig.engine.is_running(task) for task in range(100) if task not in rig.engine.endpoints)
@@ -48,7 +48,7 @@
 
 
 def test_after_a_decision_module_failure_no_proxy_keeps_old_lines_though_updates_were_lost():
-    rig = ServerRig(make=FailingAssigner)
+    rig = ServerRig(make_module=FailingAssigner)
     socks = {node: rig.proxy(node) for node in (1, 2, 3)}
     rig.advance(2)
     tables = {node: {} for node in socks}
@@ -60,12 +60,12 @@
 
     apply_updates()
     assert all(len(lines) == 6 for lines in tables.values())
-    rig.update_list(2, TASKS[:4])
+    rig.send_list(2, TASKS[:4])
     rig.engine.run(rig.now)
     assert rig.engine.queue.queue  # the removals are queued, and will be lost with the channel
     socks.pop(3).close()
     tables.pop(3)
-    rig.until(lambda: len(rig.server.by_proxy) == 2)
+    rig.wait_until(lambda: len(rig.server.by_proxy) == 2)
     rig.engine.run(rig.now)
     assert rig.engine.counts["module_failures"] == 1
     rig.advance(3)
--- a/tests/decisions/test_decisions_admission.py
+++ b/tests/decisions/test_decisions_admission.py
@@ -1,7 +1,7 @@
 """Admission control: fractions, rates and retry modes."""
 
 import pytest
-from helpers import SECOND, Rig, bootstrap, method
+from helpers import SECOND, AssignerRig, assigner_config, method
 
 from hollyridge import interface as api
 from hollyridge.decisions.admission import UNLIMITED_RATE, AdmissionController
@@ -12,7 +12,7 @@
     [(api.Admission.FRACTION, 1.0, True), (api.Admission.FRACTION, 0.5, False), (api.Admission.OFF, 1.0, False)],
 )
 def test_levels_fall_in_an_overload_with_busy_cores_only_and_rise_steadily(admission, util, is_cut):
-    rig = Rig(admission=admission)
+    rig = AssignerRig(admission=admission)
     fractions = []
 
     def reports(failed, load):
@@ -34,7 +34,7 @@
     [(0.5, [10.0, 10.0], 5.0), (0.5, [2.0, 18.0], 8.0), (0.9, [1.0, 1.0, 98.0], 88.0), (0.5, [], UNLIMITED_RATE)],
 )
 def test_a_rate_limit_admits_its_fraction_and_cuts_the_proxies_with_most_traffic(fraction, rates, level):
-    controller = AdmissionController(bootstrap(admission=api.Admission.PER_SECOND))
+    controller = AdmissionController(assigner_config(admission=api.Admission.PER_SECOND))
     assert controller.rate_limit(fraction, rates, UNLIMITED_RATE) == pytest.approx(level)
     assert sum(min(rate, controller.rate_limit(fraction, rates, 1e9)) for rate in rates) == pytest.approx(
         fraction * sum(rates)
@@ -44,7 +44,7 @@
 
 def test_rate_limits_admit_all_rpcs_at_low_load_and_a_fraction_of_the_load_in_an_overload():
     """Guards against a fraction sent as a rate, which admitted one RPC per second at each proxy at any load."""
-    rig = Rig(admission=api.Admission.PER_SECOND)
+    rig = AssignerRig(admission=api.Admission.PER_SECOND)
 
     def run_period(failed, util, rpcs=40):
         rig.period(
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize(("failed", "min_fraction", "max_fraction"), [(3, 0.6, 1.0), (5, 0.4, 0.7), (10, 0.0, 0.3)])
 def test_the_first_cut_is_proportional_to_the_failures(failed, min_fraction, max_fraction):
     """Guards against a first cut that is too small: tasks then work on RPCs that have timed out until the next cut."""
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(2):
         rig.period(*[rig.report(z, i, failed=failed)._replace(load=(0.95, 0.0)) for z in (0, 1) for i in range(8)])
     assert min_fraction <= rig.assigner.admission.fraction[0] <= max_fraction
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("idempotency", list(api.Idempotency))
 def test_no_retry_mode_can_repeat_an_effect(idempotency):
-    rig = Rig(methods=(method(idempotency), method(idempotency, api.IdempotencyScope.ZONE)))
+    rig = AssignerRig(methods=(method(idempotency), method(idempotency, api.IdempotencyScope.ZONE)))
     for failed in (0, 0, 8, 8, 0, 0, 0, 0, 0):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(8)])
         assert {mode for _, mode in rig.levels.values()} <= {0, 1}  # 1: only if the first attempt provably never ran
@@ -84,7 +84,7 @@
 
 
 def test_no_levels_are_sent_where_levels_and_retry_modes_are_not_supported():
-    rig = Rig(admission=api.Admission.NOT_SUPPORTED)
+    rig = AssignerRig(admission=api.Admission.NOT_SUPPORTED)
     for period in range(12):
         failed = 18 if period < 8 else 0
         rig.period(*[rig.report(z, t, attempts=20, failed=failed) for z in (0, 1) for t in range(8)])
--- a/tests/decisions/test_decisions_assigner.py
+++ b/tests/decisions/test_decisions_assigner.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import SECOND, START, Rig, bootstrap, entry, roster
+from helpers import SECOND, START, AssignerRig, assigner_config, endpoint_list_update, make_endpoint
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -29,7 +29,7 @@
     ],
 )
 def test_invalid_events_are_harmless(event):
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(3):
         rig.period(event, *[rig.report(z, i) for z in (0, 1) for i in range(8)])
     assert all(0.0 < w < 10 for table in rig.tables.values() for w in table.values())
@@ -37,22 +37,22 @@
 
 def test_the_same_events_give_the_same_commands():
     def run(seed):
-        rig, commands = Rig(seed=seed, subscribe=True), []
+        rig, commands = AssignerRig(seed=seed, subscribe=True), []
         for step in range(20):
             commands += rig.period(
                 *[rig.report(z, i, latency=0.1 + (i * step % 5) / 9) for z in (0, 1) for i in range(8)]
             )
-            commands += rig.feed(roster([], api.UpdateKind.FAILED), after=0.01)
+            commands += rig.feed(endpoint_list_update([], api.UpdateKind.FAILED), after=0.01)
         return commands
 
     assert run(5) == run(5) != run(6)
-    assert Assigner(bootstrap(slices=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
+    assert Assigner(assigner_config(slices=16), 1).decide(START, [api.ProxyJoined(1.0, True, 1, 0)]) == []
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_tables_stay_valid_under_any_order_of_events(seed):
     rng = Random(seed)
-    rig = Rig(
+    rig = AssignerRig(
         tasks=rng.choice((0, 1, 6)),
         subscribe=seed % 2 == 0,
         max_messages_per_proxy=seed % 3 * 15,
@@ -66,8 +66,10 @@
         attempts, interval_us = rng.randrange(40), rng.choice((0, SECOND, 5 * SECOND))
         return rng.choice(
             (
-                roster([entry(task, zone, rng.randrange(3), rig.now * rng.randrange(2))], api.UpdateKind.DELTA),
-                roster([entry(i) for i in range(rng.randrange(10))], rng.randrange(4)),
+                endpoint_list_update(
+                    [make_endpoint(task, zone, rng.randrange(3), rig.now * rng.randrange(2))], api.UpdateKind.DELTA
+                ),
+                endpoint_list_update([make_endpoint(i) for i in range(rng.randrange(10))], rng.randrange(4)),
                 api.TrafficReport(
                     zone,
                     task,
@@ -94,7 +96,7 @@
 
 @pytest.mark.parametrize("admission", list(api.Admission))
 def test_a_large_fleet_stays_within_its_limits_through_joins_restarts_and_unusual_reports(admission):
-    rig = Rig(
+    rig = AssignerRig(
         tasks=0,
         proxies=0,
         max_waiting_lines=3000.0,
@@ -104,7 +106,7 @@
         admission=admission,
     )
     backlog, tables = rig.assigner.backlog, rig.assigner.tables
-    rig.feed(roster([entry(i) for i in range(100)]), after=0.1)
+    rig.feed(endpoint_list_update([make_endpoint(i) for i in range(100)]), after=0.1)
     joins = [api.ProxyJoined(5.0, False, p, p % 2) for p in range(160)]
     for step in range(12):
         reports = [
@@ -116,13 +118,17 @@
         if step == 5:  # the fleet triples at once; most tasks are cold and some have started twice
             rig.feed(
                 *[
-                    roster([entry(i, started_at=rig.now + s) for i in range(40, 300)], api.UpdateKind.DELTA)
+                    endpoint_list_update(
+                        [make_endpoint(i, started_at=rig.now + s) for i in range(40, 300)], api.UpdateKind.DELTA
+                    )
                     for s in (0, 1)
                 ],
                 after=0.2,
             )
         if step == 8:
-            rig.feed(roster([entry(0)]), api.ProxyLeft(3), api.ProxyLeft(3), after=0.2)  # only one task remains
+            rig.feed(
+                endpoint_list_update([make_endpoint(0)]), api.ProxyLeft(3), api.ProxyLeft(3), after=0.2
+            )  # only one task remains
         assert backlog.sent - backlog.delivered <= 3000
         assert all(len(times) <= 30 for times in backlog.message_times_us.values())
     assert all(tables[z].weights == {0: rig.tables[z][0]} for z in (0, 1))
--- a/tests/decisions/test_decisions_backlog.py
+++ b/tests/decisions/test_decisions_backlog.py
@@ -1,14 +1,14 @@
 """The backlog: lines that acknowledgements prove to be delivered, and lines that are free to send."""
 
 import pytest
-from helpers import SECOND, START, bootstrap
+from helpers import SECOND, START, assigner_config
 
 from hollyridge import interface as api
 from hollyridge.decisions.backlog import BacklogEstimator
 
 
 def test_lines_of_two_tables_in_one_batch_are_one_message_to_a_proxy():
-    backlog = BacklogEstimator(bootstrap(max_messages_per_proxy=2))
+    backlog = BacklogEstimator(assigner_config(max_messages_per_proxy=2))
     for _ in range(2):
         assert backlog.free_lines(START, [5], True) > 0
         backlog.reserve(START, [5], 10)
@@ -19,7 +19,7 @@
 
 
 def test_an_acknowledgement_proves_earlier_batches_and_a_part_of_its_own_without_an_assumed_pace():
-    backlog = BacklogEstimator(bootstrap())
+    backlog = BacklogEstimator(assigner_config())
     for _ in range(2):
         sent_before = backlog.sent
         backlog.reserve(0, [1, 2], 396)
@@ -46,7 +46,7 @@
 
 
 def test_an_acknowledgement_of_a_merged_message_proves_no_more_than_the_queue_depth():
-    backlog = BacklogEstimator(bootstrap())
+    backlog = BacklogEstimator(assigner_config())
     for proxy in range(3):
         backlog.reserve(START, [proxy], 96)
         (mark,) = backlog.request_ack(backlog.sent - 100)
@@ -60,7 +60,7 @@
 
 def test_a_batch_that_fills_the_channel_holds_pushes_until_all_have_acknowledged_it():
     """Guards against a full channel after one batch to 150 proxies, which blocked all other pushes for 7.5 s."""
-    backlog, proxies = BacklogEstimator(bootstrap()), list(range(150))
+    backlog, proxies = BacklogEstimator(assigner_config()), list(range(150))
     sent_before = backlog.sent
     backlog.reserve(0, proxies, 10)
     (mark,) = backlog.request_ack(sent_before)
@@ -75,6 +75,8 @@
 def test_the_soft_limit_is_two_periods_of_the_channel_at_most_however_long_the_grace(grace_s, limit_lines):
     """Guards against a long backlog: with a grace of 20 s, weights and levels of a large fleet waited for 9 s."""
     assert (
-        BacklogEstimator(bootstrap(drain_grace_us=grace_s * SECOND, max_waiting_lines=50_000.0)).soft_backlog_limit
+        BacklogEstimator(
+            assigner_config(drain_grace_us=grace_s * SECOND, max_waiting_lines=50_000.0)
+        ).soft_backlog_limit
         == limit_lines
     )
--- a/tests/decisions/test_decisions_estimates.py
+++ b/tests/decisions/test_decisions_estimates.py
@@ -1,13 +1,13 @@
 """Estimates: capacities, partial reports, and overload of all tasks."""
 
-from helpers import SECOND, START, bootstrap
+from helpers import SECOND, START, assigner_config
 
 from hollyridge import interface as api
 from hollyridge.decisions.estimates import Estimates
 
 
 def test_capacity_is_learned_from_answers_in_a_busy_period_but_not_while_cold():
-    estimates = Estimates(bootstrap())
+    estimates = Estimates(assigner_config())
     estimates.ensure_tasks(2)
     for _ in range(10):
         for task, attempts in ((0, 30), (1, 10)):
@@ -23,7 +23,7 @@
 
 
 def test_partial_reports_add_up_until_they_expire():
-    estimates = Estimates(bootstrap())
+    estimates = Estimates(assigner_config())
     estimates.ensure_tasks(2)
     for period in range(6):  # each period reports one task, over two periods
         now = START + period * SECOND
@@ -37,7 +37,7 @@
 
 
 def test_all_tasks_count_as_overloaded_only_if_more_than_a_few_fail():
-    estimates = Estimates(bootstrap())
+    estimates = Estimates(assigner_config())
     estimates.ensure_tasks(8)
     for task in range(8):
         estimates.record_traffic(START, api.TrafficReport(0, task, 20, 0 if task < 3 else 16, 1000, SECOND, ()))
--- a/tests/decisions/test_decisions_outliers.py
+++ b/tests/decisions/test_decisions_outliers.py
@@ -1,7 +1,7 @@
 """Outlier detection: cuts by zone of proxies, and recovery."""
 
 import pytest
-from helpers import Rig
+from helpers import AssignerRig
 
 
 @pytest.mark.parametrize(
@@ -14,7 +14,7 @@
     ],
 )
 def test_a_task_that_fails_more_than_the_rest_is_cut_and_recovers_in_steps(failed, latency, is_cut):
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(5):
         rig.period(
             *[
@@ -35,7 +35,7 @@
 
 
 def test_a_network_fault_cuts_tasks_for_one_zone_of_proxies_only():
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(6):
         rig.period(*[rig.report(z, i, failed=10 if i % 2 != z else 0) for z in (0, 1) for i in range(8)])
     factor = rig.assigner.outliers.factor
@@ -43,7 +43,7 @@
 
 
 def test_a_table_whose_proxies_report_nothing_is_unchanged():
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(8):
         rig.period(*[rig.report(0, i, failed=10 * (i % 2)) for i in range(8)])
     assert rig.assigner.outliers.factor[1] == [1.0] * 8
--- a/tests/decisions/test_decisions_publisher.py
+++ b/tests/decisions/test_decisions_publisher.py
@@ -1,7 +1,7 @@
 """The publisher: immediate removals within the limits of the channel."""
 
 import pytest
-from helpers import SECOND, Rig, entry, lines, roster
+from helpers import SECOND, AssignerRig, endpoint_list_update, lines, make_endpoint
 
 from hollyridge import interface as api
 
@@ -12,13 +12,15 @@
 @pytest.mark.parametrize(
     "change",
     [
-        roster([entry(2, state=DRAINING)], api.UpdateKind.DELTA),
-        roster([entry(2, state=GONE)], api.UpdateKind.DELTA),
-        roster([entry(i) for i in range(8) if i != 2]),  # a full list removes what it does not mention
+        endpoint_list_update([make_endpoint(2, state=DRAINING)], api.UpdateKind.DELTA),
+        endpoint_list_update([make_endpoint(2, state=GONE)], api.UpdateKind.DELTA),
+        endpoint_list_update(
+            [make_endpoint(i) for i in range(8) if i != 2]
+        ),  # a full list removes what it does not mention
     ],
 )
 def test_draining_and_removed_tasks_leave_at_once_also_for_proxies_that_join_later(change):
-    rig = Rig()
+    rig = AssignerRig()
     rig.feed(change, after=0.3)
     assert all(2 not in table for table in rig.tables.values())
     rig.feed(api.ProxyJoined(5.0, True, 9, 0), after=1)
@@ -27,28 +29,30 @@
 
 
 def test_a_removal_is_sent_though_acknowledgements_of_stalled_proxies_come_late():
-    rig = Rig(max_messages_per_proxy=30)
+    rig = AssignerRig(max_messages_per_proxy=30)
     for _ in range(5):
         marks = [o.mark for o in rig.commands if isinstance(o, api.RequestAck)]
         rig.period(*[rig.report(z, i, latency=0.1 + i / 10) for z in (0, 1) for i in range(8)], acks=False)
         rig.feed(*[api.Ack(p, m, 3 * SECOND) for m in marks for p in (0, 1)], after=0.1)
-    rig.feed(roster([entry(2, state=DRAINING)], api.UpdateKind.DELTA), after=0.3)
+    rig.feed(endpoint_list_update([make_endpoint(2, state=DRAINING)], api.UpdateKind.DELTA), after=0.3)
     assert 2 not in rig.tables[0]
     assert 2 not in rig.tables[1]
 
 
 @pytest.mark.parametrize("tasks_gone", [3, 7, 8])
 def test_no_table_is_empty_while_a_warm_task_is_ready(tasks_gone):
-    rig = Rig()
+    rig = AssignerRig()
     for _ in range(10):
         rig.period(*[rig.report(z, i, failed=10) for z in (0, 1) for i in range(8)])
-    rig.feed(roster([entry(i, state=GONE) for i in range(tasks_gone)], api.UpdateKind.DELTA), after=0.1)
+    rig.feed(
+        endpoint_list_update([make_endpoint(i, state=GONE) for i in range(tasks_gone)], api.UpdateKind.DELTA), after=0.1
+    )
     assert all(len(table) == 8 - tasks_gone for table in rig.tables.values())
     assert all(w > 0 for table in rig.tables.values() for w in table.values())
 
 
 def test_backlog_and_messages_stay_within_limits_without_acknowledgements():
-    rig = Rig(tasks=40, proxies=10, max_waiting_lines=900.0, max_messages_per_proxy=20, lines_per_s=200.0)
+    rig = AssignerRig(tasks=40, proxies=10, max_waiting_lines=900.0, max_messages_per_proxy=20, lines_per_s=200.0)
     backlog, message_times = rig.assigner.backlog, []
     for step in range(40):
         rig.period(*[rig.report(z, i, latency=0.1 + (i * step % 7) / 5) for z in (0, 1) for i in range(40)], acks=False)
@@ -59,16 +63,16 @@
 
 
 def test_a_task_that_restarts_under_its_index_gets_its_cold_line_though_the_channel_is_full():
-    rig = Rig(proxy_ejection_failures=0)
+    rig = AssignerRig(proxy_ejection_failures=0)
     usual_share, backlog = rig.share(0, 2), rig.assigner.backlog
     backlog.reserve(rig.now, [0], int(backlog.soft_backlog_limit))  # non-urgent changes are held back
-    rig.feed(roster([entry(2, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
+    rig.feed(endpoint_list_update([make_endpoint(2, started_at=rig.now)], api.UpdateKind.DELTA), after=1)
     rig.feed(api.TimerFired(0), after=1)
     assert rig.share(0, 2) <= rig.config.overload_multiple / 2 * rig.config.cold_capacity_fraction * usual_share
 
 
 def test_nonurgent_changes_delay_a_removal_by_at_most_half_its_grace_and_joins_by_at_most_all_of_it():
-    rig = Rig(tasks=60, proxies=20, lines_per_s=200.0, max_waiting_lines=2000.0)
+    rig = AssignerRig(tasks=60, proxies=20, lines_per_s=200.0, max_waiting_lines=2000.0)
     backlog = rig.assigner.backlog
     usable_grace_lines = 200 * (rig.config.drain_grace_us - rig.config.max_transit_us) / SECOND
     assert backlog.soft_backlog_limit == usable_grace_lines / 2
--- a/tests/decisions/test_decisions_table_planner.py
+++ b/tests/decisions/test_decisions_table_planner.py
@@ -1,7 +1,7 @@
 """The table planner: the contents of tables with zone-local methods."""
 
 import pytest
-from helpers import Rig, entry, method, roster
+from helpers import AssignerRig, endpoint_list_update, make_endpoint, method
 
 from hollyridge import interface as api
 
@@ -16,7 +16,7 @@
 )
 def test_a_zone_local_method_never_gets_a_task_of_another_zone(methods, admission):
     """Guards against tables that hold tasks of all zones whatever the method."""
-    rig = Rig(methods=methods, admission=admission, tasks=12, proxies=6)
+    rig = AssignerRig(methods=methods, admission=admission, tasks=12, proxies=6)
     tables_by_proxy: dict[int, dict[int, int]] = {}  # table by proxy and method
     tables: dict[int, set[int]] = {}
 
@@ -50,9 +50,11 @@
     for failed in (0, 0, 8, 8, 8, 8, 0, 0, 0, 0, 0, 0, 0):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(12)])
         check_tables()
-    changed = [entry(0, state=DRAINING), entry(3, state=GONE), entry(13, started_at=rig.now)]
+    changed = [make_endpoint(0, state=DRAINING), make_endpoint(3, state=GONE), make_endpoint(13, started_at=rig.now)]
     rig.feed(
-        roster(changed, api.UpdateKind.DELTA), *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(6, 40)], after=0.1
+        endpoint_list_update(changed, api.UpdateKind.DELTA),
+        *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(6, 40)],
+        after=0.1,
     )
     for _ in range(12):
         check_tables()
--- a/tests/decisions/test_decisions_tables.py
+++ b/tests/decisions/test_decisions_tables.py
@@ -1,6 +1,6 @@
 """Tables: bindings of proxies, separated methods, and waves of joining proxies."""
 
-from helpers import SECOND, Rig, entry, lines, method, roster
+from helpers import SECOND, AssignerRig, endpoint_list_update, lines, make_endpoint, method
 
 from hollyridge import interface as api
 
@@ -8,7 +8,7 @@
 
 
 def test_a_zone_has_one_shared_table_and_joining_proxies_get_it_at_once():
-    rig = Rig()
+    rig = AssignerRig()
     assert rig.bound == {0: 0, 1: 1, 2: 0, 3: 1}
     assert set(rig.tables) == {0, 1}
     assert rig.share(0, 0) > rig.share(0, 1) > 0
@@ -20,7 +20,7 @@
 
 
 def test_in_a_lasting_overload_without_levels_less_critical_methods_are_limited_to_few_tasks_until_it_ends():
-    rig = Rig(admission=api.Admission.OFF)
+    rig = AssignerRig(admission=api.Admission.OFF)
 
     def run_period(failed):
         rig.period(*[rig.report(z, i, failed=failed) for z in (0, 1) for i in range(8)])
@@ -44,7 +44,7 @@
 def test_a_wave_of_joins_gets_slices_at_once_and_whole_tables_later():
     """Guards against late removals: on a recorded day of the bench, on which a zone and an assigner were lost within a
     second, whole tables for 83 joins delayed the removals behind them beyond the grace."""
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
+    rig = AssignerRig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
     for _ in range(12):
         rig.period()
     assert not rig.assigner.tables.pending
@@ -65,7 +65,7 @@
     assert set().union(*tasks_by_slice.values()) == set(rig.tables[0]) | set(rig.tables[1])
     assert max(map(len, tasks_by_slice.values())) <= whole_lines / 4 + 2
     draining_task = 2
-    rig.feed(roster([entry(draining_task, state=api.TaskState.DRAINING)], api.UpdateKind.DELTA))
+    rig.feed(endpoint_list_update([make_endpoint(draining_task, state=api.TaskState.DRAINING)], api.UpdateKind.DELTA))
     for _ in range(10):  # behind a long queue, removals wait for further removals for a quarter of the grace
         rig.feed(api.TimerFired(0), after=0.1)
     assert all(draining_task not in table.weights for table in tables.tables if table.proxies)
@@ -78,7 +78,7 @@
 def test_in_a_wave_of_joins_zone_local_methods_cost_no_second_table():
     """Guards against late removals: slices of all zones and whole home tables for 187 joins delayed the removals
     behind them beyond the grace."""
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0, methods=(method(), ZONE_LOCAL))
+    rig = AssignerRig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0, methods=(method(), ZONE_LOCAL))
     for _ in range(12):
         rig.period()
     tables = rig.assigner.tables
@@ -107,7 +107,7 @@
 
 
 def test_a_start_that_would_fill_the_channel_twice_is_a_wave():
-    rig = Rig(tasks=96, proxies=0, lines_per_s=700.0, max_waiting_lines=40_000.0, drain_grace_us=20 * SECOND)
+    rig = AssignerRig(tasks=96, proxies=0, lines_per_s=700.0, max_waiting_lines=40_000.0, drain_grace_us=20 * SECOND)
     rig.feed(*[api.ProxyJoined(5.0, True, proxy, proxy % 2) for proxy in range(80)], after=0.1)
     tables = rig.assigner.tables
     assert tables.join_wave
@@ -120,7 +120,7 @@
 
 
 def test_a_start_that_fits_the_channel_is_no_wave():
-    rig = Rig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
+    rig = AssignerRig(tasks=96, proxies=24, lines_per_s=700.0, max_waiting_lines=4000.0)
     assert not rig.assigner.tables.join_wave
     tables = rig.assigner.tables
     assert not any(table.proxies for table in tables.tables[tables.overflow + 1 :])
--- a/tests/decisions/test_decisions_weights.py
+++ b/tests/decisions/test_decisions_weights.py
@@ -1,13 +1,13 @@
 """The weight controller: weights and spillover follow the load reports."""
 
-from helpers import SECOND, Rig, lines
+from helpers import SECOND, AssignerRig, lines
 
 from hollyridge import interface as api
 from hollyridge.decisions.weights import MAX_STEP
 
 
 def test_weights_follow_reported_latency_by_a_tenth_at_most_and_only_changed_lines_are_sent():
-    rig = Rig()
+    rig = AssignerRig()
     before = list(rig.assigner.weights.weight)
     for _ in range(12):
         rig.period(*[rig.report(z, i, latency=0.4 if i == 2 else 0.1) for z in (0, 1) for i in range(8)])
@@ -23,7 +23,7 @@
 
 
 def test_spillover_follows_demand_and_avoids_zones_that_add_delay():
-    rig = Rig(tasks=24, proxies=2)
+    rig = AssignerRig(tasks=24, proxies=2)
     spillover = rig.assigner.weights.spillover
 
     def run_period(cross_zone_delay_s):
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -1,7 +1,7 @@
 """An engine with a simulated clock and a protocol server that records updates and the tables of its proxies."""
 
 import structlog
-from helpers import SECOND, bootstrap
+from helpers import SECOND, assigner_config
 
 from hollyridge import interface as api
 from hollyridge.core.engine import Engine, EngineLimits
@@ -39,7 +39,7 @@
     """An engine with registered tasks and joined proxies, advanced by `run`."""
 
     def __init__(self, make_assigner=Assigner, tasks=6, proxies=4, seed=7, **config_values):
-        config = bootstrap(admission=api.Admission.NOT_SUPPORTED, **config_values)
+        config = assigner_config(admission=api.Admission.NOT_SUPPORTED, **config_values)
         limits = EngineLimits(2000.0, 3.0, 4000.0, 1000, 100, 1000, 500, 1e6, 500, 4000)
         self.now, self.server = START, RecordingServer()
         self.engine = Engine(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,7 @@
     return api.MethodConfig(**{**defaults, **overrides})
 
 
-def bootstrap(**overrides):
+def assigner_config(**overrides):
     defaults = dict(
         methods=(method(), method(api.Idempotency.NON_IDEMPOTENT, criticality=2.0)),
         zones=2,
@@ -56,15 +56,15 @@
     return api.AssignerConfig(**{**defaults, **overrides})
 
 
-def entry(task, zone=None, state=api.TaskState.READY, started_at=0):
+def make_endpoint(task, zone=None, state=api.TaskState.READY, started_at=0):
     return api.Endpoint(task, task % 2 if zone is None else zone, 0, 0, state, 1.0, started_at)
 
 
-def roster(entries, kind=api.UpdateKind.FULL):
+def endpoint_list_update(entries, kind=api.UpdateKind.FULL):
     return api.EndpointListUpdate(1, kind, tuple(entries))
 
 
-class Rig:
+class AssignerRig:
     """An assigner with a clock, and the state of its proxies after its commands.
 
     Attributes:
@@ -76,7 +76,7 @@
     """
 
     def __init__(self, tasks=8, proxies=4, seed=7, **overrides):
-        self.config = bootstrap(**overrides)
+        self.config = assigner_config(**overrides)
         self.assigner = Assigner(self.config, seed)
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
@@ -84,7 +84,7 @@
         self.levels: dict[tuple, tuple] = {}
         self.commands: list = []
         self.feed(
-            roster([entry(i) for i in range(tasks)], api.UpdateKind.CACHED),
+            endpoint_list_update([make_endpoint(i) for i in range(tasks)], api.UpdateKind.CACHED),
             *[api.ProxyJoined(5.0, True, p, p % 2) for p in range(proxies)],
         )
 
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -9,8 +9,8 @@
 import structlog
 from gevent import socket as green
 from gevent.server import StreamServer
-from helpers import SECOND, START, bootstrap
-from stand_ins import page, server
+from helpers import SECOND, START, assigner_config
+from stand_ins import list_page, server
 
 from hollyridge.core.engine import Engine, EngineLimits
 from hollyridge.core.event_loop import EventLoop
@@ -29,17 +29,17 @@
 ZONES = {"khalda": 0, "sahab": 1}
 
 
-class ListingDesk:
+class EndpointListRig:
     """An endpoint list tracker with an index allocator that releases the indices of removed endpoints."""
 
     def __init__(self):
         self.indices = IndexAllocator(SECOND, 100)
-        self.listing = EndpointListTracker(
+        self.tracker = EndpointListTracker(
             lambda name: self.indices.allocate(START, name), monotonic_offset_us=START - 50_000 * SECOND
         )
 
-    def take(self, event, now=START):
-        outcome = self.listing.handle(now, event)
+    def apply(self, event, now=START):
+        outcome = self.tracker.handle(now, event)
         for name in outcome.removed_keys:
             self.indices.release(now, name)
         return outcome.change
@@ -52,14 +52,14 @@
         now: The clock, in microseconds.
     """
 
-    def __init__(self, tasks=6, descriptors=400, make=Assigner, **overrides):
-        config, self.now = bootstrap(**overrides), START
-        listing = EndpointListTracker(lambda name: self.engine.task_indices.allocate(self.now, name), 0)
+    def __init__(self, tasks=6, descriptors=400, make_module=Assigner, **overrides):
+        config, self.now = assigner_config(**overrides), START
+        tracker = EndpointListTracker(lambda name: self.engine.task_indices.allocate(self.now, name), 0)
         limits = EngineLimits(
             config.lines_per_s, config.message_overhead_lines, config.max_waiting_lines, 1000, 150, 0, 0, 0.0, 0, 1000
         )
-        self.engine = Engine(config, 7, limits, listing, START, structlog.get_logger(), make)
-        self.update_list(1, [f"s-{k}" for k in range(tasks)])
+        self.engine = Engine(config, 7, limits, tracker, START, structlog.get_logger(), make_module)
+        self.send_list(1, [f"s-{k}" for k in range(tasks)])
         self.loop = EventLoop(self.engine, clock=lambda: self.now)
         self.server = RespServer(
             self.loop, RespConfig("127.0.0.1", 0, descriptors, 24, 2 * SECOND, NAMES), config, structlog.get_logger()
@@ -67,7 +67,7 @@
         self.engine.task_in_use = self.server.is_task_sent
         self.port = self.server.start()
 
-    def update_list(self, version, names):
+    def send_list(self, version, names):
         entries = tuple(ListedEndpoint(name, k % 2, 0, 1, 1.0, 0.0) for k, name in enumerate(names))
         self.engine.update_endpoints(self.now, EndpointListReceived(WatchEvent(version, True, entries), version == 1))
 
@@ -78,7 +78,7 @@
         sock.connect(("127.0.0.1", self.port))
         joins = self.engine.counts["joins"]
         sock.sendall(encode([b"attach", b"node", b"%d" % node, b"locality", b"khalda", b"w", b"5", b"cold", b"1"]))
-        self.until(lambda: self.engine.counts["joins"] > joins)
+        self.wait_until(lambda: self.engine.counts["joins"] > joins)
         return sock
 
     def events(self, kind):
@@ -95,7 +95,7 @@
         self.now = end
 
     @staticmethod
-    def until(condition):
+    def wait_until(condition):
         """Wait until the condition holds, for up to five seconds."""
         with gevent.Timeout(5):
             while not condition():
@@ -106,13 +106,13 @@
     """Stand-in for the engine that records the events it receives."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def update_endpoints(self, now, event):
-        self.told.append(event)
+        self.received.append(event)
 
 
-class Script:
+class ScriptedDiscovery:
     """A discovery server that sends a scripted response on each connection and then closes it.
 
     A response is either bytes, or a list of pieces that are sent with a pause after each; the piece "hang" sends
@@ -123,16 +123,16 @@
         requested_paths: Request targets received so far.
     """
 
-    PAUSE = 0.02
+    PIECE_INTERVAL_S = 0.02
 
-    def __init__(self, *acts):
-        self.acts, self.asked = list(acts), []
+    def __init__(self, *responses):
+        self.responses, self.requested_paths = list(responses), []
         self.server = StreamServer(("127.0.0.1", 0), self.serve)
         self.server.start()
 
     def serve(self, sock, _):
-        self.asked.append(sock.recv(4096).split(b" ")[1])
-        response = self.acts.pop(0) if self.acts else b""
+        self.requested_paths.append(sock.recv(4096).split(b" ")[1])
+        response = self.responses.pop(0) if self.responses else b""
         for piece in response if isinstance(response, list) else [response]:
             if piece == "hang":
                 gevent.sleep(30)
@@ -141,12 +141,12 @@
                     sock.sendall(piece)
                 except OSError:
                     return
-                gevent.sleep(self.PAUSE if isinstance(response, list) else 0.05)
+                gevent.sleep(self.PIECE_INTERVAL_S if isinstance(response, list) else 0.05)
 
 
-def watch_of(script, beat=200_000):
+def make_watch_client(scripted_discovery, heartbeat_interval_us=200_000):
     """Return a watch client of a scripted discovery, not started yet, and the engine that records its events."""
-    engine, endpoints = RecordingEngine(), ListingDesk()
+    engine, endpoints = RecordingEngine(), EndpointListRig()
 
     class EventLoop:
         clock = staticmethod(lambda: int(time.monotonic() * SECOND))
@@ -158,9 +158,9 @@
     loop.engine = engine
     watch = WatchClient(
         loop,
-        endpoints.listing,
-        WatchState(beat, Random(3)),
-        WatchConfig(("127.0.0.1", script.server.server_port), ZONES),
+        endpoints.tracker,
+        WatchState(heartbeat_interval_us, Random(3)),
+        WatchConfig(("127.0.0.1", scripted_discovery.server.server_port), ZONES),
         structlog.get_logger(),
     )
     return watch, engine
@@ -171,5 +171,5 @@
     return head + b"".join(b"%x\r\n%b\n\r\n" % (len(row) + 1, row) for row in lines)
 
 
-def line(version, *rows, full=True):
-    return json.dumps(page(version, [server(*row) for row in rows], full)).encode()
+def list_line(version, *rows, full=True):
+    return json.dumps(list_page(version, [server(*row) for row in rows], full)).encode()
--- a/tests/lab/test_lab_reports.py
+++ b/tests/lab/test_lab_reports.py
@@ -4,7 +4,7 @@
 from hollyridge.lab.experiments import sweep
 from hollyridge.lab.reports.errors import ReportError
 from hollyridge.lab.reports.plot_page import PlotPage
-from hollyridge.lab.reports.plots import page_of
+from hollyridge.lab.reports.plots import write_plot_page
 from hollyridge.lab.reports.record import Recorder, decode_lines, read_all
 
 
@@ -41,7 +41,7 @@
 def test_a_source_with_nothing_to_show_is_rejected_with_the_reason(tmp_path, text, message):
     (tmp_path / "source").write_text(text)
     with pytest.raises(ReportError, match=f"^{message}$") as caught:
-        page_of(tmp_path / "source", tmp_path / "out")
+        write_plot_page(tmp_path / "source", tmp_path / "out")
     assert isinstance(caught.value, HollyridgeError)
     assert isinstance(caught.value, ValueError)
     assert not (tmp_path / "out").exists()
--- a/tests/loaded_assigner.py
+++ b/tests/loaded_assigner.py
@@ -1,6 +1,6 @@
 """An assigner with warm tasks, and load reports for it."""
 
-from helpers import SECOND, START, bootstrap, entry, roster
+from helpers import SECOND, START, assigner_config, endpoint_list_update, make_endpoint
 
 from hollyridge import interface as api
 from hollyridge.decisions.assigner import Assigner
@@ -8,10 +8,13 @@
 
 def started_assigner():
     """Return an assigner with four warm tasks and two proxies in one zone."""
-    assigner = Assigner(bootstrap(zones=1), 1)
+    assigner = Assigner(assigner_config(zones=1), 1)
     assigner.decide(
         START,
-        [roster([entry(i, 0) for i in range(4)]), *(api.ProxyJoined(20.0, False, proxy, 0) for proxy in range(2))],
+        [
+            endpoint_list_update([make_endpoint(i, 0) for i in range(4)]),
+            *(api.ProxyJoined(20.0, False, proxy, 0) for proxy in range(2)),
+        ],
     )
     return assigner
 
--- a/tests/node/test_node_config.py
+++ b/tests/node/test_node_config.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from stand_ins import CLASSES, CONFIG_DOCUMENT, SETTINGS, page, server
+from stand_ins import CONFIG_DOCUMENT, METHOD_NAMES, SETTINGS, list_page, server
 
 from hollyridge.node.config import ConfigError, parse_config
 
@@ -16,7 +16,7 @@
     ({"discovery": 5}, "discovery"),
     ({"seed": "xyz"}, "seed is not"),
     ({"limits": {"sockets": 3}}, "sockets"),
-    ({"known": page(1, [server("a", state="up")])}, "known: endpoint a has an unknown state: up"),
+    ({"known": list_page(1, [server("a", state="up")])}, "known: endpoint a has an unknown state: up"),
     ({"settings": {}}, "profiles.count"),
     ({"settings": {**SETTINGS, "rules": {}}}, "the settings lack rules.drain_grace\nthe settings lack rules.cold_from"),
     ({"settings": {**SETTINGS, "zones": []}}, "the settings need one or more distinct names in zones"),
@@ -40,7 +40,7 @@
     config = parse_config(json.dumps(CONFIG_DOCUMENT).encode())
     assert config.assigner_config.drain_grace_us == 3_000_000
     assert config.assigner_config.load_metric_names == ("util", "queue")
-    assert config.protocol_names.methods == tuple(CLASSES)
+    assert config.protocol_names.methods == tuple(METHOD_NAMES)
     assert config.protocol_names.proxy_count == 400
     assert config.min_decision_interval_s == 0.005
 
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -8,17 +8,28 @@
 import time
 
 import pytest
-from stand_ins import CLASSES, ROOT, ZONES, Discovery, NodeProcess, Peer, message, page, server, wait_for
+from stand_ins import (
+    METHOD_NAMES,
+    ROOT,
+    ZONES,
+    DiscoveryServer,
+    NodeProcess,
+    RespClient,
+    list_page,
+    message,
+    server,
+    wait_for,
+)
 
 TASKS = [f"s-{k}" for k in range(6)]
-LIST = page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
+LIST = list_page(7, [server(name, k % 2) for k, name in enumerate(TASKS)])
 
 
 @pytest.fixture
 def node(tmp_path):
-    discovery = Discovery(LIST)
+    discovery = DiscoveryServer(LIST)
     assigner = NodeProcess(
-        tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old")])
+        tmp_path, discovery.address, known=list_page(6, [server("s-0"), server("s-old")])
     ).wait_until_ready()
     yield assigner, discovery
     if assigner.process.poll() is None:
@@ -41,32 +52,32 @@
 
 def test_a_node_serves_applies_list_changes_reloads_and_stops(node):
     assigner, discovery = node
-    proxies = [Peer(assigner.port, node, node % 2) for node in range(4)]
+    proxies = [RespClient(assigner.port, node, node % 2) for node in range(4)]
     for proxy in proxies:
         proxy.wait_for_table(TASKS)
         assert proxy.marks
-    collector = Peer(assigner.port)
+    collector = RespClient(assigner.port)
     collector.send("telemetry", locality=ZONES[0])
     before = dict(proxies[0].table)
     for _ in range(12):  # s-0 has ten times the latency of the others
         for name in TASKS:
             report(collector, name, rtt=900.0 if name == "s-0" else 90.0, util=0.9 if name == "s-0" else 0.4)
         for proxy in proxies:
-            proxy.send("client_stats", node=proxy.node, route=CLASSES[0], total=20, errors=0, interval=400.0)
+            proxy.send("client_stats", node=proxy.node, route=METHOD_NAMES[0], total=20, errors=0, interval=400.0)
             proxy.receive()
         time.sleep(0.3)
     wait_for(lambda: proxies[0].receive() and proxies[0].table["s-0"] < before["s-0"] * 0.9)
     assert collector.receive() == []  # nothing is ever written to a collector
-    discovery.publish(page(8, [server("s-3", 1, "terminating")], full=False))
+    discovery.publish(list_page(8, [server("s-3", 1, "terminating")], full=False))
     for proxy in proxies:
         proxy.wait_for_table(set(TASKS) - {"s-3"}, 2.5)
-    late = Peer(assigner.port, 9)
+    late = RespClient(assigner.port, 9)
     late.wait_for_table(set(TASKS) - {"s-3"})
     # A newer connection of a proxy replaces the older one, whose late end changes nothing.
-    newer = Peer(assigner.port, 9)
+    newer = RespClient(assigner.port, 9)
     newer.wait_for_table(set(TASKS) - {"s-3"})
     late.sock.close()
-    other = Discovery(page(9, [server("s-4", 0, "terminating")], full=False))
+    other = DiscoveryServer(list_page(9, [server("s-4", 0, "terminating")], full=False))
     assigner.write("{")
     assigner.signal(signal.SIGHUP)
     assigner.wait_for_log("configuration_rejected")
@@ -82,12 +93,12 @@
 
 
 def test_while_discovery_is_down_the_cached_list_is_served(tmp_path):
-    discovery = Discovery(LIST)
+    discovery = DiscoveryServer(LIST)
     discovery.mode = "refuse"
     assigner = NodeProcess(
-        tmp_path, discovery.address, known=page(6, [server("s-0"), server("s-old", 1)])
+        tmp_path, discovery.address, known=list_page(6, [server("s-0"), server("s-old", 1)])
     ).wait_until_ready()
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table({"s-0", "s-old"})
     time.sleep(2)
     calls = [at for at, _ in discovery.requests]
@@ -126,16 +137,16 @@
 
 def test_connections_that_do_not_join_are_closed_without_harm_to_others(node):
     assigner, _ = node
-    proxy = Peer(assigner.port, 1)
+    proxy = RespClient(assigner.port, 1)
     proxy.wait_for_table(TASKS)
     unjoined = {}
     for case, raw in REJECTED.items():
-        unjoined[case] = Peer(assigner.port)
+        unjoined[case] = RespClient(assigner.port)
         unjoined[case].sock.sendall(raw)
     flood = [socket.create_connection(("127.0.0.1", assigner.port)) for _ in range(300)]
-    endless = Peer(assigner.port)
+    endless = RespClient(assigner.port)
     start = time.monotonic()
-    late = Peer(assigner.port, 2)  # can still join
+    late = RespClient(assigner.port, 2)  # can still join
     late.wait_for_table(TASKS)
     for case, peer in unjoined.items():
         assert peer.closed(3 - (time.monotonic() - start)), case
@@ -152,17 +163,17 @@
 
 def test_a_malformed_message_is_skipped_and_invalid_resp_closes_only_its_connection(node):
     assigner, discovery = node
-    good, bad = Peer(assigner.port, 1), Peer(assigner.port, 2)
+    good, bad = RespClient(assigner.port, 1), RespClient(assigner.port, 2)
     for proxy in (good, bad):
         proxy.wait_for_table(TASKS)
     bad.send("client_stats", node=2, route="nothing", total=1, errors=0, interval=400)
-    bad.send("client_stats", node=1, route=CLASSES[0], total=1, errors=0, interval=400)
+    bad.send("client_stats", node=1, route=METHOD_NAMES[0], total=1, errors=0, interval=400)
     bad.send("done", node=2, nonce=70000, latency=1)
     bad.send("hb")
     assert wait_for(lambda: [b"hb_ok"] in (bad.receive() or []))
     bad.sock.sendall(b"not RESP at all")
     assert bad.closed(2)
-    discovery.publish(page(8, [server("s-1", 1, "terminating")], full=False))
+    discovery.publish(list_page(8, [server("s-1", 1, "terminating")], full=False))
     good.wait_for_table(set(TASKS) - {"s-1"})
 
 
--- a/tests/peers/test_peers_takeover.py
+++ b/tests/peers/test_peers_takeover.py
@@ -24,7 +24,7 @@
         {"k": "applied", "proxy": "gw", "assigner": a, "asked": n}
         for a, n in ((0, 5), (0, 5), (1, 6), (0, 5), (1, 6), (2, 6), (0, 7))
     ]
-    assert ownership.doubles(rows) == 2
+    assert ownership.count_conflicting_updates(rows) == 2
 
 
 def test_overlapping_claims_are_measured_in_seconds():
@@ -32,4 +32,4 @@
         {"k": "claims", "t": t * 500_000, "assigner": a, "uids": uids}
         for t, a, uids in ((0, 0, ["x", "y"]), (0, 1, ["z"]), (1, 1, ["x"]), (2, 0, ["x"]), (4, 0, []))
     ]
-    assert ownership.believed(rows) == 0.5
+    assert ownership.longest_double_claim_s(rows) == 0.5
--- a/tests/resp/test_resp_message_reader.py
+++ b/tests/resp/test_resp_message_reader.py
@@ -1,13 +1,13 @@
 """Parsing of inbound messages, and rejection of malformed ones."""
 
 import pytest
-from helpers import SECOND, bootstrap
+from helpers import SECOND, assigner_config
 from in_process import NAMES
 
 from hollyridge.resp import messages
 from hollyridge.resp.message_reader import MessageReader
 
-READER = MessageReader(NAMES, bootstrap())
+READER = MessageReader(NAMES, assigner_config())
 
 
 def read_message(kind, **fields):
--- a/tests/resp/test_resp_server.py
+++ b/tests/resp/test_resp_server.py
@@ -39,23 +39,23 @@
     first = rig.proxy(3)
     second = rig.proxy(3)
     assert first.recv(100) == b""  # the newer connection replaced it
-    rig.until(lambda: len(rig.server.streams) == 1)
+    rig.wait_until(lambda: len(rig.server.streams) == 1)
     assert len(rig.engine.servers) == 1
     second.close()
-    rig.until(lambda: not rig.engine.servers)
+    rig.wait_until(lambda: not rig.engine.servers)
     rig.server.stop()
 
 
 def test_reports_of_a_recently_removed_task_are_accepted():
     rig = ServerRig()
-    rig.update_list(2, ["s-0"])
+    rig.send_list(2, ["s-0"])
     collector = green.create_connection(("127.0.0.1", rig.port))
     collector.sendall(message("telemetry", locality="sahab"))
     for name in ("s-5", "s-99"):
         collector.sendall(
             message("upstream_stats", locality="sahab", endpoint=name, total=4, errors=0, rtt=90, interval=1000)
         )
-    rig.until(lambda: rig.server.counts["messages_in"] == 3)
+    rig.wait_until(lambda: rig.server.counts["messages_in"] == 3)
     assert rig.server.counts["spoilt"] == 1  # s-99 was never listed
     assert [event.task for event in rig.events(TrafficReport)] == [5]
     rig.server.stop()
@@ -66,4 +66,4 @@
     sweeper = rig.server.sweeper
     rig.proxy(3)
     rig.server.stop()
-    rig.until(lambda: sweeper.dead and not rig.server.streams)
+    rig.wait_until(lambda: sweeper.dead and not rig.server.streams)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -14,7 +14,7 @@
 from hollyridge.resp.codec import FrameReader, encode
 
 ROOT = Path(__file__).parents[1]
-ZONES, CLASSES = ["khalda", "sahab"], ["read-chapter", "redeem-code"]
+ZONES, METHOD_NAMES = ["khalda", "sahab"], ["read-chapter", "redeem-code"]
 SETTINGS = {
     "balancers": 1,
     "discovery": "subscribe",
@@ -23,7 +23,7 @@
     "weights": "rough",
     "profiles": [
         {
-            "name": CLASSES[0],
+            "name": METHOD_NAMES[0],
             "slo": 0.5,
             "deadline": 1.5,
             "worth": 3.0,
@@ -33,7 +33,7 @@
             "late_share": 0.2,
         },
         {
-            "name": CLASSES[1],
+            "name": METHOD_NAMES[1],
             "slo": 0.6,
             "deadline": 1.5,
             "worth": 2.0,
@@ -98,7 +98,7 @@
     }
 
 
-def page(version, servers, full=True):
+def list_page(version, servers, full=True):
     return {"version": version, "full": full, "servers": servers}
 
 
@@ -120,7 +120,7 @@
     raise AssertionError(f"the condition did not hold within {seconds} s")
 
 
-class Discovery:
+class DiscoveryServer:
     """HTTP server that answers each watch with the first list and with the updates published later.
 
     Attributes:
@@ -204,7 +204,7 @@
             del table[name]
 
 
-class Peer:
+class RespClient:
     """A RESP2 client of the assigner: a proxy if it has a node number, otherwise one that has not joined.
 
     Attributes:
@@ -305,7 +305,7 @@
         def is_answering():
             assert self.process.poll() is None, self.read_log()
             try:
-                peer = Peer(self.port)
+                peer = RespClient(self.port)
             except OSError:
                 return False
             peer.send("hb")
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -107,7 +107,7 @@
         takeover.TakeoverDay(1, ("assigner_killed",), (Gap("gw-1", 1.5), Gap("gw-2", 0.5)), 0, 0.25, 7, (), 0.875, 1),
         takeover.TakeoverDay(2, ("peers_cut",), (), 1, 0.75, 2, (3, 5), 0.5, 0),
     ]
-    with patch.object(takeover, "many", lambda *arguments: days):
+    with patch.object(takeover, "play_days", lambda *arguments: days):
         return printed("lab", "takeover", str(ROOT / "examples/fleet/takeover.ini"), "--seeds", "2", "--json")
 
 
--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 import structlog
-from helpers import START, bootstrap
+from helpers import START, assigner_config
 from in_process import NAMES, ZONES
 from stand_ins import CONFIG_DOCUMENT
 from stored import as_text, shape, stored_json
@@ -76,7 +76,7 @@
 def test_inbound_messages_keep_their_format(kind):
     raw = stored_json("resp-heard.json")[kind].encode()
     (parts,) = FrameReader().feed(raw)
-    assert MessageReader(NAMES, bootstrap()).read(parts) == INBOUND_MESSAGES[kind][1]
+    assert MessageReader(NAMES, assigner_config()).read(parts) == INBOUND_MESSAGES[kind][1]
     assert encode(parts) == raw
 
 
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -12,7 +12,7 @@
 from hollyridge.lab import scenario
 from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.metrics import figures_of
-from hollyridge.lab.checks.ownership import of_day
+from hollyridge.lab.checks.ownership import ownership_figures
 from hollyridge.lab.day import Day, Outcome
 from hollyridge.lab.reports.record import Recorder, frame_of, parts_of, read_all
 from hollyridge.lab.stand_ins.virtual import SimulatedEnvironment
@@ -81,7 +81,7 @@
     """Return the figures derived from records; their keys are also those of `--json`."""
     evidence = Evidence(rows)
     return msgspec.to_builtins(
-        {**figures_of(evidence, simulated_day()[1].methods()), "ownership": of_day(evidence)}, str_keys=True
+        {**figures_of(evidence, simulated_day()[1].methods()), "ownership": ownership_figures(evidence)}, str_keys=True
     )
 
 
