--- a/hollyridge/solver/engine_adapter.py
+++ b/hollyridge/solver/engine_adapter.py
@@ -52,7 +52,16 @@
 
 
 def task_of(assigner: Assigner, task: int, now_us: int, capacity_per_weight: float, connections: float) -> Task:
-    """Return a task with the part of its capacity that other assigners do not use."""
+    """Return a task with the part of its capacity that other assigners do not use.
+
+    Args:
+        assigner: The decision module.
+        task: Index of the task.
+        now_us: Current time, in microseconds.
+        capacity_per_weight: Capacity per unit of listed weight, in RPCs per report period, for tasks without an
+            estimate.
+        connections: Maximum number of connections to the task.
+    """
     config, estimates, endpoints = assigner.config, assigner.estimates, assigner.endpoints
     reported = task < len(estimates.capacity)  # all estimates by task have the same length
     capacity = capacity_per_weight * endpoints.listed_weight[task]
--- a/hollyridge/solver/evaluation.py
+++ b/hollyridge/solver/evaluation.py
@@ -32,7 +32,7 @@
 
 
 def admitted_work(fleet: Fleet, served: Sequence[Sequence[float]]) -> list[float]:
-    """Return the admitted work per second, by zone of proxies."""
+    """Return the admitted work per second by zone of proxies, from the served fraction by zone and method."""
     return [
         sum(rps * method.work * fraction for rps, method, fraction in zip(zone.demand_rps, fleet.methods, fractions))
         for zone, fractions in zip(fleet.zones, served)
@@ -111,7 +111,12 @@
 
 
 def served_value(fleet: Fleet, served: Sequence[Sequence[float]]) -> float:
-    """Return the fraction of the demand that is served, weighted by criticality."""
+    """Return the fraction of the demand that is served, weighted by criticality.
+
+    Args:
+        fleet: A valid fleet.
+        served: By zone of proxies and method, the served fraction of the RPCs.
+    """
     demand = sum(
         rps * method.criticality for zone in fleet.zones for rps, method in zip(zone.demand_rps, fleet.methods)
     )
--- a/hollyridge/solver/fleet.py
+++ b/hollyridge/solver/fleet.py
@@ -11,7 +11,7 @@
 MAX_VALUE = 1e12  # a larger value is an error of its source
 MAX_WEIGHT = 1e9  # of one task in a table; tables are not normalized
 MIN_POSITIVE = 1e-6  # smallest valid value of divisors
-MIN_WORK = 1e-9
+MIN_WORK = 1e-9  # smallest valid work of an RPC, in average RPCs
 MAX_FAULTS_IN_MESSAGE = 5
 
 
@@ -75,7 +75,7 @@
         zones: The zones, with their proxies.
         tasks: The tasks of all zones.
         current_tables: By zone of proxies, the current weight of each task; empty where there is no table.
-        cross_zone_cost: Cost of an RPC that crosses zones, in units of work.
+        cross_zone_cost: Additional cost of an RPC that crosses zones, in units of work.
         handshake_cost: Work of a new connection, in average RPCs.
         settle_s: Time within which new connections are opened, in seconds.
         target_utilization: Fraction of its capacity up to which a task is filled.
@@ -146,7 +146,10 @@
 def _faults_of_zones(fleet: Fleet) -> Iterator[str]:
     for zone in fleet.zones:
         if len(zone.demand_rps) != len(fleet.methods) or not all(map(_is_within, zone.demand_rps)):
-            yield f"zone {zone.name}: demand must have one value in range for each of {len(fleet.methods)} methods"
+            yield (
+                f"zone {zone.name}: demand {zone.demand_rps} found, expected one value in range for each of "
+                f"{len(fleet.methods)} methods"
+            )
         if not (_is_within(zone.proxy_count) and _is_within(zone.in_flight)):
             yield f"zone {zone.name}: {zone.proxy_count} proxies or {zone.in_flight} RPCs in flight is out of range"
 
@@ -162,7 +165,10 @@
             and _is_within(task.max_connections, 0, math.inf)
         )
         if not values_are_valid:
-            yield f"task {task.name}: rate, doubt, part or connections is out of range"
+            yield (
+                f"task {task.name}: rate {task.capacity_rps}, doubt {task.uncertainty}, part {task.slow_start_factor} "
+                f"or connections {task.max_connections} is out of range"
+            )
 
 
 def _faults_of_tables(fleet: Fleet) -> Iterator[str]:
--- a/hollyridge/solver/flow_model.py
+++ b/hollyridge/solver/flow_model.py
@@ -24,6 +24,8 @@
 class OpenedConnections(NamedTuple):
     """Column for the opened fraction of all connections from a zone of proxies to a class of tasks.
 
+    It also serves as a (column, factor) term of the costs and of the constraint on a class's capacity.
+
     Attributes:
         column: Index of the column.
         handshake_load: Load of opening all these connections, in fractions of the total demand.
@@ -150,7 +152,7 @@
                 for z in opening
             ]
             self._program.add_row(-INFINITY, group.free_connections, connections)
-        for z in opening:  # the fewest connections are those whose tasks are filled to capacity
+        for z in opening:  # the fewest connections that can carry a flow are those to tasks filled to capacity
             capacity = (self.opened[z, index].column, -group.capacity / self.total_work)
             self._program.add_row(-INFINITY, 0.0, [(self.flows[z, index], 1.0), capacity])
 
--- a/hollyridge/solver/linear_program.py
+++ b/hollyridge/solver/linear_program.py
@@ -111,8 +111,7 @@
             "parallel": "off",
             "random_seed": 0,
             "solver": "simplex",
-            "time_limit": highs.getRunTime()
-            + self._deadline_s,  # the clock of the instance is not reset between programs
+            "time_limit": highs.getRunTime() + self._deadline_s,  # the solver's clock is not reset between programs
         }
         for name, value in options.items():
             highs.setOptionValue(name, value)
--- a/hollyridge/solver/placement.py
+++ b/hollyridge/solver/placement.py
@@ -14,7 +14,7 @@
 
 MIN_SPREAD_FRACTION = 0.03  # part of a zone's work that is divided among all lines so that none is idle
 MIN_REMAINING_FRACTION = 0.1  # part of a full task's capacity that still counts as free
-MAX_FILL = 0.99  # bound in the formula of the reserve for bursts, which grows without bound towards 1
+MAX_FILL = 0.99  # largest fill in the formula of the reserve for bursts, which grows without bound towards 1
 SATURATED_FILL = 0.999  # fill from which a class counts as full
 NEGLIGIBLE_FRACTION = 1e-6  # of the total demand; a smaller value is within the solver's tolerance, not a flow
 ROUNDING_GUARD = 1e-9  # keeps a whole number that is slightly too large from being rounded up
@@ -45,7 +45,7 @@
 
 
 def place_work(fleet: Fleet, deadline_s: float, excluded: frozenset[tuple[int, int]] = frozenset()) -> Placement:
-    """Decide which demand is admitted and to which tasks it goes.
+    """Return the admitted fractions of the demand and the tasks to which their work goes.
 
     Args:
         fleet: A valid fleet.
@@ -65,7 +65,9 @@
 
 
 def fill_evenly(load: dict[int, float], capacities: dict[int, float], amount: float) -> dict[int, float]:
-    """Divide work so that tasks become equally full, the emptiest first; each task gets at least a small part.
+    """Return the work for each task, divided so that tasks become equally full, the emptiest first.
+
+    Each task gets at least a small part.
 
     Args:
         load: Current load of each task.
--- a/hollyridge/solver/planner.py
+++ b/hollyridge/solver/planner.py
@@ -126,5 +126,5 @@
     """Return the saved fraction of the current cost; 1 if there are no tables yet."""
     if not any(fleet.current_tables):
         return 1.0
-    present = cost_of(fleet, arriving_shares(fleet, fleet.current_tables), work)
-    return (present - cost_of(fleet, shares, work)) / present if present > 0 else 1.0
+    current_cost = cost_of(fleet, arriving_shares(fleet, fleet.current_tables), work)
+    return (current_cost - cost_of(fleet, shares, work)) / current_cost if current_cost > 0 else 1.0
--- a/hollyridge/solver/queueing_cost.py
+++ b/hollyridge/solver/queueing_cost.py
@@ -10,7 +10,12 @@
 
 
 class CostSegment(NamedTuple):
-    """Part of the allowed utilization, and the marginal cost of work within it."""
+    """Part of the allowed utilization, and the marginal cost of work within it.
+
+    Attributes:
+        fraction: Width of the segment, as a fraction of the usable capacity.
+        slope: Cost of one more unit of work.
+    """
 
     fraction: float
     slope: float
--- a/hollyridge/solver/table_size.py
+++ b/hollyridge/solver/table_size.py
@@ -13,7 +13,8 @@
     """Return the pairs (zone of proxies, task) that must not be used.
 
     They are new lines that are too small, and the smallest lines beyond the maximum size of a table. A table never
-    shrinks below the minimum size. Keeping a line of the current table costs nothing.
+    shrinks below the minimum size. Keeping a line of the current table costs nothing. Once a line is excluded, the
+    tasks that its zone does not use are excluded too, as are those that each later zone does not use.
     """
     excluded: set[tuple[int, int]] = set()
     for zone, work in enumerate(placement.work):
@@ -68,6 +69,7 @@
     start = zone * count // len(work)  # zones start at different tasks among equally good ones
 
     def preference(task: int) -> tuple[bool, bool, float, int]:
+        """Return a sort key: current lines first, then tasks of the zone, then the emptiest tasks."""
         is_remote = fleet.tasks[task].zone != zone
         return task not in current, is_remote, load[task] / capacities[task], (task - start) % count
 
--- a/hollyridge/solver/task_classes.py
+++ b/hollyridge/solver/task_classes.py
@@ -56,13 +56,14 @@
             continue
         in_current_table = tuple(index in table for table in current_tables)
         excluded_by = tuple((zone, index) in excluded for zone in range(len(fleet.zones)))
-        size = round(math.log(capacity) / math.log(SIMILAR_CAPACITY_RATIO))
-        key = (task.zone, size, task.max_connections, in_current_table, excluded_by)
+        capacity_step = round(math.log(capacity) / math.log(SIMILAR_CAPACITY_RATIO))
+        key = (task.zone, capacity_step, task.max_connections, in_current_table, excluded_by)
         similar.setdefault(key, []).append(index)
     return [_class_of(fleet, key, tasks) for key, tasks in sorted(similar.items())]
 
 
 def _class_of(fleet: Fleet, key: tuple, tasks: list[int]) -> TaskClass:
+    """Return the class of the tasks that `group_tasks` has grouped under the key."""
     zone, _, max_connections, in_current_table, _ = key
     current_connections = sum(z.proxy_count for z, is_listed in zip(fleet.zones, in_current_table) if is_listed)
     capacities = tuple(usable_capacity(fleet, index) for index in tasks)
--- a/hollyridge/solver/two_choices.py
+++ b/hollyridge/solver/two_choices.py
@@ -7,8 +7,9 @@
 
     share(i) = sum over j of w(i) w(j) (P[out(i) <= out(j)] + P[out(i) < out(j)])
 
-where w is normalized. Shares and means depend on each other and are found by damped iteration. At light load nothing
-is in flight and the shares equal the weights; the busier the lines, the more the choices even out the RPCs in flight.
+where w(i) is the normalized weight of line i, and out(i) the number of RPCs in flight there. Shares and means depend on
+each other and are found by damped iteration. At light load nothing is in flight and the shares equal the weights; the
+busier the lines, the more the choices even out the RPCs in flight.
 """
 
 from __future__ import annotations
--- a/tests/solver/solver_cases.py
+++ b/tests/solver/solver_cases.py
@@ -12,7 +12,7 @@
 def fleet_of_tasks(tasks, demand, current_tables=(), **fields):
     """Return a fleet with one method and 10 proxies per zone.
 
-    Tasks are (zone, capacity, slow start factor) and demand is by zone.
+    Tasks are (zone, capacity, slow start factor) and demand is by zone; capacity and demand are in RPCs per second.
     """
     zones = tuple(Zone(f"z{number}", 10, (rps,)) for number, rps in enumerate(demand))
     return Fleet(
--- a/tests/solver/test_solver_engine_adapter.py
+++ b/tests/solver/test_solver_engine_adapter.py
@@ -68,7 +68,8 @@
     assert len(fleet.tasks) == 4
     assert fleet.zones[0].proxy_count == 2
     assert fleet.zones[0].demand_rps[0] == pytest.approx(80, rel=0.01)
-    assert fleet.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)  # 20 a second at half its capacity
+    # The task serves 20 RPCs per second at half of its capacity.
+    assert fleet.tasks[0].capacity_rps == pytest.approx(40, rel=0.3)
     plan = solve(fleet)
     proposed = proposals(plan, True)
     assert [p.zone for p in proposed] == [0]
@@ -79,7 +80,7 @@
 
 
 @pytest.mark.parametrize("change", [dict(load=0.0), dict(load=50.0), dict(load=-1.0)])
-def test_impossible_loads_do_no_harm(change):
+def test_impossible_loads_do_not_prevent_a_plan(change):
     module, now = started_assigner(), START
     for _ in range(6):
         now += SECOND
--- a/tests/solver/test_solver_linear_program.py
+++ b/tests/solver/test_solver_linear_program.py
@@ -24,7 +24,10 @@
 
 
 def test_the_deadline_applies_to_each_solution_and_not_to_all_together():
-    """The library's clock is not reset between solutions: with half a second used in total, every plan was late."""
+    """The solver library does not reset its clock between solutions.
+
+    When the time limit did not allow for this, every plan was late once half a second had been used in total.
+    """
     rng = Random(2)
     fleet = fleet_of_tasks([(k % 3, rng.uniform(8, 12), 1.0) for k in range(60)], [100, 90, 80])
     planner, started = Planner(0.1), linear_program.shared_solver().getRunTime()
--- a/tests/solver/test_solver_service.py
+++ b/tests/solver/test_solver_service.py
@@ -44,9 +44,8 @@
         module.estimates.capacity[i], module.estimates.answered[i], module.estimates.busy_periods[i] = 20.0, 20.0, 1.0
     module.estimates.offered_load = {0: {0: PeriodLoad(10.0, 0)}}
     agent.quiesce([r.members()[0]])
-    assert wait_for(
-        lambda: TaskState.DRAINING in module.endpoints.state
-    )  # the page shows the state after the last decision
+    # The page shows the state after the last decision.
+    assert wait_for(lambda: TaskState.DRAINING in module.endpoints.state)
     result = thread.apply(runner.invoke, (main, ["solve", address, "--json"]))
     assert result.exit_code == 0, result.output
     rows = msgspec.json.decode(result.stdout.strip().splitlines()[-1])["tables"]
--- a/tests/solver/test_solver_table_size.py
+++ b/tests/solver/test_solver_table_size.py
@@ -10,7 +10,7 @@
 
 
 def test_no_table_is_too_small_for_bursts():
-    """Three tasks could serve the demand, but the minimum is ten: current lines and the zone's own tasks first."""
+    """Three tasks could serve the demand, but the minimum is ten; current lines and the zone's own tasks come first."""
     plan = solve(
         fleet_of_tasks(FOURTEEN_TASKS, [15, 2], current_tables=TWO_LINES, min_table_size=10, handshake_cost=0.001)
     )
