--- a/hollyridge/cli/day.py
+++ b/hollyridge/cli/day.py
@@ -86,6 +86,7 @@
     show(outcome, options.as_json, len(loaded.fleet.fronts) > 1)
     if options.report is not None:
         _write_report(folder, loaded, outcome)
+    # The second element of `parity` is the number of tables that differ between the protocols.
     kept = all(verdict.kept for verdict in outcome.verdicts) and not outcome.parity[1]
     return ExitCode.SUCCESS if kept else ExitCode.FAILED
 
--- a/hollyridge/cli/fleet.py
+++ b/hollyridge/cli/fleet.py
@@ -50,8 +50,8 @@
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_MODE)
     except OSError as error:
         fail(f"{path}: {error.strerror}", ExitCode.FAILED)
-    with os.fdopen(descriptor, "w") as out:
-        out.write(secrets.token_hex(KEY_BYTES) + "\n")
+    with os.fdopen(descriptor, "w") as file:
+        file.write(secrets.token_hex(KEY_BYTES) + "\n")
 
 
 def _fetch_views(assigners: tuple[str, ...], action: str | None) -> tuple[dict[str, dict], list[str]]:
@@ -97,5 +97,5 @@
             f"  {uid:<24} token {owned['fence']:<20} for {owned['since_s']:>8.1f} s, renewed "
             f"{owned['heard_s']:.1f} s ago" + (", by a fallback request" if owned["plea"] else "")
         )
-    for uid, one, other in view["disagreements"]:
-        click.echo(f"  disagreement: {one} and {other} both report that they own {uid}")
+    for uid, first_owner, second_owner in view["disagreements"]:
+        click.echo(f"  disagreement: {first_owner} and {second_owner} both report that they own {uid}")
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -152,17 +152,19 @@
     script: str, seeds: int, first: int, max_faults: int, policy: str, out: str | None, as_json: bool
 ) -> None:
     """Draw faults by seed for the fleet and load of SCRIPT, and reduce the worst day to the fewest faults."""
-    from hollyridge.lab.experiments import hunt as hunting
+    from hollyridge.lab.experiments import hunt as hunt_experiment
 
     loaded = _load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        found = hunting.hunt(loaded, range(first, first + seeds), policy, max_faults, lambda seed, worst: bar.update(1))
+        found = hunt_experiment.hunt(
+            loaded, range(first, first + seeds), policy, max_faults, lambda seed, worst: bar.update(1)
+        )
     if found is None:
         fail(f"{script}: none of {seeds} days could be played")
     seed, worst, outcome = found
-    reduced, reduced_outcome = hunting.cut_down(seed, worst, outcome, policy)
+    reduced, reduced_outcome = hunt_experiment.cut_down(seed, worst, outcome, policy)
     if out:
-        hunting.write(Path(out), seed, reduced, reduced_outcome)
+        hunt_experiment.write(Path(out), seed, reduced, reduced_outcome)
     broken = [verdict.rule for verdict in reduced_outcome.verdicts if not verdict.kept]
     result = {
         "seed": seed,
@@ -191,18 +193,18 @@
 
     Shows the growth of cost, of lines and of the used part of the rules' limits, and the cost by part of the program.
     """
-    from hollyridge.lab.experiments import sweep as sweeping
+    from hollyridge.lab.experiments import sweep as sweep_experiment
 
     try:
         factors = [float(part) for part in sizes.split(",")]
         counts = [int(part) for part in assigners.split(",")]
     except ValueError:
         fail(f"--sizes {sizes!r} or --assigners {assigners!r} is invalid, expected comma-separated numbers")
-    rows = sweeping.sweep(
+    rows = sweep_experiment.sweep(
         script, factors, counts, seed, timeout_s, lambda row: click.echo(msgspec.json.encode(row), err=True)
     )
     try:
-        page = str(sweeping.page(rows, Path(out), Path(script).stem)) if out else ""
+        page = str(sweep_experiment.page(rows, Path(out), Path(script).stem)) if out else ""
     except ValueError as error:
         fail(str(error))
     if as_json:
@@ -227,11 +229,11 @@
     Counts proxies without an owner and proxies that received updates from two assigners. The exit code is 0 only if
     there were none of the latter and all rules were kept.
     """
-    from hollyridge.lab.experiments import takeover as taking
+    from hollyridge.lab.experiments import takeover as takeover_experiment
 
     _load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        found = taking.many(
+        found = takeover_experiment.many(
             script,
             range(first, first + seeds),
             tuple(fronts.split(",")),
@@ -240,7 +242,7 @@
             assigners,
             lambda played: bar.update(1),
         )
-    result = taking.summary(found)
+    result = takeover_experiment.summary(found)
     print_result(result, as_json)
     sys.exit(ExitCode.FAILED if result["doubly_ordered"] or result["rules_broken"] else ExitCode.SUCCESS)
 
@@ -257,10 +259,10 @@
     Half of the reports come from one sender that ignores rejections. Shows which reports are read, their cost, and the
     distance between the weights of the two assigners.
     """
-    from hollyridge.lab.experiments import flood as flooding
+    from hollyridge.lab.experiments import flood as flood_experiment
 
     try:
-        result = flooding.flood(reports_per_s, seconds, budget, tasks=tasks)
+        result = flood_experiment.flood(reports_per_s, seconds, budget, tasks=tasks)
     except OSError as error:
         fail(str(error))
     print_result(result, as_json)
--- a/hollyridge/cli/main.py
+++ b/hollyridge/cli/main.py
@@ -1,7 +1,7 @@
-"""`hollyridge`: the commands serve, check and day, and the other commands and groups.
+"""Entry point of `hollyridge`: the commands serve, check and day, to which the other commands are added.
 
-Exit codes: 0 success, 1 a rule was broken, 2 invalid settings or arguments, 3 an address is in use, 4 the decision
-module failed.
+Exit codes: 0 success, 1 a rule was broken or the requested result is not available, 2 invalid settings or arguments,
+3 an address is in use, 4 the decision module failed.
 """
 
 from __future__ import annotations
--- a/hollyridge/cli/solve.py
+++ b/hollyridge/cli/solve.py
@@ -83,12 +83,12 @@
 
     try:
         if file.startswith("http://"):
-            fleet, deadline, groups = read_text(_fetch_fleet(file), file)
+            fleet, deadline_s, groups = read_text(_fetch_fleet(file), file)
         else:
-            fleet, deadline, groups = load(file)
+            fleet, deadline_s, groups = load(file)
         started = time.monotonic()
         load_solver_library()
-        plan = plan_of(fleet, deadline)
+        plan = plan_of(fleet, deadline_s)
         return fleet, plan, groups, time.monotonic() - started
     except FaultsError as error:
         print_problems(file, error)
