--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -32,18 +32,18 @@
 POLL_INTERVAL_S = 0.01
 STATUS_TIMEOUT_S = 5.0
 PROXIES_PER_PROCESS = 125
-ZONE_OCTETS = (1, 2, 3)
+ZONE_OCTETS = (1, 2, 3)  # second octet of the addresses of each zone
 NEW_TASKS_PER_ZONE = 10
 ANY_TABLE = ExpectedTables({}, "")
 
 
 class Received(NamedTuple):
-    """Total of what all proxies have received so far.
+    """Totals of the received messages of all proxies, and the time until their tables were complete.
 
     Attributes:
         complete_s: Time until every fast proxy held the expected tables, in seconds; -1 after a timeout.
-        received_bytes: Bytes of all messages.
-        messages: Number of messages.
+        received_bytes: Bytes of all messages so far.
+        messages: Number of messages so far.
     """
 
     complete_s: float
--- a/benchmarks/proxy_group.py
+++ b/benchmarks/proxy_group.py
@@ -1,4 +1,4 @@
-"""Process with a group of the proxies of a benchmark; it reports over pipes which tables they hold and received."""
+"""Process with a group of a benchmark's proxies; it reports over pipes whether they hold the expected tables."""
 
 from __future__ import annotations
 
--- a/benchmarks/seeds.py
+++ b/benchmarks/seeds.py
@@ -1,6 +1,8 @@
 """Comparison of decision modules on one scenario over many seeds: broken rules and served demand by module.
 
-.venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
+    .venv/bin/python benchmarks/seeds.py examples/bad-day.ini --seeds 20 --policies ,even,always --at-once 6
+
+An empty name in `--policies` is the service's own decision module. The first module is the base of the comparisons.
 """
 
 from __future__ import annotations
@@ -42,19 +44,23 @@
     return {**key, **msgspec.json.decode(process.stdout)}
 
 
-def play_all(jobs: list[Job], at_once: int, out: str | None) -> list[dict]:
-    """Run all days; return the results in the order of the jobs, and append them to the file `out` if given."""
+def play_all(jobs: list[Job], at_once: int, output_path: str | None) -> list[dict]:
+    """Run all days, `at_once` of them in parallel.
+
+    Returns:
+        Results in the order of the jobs; they are also appended to the file at `output_path` if it is given.
+    """
     rows = []
     with ThreadPoolExecutor(at_once) as pool:
         for row in pool.map(play, jobs):
             rows.append(row)
-            if out:
-                with open(out, "ab") as file:
+            if output_path:
+                with open(output_path, "ab") as file:
                     file.write(msgspec.json.encode(row) + b"\n")
     return rows
 
 
-def good_days(rows: list[dict], policy: str) -> list[dict]:
+def played_days(rows: list[dict], policy: str) -> list[dict]:
     """Return the days of a module that could be played."""
     return [row for row in rows if row["policy"] == policy and "failed" not in row]
 
@@ -67,7 +73,7 @@
 
 def summary_line(rows: list[dict], policy: str) -> str:
     """Return one line with the served demand, updates and rules of a module."""
-    days = good_days(rows, policy)
+    days = played_days(rows, policy)
     failed = sum(row["policy"] == policy for row in rows) - len(days)
     verdicts = verdicts_by_rule(days)
     broken = {rule: sum(not verdict["kept"] for verdict in verdicts[rule]) for rule in RULES}
@@ -85,8 +91,8 @@
 
 def comparison_line(rows: list[dict], base: str, policy: str) -> str:
     """Return one line that compares a module with the base on the seeds that both have played."""
-    base_served = {day["seed"]: day["served"] for day in good_days(rows, base)}
-    gaps = [base_served[day["seed"]] - day["served"] for day in good_days(rows, policy) if day["seed"] in base_served]
+    base_served = {day["seed"]: day["served"] for day in played_days(rows, base)}
+    gaps = [base_served[day["seed"]] - day["served"] for day in played_days(rows, policy) if day["seed"] in base_served]
     return (
         f"{base or DEFAULT_MODULE} better than {policy} on {sum(gap > 0 for gap in gaps)} of {len(gaps)} "
         f"seeds, by {statistics.mean(gaps):.4f} on average"
