--- a/benchmarks/proxy_group.py
+++ b/benchmarks/proxy_group.py
@@ -103,7 +103,7 @@
         weights = HeldWeights()
         try:
             while pushed := client.receive():
-                weights.take(pushed[1].groups)
+                weights.handle_message(pushed[1].groups)
                 self.tasks = {name_of(member) for member in weights.lines(METHODS[0])}
         except ConnectionLostError:
             return
--- a/hollyridge/cli/lab.py
+++ b/hollyridge/cli/lab.py
@@ -233,7 +233,7 @@
 
     _load(script)
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        found = takeover_experiment.many(
+        found = takeover_experiment.play_days(
             script,
             range(first, first + seeds),
             tuple(fronts.split(",")),
@@ -274,10 +274,10 @@
 @click.option("--json", "as_json", is_flag=True)
 def report(source: str, out: str, as_json: bool) -> None:
     """Write a page with plots of SOURCE: a recording, a folder of a day's recordings, or a comparison's --keep file."""
-    from hollyridge.lab.reports.plots import page_of
+    from hollyridge.lab.reports.plots import write_plot_page
 
     try:
-        page = page_of(Path(source), Path(out))
+        page = write_plot_page(Path(source), Path(out))
     except (ValueError, KeyError) as error:
         fail(f"{source}: {error}")
     click.echo(msgspec.json.encode({"page": str(page)}) if as_json else str(page))
--- a/tests/solver/test_solver_engine_adapter.py
+++ b/tests/solver/test_solver_engine_adapter.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import SECOND, START, entry, roster
+from helpers import SECOND, START, endpoint_list_update, make_endpoint
 from loaded_assigner import report_second, started_assigner
 
 from hollyridge import interface as api
@@ -24,8 +24,8 @@
     before = dict(module.tables[0].weights)
     assert before[1] > 3 * before[2]
     now += SECOND // 4
-    gone = [entry(i, state=api.TaskState.GONE) for i in (0, 3)]
-    commands = module.decide(now, [roster(gone, api.UpdateKind.DELTA)])
+    gone = [make_endpoint(i, state=api.TaskState.GONE) for i in (0, 3)]
+    commands = module.decide(now, [endpoint_list_update(gone, api.UpdateKind.DELTA)])
     assert {c.task for c in commands if isinstance(c, api.SetWeight) and c.weight > 0} == {1, 2}
     after = module.tables[0].weights
     assert 0.5 < after[2] / after[1] < 2  # the plan has lapsed
