--- a/hollyridge/lab/stand_ins/agent.py
+++ b/hollyridge/lab/stand_ins/agent.py
@@ -15,8 +15,8 @@
 from hollyridge.sasp.codec import Member
 
 POLL_INTERVAL_S = 0.5  # between two checks whether an idle stream is still open
-PROBE_TIMEOUT_S = 0.001
-RETRY_DELAY_S = 0.2
+PROBE_TIMEOUT_S = 0.001  # maximum wait of the read that checks whether a stream is open
+RETRY_DELAY_S = 0.2  # pause before a new stream
 UNKNOWN_UPTIME_S = 1e6  # reported for a task whose start is not known
 
 
@@ -53,7 +53,15 @@
     def __init__(
         self, address: tuple[str, int], fleet: str, record: Recorder, spawn: Callable = gevent.spawn, number: int = 0
     ) -> None:
-        """Start the agent of the assigner `number`, which listens at `address`."""
+        """Start the agent of one assigner.
+
+        Args:
+            address: (host, port) at which the assigner listens for SASP.
+            fleet: UID under which the assigner expects the tasks to be registered.
+            record: Recorder of the agent's streams.
+            spawn: Function that runs a function in its own greenlet.
+            number: Index of the assigner.
+        """
         self.name = f"agent-{number}"
         self.address = address
         self.fleet = fleet
--- a/hollyridge/lab/stand_ins/clients.py
+++ b/hollyridge/lab/stand_ins/clients.py
@@ -96,7 +96,7 @@
         return repeats == IDEMPOTENT or outcome in (rpc.NOT_SENT, rpc.PUSHED_BACK) or self.plan.reckless
 
     def _attempt(self, call: rpc.Call, deadline_s: float) -> int:
-        """Make one attempt of the client, which the proxy may repeat according to the retry mode."""
+        """Make one attempt and return its outcome; the proxy may repeat the attempt according to the retry mode."""
         proxy, name = self.proxy, self.plan.methods[call.method].name
         proxy.wait_while_stalled()
         proxy.reporter.add_rpc(name)
--- a/hollyridge/lab/stand_ins/command_handler.py
+++ b/hollyridge/lab/stand_ins/command_handler.py
@@ -8,15 +8,15 @@
 from hollyridge.lab.stand_ins.proxy import Proxy
 from hollyridge.lab.stand_ins.task import Task
 
-SET_ATTRIBUTES = ("unreachable_zones", "unreachable_assigners")  # sent as lists, because commands may be JSON
+SET_ATTRIBUTES = ("unreachable_zones", "unreachable_assigners")  # sets, sent as lists because commands may be JSON
 
 
 class CommandHandler:
     """Handler of the commands; the method `do_NAME` executes the command NAME.
 
     Attributes:
-        tasks: `Task` or `TaskServer`, by name.
-        proxies: Proxies, by uid.
+        tasks: Running tasks by name, each a `Task` or, in a worker process, its `TaskServer`.
+        proxies: Running proxies, by uid.
     """
 
     tasks: dict
@@ -27,7 +27,7 @@
         getattr(self, "do_" + command)(**arguments)
 
     def running_tasks(self) -> Iterable[Task]:
-        """Return the tasks."""
+        """Return the `Task` of each running task."""
         return list(self.tasks.values())
 
     def do_kill(self, name: str) -> None:
@@ -54,7 +54,10 @@
                     setattr(stand_in, attribute, set(value) if attribute in SET_ATTRIBUTES else value)
 
     def do_factor(self, name: str, cause: str, value: float) -> None:
-        """Set a fault's factor of the RPC rate of one proxy, or of all; factors of several faults multiply."""
+        """Set a fault's factor of the RPC rate of one proxy, or of all if the name is empty.
+
+        The factors of several faults multiply.
+        """
         for proxy in self.proxies.values():
             if name in ("", proxy.uid):
                 proxy.rate_factors[cause] = value
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -77,7 +77,14 @@
         stream.send_to_server(frame)
 
     def receive(self, frame: bytes) -> tuple[int, codec.Message]:
-        """Record and decode a frame, and apply its weights if it has any."""
+        """Record and decode a frame, and apply its weights if it has any.
+
+        Returns:
+            (number of the message that the frame answers, decoded message).
+
+        Raises:
+            RefusedError: The assigner refused the registration.
+        """
         self.proxy.record.frame("heard", self.uid, self.proxy.stream, frame)
         reply_to, message = codec.decode(frame)
         if isinstance(message, codec.SendWeights):
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -24,9 +24,9 @@
 from hollyridge.lab.stand_ins.worker_handle import WorkerHandle
 from hollyridge.lab.stand_ins.world import LiveWorld
 
-CHP_PORTS = 3  # consecutive
+CHP_PORTS = 3  # number of consecutive ports that CHP uses
 SYNC_TIMEOUT_S = 5
-START_ATTEMPTS, START_PAUSE_S = 200, 0.05
+START_ATTEMPTS, START_PAUSE_S = 200, 0.05  # attempts to connect to a starting assigner, pause between two of them
 END_TIMEOUT_S = 5
 PROGRESS_INTERVAL_S = 0.25
 KEY_BYTES = 32
@@ -39,7 +39,7 @@
         ports: (SASP, OTLP, first CHP port) of each assigner.
         failures: Failures that invalidate the day's result, complete once it has ended.
         start_count: Number of assigner processes started so far.
-        relay: Relay between the assigners of a shared fleet; None if they share nothing.
+        relay: Relay between the assigners of a shared fleet; None if the fleet is not shared.
     """
 
     def __init__(self, scenario: Scenario, folder: Path, policy: str = "") -> None:
@@ -72,8 +72,8 @@
             self._write_settings(number)
 
     def _start_relay(self, count: int) -> None:
-        self.peers = [free_port(socket.SOCK_DGRAM) for _ in range(count)]
-        self.relay = Relay(self.peers, self.scenario.day.seed)
+        self.peer_ports = [free_port(socket.SOCK_DGRAM) for _ in range(count)]
+        self.relay = Relay(self.peer_ports, self.scenario.day.seed)
         (self.folder / "fleet.key").write_text(os.urandom(KEY_BYTES).hex())
 
     def _settings_path(self, number: int) -> Path:
@@ -98,8 +98,8 @@
             parser.set(section, key, value)
         if self.relay is not None:
             self._set_peers(parser, number)
-        with open(self._settings_path(number), "w") as out:
-            parser.write(out)
+        with open(self._settings_path(number), "w") as settings_file:
+            parser.write(settings_file)
 
     def _set_peers(self, parser: configparser.ConfigParser, number: int) -> None:
         relay_addresses = [f"127.0.0.1:{port}" for port in self.relay.relay_ports]
@@ -107,7 +107,7 @@
         if not parser.has_section("peers"):
             parser.add_section("peers")
         parser["peers"].update(
-            listen=f"127.0.0.1:{self.peers[number]}",
+            listen=f"127.0.0.1:{self.peer_ports[number]}",
             known_as=relay_addresses[number],
             name=f"a{number}",
             seeds=", ".join(relay_addresses),
--- a/hollyridge/lab/stand_ins/proxy.py
+++ b/hollyridge/lab/stand_ins/proxy.py
@@ -22,17 +22,17 @@
 
 RECEIVE_INTERVAL_S = 0.5  # interval after which the gateway confirms that an idle SASP stream is open
 READ_POLL_INTERVAL_S = 0.05  # interval at which a proxy that has stopped reading checks whether it may read again
-MIN_TIMEOUT_S = 0.01
+MIN_TIMEOUT_S = 0.01  # minimum timeout of an attempt
 MIN_REMAINING_S = 0.001  # minimum timeout of a call after the delay of a slow link
 AVOID_S = (2.0, 4.0)  # range of the time for which an outlier is avoided
-REPORT_JITTER_S = 0.1
+REPORT_JITTER_S = 0.1  # maximum random delay of a load report
 
 
 class Connection(Protocol):
     """Connection to one task, real or simulated."""
 
     def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
-        """Send an RPC and return its outcome and answer."""
+        """Send an RPC and return its outcome and its answer, if there is one."""
 
     def close(self) -> None:
         """Close the connection, if it is open."""
@@ -283,9 +283,9 @@
     def _call_over_link(
         self, connection: Connection, zone_octet: str, call: rpc.Call, timeout_s: float
     ) -> tuple[int, rpc.Answer | None]:
-        """Call a task over the link to its zone, which may be faulty.
+        """Call a task over the link to its zone, which may be faulty, and return the outcome and the answer.
 
-        A loss affects the RPC or its answer. An RPC whose answer arrives too late has run.
+        Either the RPC or its answer may be lost. An RPC whose answer is lost or arrives too late has run all the same.
         """
         delay_s, lost = self.link_faults.get(zone_octet, (0.0, self.plan.lost))
         if zone_octet in self.unreachable_zones or (lost and self.rng.random() < lost):
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -32,6 +32,7 @@
 
     Attributes:
         service: The assigner; None while it is down.
+        names: Look-ups of the names in load reports; set by `start`.
         context: ZeroMQ sockets of the assigner; None if it has opened none.
         stalled_until_us: End of the current stall, in microseconds.
         run_number: Number of the engine's next run. A scheduled run with a lower number is obsolete.
@@ -61,7 +62,7 @@
         if service.chp_server is not None:
             service.chp_server.start()
         if service.solver_service is not None:
-            service.solver_service.apply = lambda call, arguments: call(*arguments)
+            service.solver_service.apply = lambda call, arguments: call(*arguments)  # not on another thread
         self._attach_disk(service)
         service.start_background()
         self.schedule_engine()
@@ -117,7 +118,7 @@
 
     def _attach_disk(self, service: Service) -> None:
         if service.persistence is not None:
-            service.persistence.apply = lambda call, arguments: call(*arguments)
+            service.persistence.apply = lambda call, arguments: call(*arguments)  # not on another thread
             service.persistence.write = self._write_disk
             service.persistence.read = self._read_disk
             service.persistence.wall_ms = lambda: self.world.now() // 1000
@@ -194,7 +195,7 @@
         next_run = max(due, self.world.now() + MIN_RUN_INTERVAL_US)
         self.world.call_at(next_run, self.world.start_greenlet, self._run_engine, (self.run_number,))
 
-    # Tasks of the real server's own greenlets.
+    # Work that the real server does in its own greenlets.
 
     def _watch_connections(self, service: Service) -> None:
         """Check connections and record the status until the assigner ends."""
@@ -227,19 +228,19 @@
 
     # Load reports.
 
-    def report(self, source: str, figures: list[MetricPoint]) -> None:
+    def report(self, source: str, metric_points: list[MetricPoint]) -> None:
         """Handle a load report as the OTLP intake handles a decoded one."""
-        if self.service is None or self.defer_if_stalled(self.report, source, figures):
+        if self.service is None or self.defer_if_stalled(self.report, source, metric_points):
             return
         now = self.world.now()
-        for figure in figures:
-            point = self._data_point(source, figure)
+        for metric_point in metric_points:
+            point = self._data_point(source, metric_point)
             if point is not None:
                 self.service.engine.report(now, point)
 
-    def _data_point(self, source: str, figure: MetricPoint) -> DataPoint | None:
-        """Return the data point of a figure; None if a name in it is unknown."""
-        names, kind, attributes = self.names, KIND_BY_METRIC[figure.name], figure.attributes
+    def _data_point(self, source: str, metric_point: MetricPoint) -> DataPoint | None:
+        """Return the data point of a metric point; None if a name in it is unknown."""
+        names, kind, attributes = self.names, KIND_BY_METRIC[metric_point.name], metric_point.attributes
         method = names.method(attributes["method"]) if "method" in attributes else 0
         if kind in (Kind.RPCS, Kind.UNANSWERED):
             subject = names.proxy(attributes["proxy"]), method
@@ -247,5 +248,7 @@
             subject = names.zone(attributes.get("zone", "")) or 0, names.task(attributes["task"])
         if None in subject:
             return None
-        start = figure.start_ns or figure.end_ns
-        return DataPoint(source, kind, subject, 0 if kind in LOADS else method, figure.value, start, figure.end_ns)
+        start = metric_point.start_ns or metric_point.end_ns
+        return DataPoint(
+            source, kind, subject, 0 if kind in LOADS else method, metric_point.value, start, metric_point.end_ns
+        )
--- a/hollyridge/lab/stand_ins/simulation.py
+++ b/hollyridge/lab/stand_ins/simulation.py
@@ -46,7 +46,7 @@
     def defer_if_stalled(self, call: Callable, *arguments: object) -> bool:
         """Return whether the process is stalled; if so, run `call` when the stall is over."""
 
-    def report(self, source: str, figures: list[MetricPoint]) -> None:
+    def report(self, source: str, metric_points: list[MetricPoint]) -> None:
         """Handle a load report."""
 
     def receive_datagram(self, address: str, raw: bytes) -> None:
@@ -57,6 +57,7 @@
     """Shared state of one simulated day.
 
     Attributes:
+        rng: Random generator of the network's delays and losses.
         tasks_by_key: Tasks, by the address that they listen at.
         processes: Processes of the assigners, by number.
         peers: Processes of the assigners, by the address at which their peers reach them.
--- a/hollyridge/lab/stand_ins/sockets.py
+++ b/hollyridge/lab/stand_ins/sockets.py
@@ -218,13 +218,13 @@
         self.socks.append(sock)
 
     def poll(self, timeout_ms: float) -> list[tuple[Socket, int]]:
-        """Return the sockets with messages; if there are none, wait for one until the timeout."""
+        """Return (socket, POLLIN) for each socket with messages; if there is none, wait for one until the timeout."""
         if not any(sock.queue for sock in self.socks) and timeout_ms > 0:
-            first = self.world.result()
+            first_message = self.world.result()
             for sock in self.socks:
-                sock.available = first
+                sock.available = first_message
             with suppress(TimeoutError):  # a timeout means that no socket has a message
-                first.get(timeout=max(timeout_ms / 1e3, MIN_POLL_S))
+                first_message.get(timeout=max(timeout_ms / 1e3, MIN_POLL_S))
         return [(sock, zmq.POLLIN) for sock in self.socks if sock.queue]
 
 
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -127,13 +127,13 @@
             self._deliver(TO_SERVER, self._on_acknowledged, len(frame), marks)
 
     def _on_acknowledged(self, size_bytes: int, marks: list) -> None:
-        """Acknowledge the marks of a frame that the client has read."""
+        """Acknowledge the marks (see `PendingMark`) of a frame that the client has read."""
         if not self.open or self.process.defer_if_stalled(self._on_acknowledged, size_bytes, marks):
             return
         self.consumed_bytes += size_bytes
         now = self.simulation.world.now()
-        for mark, sent_at in marks:
-            self.server.engine.acknowledge(now, self.connection.proxy, mark, now - sent_at)
+        for mark, decided_at_us in marks:
+            self.server.engine.acknowledge(now, self.connection.proxy, mark, now - decided_at_us)
         if marks:
             self.server.loop.wake()
 
--- a/hollyridge/lab/stand_ins/virtual.py
+++ b/hollyridge/lab/stand_ins/virtual.py
@@ -19,7 +19,7 @@
 
 STEP_S = 0.25  # simulated time between two checks of the day's progress
 MAX_SETUP_S = 60  # simulated time within which tasks and proxies must have started
-AGENT_SETTLE_S = 1.0
+AGENT_SETTLE_S = 1.0  # simulated time in which an agent registers the initial tasks
 
 
 class SimulatedEnvironment(Simulation):
--- a/hollyridge/lab/stand_ins/virtual_stand_ins.py
+++ b/hollyridge/lab/stand_ins/virtual_stand_ins.py
@@ -19,8 +19,8 @@
 from hollyridge.otlp.sender import MetricPoint
 from hollyridge.sasp.client import ConnectionLostError
 
-AGENT_POLL_INTERVAL_S = 0.02
-AGENT_RETRY_DELAY_S = 0.2
+AGENT_POLL_INTERVAL_S = 0.02  # between two checks for changes to send
+AGENT_RETRY_DELAY_S = 0.2  # pause before a new stream
 
 
 class VirtualConnection:
@@ -56,7 +56,7 @@
         return True
 
     def call(self, call: rpc.Call, timeout_s: float) -> tuple[int, rpc.Answer | None]:
-        """Send an RPC and return its outcome and answer. `NOT_SENT` proves that it never ran."""
+        """Send an RPC and return its outcome and answer. The outcome `NOT_SENT` proves that it never ran."""
         world = self.simulation.world
         task = self.simulation.tasks_by_key.get(self.task_key)
         if not self._connect(task, timeout_s):
@@ -122,9 +122,9 @@
         """Return a connection to the task at this address."""
         return VirtualConnection(self.simulation, self, task)
 
-    def send_report(self, figures: list[MetricPoint]) -> None:
+    def send_report(self, metric_points: list[MetricPoint]) -> None:
         """Pass a load report to the assigner without OTLP encoding."""
-        self.simulation.processes[self.gateway.assigner_index].report(self.uid, figures)
+        self.simulation.processes[self.gateway.assigner_index].report(self.uid, metric_points)
 
 
 class VirtualCommandHandler(CommandHandler):
--- a/hollyridge/lab/stand_ins/worker_process.py
+++ b/hollyridge/lab/stand_ins/worker_process.py
@@ -44,7 +44,7 @@
         sys.stdout.buffer.flush()
 
     def running_tasks(self) -> list[Task]:
-        """Return the tasks."""
+        """Return the `Task` of each running task."""
         return [server.task for server in self.tasks.values()]
 
     def do_task(self, name: str, host: str, port: int, run: str, build: dict, **options: object) -> None:
