--- a/hollyridge/lab/faults/assigner_faults.py
+++ b/hollyridge/lab/faults/assigner_faults.py
@@ -5,7 +5,7 @@
 from hollyridge.lab.faults.base import MIN_STALL_GAP_S, FaultBase
 from hollyridge.lab.scenario import FaultSection
 
-MAX_LOST_FRACTION = 0.9
+MAX_LOST_FRACTION = 0.9  # maximum fraction of the datagrams between assigners that `lossy` drops
 
 
 class AssignerFaults(FaultBase):
--- a/hollyridge/lab/faults/base.py
+++ b/hollyridge/lab/faults/base.py
@@ -25,7 +25,13 @@
         return fault.zone or self.rng.choice(self.zones)
 
     def scale_traffic(self, fault: FaultSection, factor: float, zone: int = -1) -> None:
-        """Multiply the RPC rate of one zone's proxies, or of all, by a factor on account of this fault."""
+        """Set the factor by which this fault multiplies the RPC rate of proxies. Factors of several faults multiply.
+
+        Args:
+            fault: The fault.
+            factor: Factor, which replaces the previous one of this fault; 1 ends its effect.
+            zone: Index of the zone whose proxies are affected; -1 for all zones.
+        """
         cause = f"{fault.kind}-{fault.at_s}"
         for number, worker in enumerate(self.proxy_workers):
             if zone in (-1, number):
--- a/hollyridge/lab/faults/task_faults.py
+++ b/hollyridge/lab/faults/task_faults.py
@@ -8,8 +8,8 @@
 from hollyridge.lab.stand_ins.agent import Agent
 
 AFTER_GRACE_S = 1.5  # time for which a drained task keeps running after the promised grace period
-RESTART_DELAY_S = 0.2
-AGEING_STEPS_PER_S = 2
+RESTART_DELAY_S = 0.2  # time from the kill of a task to its start at the same address
+AGEING_STEPS_PER_S = 2  # number of times per second at which ageing tasks get slower
 PAUSE_CYCLE_FACTOR = 3  # time from one pause to the next, as a multiple of the pause
 
 
--- a/hollyridge/lab/faults/traffic_faults.py
+++ b/hollyridge/lab/faults/traffic_faults.py
@@ -5,7 +5,7 @@
 from hollyridge.lab.faults.base import FaultBase
 from hollyridge.lab.scenario import FaultSection
 
-SHIFT_STEPS = 8
+SHIFT_STEPS = 8  # number of equal steps in which traffic is moved
 
 
 class TrafficFaults(FaultBase):
--- a/hollyridge/lab/faults/zone_faults.py
+++ b/hollyridge/lab/faults/zone_faults.py
@@ -64,7 +64,10 @@
                 worker.execute("leave", name=uid, far=far)
 
     def slow_link(self, fault: FaultSection) -> None:
-        """Add `size` seconds of one-way delay and the loss `extra`, between a zone and all others or one of them."""
+        """Add `size` seconds of one-way delay, and lose the fraction `extra` of RPCs and answers, on links of a zone.
+
+        These are the links to all other zones, or with the form `pair` the link to one of them.
+        """
         zone = self.zones.index(self.affected_zone(fault))
         others = [other for other in range(len(self.zones)) if other != zone]
         if fault.form == "pair":
--- a/tests/lab/test_lab_faults.py
+++ b/tests/lab/test_lab_faults.py
@@ -13,6 +13,7 @@
 
 
 def span(rows, name):
+    """Return the start and the end of a fault, in microseconds."""
     return [row["t"] for row in rows if row["k"] == "trouble" and row["name"] == name]
 
 
@@ -33,10 +34,12 @@
 
 
 def fewer_succeed(rows, span):
+    """Return whether the fraction of RPCs that succeed is lower in the span than before it, by more than 0.03."""
     return success_rate(rows, span) < success_rate(rows, (0, span[0])) - 0.03
 
 
 def slower(rows, span, by=1.25):
+    """Return whether successful RPCs take more than `by` times as long in the span as before it."""
     before, during = (
         sum(r["took"] for r in rpcs) / len(rpcs)
         for rpcs in (rpcs_begun(rows, (0, span[0]), ok=True), rpcs_begun(rows, span, ok=True))
@@ -45,7 +48,7 @@
 
 
 def returns_cold(rows, span, gap=0):
-    """Return whether each task that went down in the span was restarted cold, after a gap at the earliest."""
+    """Return whether each task that went down in the span was restarted cold, at least `gap` microseconds later."""
     downs = [r for r in rows if r["k"] == "task_down" and span[0] <= r["t"] <= span[1]]
     return downs and all(
         any(u["k"] == "task_up" and u["cold"] and u["task"] == d["task"] and u["t"] >= d["t"] + gap for u in rows)
@@ -54,6 +57,7 @@
 
 
 def rpc_rate(rows, within, zone=""):
+    """Return the RPCs of a zone's proxies, or of all, per microsecond."""
     zones = {r["proxy"]: r["zone"] for r in rows if r["k"] == "standing"}
     return len([r for r in rpcs_begun(rows, within) if zone in ("", zones[r["proxy"]])]) / (within[1] - within[0])
 
@@ -69,7 +73,8 @@
     return max(b - a for a, b in itertools.pairwise(times))
 
 
-FAULTS = {  # kind: (keys of the fault, predicate that its recording fulfills)
+# Kind: (keys of the fault, predicate that its recording fulfills). A space after a kind marks its second entry.
+FAULTS = {
     "release": ("for_s=4 part=0.5", lambda rows, span: sum(r["k"] == "task_up" and r["cold"] for r in rows) == 3),
     "restart_in_place": ("part=0.5", returns_cold),
     "vanish": ("for_s=4 part=0.3", lambda rows, span: fewer_succeed(rows, span) or slower(rows, span)),
@@ -141,14 +146,15 @@
 
 
 def events_in(rows, within):
-    seen = [r["events"] for r in rows if r["k"] == "state" and within[0] <= r["t"] <= within[1]]
-    return seen[-1] - seen[0]
+    """Return the number of events that the assigner handled within a time span."""
+    counts = [r["events"] for r in rows if r["k"] == "state" and within[0] <= r["t"] <= within[1]]
+    return counts[-1] - counts[0]
 
 
 def streams_stay_broken(rows, span):
     """Return whether a stream broke and none was opened before the end of the span."""
-    ends = [r for r in rows if r["k"] == "stream" and span[0] <= r["t"] < span[1] and r["who"] != "agent"]
-    return ends and not any(r["up"] for r in ends)
+    changes = [r for r in rows if r["k"] == "stream" and span[0] <= r["t"] < span[1] and r["who"] != "agent"]
+    return changes and not any(r["up"] for r in changes)
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -177,5 +183,5 @@
     shared = {"peers_cut"}  # affects shared fleets only, which are tested by a command of their own
     assert set(hunt.RANGES) == set(scenario.FAULT_FORMS) - shared - {"unread"}
     assert shared <= set(takeover.RANGES)
-    in_days = {"unread", "streams_broken", "assigner_killed", "proxies_killed", *shared}
-    assert set(scenario.FAULT_FORMS) - tested == in_days
+    tested_in_days = {"unread", "streams_broken", "assigner_killed", "proxies_killed", *shared}
+    assert set(scenario.FAULT_FORMS) - tested == tested_in_days
