--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -28,7 +28,7 @@
     Attributes:
         verdicts: Verdicts of the rules.
         figures: Metrics of the day, with the keys of `--json`.
-        faults: Name, kind, start and end of each fault, in seconds of the day.
+        faults: `name`, `kind`, start (`begun`) and end (`ended`) of each fault, in seconds of the day.
         parity: (tables compared between the protocols, tables that differ, description of the first that differs).
     """
 
@@ -44,7 +44,7 @@
     Its methods that are named like kinds of faults cause these faults; scenarios and recordings use the same names.
 
     Attributes:
-        faults: Faults that have ended, as in `Outcome`.
+        faults: Faults that have ended, as in `Outcome`, but in microseconds of the clock until the day is over.
         started_faults: Names of the faults that have begun.
         failures: Failures of faults. They fail the day, because a day without one of its faults proves nothing.
     """
--- a/hollyridge/lab/fleet.py
+++ b/hollyridge/lab/fleet.py
@@ -14,7 +14,7 @@
 
 TASK_START_TIMEOUT_S = 15  # timeout of a task's start, after which the day fails
 FIRST_TASK_HOST = 10  # host number in the network of a zone; lower ones are reserved for the zone itself
-FIRST_PROXY_HOST = 0x8000
+FIRST_PROXY_HOST = 0x8000  # host number, far above those of tasks so that no two stand-ins share an address
 RATE_SIGMA = 0.5  # sigma of the lognormal distribution of the proxies' rates
 RESTART_TABLE_LINES = 5  # number of lines in the first table of a restarted proxy
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
@@ -76,7 +76,7 @@
         self.task_workers: list[Worker] = []
         self.proxy_workers: list[Worker] = []
         self.agents: list[Agent] = []
-        self._starting: dict[str, Result] = {}  # by run
+        self._starting: dict[str, Result] = {}  # set to the task's address once the run has started, by run
         self._run_count = 0
         self._last_task_host = FIRST_TASK_HOST
 
--- a/hollyridge/lab/scenario.py
+++ b/hollyridge/lab/scenario.py
@@ -301,10 +301,8 @@
             config = self._read_settings()
             if times == 1.0:
                 return config
-            for key in (
-                "lines_per_s",
-                "most_waiting",
-            ):  # both the proxies and the lines that each is sent multiply by `times`
+            # Both the number of proxies and the number of lines that each is sent are multiplied by `times`.
+            for key in ("lines_per_s", "most_waiting"):
                 self.overrides["channel", key] = str(getattr(config.channel, key) * times * times)
             return self._read_settings()
         except FaultsError as error:
@@ -320,7 +318,10 @@
     def _check_methods(self, config: assigner.ServiceConfig) -> None:
         for key in ("work_ms", "shares"):
             if len(getattr(self.sections["load"], key)) != len(config.methods):
-                self.problems.append(f"[load] {key}: {len(config.methods)} figures wanted, one per method")
+                self.problems.append(
+                    f"[load] {key}: {len(config.methods)} figures wanted, one per method, "
+                    f"found {len(getattr(self.sections['load'], key))}"
+                )
 
     def _check_fault(self, name: str, fault: FaultSection, config: assigner.ServiceConfig) -> None:
         forms = FAULT_FORMS[fault.kind]
@@ -333,4 +334,7 @@
                 f"[trouble {name}] how: {fault.how!r:.80} found, expected {', '.join(forms) or 'no key for this kind'}"
             )
         if fault.at_s >= self.sections["day"].length_s:
-            self.problems.append(f"[trouble {name}] at_s: {fault.at_s} found, expected a time before the day's end")
+            self.problems.append(
+                f"[trouble {name}] at_s: {fault.at_s} found, "
+                f"expected less than length_s = {self.sections['day'].length_s}"
+            )
--- a/tests/lab/test_lab_day.py
+++ b/tests/lab/test_lab_day.py
@@ -46,19 +46,19 @@
 
 @pytest.mark.parametrize("name", DAYS)
 def test_day_keeps_the_rules_or_reports_the_broken_one(days, name):
-    out, err = days[name].communicate(timeout=120)
+    stdout, stderr = days[name].communicate(timeout=120)
     broken = DAYS[name][2]
-    assert days[name].returncode == (1 if broken else 0), err.decode()[-2000:]
-    report = json.loads(out)
+    assert days[name].returncode == (1 if broken else 0), stderr.decode()[-2000:]
+    report = json.loads(stdout)
     broken_rules = {row["rule"] for row in report["rules"] if not row["kept"]}
     assert broken in broken_rules if broken else not broken_rules
     assert report["rpcs"] > 100
     assert report["messages"] > 0
     if name == "an assigner of three dies":
-        owned = report["ownership"]
-        assert owned["orphaned"] > 0 == owned["doubly_ordered"]
-        assert owned["orphaned_max_s"] < 10
-        assert owned["moves"] > 0
+        ownership = report["ownership"]
+        assert ownership["orphaned"] > 0 == ownership["doubly_ordered"]
+        assert ownership["orphaned_max_s"] < 10
+        assert ownership["moves"] > 0
 
 
 def test_both_protocols_deliver_equal_tables_and_a_difference_is_detected(tmp_path):
