--- a/hollyridge/lab/day.py
+++ b/hollyridge/lab/day.py
@@ -7,7 +7,7 @@
 
 from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.metrics import figures_of
-from hollyridge.lab.checks.ownership import of_day
+from hollyridge.lab.checks.ownership import ownership_figures
 from hollyridge.lab.checks.parity import compare
 from hollyridge.lab.checks.rules import check
 from hollyridge.lab.checks.verdicts import RuleLimits, Verdict
@@ -109,7 +109,7 @@
         evidence = Evidence(rows)
         figures = figures_of(evidence, self.methods())
         if self.scenario.fleet.shared:
-            figures["ownership"] = of_day(evidence)
+            figures["ownership"] = ownership_figures(evidence)
         return Outcome(check(evidence, self.limits()), figures, self.faults, parity)
 
     def methods(self) -> list[dict]:
--- a/hollyridge/lab/stand_ins/gateways.py
+++ b/hollyridge/lab/stand_ins/gateways.py
@@ -89,7 +89,7 @@
         reply_to, message = codec.decode(frame)
         if isinstance(message, codec.SendWeights):
             self.proxy.apply(sum(len(group.weights) for group in message.groups))
-            self.take(message)
+            self.handle_message(message)
         elif getattr(message, "code", 0) and reply_to == REGISTRATION_NUMBER:
             raise RefusedError(message.code)
         return reply_to, message
@@ -146,7 +146,7 @@
         reply_to, message = self.gateway.receive(frame)
         self.answered = self.answered or reply_to >= self.last_number
         if reply_to >= REGISTRATION_NUMBER or isinstance(message, codec.SendWeights):
-            self.gateway.alive()
+            self.gateway.record_activity()
 
     def _keep_heartbeat(self) -> None:
         lease_s = self.gateway.ownership.lease_s
@@ -198,7 +198,7 @@
         frame = codec.encode(self.number, message)
         self.record.frame("said", self.agent, self.stream_number, frame)
         connection = self.stream.connection
-        self.stream.server.take(connection, frame)
+        self.stream.server.handle_message(connection, frame)
         reply = connection.replies.pop()
         self.record.frame("heard", self.agent, self.stream_number, reply)
         return codec.decode(reply)[1]
--- a/hollyridge/lab/stand_ins/live.py
+++ b/hollyridge/lab/stand_ins/live.py
@@ -16,7 +16,7 @@
 
 from hollyridge.core.event_loop import CLOCK_OFFSET_US
 from hollyridge.lab.day import Day, DayError
-from hollyridge.lab.reports.record import STATE, Recorder, now_us, read_all
+from hollyridge.lab.reports.record import RECORDED_STATUS_KEYS, Recorder, now_us, read_all
 from hollyridge.lab.scenario import Scenario
 from hollyridge.lab.stand_ins.agent import Agent
 from hollyridge.lab.stand_ins.ports import free_port, free_ports
@@ -235,5 +235,5 @@
 
 def _state_record(number: int, core: dict) -> dict:
     """Return the record that a simulated assigner would write of this state."""
-    state = {key: core[key] for key in STATE}
+    state = {key: core[key] for key in RECORDED_STATUS_KEYS}
     return {"k": "state", "t": core["at"] - CLOCK_OFFSET_US, "assigner": number, **state, **core["module"]}
--- a/hollyridge/lab/stand_ins/simulated_process.py
+++ b/hollyridge/lab/stand_ins/simulated_process.py
@@ -10,7 +10,7 @@
 
 from hollyridge.decisions.assigner import Assigner
 from hollyridge.lab.experiments.policies import POLICIES
-from hollyridge.lab.reports.record import STATE
+from hollyridge.lab.reports.record import RECORDED_STATUS_KEYS
 from hollyridge.lab.stand_ins.simulation import OTLP_PORT, SASP_PORT, US_PER_S, Simulation
 from hollyridge.lab.stand_ins.sockets import Context
 from hollyridge.otlp.reading import KIND_BY_METRIC
@@ -212,7 +212,7 @@
 
     def _record_state(self, service: Service) -> None:
         status = service.engine.status()
-        core = {key: status[key] for key in STATE}
+        core = {key: status[key] for key in RECORDED_STATUS_KEYS}
         self.simulation.record("state", assigner=self.number, **core, **status["module"])
         if service.peers is not None:
             self.simulation.record("claims", assigner=self.number, uids=list(service.peers.lease_manager.held))
--- a/hollyridge/lab/stand_ins/streams.py
+++ b/hollyridge/lab/stand_ins/streams.py
@@ -66,7 +66,7 @@
         if not self.open:
             return
         self.open = False
-        self.connection.closed = self.connection.closed or "closed"
+        self.connection.close_reason = self.connection.close_reason or "closed"
         if self.process.service is not None and self.server is self.process.service.sasp_server:
             self.server.end(self.connection)
         self.simulation.world.spawn(self.on_frame, None)
@@ -86,7 +86,7 @@
         if self.process.defer_if_stalled(self._on_server_received, frame):
             return
         if self.open:
-            self.server.take(self.connection, frame)
+            self.server.handle_message(self.connection, frame)
             self.wake_writer()
 
     def wake_writer(self) -> None:
@@ -99,7 +99,7 @@
         if self.process.defer_if_stalled(self._write_due):
             return
         self.writer_due = False
-        if not self.open or self.connection.closed:
+        if not self.open or self.connection.close_reason:
             return
         while self.connection.replies:
             self._send_to_client(self.connection.replies.popleft(), [])
