--- a/hollyridge/resp/server.py
+++ b/hollyridge/resp/server.py
@@ -163,7 +163,7 @@
                 self._reject(connection, str(error))
             connection.close_reason = connection.close_reason or str(error)
         finally:
-            connection.close_reason = connection.close_reason or "closed by the other side"
+            connection.close_reason = connection.close_reason or "closed by the peer"
             self._remove(connection)
             with contextlib.suppress(OSError):  # the peer may have closed the connection first
                 sock.shutdown(socket.SHUT_WR)
