--- a/hollyridge/lab/checks/chp_listener.py
+++ b/hollyridge/lab/checks/chp_listener.py
@@ -70,7 +70,7 @@
         return MessageEffect(self._joins(message, subtree), lines, version, changed)
 
     def _completed(self, message: codec.Message, subtree: str, seq_before: int) -> tuple[int, int]:
-        """Return the number of lines that this message completes, and their version."""
+        """Return the number of lines that this message completes, and their version; 0 and 0 if none."""
         replica = self.client.replicas.get(subtree)
         if replica is None or replica.head.seq == seq_before:
             return 0, 0
--- a/hollyridge/lab/checks/cold_rule.py
+++ b/hollyridge/lab/checks/cold_rule.py
@@ -9,8 +9,9 @@
 from hollyridge.lab.checks.evidence import Evidence
 from hollyridge.lab.checks.verdicts import RuleLimits, Verdict, WorstMoment
 
-AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3  # share of work that must come from proxies that could know
-END_OF_TIME = 1 << 62
+# The load of a cold task counts only if this share of its work comes from proxies that could know of the start.
+AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3
+END_OF_TIME = 1 << 62  # later than any recorded time
 
 
 class _Arrival(NamedTuple):
@@ -28,10 +29,10 @@
 
 
 def check_cold_tasks(evidence: Evidence, limits: RuleLimits) -> Verdict:
-    """Return the verdict on rule 4.
+    """Return the verdict on rule 4: no cold task is overloaded by proxies that could know that it was cold.
 
-    A load counts if most of it came from proxies that knew of the start, or whose assigner had known of it for the
-    grace period.
+    A load counts if at least two thirds of it came from proxies that knew of the start, or whose assigner had known of
+    it for the grace period.
     """
     worst = WorstMoment("no cold task was near its limit")
     starts: dict[tuple[str, str], dict] = {}
@@ -55,8 +56,8 @@
     window.append(_Arrival(row["t"], row["work"], row["proxy"]))
     while window[0].at <= row["t"] - limits.fall_us:
         window.popleft()
-    fraction = start["cold_from"] + (1 - start["cold_from"]) * age_us / start["cold_us"]
-    allowed_us = limits.fall_multiple * start["cores"] * start["speed"] * fraction * limits.fall_us
+    capacity_fraction = start["cold_from"] + (1 - start["cold_from"]) * age_us / start["cold_us"]
+    allowed_us = limits.fall_multiple * start["cores"] * start["speed"] * capacity_fraction * limits.fall_us
     work_us = sum(arrival.work_us for arrival in window)
     known = _known_since(evidence, row["task"], row["run"])
     if not known:
--- a/hollyridge/lab/checks/evidence.py
+++ b/hollyridge/lab/checks/evidence.py
@@ -20,7 +20,7 @@
 OPEN = -1  # end of a span that has not ended
 BEFORE_FIRST = -1  # start of a run at a time before the first recorded start of the assigner
 MAX_UPTIME_S = 1e9
-SUCCESS = 0
+SUCCESS = 0  # code of a `RegisterReply` to an accepted registration
 
 
 class TaskNews(NamedTuple):
@@ -163,7 +163,7 @@
         evidence: The evidence to fill.
         keep_tables: Whether to keep all tables that proxies held.
         requests: Send time and message of each unanswered SASP request, by client, stream and message number.
-        held: Tables of each SASP proxy.
+        held_weights: Tables of each SASP proxy.
         held_stream: Stream that the tables of each SASP proxy belong to.
         groups: Groups or methods that each proxy's tables are for.
         listeners: State of each CHP proxy.
@@ -174,7 +174,7 @@
         self.evidence = evidence
         self.keep_tables = keep_tables
         self.requests: dict[tuple[str, int, int], tuple[int, codec.Message]] = {}
-        self.held: dict[str, HeldWeights] = defaultdict(HeldWeights)
+        self.held_weights: dict[str, HeldWeights] = defaultdict(HeldWeights)
         self.held_stream: dict[str, int] = {}
         self.groups: dict[str, list[str]] = {}
         self.listeners: dict[str, ChpListener] = {}
@@ -258,12 +258,12 @@
     def _on_registered(self, proxy: str, at: int) -> None:
         self._note_joined(proxy, at)
         for group in self.groups.get(proxy, ()):  # its table from an earlier stream may be empty
-            if group in self.held[proxy].tables and not self.held[proxy].lines(group):
+            if group in self.held_weights[proxy].tables and not self.held_weights[proxy].lines(group):
                 self._note_lines(proxy, group, True, at)
 
     def _on_weights(self, row: dict, number: int, message: codec.SendWeights | codec.GetWeightsReply) -> None:
         proxy, at = row["who"], row["t"]
-        held = self.held[proxy]
+        held = self.held_weights[proxy]
         if self.held_stream.get(proxy) != row["stream"]:
             self.held_stream[proxy] = row["stream"]
             held.new_stream()
@@ -277,6 +277,12 @@
             self._note_lines(proxy, group, not held.lines(group), at)
 
     def _on_agent_answer(self, key: tuple[str, int, int], answer: codec.Message) -> None:
+        """Record what an assigner learns from an agent's request, unless it rejects the request.
+
+        Args:
+            key: Client, stream and message number; the name of an agent ends in the number of its assigner.
+            answer: The assigner's answer.
+        """
         request = self.requests.pop(key, None)
         if not request or answer.code not in (codec.Code.OK, codec.Code.ALREADY_REGISTERED):
             return
--- a/hollyridge/lab/checks/lease_model_check.py
+++ b/hollyridge/lab/checks/lease_model_check.py
@@ -56,9 +56,9 @@
 class World:
     """One state of the model.
 
-    Moves of the proxy: it asks an assigner for a lease after its stream broke, with or without a plea, or acknowledges
-    its fencing token to the assigner that it has a stream to. Moves of an assigner: it sends an update, checks its
-    leases or restarts. Other moves: a partition begins or ends, an update arrives, or time passes.
+    Moves of the proxy: it asks an assigner for a lease after its stream broke, as a fallback or not; or it
+    acknowledges its fencing token to the assigner that it has a stream to. Moves of an assigner: it sends an update,
+    checks its leases or restarts. Other moves: a partition begins or ends, an update arrives, or time passes.
 
     Attributes:
         fencing_checker: The proxy's check of fencing tokens.
@@ -69,7 +69,7 @@
         now: Model time, in steps.
         cut: Whether the assigners are partitioned from each other.
         run: Number of the current run of each assigner.
-        owners: Lease manager of each assigner.
+        lease_managers: Lease manager of each assigner.
         stream: Assigner that the proxy has a stream to; empty if it has none.
         in_flight: Updates in flight.
         applied: Assigner, run and fencing token of the applied updates, in order.
@@ -85,7 +85,7 @@
         self.now = 0
         self.cut = False
         self.run = dict.fromkeys(NAMES, 0)
-        self.owners: dict[str, LeaseManager] = {}
+        self.lease_managers: dict[str, LeaseManager] = {}
         self.stream = ""
         self.in_flight: list[Update] = []
         self.applied: list[tuple[str, int, int]] = []
@@ -94,23 +94,25 @@
             self._start(name)
 
     def _start(self, name: str) -> None:
-        self.owners[name] = LeaseManager(name, LEASE)
+        self.lease_managers[name] = LeaseManager(name, LEASE)
         self._update_members(name)
 
     def _update_members(self, name: str) -> None:
         alive = [name] if self.cut else NAMES
-        self.owners[name].handle(self.now, MembersChanged({member: MemberState("", 1.0, 0) for member in alive}))
+        self.lease_managers[name].handle(
+            self.now, MembersChanged({member: MemberState("", 1.0, 0) for member in alive})
+        )
 
     def moves(self) -> list[tuple]:
         """Return the possible moves, each as its kind and arguments."""
         moves: list[tuple] = []
         if self.asks:
-            moves += [("ask", name, plea) for name in NAMES for plea in (False, True)]
+            moves += [("ask", name, is_fallback) for name in NAMES for is_fallback in (False, True)]
         if self.orders:
-            moves += [("order", name) for name in NAMES if UID in self.owners[name].held]
+            moves += [("order", name) for name in NAMES if UID in self.lease_managers[name].held]
         if self.stream:
             moves.append(("hear",))
-        moves += [("tick", name) for name in NAMES if self.owners[name].held]
+        moves += [("tick", name) for name in NAMES if self.lease_managers[name].held]
         if self.restarts:
             moves += [("restart", name) for name in NAMES]
         if self.steps:
@@ -123,11 +125,11 @@
         kind, *arguments = move
         getattr(self, f"_on_{kind}")(*arguments)
 
-    def _on_ask(self, name: str, plea: bool) -> None:
+    def _on_ask(self, name: str, is_fallback: bool) -> None:
         """Let the proxy ask an assigner; the assigner of its old stream does not learn that the stream is gone."""
         self.asks -= 1
-        for effect in self.owners[name].handle(
-            self.now, LeaseRequested(UID, "", self.fencing_checker.next_token(), plea)
+        for effect in self.lease_managers[name].handle(
+            self.now, LeaseRequested(UID, "", self.fencing_checker.next_token(), is_fallback)
         ):
             if isinstance(effect, LeaseGranted):
                 self.stream = name
@@ -135,21 +137,21 @@
 
     def _on_order(self, name: str) -> None:
         self.orders -= 1
-        owners = self.owners[name]
-        if owners.may_send_commands(self.now, UID):
-            self.in_flight.append(Update(name, self.run[name], owners.fencing_token(UID)))
+        manager = self.lease_managers[name]
+        if manager.may_send_commands(self.now, UID):
+            self.in_flight.append(Update(name, self.run[name], manager.fencing_token(UID)))
 
     def _on_hear(self) -> None:
         """Let the assigner of the proxy's stream receive the proxy's acknowledgment."""
-        owners = self.owners[self.stream]
+        manager = self.lease_managers[self.stream]
         acknowledged = TokenAcknowledged(UID, self.fencing_checker.newest_token)
-        if UID not in owners.held or any(
-            isinstance(effect, ReleaseProxy) for effect in owners.handle(self.now, acknowledged)
+        if UID not in manager.held or any(
+            isinstance(effect, ReleaseProxy) for effect in manager.handle(self.now, acknowledged)
         ):
             self.stream = ""
 
     def _on_tick(self, name: str) -> None:
-        for effect in self.owners[name].handle(self.now, Tick()):
+        for effect in self.lease_managers[name].handle(self.now, Tick()):
             if isinstance(effect, ReleaseProxy) and self.stream == name:
                 self.stream = ""
 
@@ -186,11 +188,11 @@
             (
                 name,
                 self.run[name],
-                owners.fencing_token(UID),
-                owners.held[UID].renewed_at_us if UID in owners.held else -1,
-                owners.held[UID].fallback_at_us if UID in owners.held else -1,
+                manager.fencing_token(UID),
+                manager.held[UID].renewed_at_us if UID in manager.held else -1,
+                manager.held[UID].fallback_at_us if UID in manager.held else -1,
             )
-            for name, owners in self.owners.items()
+            for name, manager in self.lease_managers.items()
         )
         return (
             leases,
@@ -208,7 +210,7 @@
 
 
 def can_recover(world: World) -> bool:
-    """Return whether the proxy is sent updates by either assigner after a request with a plea."""
+    """Return whether each assigner sends the proxy updates after a fallback request."""
     for name in NAMES:
         later = copy.deepcopy(world)
         later.apply(("ask", name, True))
--- a/hollyridge/lab/checks/metrics.py
+++ b/hollyridge/lab/checks/metrics.py
@@ -11,7 +11,7 @@
 LATE_FRACTION = 0.1  # part of the criticality earned after the soft deadline, but in time for the client
 US_PER_S = 1_000_000
 WORST_WINDOW_S = 10
-BASELINE_S = 10  # time before a fault that service after its start is compared with
+BASELINE_S = 10  # length of the window before a fault whose service is the baseline
 RECOVERY_WINDOW_S = 3
 RECOVERY_LIMIT_S = 30
 RECOVERED_FRACTION = 0.9
@@ -55,7 +55,7 @@
 
     Args:
         evidence: What was recorded.
-        methods: Keys name, criticality, soft_us and deadline_us of each method, by its number.
+        methods: The methods in the order of their numbers, each with keys name, criticality, soft_us and deadline_us.
     """
     rows = evidence.rows
     totals = _add_up(rows, methods)
@@ -64,7 +64,7 @@
     earned = sum(served.earned for served in by_method.values())
     requested = sum(served.requested for served in by_method.values())
     received = evidence.messages.items()
-    decisions = {(evidence.run_of(uid, message.at), message.number) for uid, some in received for message in some}
+    decisions = {(evidence.run_of(uid, message.at), message.number) for uid, updates in received for message in updates}
     return {
         "rpcs": _count(rows, "done"),
         "ok": totals.ok,
@@ -110,7 +110,7 @@
 
 
 def _fraction(served: list[_Served]) -> float:
-    return sum(one.earned for one in served) / max(sum(one.requested for one in served), MIN_DIVISOR)
+    return sum(sums.earned for sums in served) / max(sum(sums.requested for sums in served), MIN_DIVISOR)
 
 
 def _worst_window(by_second: dict[int, _Served], seconds: list[int]) -> float:
@@ -161,6 +161,6 @@
         start = row["t"] // US_PER_S
         limit = RECOVERED_FRACTION * (fraction(start - BASELINE_S, BASELINE_S) or 1.0)
         end = min(start + RECOVERY_LIMIT_S, max(by_second, default=0) - RECOVERY_WINDOW_S + 1)
-        low = [second for second in range(start, end) if fraction(second, RECOVERY_WINDOW_S) < limit]
-        recovered[row["name"]] = low[-1] - start + 1 if low else 0
+        degraded = [second for second in range(start, end) if fraction(second, RECOVERY_WINDOW_S) < limit]
+        recovered[row["name"]] = degraded[-1] - start + 1 if degraded else 0
     return recovered
--- a/hollyridge/lab/checks/parity.py
+++ b/hollyridge/lab/checks/parity.py
@@ -10,9 +10,9 @@
 from hollyridge.lab.checks.evidence import Evidence, HeldTable
 from hollyridge.sasp.weight_advice import MIN_LARGEST_SASP_WEIGHT
 
-MAX_DISTANCE = (
-    2 / MIN_LARGEST_SASP_WEIGHT
-)  # of the largest line; covers 16-bit weights and the rounding down of a cold task
+# Largest difference of a line, as a share of the largest line, at which two tables count as equal. It covers 16-bit
+# weights and the rounding down of a cold task.
+MAX_DISTANCE = 2 / MIN_LARGEST_SASP_WEIGHT
 
 Run = tuple[int, int]  # number of an assigner, and start of its run in microseconds
 
@@ -116,14 +116,16 @@
         return lines
 
 
-def distance(one: dict[str, float], other: dict[str, float]) -> tuple[float, str]:
+def distance(first: dict[str, float], second: dict[str, float]) -> tuple[float, str]:
     """Return the largest difference of two tables and its task; weights are relative to each table's largest.
 
     >>> distance({"a": 100.0, "b": 50.0}, {"a": 1.0, "b": 0.5})
     (0.0, 'a')
     """
-    largest = max(one.values(), default=1.0)
-    largest_other = max(other.values(), default=1.0)
-    tasks = sorted({**one, **other})
-    gaps = [(abs(one.get(task, 0.0) / largest - other.get(task, 0.0) / largest_other), task) for task in tasks]
+    largest_first = max(first.values(), default=1.0)
+    largest_second = max(second.values(), default=1.0)
+    tasks = sorted({**first, **second})
+    gaps = [
+        (abs(first.get(task, 0.0) / largest_first - second.get(task, 0.0) / largest_second), task) for task in tasks
+    ]
     return max(gaps, key=lambda gap: gap[0], default=(0.0, "nothing"))
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -16,14 +16,15 @@
 from hollyridge.chp.replica import Replica, ReplicaChanges
 
 SUBTREE = "/table/0/"
+# Names of the lines at each version; further versions repeat them.
 VERSIONS = (("a", "b"), ("b", "c"), ("a", "c", "d"), ("d",))
-RUNS = 2
+RUNS = 2  # runs of the assigner
 VERSIONS_COMPARED = 64  # versions of each run that the replica's table is compared with
 HEARTBEAT_MS = 500
 MAX_NETWORK_FAULTS = 4  # number of messages that the network may lose, duplicate or swap
 MAX_PUBLISHED = 8  # messages in flight, from which on no heartbeat is published
 MAX_PUBLISHED_CHANGES = 5  # messages in flight, from which on no change is published
-SETTLE_MOVES = 200
+SETTLE_MOVES = 200  # limit on the moves in which a state must settle
 SETTLE_SAMPLE = 7  # about one in 7 of the deepest states is also checked for settling
 SNAPSHOT_REQUEST = "ICANHAZ"  # represents a request that has not arrived yet
 
