--- a/hollyridge/lab/experiments/experiment.py
+++ b/hollyridge/lab/experiments/experiment.py
@@ -23,7 +23,7 @@
 DAY_TIMEOUT_S = 3600  # real time; a simulated day takes seconds to minutes
 MAX_ERROR_CHARACTERS = 400  # the end of a traceback shows why a day failed
 MAX_SHOWN_ERROR_CHARACTERS = 120
-BATCHES_PER_WORKER = 4  # days that each worker runs before the difference is tested again
+BATCH_DAYS_PER_WORKER = 4  # days that each worker runs before the difference is tested again
 SUMMARY_FIGURES = ("served", "worst_10s", "decisions_sent", "messages", "lines", "tries")
 
 
@@ -140,7 +140,7 @@
         checkouts = Checkouts(REPOSITORY)
         folders = {variant: checkouts.of(variant) for variant in (self.a, self.b)}
         missing = [job for job in jobs if job.key not in done]
-        batch_size = BATCHES_PER_WORKER * workers
+        batch_size = BATCH_DAYS_PER_WORKER * workers
         with ThreadPoolExecutor(workers) as pool:
             for first in range(0, len(missing), batch_size):
                 batch = missing[first : first + batch_size]
@@ -208,13 +208,13 @@
 
 def summary(rows: Iterable[dict], variant: Variant) -> dict:
     """Return the means of a variant's figures and its failed days, as `lab compare --json` prints them."""
-    own_rows = [row for row in rows if row["variant"] == variant.name]
-    good = [row for row in own_rows if "failed" not in row]
+    variant_rows = [row for row in rows if row["variant"] == variant.name]
+    good = [row for row in variant_rows if "failed" not in row]
     means = {key: round(sum(row[key] for row in good) / len(good), 4) if good else None for key in SUMMARY_FIGURES}
     return {
         "variant": variant.name,
         "days": len(good),
         **means,
         "days_with_a_broken_rule": sum(row["broken"] > 0 for row in good),
-        "not_played": [row["failed"][-MAX_SHOWN_ERROR_CHARACTERS:] for row in own_rows if "failed" in row],
+        "not_played": [row["failed"][-MAX_SHOWN_ERROR_CHARACTERS:] for row in variant_rows if "failed" in row],
     }
--- a/hollyridge/lab/experiments/fault_draw.py
+++ b/hollyridge/lab/experiments/fault_draw.py
@@ -26,7 +26,7 @@
 
 def draw_fault(rng: Random, kind: str, ranges: FaultRanges, first_s: float, last_s: float) -> FaultSection:
     """Draw one fault of a kind that begins between two times, in seconds from the start of the day."""
-    return FaultSection(  # a seed yields the same day only while the order of the draws stays
+    return FaultSection(  # another order of the draws would change the day that a seed yields
         kind=kind,
         at_s=round(rng.uniform(first_s, last_s), 2),
         for_s=round(rng.uniform(*ranges.duration_s), 2),
--- a/hollyridge/lab/experiments/flood.py
+++ b/hollyridge/lab/experiments/flood.py
@@ -31,7 +31,19 @@
 
 
 class Flood:
-    """The two assigners, their clients, and counts of the data points sent to the limited one."""
+    """The two assigners, their clients, and counts of the data points sent to the limited one.
+
+    Attributes:
+        limited: Assigner with the report budget under test.
+        unlimited: Assigner that reads all reports.
+        assigners: Both assigners.
+        members: Tasks that are registered with both.
+        reports: Generator of the reports.
+        clients: Open SASP connections to both assigners.
+        followers: Greenlets that apply pushed weights.
+        weights: Weights that load balancers received, by assigner and zone.
+        counts: Data points sent, accepted (`kept`) and rejected (`shed`), and those of quiet senders.
+    """
 
     def __init__(self, limited: Assigner, unlimited: Assigner, tasks: int, seed: int) -> None:
         self.limited = limited
--- a/hollyridge/lab/experiments/flood_reports.py
+++ b/hollyridge/lab/experiments/flood_reports.py
@@ -8,8 +8,8 @@
 from hollyridge.otlp.sender import MetricPoint
 
 FLOODING_ADDRESS = "127.0.0.2"  # the only address that floods
-MEAN_LATENCY_S = 0.08
-UTILIZATION = 0.35
+MEAN_LATENCY_S = 0.08  # of an attempt at a task that is not slow
+UTILIZATION = 0.35  # of a task that is not slow
 MAX_UTILIZATION = 0.95
 SLOW_FACTOR = 2.0  # factor on latency and utilization of a slow task
 SLOW_OF = (2, 5)  # 2 of 5 tasks are slow
--- a/hollyridge/lab/experiments/policies.py
+++ b/hollyridge/lab/experiments/policies.py
@@ -97,14 +97,17 @@
 
     def weights(self, zone: int) -> dict[int, float]:
         """Return the same weight for the zone's own tasks, or for all ready tasks if it has none."""
-        own = [task for task, home in self.zone_by_task.items() if home == zone]
-        return dict.fromkeys(own or self.zone_by_task, 1.0)
+        zone_tasks = [task for task, home in self.zone_by_task.items() if home == zone]
+        return dict.fromkeys(zone_tasks or self.zone_by_task, 1.0)
 
 
 class LeastLatency(Baseline):
     """Baseline with weights inverse to the mean latency in the zone's last reports, pushed on every change.
 
     A task without a report counts as fast as the fastest of the others.
+
+    Attributes:
+        latency_us: Mean latency in the last report, by zone and task, in microseconds.
     """
 
     def __init__(self, config: AssignerConfig, seed: int) -> None:
--- a/hollyridge/lab/experiments/sweep.py
+++ b/hollyridge/lab/experiments/sweep.py
@@ -121,8 +121,8 @@
     axes.legend(fontsize=6, ncols=3)
 
 
-def page(rows: list[dict], out: Path, name: str) -> Path:
-    """Write the page of a sweep's results and return its path.
+def page(rows: list[dict], folder: Path, name: str) -> Path:
+    """Write the page of a sweep's results into a folder and return its path.
 
     Raises:
         ReportError: If none of the sizes could be run.
@@ -142,4 +142,4 @@
     ]
     table = [{key: value for key, value in row.items() if key not in ("parts", "nearest")} for row in good]
     failed = [f"{row['times']} times, {row['assigners']} assigners: {row['failed']}" for row in rows if "failed" in row]
-    return PlotPage(name, ["One simulated day at growing size.", *failed], table, plots).write(out)
+    return PlotPage(name, ["One simulated day at growing size.", *failed], table, plots).write(folder)
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -83,7 +83,13 @@
 
 
 def play(  # noqa: PLR0913, PLR0917 - a scenario and overrides of its keys, one argument each
-    path: str, seed: int, front: str, shared: bool = True, assigners: int = 0, times: float = 1.0, own: bool = False
+    path: str,
+    seed: int,
+    front: str,
+    shared: bool = True,
+    assigners: int = 0,
+    times: float = 1.0,
+    keep_faults: bool = False,
 ) -> TakeoverDay:
     """Run one simulated day.
 
@@ -94,11 +100,11 @@
         shared: Whether the assigners share the fleet; otherwise they do not know each other.
         assigners: Number of assigners; that of the scenario if 0.
         times: Factor on fleet, load and pace.
-        own: Whether to keep the scenario's own faults instead of drawing some.
+        keep_faults: Whether to keep the scenario's own faults instead of drawing some.
     """
     scenario = scenarios.load(path, fronts=(front,), assigners=assigners, times=times)
     scenario.fleet = scenario.fleet.model_copy(update={"shared": shared})
-    if not own:
+    if not keep_faults:
         scenario = with_faults(scenario, draw(Random(seed), scenario.day.length_s))
     environment = SimulatedEnvironment(scenario, "", seed)
     outcome = Day(scenario, environment, seed).play()
@@ -141,13 +147,13 @@
     Returns:
         The days in the order of their seeds.
     """
-    found = []
+    days = []
     with ProcessPoolExecutor(at_once or max(1, (os.cpu_count() or 2) - 1)) as pool:
         jobs = [pool.submit(play, str(path), seed, fronts[seed % len(fronts)], shared, assigners) for seed in seeds]
         for job in as_completed(jobs):
-            found.append(job.result())
-            on_result(found[-1])
-    return sorted(found)
+            days.append(job.result())
+            on_result(days[-1])
+    return sorted(days)
 
 
 def longest_gap_s(day: TakeoverDay) -> float:
@@ -155,23 +161,23 @@
     return max([0.0, *(gap.seconds for gap in day.gaps)])
 
 
-def summary(found: list[TakeoverDay]) -> dict:
+def summary(days: list[TakeoverDay]) -> dict:
     """Summarize days in the form of `lab takeover --json`."""
-    seconds = sorted(gap.seconds for day in found for gap in day.gaps)
-    worst = max(found, key=longest_gap_s)
+    seconds = sorted(gap.seconds for day in days for gap in day.gaps)
+    worst = max(days, key=longest_gap_s)
     return {
-        "seeds": len(found),
+        "seeds": len(days),
         "orphaned": len(seconds),
         "orphaned_median_s": round(median(seconds), 3) if seconds else 0.0,
         "orphaned_p99_s": seconds[min(len(seconds) - 1, int(0.99 * len(seconds)))] if seconds else 0.0,
         "orphaned_max_s": seconds[-1] if seconds else 0.0,
         "worst_seed": worst.seed,
         "worst_troubles": list(worst.faults),
-        "doubly_ordered": sum(day.conflicting_updates for day in found),
-        "believed_by_two_max_s": max(day.double_claim_s for day in found),
-        "moves": sum(day.moves for day in found),
-        "rules_broken": sum(len(day.broken) for day in found),
-        "broken_on": [[day.seed, *day.broken] for day in found if day.broken],
-        "served": round(sum(day.served for day in found) / len(found), 4),
-        "wrongly_gone": sum(day.wrongly_gone for day in found),
+        "doubly_ordered": sum(day.conflicting_updates for day in days),
+        "believed_by_two_max_s": max(day.double_claim_s for day in days),
+        "moves": sum(day.moves for day in days),
+        "rules_broken": sum(len(day.broken) for day in days),
+        "broken_on": [[day.seed, *day.broken] for day in days if day.broken],
+        "served": round(sum(day.served for day in days) / len(days), 4),
+        "wrongly_gone": sum(day.wrongly_gone for day in days),
     }
--- a/hollyridge/lab/reports/comparison_plots.py
+++ b/hollyridge/lab/reports/comparison_plots.py
@@ -14,7 +14,7 @@
 
 
 def draw_served_by_day(axes: Axes, days: list[dict], variants: list[str]) -> None:
-    """Plot the served share of each variant over days and seeds, in one order for all."""
+    """Plot the served share of each variant over days and seeds, which are in the same order for all variants."""
     keys = sorted({(day["script"], day["seed"]) for day in days})
     for variant in variants:
         served = {(day["script"], day["seed"]): day["served"] for day in days if day["variant"] == variant}
@@ -30,8 +30,8 @@
     axes.set_yticks(range(1, len(variants) + 1), variants)
 
 
-def write_comparison_page(rows: list[dict], out: Path, name: str) -> Path:
-    """Write the page of a comparison's kept results and return its path.
+def write_comparison_page(rows: list[dict], folder: Path, name: str) -> Path:
+    """Write the page of a comparison's kept results into a folder and return its path.
 
     Raises:
         ReportError: If none of the days could be run.
@@ -48,4 +48,4 @@
         render("Lines sent", partial(draw_figure, figure="lines")),
     ]
     table = [summary(rows, Variant(variant)) for variant in variants]
-    return PlotPage(name, [f"{len(days)} days run."], table, plots).write(out)
+    return PlotPage(name, [f"{len(days)} days run."], table, plots).write(folder)
--- a/hollyridge/lab/reports/day_plots.py
+++ b/hollyridge/lab/reports/day_plots.py
@@ -188,12 +188,12 @@
         return plots
 
 
-def write_day_page(rows: list[dict], out: Path, name: str) -> Path:
+def write_day_page(rows: list[dict], folder: Path, name: str) -> Path:
     """Write the page of a recorded day and return its path.
 
     Args:
         rows: The day's records, sorted by time.
-        out: Folder for the page; created if missing.
+        folder: Folder for the page; created if missing.
         name: Title of the page.
 
     Raises:
@@ -205,4 +205,4 @@
         f"{len(day.rpcs)} RPCs, {succeeded} ok, {len(day.evidence.messages)} proxies; orange lines mark "
         "where a fault begins."
     )
-    return PlotPage(name, [summary], [], day.render()).write(out)
+    return PlotPage(name, [summary], [], day.render()).write(folder)
--- a/hollyridge/lab/reports/profiler.py
+++ b/hollyridge/lab/reports/profiler.py
@@ -64,14 +64,14 @@
     """
     while frame is not None:
         try:
-            steps = Path(frame.f_code.co_filename).relative_to(ROOT).parts
+            path_parts = Path(frame.f_code.co_filename).relative_to(ROOT).parts
         except ValueError:
             frame = frame.f_back
             continue
-        if steps[0] == "lab":
-            return "lab/stand-ins" if steps[-1] in STAND_IN_MODULES else "lab/checker"
-        package = steps[0].removesuffix(".py")
-        return REPORTED_MODULES.get("/".join(steps)) or REPORTED_PACKAGES.get(package, package)
+        if path_parts[0] == "lab":
+            return "lab/stand-ins" if path_parts[-1] in STAND_IN_MODULES else "lab/checker"
+        package = path_parts[0].removesuffix(".py")
+        return REPORTED_MODULES.get("/".join(path_parts)) or REPORTED_PACKAGES.get(package, package)
     return "elsewhere"
 
 
@@ -102,7 +102,8 @@
             simulated_s: Length of the simulated day that was measured, in seconds.
 
         Returns:
-            Simulated, real and CPU seconds, peak memory in megabytes, and the share of samples by part of the program.
+            Simulated, real and CPU seconds, CPU seconds per simulated second, peak memory in megabytes, and the share
+            of samples by part of the program.
         """
         self.stopped.set()
         self.join()
--- a/hollyridge/lab/reports/record.py
+++ b/hollyridge/lab/reports/record.py
@@ -9,13 +9,8 @@
 
 import msgspec
 
-RECORDED_STATUS_KEYS = (
-    "waiting",
-    "decisions",
-    "messages",
-    "puts",
-    "events",
-)  # keys of an assigner's status that recordings keep
+# Keys of an assigner's status that recordings keep.
+RECORDED_STATUS_KEYS = ("waiting", "decisions", "messages", "puts", "events")
 BUFFER_BYTES = 1 << 16  # a day writes thousands of short lines a second
 FLUSH_INTERVAL_US = 500_000  # bounds what a killed process loses
 
--- a/tests/lab/test_lab_experiment_runs.py
+++ b/tests/lab/test_lab_experiment_runs.py
@@ -32,17 +32,17 @@
 
 def test_a_hunt_finds_a_broken_rule_and_reduces_the_day(tmp_path):
     loaded = scenario.load(SMALL)
-    seed, worst, found = hunt.hunt(loaded, range(1, 9), "deaf", max_faults=4)
-    broken = {v.rule for v in found.verdicts if not v.kept}
+    seed, worst_scenario, outcome = hunt.hunt(loaded, range(1, 9), "deaf", max_faults=4)
+    broken = {verdict.rule for verdict in outcome.verdicts if not verdict.kept}
     assert 3 in broken
-    reduced, reduced_outcome = hunt.cut_down(seed, worst, found, "deaf")
+    reduced, reduced_outcome = hunt.cut_down(seed, worst_scenario, outcome, "deaf")
     assert len(reduced.faults) <= 2
-    assert broken <= {v.rule for v in reduced_outcome.verdicts if not v.kept}
+    assert broken <= {verdict.rule for verdict in reduced_outcome.verdicts if not verdict.kept}
     path = tmp_path / "found.ini"
     hunt.write(path, seed, reduced, reduced_outcome)
     again = play_day(path, "deaf", seed)
-    assert broken <= {v.rule for v in again.verdicts if not v.kept}
-    assert all(v.kept for v in play_day(path, "", seed).verdicts)
+    assert broken <= {verdict.rule for verdict in again.verdicts if not verdict.kept}
+    assert all(verdict.kept for verdict in play_day(path, "", seed).verdicts)
 
 
 def test_a_sweep_reports_each_size_and_growing_cost(tmp_path):
--- a/tests/lab/test_lab_report_pages.py
+++ b/tests/lab/test_lab_report_pages.py
@@ -25,9 +25,9 @@
     Day(loaded, SimulatedEnvironment(loaded, "", 3, None, str(record)), 3).play()
     rows = [
         {
-            "variant": v,
+            "variant": variant,
             "script": "s",
-            "seed": s,
+            "seed": seed,
             "served": 0.9,
             "worst_10s": 0.8,
             "lines": 10,
@@ -36,8 +36,8 @@
             "tries": 9,
             "broken": 0,
         }
-        for v in ("a", "b")
-        for s in (1, 2)
+        for variant in ("a", "b")
+        for seed in (1, 2)
     ]
     kept.write_bytes(b"\n".join(map(msgspec.json.encode, rows)))
     for source, images in ((record, 7), (kept, 4)):
--- a/tests/lab/test_lab_reports.py
+++ b/tests/lab/test_lab_reports.py
@@ -32,8 +32,11 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "no first record with key 'k' of a recording or key 'variant' of a kept comparison"),
-        ('{"x":1}', "no first record with key 'k' of a recording or key 'variant' of a kept comparison"),
+        ("", "expected a first record with key 'k' of a recording or key 'variant' of a kept comparison, found none"),
+        (
+            '{"x":1}',
+            "expected a first record with key 'k' of a recording or key 'variant' of a kept comparison, found none",
+        ),
         ('{"k":"state","t":1}', "the recording holds no record of a finished RPC"),
         ('{"variant":"even","failed":"no"}', "no day of the comparison could be run, 1 failed"),
     ],
