--- a/tests/stored.py
+++ b/tests/stored.py
@@ -50,7 +50,7 @@
         if name in DATA_KEYED:
             row = next(iter(value.values()), "")
             return {"*": shape(row)} if isinstance(row, dict) else "*"
-        return {key: shape(one, key) for key, one in value.items()}
+        return {key: shape(member, key) for key, member in value.items()}
     if isinstance(value, (list, tuple)):
         return [shape(value[0])] if value and isinstance(value[0], dict) else []
     return ""
--- a/tests/test_formats_messages.py
+++ b/tests/test_formats_messages.py
@@ -90,6 +90,7 @@
     "go": chp.Go("127.0.0.1:6000", "a0"),
     "ack": chp.Ack("e1", {"/proxy/gw-1/": 12, "/out/all/": 3}, 4),
 }
+# The smallest JSON text of each value, and the value with all defaults that it is decoded to.
 DEFAULTS = {
     "head": (b"{}", chp.Head("", 0, 0, 0, 0, 0, 1000, 1)),
     "line": (b"{}", chp.Line(0.0, 1)),
@@ -193,11 +194,11 @@
 
 def exchange() -> dict[str, str]:
     """Return all kinds of packets, in order, as one exchange between two assigners."""
-    one, two = packet_guard("a0"), packet_guard("a1")
-    sent = {"first": one.seal(messages.Ping(1, "a1", ()))}
-    sent["prove"] = two.open(sent["first"]).answer
-    sent["proof"] = one.open(sent["prove"]).answer
-    sent.update((name, one.seal(message)) for name, message in PACKETS.items())
+    a0, a1 = packet_guard("a0"), packet_guard("a1")
+    sent = {"first": a0.seal(messages.Ping(1, "a1", ()))}
+    sent["prove"] = a1.open(sent["first"]).answer
+    sent["proof"] = a0.open(sent["prove"]).answer
+    sent.update((name, a0.seal(message)) for name, message in PACKETS.items())
     return {name: raw.hex() for name, raw in sent.items()}
 
 
@@ -216,7 +217,7 @@
 def plain(value):
     if isinstance(value, bytes):
         return value.hex()
-    return [plain(one) for one in value] if isinstance(value, list) else value
+    return [plain(item) for item in value] if isinstance(value, list) else value
 
 
 def test_peer_packets_are_written_in_the_same_format():
@@ -226,17 +227,17 @@
 
 def test_peer_packets_are_read_in_the_same_format():
     sent = {name: bytes.fromhex(raw) for name, raw in stored_json("peer-packets.json").items()}
-    two = packet_guard("a1")
-    assert two.open(sent["first"]).answer == sent["prove"]
+    a1 = packet_guard("a1")
+    assert a1.open(sent["first"]).answer == sent["prove"]
     assert packet_guard("a0").open(sent["prove"]).name == "a1"
-    assert two.open(sent["proof"]) == peers.OpenedPacket("a0", None)
+    assert a1.open(sent["proof"]) == peers.OpenedPacket("a0", None)
     for name, message in PACKETS.items():
-        assert two.open(sent[name]) == peers.OpenedPacket("a0", message), name
+        assert a1.open(sent[name]) == peers.OpenedPacket("a0", message), name
 
 
 def test_member_states_keep_their_names_and_numbers():
     """Names appear on the status page and in the log (`status`), numbers in packets."""
-    assert [(one.name.lower(), int(one)) for one in messages.Status] == [
+    assert [(status.name.lower(), int(status)) for status in messages.Status] == [
         ("alive", 0),
         ("suspect", 1),
         ("gone", 2),
@@ -256,10 +257,10 @@
 def rpc_frames() -> dict[str, str]:
     frames = {}
     for name, message in RPCS.items():
-        one, two = socket.socketpair()
-        with one, two:
-            rpc.send(one, message)
-            frames[name] = two.recv(4096).hex()
+        sender, receiver = socket.socketpair()
+        with sender, receiver:
+            rpc.send(sender, message)
+            frames[name] = receiver.recv(4096).hex()
     return frames
 
 
@@ -267,15 +268,16 @@
     frames = stored_json("lab-rpcs.json")
     assert rpc_frames() == frames
     for name, message in RPCS.items():
-        one, two = socket.socketpair()
-        with one, two:
-            one.sendall(bytes.fromhex(frames[name]))
-            assert next(rpc.receive(two, name.startswith("call"))) == message
+        sender, receiver = socket.socketpair()
+        with sender, receiver:
+            sender.sendall(bytes.fromhex(frames[name]))
+            assert next(rpc.receive(receiver, name.startswith("call"))) == message
 
 
 # Bench wire: the class of each code, and the order of its fields.
 
 ENTRY = (7, 1, 2, 5, 2, 1.5, 4.0)
+# Record name: code, fields on the wire, and the event that they are decoded to.
 EVENTS = {
     "ROSTER_CHANGE": (
         1,
@@ -311,9 +313,9 @@
 
 
 def instance() -> AssignerInstance:
-    one = AssignerInstance(9, SETTINGS_TEXT)
-    one.task_index(7)
-    return one
+    assigner = AssignerInstance(9, SETTINGS_TEXT)
+    assigner.task_index(7)
+    return assigner
 
 
 def wire_records() -> dict[str, str]:
--- a/tests/test_formats_outputs.py
+++ b/tests/test_formats_outputs.py
@@ -29,8 +29,7 @@
 from hollyridge.lab.day import Outcome
 from hollyridge.lab.experiments import hunt, takeover
 from hollyridge.lab.reports import profiler
-from hollyridge.settings import fleet_file as solving
-from hollyridge.settings import sections
+from hollyridge.settings import fleet_file, sections
 from hollyridge.solver.fleet import Fleet, Method, Task, Zone
 from hollyridge.store.table_versions import TableStore
 
@@ -188,7 +187,7 @@
 
 def test_the_page_that_fleet_reads_keeps_its_keys():
     assert [shape(page) for page in peers_pages().values()] == [
-        shape(p) for p in stored_json("peers-pages.json").values()
+        shape(page) for page in stored_json("peers-pages.json").values()
     ]
 
 
@@ -235,9 +234,9 @@
 
 def test_a_fleet_file_keeps_its_format():
     text = stored_text("fleet.ini")
-    assert solving.write(FLEET) == text
+    assert fleet_file.write(FLEET) == text
     tasks = tuple(task._replace(name=task.name.replace(":", "-") + "-1") for task in FLEET.tasks)
-    assert solving.read_text(text.encode(), "fleet.ini")[0] == FLEET._replace(tasks=tasks)
+    assert fleet_file.read_text(text.encode(), "fleet.ini")[0] == FLEET._replace(tasks=tasks)
 
 
 def rewritten_scenario(source: Path, target: Path) -> str:
@@ -262,14 +261,15 @@
     assert found_scenario() == stored_text("found.ini")
 
 
+# Model of each section, and values for its keys without a default.
 SETTINGS = {
     **{name: (model, {}) for name, model in sections.SECTIONS.items()},
     "method NAME": (sections.MethodSection, {"soft_deadline_ms": 1.0, "deadline_ms": 2.0}),
     "access NAME": (sections.AccessSection, {}),
-    "solve": (solving.SolveSection, {}),
-    "solve: method NAME": (solving.MethodSection, {}),
-    "solve: zone NAME": (solving.ZoneSection, {"demand": [1.0]}),
-    "solve: tasks NAME": (solving.TasksSection, {"zone": "a", "rate": 1.0}),
+    "solve": (fleet_file.SolveSection, {}),
+    "solve: method NAME": (fleet_file.MethodSection, {}),
+    "solve: zone NAME": (fleet_file.ZoneSection, {"demand": [1.0]}),
+    "solve: tasks NAME": (fleet_file.TasksSection, {"zone": "a", "rate": 1.0}),
     "script: day": (scenario.DaySection, {"settings": "x.ini", "length_s": 9.0}),
     "script: fleet": (scenario.FleetSection, {}),
     "script: load": (scenario.LoadSection, {}),
@@ -278,7 +278,7 @@
 }
 
 
-def sections() -> dict[str, dict]:
+def section_defaults() -> dict[str, dict]:
     return {
         name: model.model_validate(values).model_dump(mode="json", by_alias=True)
         for name, (model, values) in SETTINGS.items()
@@ -289,8 +289,8 @@
 def test_sections_have_the_same_keys_and_defaults(name):
     row, model = stored_json("sections.json")[name], SETTINGS[name][0]
     assert model.model_validate(row).model_dump(mode="json", by_alias=True) == row
-    assert sections()[name] == row
-    assert list(sections()[name]) == list(row)
+    assert section_defaults()[name] == row
+    assert list(section_defaults()[name]) == list(row)
 
 
 def test_all_sections_are_covered():
@@ -370,9 +370,9 @@
     "compare.rows": kept_rows,
     "solve-keys.json": lambda: as_text(solved()),
     "cost-parts.json": lambda: as_text(parts()),
-    "fleet.ini": lambda: solving.write(FLEET),
+    "fleet.ini": lambda: fleet_file.write(FLEET),
     "found.ini": found_scenario,
-    "sections.json": lambda: as_text(sections()),
+    "sections.json": lambda: as_text(section_defaults()),
     "failure-events.json": lambda: as_text(logged_failure_events()),
     "refusals.json": lambda: as_text(rejection_reasons()),
 }
--- a/tests/test_formats_platform.py
+++ b/tests/test_formats_platform.py
@@ -40,7 +40,7 @@
     ),
     "done": ({"node": "9", "nonce": "77", "latency": "120"}, messages.AckMessage(9, 77, 120_000)),
 }
-# All kinds of update that an assigner writes, with all fields, and the mark of each.
+# All kinds of update that an assigner writes, with all fields, and the mark of each (-1 for none).
 UPDATES = {
     "whole": (
         [TableUpdate(("read-chapter", "redeem-code"), True, (("s-1", 1.5), ("s-2", 0.0)), (0.75, 2))],
--- a/tests/test_formats_records.py
+++ b/tests/test_formats_records.py
@@ -41,7 +41,8 @@
     "trouble",
     "try",
 }
-FIRST = 1_002_050_000  # on the simulated clock, in microseconds; proxies join at 1002 s
+# End of the time whose messages are all in the sample, on the simulated clock, in microseconds; proxies join at 1002 s.
+FIRST_MESSAGES_END_US = 1_002_050_000
 
 
 @cache
@@ -71,7 +72,11 @@
         client, keys = row.get("who", row.get("proxy", "")), (row["k"], *row)
         if client.startswith("gw-") and client not in ("gw-0", "gw-3"):
             continue
-        if keys not in seen or row["k"] == "standing" or (row["t"] < FIRST and row["k"] in ("stream", "heard", "told")):
+        if (
+            keys not in seen
+            or row["k"] == "standing"
+            or (row["t"] < FIRST_MESSAGES_END_US and row["k"] in ("stream", "heard", "told"))
+        ):
             seen.add(keys)
             lines.append(msgspec.json.encode(row).decode() + "\n")
     return "".join(lines)
@@ -132,10 +137,10 @@
 def outcome_keys() -> dict:
     verdicts, figures, faults, parity = msgspec.json.decode(msgspec.json.encode(simulated_day()[2]))
     return {
-        "verdict": [type(one).__name__ for one in verdicts[0]],
+        "verdict": [type(value).__name__ for value in verdicts[0]],
         "figures": shape(figures),
         "troubles": shape(faults),
-        "parity": [type(one).__name__ for one in parity],
+        "parity": [type(value).__name__ for value in parity],
     }
 
 
