--- a/hollyridge/lab/checks/pace_rule.py
+++ b/hollyridge/lab/checks/pace_rule.py
@@ -20,7 +20,9 @@
 def check_pace(evidence: Evidence, limits: RuleLimits) -> Verdict:
     """Return the verdict on rule 5: messages per proxy, lines of one decision and pace of all lines within limits."""
     worst = WorstMoment("no message was sent")
+    # By run of the assigner and number of the decision.
     lines_of_decision: dict[tuple, float] = defaultdict(float)
+    # Time in microseconds and number of lines of each message, by assigner.
     lines_of_assigner: dict[int, list[tuple[int, float]]] = defaultdict(list)
     for proxy, messages in evidence.messages.items():
         _note_messages(evidence, limits, proxy, messages, worst)
--- a/hollyridge/lab/checks/update_model_check.py
+++ b/hollyridge/lab/checks/update_model_check.py
@@ -39,7 +39,8 @@
     """Replica that leaves out one check; the exploration must find the violation that results.
 
     Attributes:
-        fault: Name of the check that is left out; empty for none.
+        fault: Check that is left out: `no count` (all lines of a change were received), `no run` (the head is of the
+            same run), `no order` (the head is newer than that of the table); empty for none.
     """
 
     fault = ""
--- a/hollyridge/lab/experiments/hunt.py
+++ b/hollyridge/lab/experiments/hunt.py
@@ -58,7 +58,11 @@
 
 
 def draw(rng: Random, length_s: float, max_faults: int) -> dict[str, FaultSection]:
-    """Draw one to `max_faults` faults of different kinds that begin in the first three quarters of the day."""
+    """Draw one to `max_faults` faults of different kinds that begin in the first three quarters of the day.
+
+    Returns:
+        The faults by name.
+    """
     kinds = rng.sample(sorted(RANGES), rng.randint(1, max_faults))
     return draw_faults(rng, kinds, RANGES, FIRST_FAULT_S, LAST_FAULT_SHARE * length_s)
 
@@ -142,7 +146,11 @@
 
 
 def cut_down(seed: int, scenario: Scenario, outcome: Outcome, policy: str = "") -> tuple[Scenario, Outcome]:
-    """Remove faults one by one while the day breaks the same rules or, if it broke none, stays about as severe."""
+    """Remove faults one by one while the day breaks the same rules or, if it broke none, stays about as severe.
+
+    Returns:
+        The reduced scenario and its outcome.
+    """
     rules = broken_rules(outcome)
     day = FoundDay(seed, scenario, outcome)
     while (reduced := remove_one_fault(day, rules, policy)) is not None:
--- a/hollyridge/lab/experiments/takeover.py
+++ b/hollyridge/lab/experiments/takeover.py
@@ -65,7 +65,7 @@
 
 
 def draw(rng: Random, length_s: float) -> dict[str, FaultSection]:
-    """Draw a hard fault and up to two others, all in the first half of the day."""
+    """Draw a hard fault and up to two others, all in the first half of the day, and return them by name."""
     first = rng.choice(HARD_KINDS)
     others = set(RANGES) - {first}
     if first == "peers_cut":
